--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -12,13 +12,13 @@
 
 use std::borrow::Cow;
 
-use crate::books::{
-    AnswerTime, Choice, Desk, Draw, Fleet, Flow, Held, MODEST, Out, Tenant, at, longest, median, usual, whole,
-};
 use crate::types::{
     Ending, Event, Group, Health, ListKind, Listing, Nanos, Order, Outcome, Repeats, StandingOrders,
     Submission, Worker,
 };
+use crate::worker_stats::{
+    AnswerTime, Choice, Desk, Draw, Fleet, Flow, Held, MODEST, Out, Tenant, at, longest, median, usual, whole,
+};
 
 const THRESHOLD_FLOOR: f64 = 2.0;
 const RUN: u32 = 4; // Served jobs in a row after which a kind's threshold regains a slot.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! [`types`] is the interface, [`decide`] the decisions.
 
-mod books;
-mod carry;
 pub mod decide;
+mod reconfigure;
 pub mod types;
+mod worker_stats;
 
 impl types::Decide for decide::Dispatcher {
     fn decide(&mut self, now: types::Nanos, event: types::Event<'_>) -> &[types::Order] {
--- a/crates/dispatch/src/carry.rs
+++ b/crates/dispatch/src/reconfigure.rs
@@ -4,9 +4,9 @@
 //! is set aside, how many slots each was seen to have; what is held and out; and when the list is asked for.
 //! Reports, shares, limits, thresholds and answer times were measured under the old terms, and start afresh.
 
-use crate::books::Fleet;
 use crate::decide::Dispatcher;
 use crate::types::{Nanos, StandingOrders};
+use crate::worker_stats::Fleet;
 
 impl Dispatcher {
     /// Goes on under other terms. The lists that products, tenants, kinds and zones are places in must be the
