--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -64,7 +64,7 @@
             if let Some(taken) = self.taken.get_mut(submission as usize).and_then(Option::as_mut) {
                 taken.client_left = true;
             }
-            self.pending.push_back(Event::Left { submission });
+            self.pending.push_back(Event::ClientLeft { submission });
         }
     }
 
@@ -135,7 +135,7 @@
             executions,
         });
         self.arm(cut_off, Timer::CutOff(submission, number));
-        let job = Job { product, tenant, cut_off, slots, memory };
+        let job = Job { product, tenant, deadline: cut_off, slots, memory };
         self.pending.push_back(Event::Submitted { submission, job });
     }
 
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -63,7 +63,7 @@
         let (worker, took) = (sent.worker, now - sent.at);
         self.seen_at_start(worker, outcome);
         match outcome {
-            Outcome::Satisfied | Outcome::Full => {
+            Outcome::Completed | Outcome::Overloaded => {
                 self.workers[worker as usize].said = Some((now, true, report))
             }
             Outcome::TimedOut => self.workers[worker as usize].said = Some((now, false, None)),
@@ -76,11 +76,11 @@
             Outcome::NotSent => self.stats.not_sent += 1,
             _ => {}
         }
-        if let (Outcome::Satisfied, Some(result)) = (outcome, &result) {
+        if let (Outcome::Completed, Some(result)) = (outcome, &result) {
             self.fated(submission, Fate::Satisfied(result.clone()));
         }
         let owed = |core: &Self| core.taken[submission as usize].as_ref().is_some_and(|t| t.client.is_some());
-        if let (Outcome::Satisfied, Some(result), true) = (outcome, result, owed(self)) {
+        if let (Outcome::Completed, Some(result), true) = (outcome, result, owed(self)) {
             self.answer(submission, Answer::Satisfied(result));
         }
         let closed = !owed(self);
--- a/crates/core/src/fates.rs
+++ b/crates/core/src/fates.rs
@@ -1,7 +1,7 @@
 //! One-shots that may have run, where the node keeps them over a restart. "It may have run" lasts before the first byte
 //! of an execution leaves; what asks again under the same key is answered from what is known, and never run twice.
 
-use linestack_dispatch::types::Repeats;
+use linestack_dispatch::types::RepeatPolicy;
 use linestack_recovery::{Age, Fate, Fates};
 
 use super::*;
@@ -76,7 +76,7 @@
     }
 
     fn one_shot(&self, product: u8) -> bool {
-        self.products.get(usize::from(product)).is_some_and(|p| p.repeats == Repeats::OneShot)
+        self.products.get(usize::from(product)).is_some_and(|p| p.repeat_policy == RepeatPolicy::OneShot)
     }
 
     /// The answer to one that asks again, or that can't be remembered; none where it is to be taken.
--- a/crates/core/src/hearsay.rs
+++ b/crates/core/src/hearsay.rs
@@ -14,8 +14,8 @@
             let figures = report.map(|r| Figures {
                 free_slots: r.free_slots,
                 free_memory: r.free_memory,
-                waiting: r.waiting,
-                in_hand: r.in_hand,
+                waiting: r.queued_jobs,
+                in_hand: r.active_jobs,
             });
             let age_ms = now.saturating_sub(at) / 1_000_000;
             Some(Item { name: w.name.to_string(), age_ms, silent: !answered, figures })
@@ -48,8 +48,8 @@
             let report = figures.map(|f| Report {
                 free_slots: f.free_slots,
                 free_memory: f.free_memory,
-                waiting: f.waiting,
-                in_hand: f.in_hand,
+                queued_jobs: f.waiting,
+                active_jobs: f.in_hand,
             });
             let answered = silent.then_some(false);
             self.pending.push_back(Event::Probed { worker, answered, report });
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -34,8 +34,8 @@
 use bytes::Bytes;
 use linestack_dispatch::decide::Dispatcher;
 use linestack_dispatch::types::{
-    Decide, Ending, Event, Execution, Health, Job, ListKind, Listing, Order, Product, Report, Submission,
-    Worker,
+    Action, Decide, Ending, Event, Execution, Health, Job, ListKind, Product, Report, Submission, Worker,
+    WorkerEntry,
 };
 use linestack_settings::Settings;
 
@@ -332,7 +332,7 @@
         memory: usize,
     ) -> Self {
         let (orders, names) = (settings.orders, settings.names);
-        let (idle, last_span, longest_wait) = spans(orders.idle, settings.longest_cut_off);
+        let (idle, last_span, longest_wait) = spans(orders.idle_timeout, settings.longest_cut_off);
         // The rest is for the listener, the watch, the signals, and what is just being closed.
         let spare = sockets.saturating_sub(16);
         // An eighth of the memory for what each client's connection takes, as much for executors'.
@@ -341,7 +341,7 @@
             connect_timeout: orders.connect_timeout,
             idle,
             kept: idle,
-            asks: orders.ask_within.is_some(),
+            asks: orders.list_refresh_limit.is_some(),
             may_probe: orders.may_probe,
             may_duplicate: orders.may_duplicate,
             products: orders.products,
@@ -349,7 +349,7 @@
             longest_wait,
             version: 0,
             leave: Nanos::MAX,
-            come_back: orders.come_back,
+            come_back: orders.retry_after,
             book: None,
             start: None,
             last_call: Nanos::MAX,
@@ -397,11 +397,11 @@
     /// What is held, in flight and known stays; see the dispatcher's `go_on_under`.
     fn go_on_under(&mut self, settings: Settings) {
         let orders = settings.orders;
-        self.dispatcher.go_on_under(orders.clone());
+        self.dispatcher.reconfigure(orders.clone());
         (self.connect_timeout, self.may_probe) = (orders.connect_timeout, orders.may_probe);
         self.may_duplicate = orders.may_duplicate;
-        self.come_back = orders.come_back;
-        (self.idle, self.last_span, self.longest_wait) = spans(orders.idle, settings.longest_cut_off);
+        self.come_back = orders.retry_after;
+        (self.idle, self.last_span, self.longest_wait) = spans(orders.idle_timeout, settings.longest_cut_off);
         self.kept = self.kept.min(self.idle);
         self.products = orders.products;
     }
@@ -476,7 +476,7 @@
                 if let Some(Load::Execution(submission, execution)) =
                     self.links.get(&link).and_then(|l| l.load)
                 {
-                    self.pending.push_back(Event::Noted { submission, execution });
+                    self.pending.push_back(Event::Progressed { submission, execution });
                 }
             }
             Input::Ended { link, outcome, result, report } => {
@@ -538,15 +538,15 @@
         }
     }
 
-    pub(crate) fn carry_out(&mut self, order: Order) {
+    pub(crate) fn carry_out(&mut self, order: Action) {
         match order {
-            Order::Execute { submission, worker, timeout } => self.execute(submission, worker, timeout),
-            Order::Cancel { submission, execution } => self.cancel(submission, execution),
-            Order::Dismiss { submission, come_back } => {
+            Action::Execute { submission, worker, timeout } => self.execute(submission, worker, timeout),
+            Action::Cancel { submission, execution } => self.cancel(submission, execution),
+            Action::Dismiss { submission, retry_after: come_back } => {
                 self.answer(submission, Answer::Dismissed(come_back));
             }
-            Order::Abort { submission } => self.answer(submission, Answer::Aborted),
-            Order::Probe { worker } => {
+            Action::Abort { submission } => self.answer(submission, Answer::Aborted),
+            Action::Probe { worker } => {
                 must!(self, self.may_probe, "a probe where none may be sent");
                 if !self.may_probe {
                     return;
@@ -557,7 +557,7 @@
                     None => self.open(worker, Load::Probe),
                 }
             }
-            Order::Release { worker } => {
+            Action::CloseIdleConnections { worker } => {
                 let idle = self.workers.get_mut(worker as usize).map(|w| std::mem::take(&mut w.idle));
                 idle.into_iter().flatten().for_each(|link| self.close_link(link));
                 // The one whose end led to this is not idle yet: its last bytes are not in.
@@ -565,9 +565,9 @@
                 here.filter(|l| l.stage == Stage::Finishing).for_each(|l| l.last = true);
             }
             // The reducer times the next call itself where it knows how the last one ended.
-            Order::Subscribe if self.call_at.is_some() => {}
-            Order::Subscribe => self.effects.push(Effect::Watch),
-            Order::Forget { submission } => {
+            Action::Subscribe if self.call_at.is_some() => {}
+            Action::Subscribe => self.effects.push(Effect::Watch),
+            Action::Forget { submission } => {
                 let taken = self.taken.get_mut(submission as usize).and_then(Option::take);
                 if let Some(taken) = &taken {
                     self.ids.remove(&taken.shipment.id);
@@ -582,7 +582,7 @@
                 }
                 self.free.push(submission);
             }
-            Order::Ring { at, token } => self.arm(at, Timer::Ring(token)),
+            Action::SetTimer { at, timer_id: token } => self.arm(at, Timer::Ring(token)),
         }
     }
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -39,7 +39,7 @@
 
     pub(crate) fn ring(&mut self, at: Nanos, timer: Timer) {
         match timer {
-            Timer::Ring(token) => self.pending.push_back(Event::Rang { token }),
+            Timer::Ring(token) => self.pending.push_back(Event::TimerFired { timer_id: token }),
             Timer::Link(link) => {
                 let Some(line) = self.links.get_mut(&link).filter(|l| l.limit.armed == at) else { return };
                 line.limit.armed = Nanos::MAX;
@@ -70,7 +70,7 @@
                 if taken.is_some_and(|t| t.number == number && t.client.is_some() && t.cut_off <= self.now) {
                     must!(self, false, "a submission unanswered at its cut-off");
                     self.answer(submission, Answer::Aborted);
-                    self.pending.push_back(Event::Left { submission });
+                    self.pending.push_back(Event::ClientLeft { submission });
                 }
             }
             // Another time may have been settled since.
@@ -93,7 +93,7 @@
                 let open = (0..).zip(&self.taken).filter_map(|(i, t)| Some((i, t.as_ref()?.client?)));
                 for (submission, _) in open.collect::<Vec<(Submission, Client)>>() {
                     self.answer(submission, Answer::Aborted);
-                    self.pending.push_back(Event::Left { submission });
+                    self.pending.push_back(Event::ClientLeft { submission });
                 }
             }
             Timer::End => self.effects.push(Effect::Exit),
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -188,7 +188,7 @@
             self.stats.stale += 1;
             return match (load, broken.written) {
                 (Load::Execution(submission, execution), true) => {
-                    self.ended(submission, execution, Outcome::Stale, None, None);
+                    self.ended(submission, execution, Outcome::StaleConnection, None, None);
                 }
                 _ if self.permit(Occasion::Reconnect, line.worker, line.address, load).is_ok() => {
                     self.open(line.worker, load)
@@ -227,7 +227,7 @@
         if lost && seen.up == 0 {
             (seen.breaks, seen.unmade) = (0, 0);
             self.stats.died += 1;
-            self.pending.push_back(Event::Died { worker: line.worker });
+            self.pending.push_back(Event::ProcessLost { worker: line.worker });
         }
     }
 
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -59,7 +59,7 @@
             let place = &mut self.workers[worker as usize];
             (place.kind, place.zone, place.group, place.weight) = (kind, zone, e.group, e.weight);
             let (health, cell, weight) = (e.health, e.group, e.weight);
-            listings.push(Listing { worker, health, kind, zone, cell, started, weight });
+            listings.push(WorkerEntry { worker, health, kind, zone, cell, started, weight });
         }
         // What a whole list lacks has left, and so do the connections kept for it.
         self.present = 0;
@@ -75,7 +75,7 @@
             }
             idle.into_iter().for_each(|link| self.close_link(link));
         }
-        self.decide(Event::Listed { kind, entries: &listings });
+        self.decide(Event::ListReceived { kind, entries: &listings });
         self.settle();
         self.retire();
     }
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -134,8 +134,8 @@
         if place.address != address {
             return Err(Refusal::ExecutorMoved);
         }
-        let at = Listing { kind: place.kind, zone: place.zone, ..Listing::default() };
-        if !self.products.get(usize::from(taken.product)).is_none_or(|p| p.open_to(&at)) {
+        let at = WorkerEntry { kind: place.kind, zone: place.zone, ..WorkerEntry::default() };
+        if !self.products.get(usize::from(taken.product)).is_none_or(|p| p.allows(&at)) {
             return Err(Refusal::NotOpen);
         }
         let others = taken.executions.iter().enumerate().filter(|(i, _)| *i != usize::from(execution));
--- a/crates/core/src/starting.rs
+++ b/crates/core/src/starting.rs
@@ -65,9 +65,11 @@
     pub(crate) fn seen_at_start(&mut self, worker: Worker, outcome: Outcome) {
         let Some(Starting { start, .. }) = &mut self.start else { return };
         match outcome {
-            Outcome::Satisfied | Outcome::Error | Outcome::Unusable => start.answered(worker),
-            Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => start.refused(),
-            Outcome::Stale | Outcome::Cancelled | Outcome::NotSent => {}
+            Outcome::Completed | Outcome::Error | Outcome::InvalidSubmission => start.answered(worker),
+            Outcome::Overloaded | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
+                start.refused()
+            }
+            Outcome::StaleConnection | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -107,7 +107,7 @@
             assert_eq!(address, executor(last, Health::Ready).address);
             node.feed(Input::Ended {
                 link,
-                outcome: Outcome::Satisfied,
+                outcome: Outcome::Completed,
                 result: Bytes::from_static(b"r"),
                 report: None,
             });
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use linestack_core::*;
-use linestack_dispatch::types::{Event, Health, ListKind, Nanos, Order, Outcome, Report};
+use linestack_dispatch::types::{Action, Event, Health, ListKind, Nanos, Outcome, Report};
 use rstest::rstest;
 
 const MS: Nanos = 1_000_000;
@@ -131,7 +131,7 @@
     fn with_idle() -> (Self, Link) {
         let mut node = Self::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
         let (_, link) = node.under_way(PAY);
-        node.end(link, Outcome::Satisfied);
+        node.end(link, Outcome::Completed);
         node.feed(Input::Freed { link, named: true });
         (node, link)
     }
@@ -168,10 +168,10 @@
 }
 
 #[rstest]
-#[case::turned_away(Outcome::Full, None, true)]
+#[case::turned_away(Outcome::Overloaded, None, true)]
 #[case::lost(Outcome::Reset, Some(Answer::Aborted), false)]
 #[case::error(Outcome::Error, Some(Answer::Aborted), false)]
-#[case::done(Outcome::Satisfied, Some(Answer::Satisfied(Bytes::from_static(b"r"))), false)]
+#[case::done(Outcome::Completed, Some(Answer::Satisfied(Bytes::from_static(b"r"))), false)]
 fn what_follows_an_answer_to_a_one_shot(
     #[case] outcome: Outcome,
     #[case] answer: Option<Answer>,
@@ -211,7 +211,7 @@
         }
     }
     node.now += 400 * MS;
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     assert_eq!(node.answers(), [(client, Answer::Satisfied(Bytes::from_static(b"r")))]);
     let stats = node.core.stats();
     assert_eq!((stats.refused.over, stats.broken), (1, 0));
@@ -253,7 +253,7 @@
     node.feed(Input::ClientGone { client });
     assert!(node.closed(link));
     // What the connection had on its way comes too late to matter.
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     node.feed(Input::LinkDown { link, broken: WHOLE });
     assert_eq!((node.answers().len(), node.core.stats().open), (0, 0));
 }
@@ -277,7 +277,7 @@
     if let Some((link, _)) = node.opened() {
         node.feed(Input::LinkUp { link });
         assert_eq!(node.sent(), Some(link));
-        node.end(link, Outcome::Satisfied);
+        node.end(link, Outcome::Completed);
     }
     node.submit(PAY, 5_000 * MS);
     assert!(node.opened().is_some());
@@ -287,7 +287,7 @@
 fn a_probe_on_an_idle_connection_that_was_closed_is_sent_anew() {
     let mut node = Node::new(1);
     let (_, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     node.feed(Input::Freed { link, named: true });
     let mut waits = 0;
     while !node.effects.iter().any(|e| matches!(e, Effect::Probe { link: l } if *l == link)) {
@@ -322,7 +322,7 @@
             link = node.opened().unwrap().0;
             node.feed(Input::LinkUp { link });
         }
-        node.end(link, Outcome::Satisfied);
+        node.end(link, Outcome::Completed);
         node.feed(Input::Freed { link, named: true });
     }
     assert_eq!(found, [true, false, true, true, false, true]);
@@ -345,7 +345,7 @@
     let settings = common::SETTINGS.replace("\"balancers\": 2", &format!("\"balancers\": {nodes}"));
     let mut node = Node::with(&settings.replace("\"mayProbe\": true", "\"mayProbe\": false"), 60);
     let (_, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     assert!(!node.closed(link));
     node.feed(Input::Freed { link, named: true });
     assert_eq!(node.closed(link), closed);
@@ -579,7 +579,7 @@
     node.pass(100 * MS);
     assert!(closed(&node, 900) && !closed(&node, busy));
     node.feed(Input::ClientGone { client: 900 });
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     assert!(node.effects.iter().any(|e| matches!(e, Effect::Answer { last: true, .. })));
     assert!(!node.effects.iter().any(|e| matches!(e, Effect::Exit)));
     node.feed(Input::ClientGone { client: busy });
@@ -602,7 +602,7 @@
     assert_eq!((node.answers(), node.opened()), (vec![(other, Answer::Repeated)], None));
     // That the other goes changes nothing.
     node.feed(Input::ClientGone { client: other });
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     assert_eq!(node.answers(), [(holder, Answer::Satisfied(Bytes::from_static(b"r")))]);
     let later = submit(&mut node);
     assert_ne!(node.answers(), [(later, Answer::Repeated)]);
@@ -614,7 +614,7 @@
     let mut node = Node::new(2);
     let (busy, link) = node.under_way(PAY);
     let (usual, other) = node.under_way(PAY);
-    node.end(other, Outcome::Satisfied);
+    node.end(other, Outcome::Completed);
     node.feed(Input::ClientPhase { client: usual, phase: Phase::Idle });
     let mut put_out = Vec::new();
     for client in 100..400 {
@@ -626,7 +626,7 @@
         assert!(!node.core.crowded());
     }
     assert!(put_out.len() > 200 && put_out.iter().all(|c| ![busy, usual].contains(c)));
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     assert_eq!(node.answers().len(), 1);
 }
 
@@ -649,7 +649,7 @@
     let mut node = Node::new(1);
     let client = if usual {
         let (client, link) = node.under_way(PAY);
-        node.end(link, Outcome::Satisfied);
+        node.end(link, Outcome::Completed);
         client
     } else {
         node.feed(Input::ClientUp { client: 1 });
@@ -684,7 +684,7 @@
     let named = format!("\"cutOffMs\": {cut_off}, \"agreedTimeMs\"");
     let mut node = Node::with(&common::SETTINGS.replace("\"agreedTimeMs\"", &named), 1);
     let (usual, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     node.feed(Input::ClientPhase { client: usual, phase: Phase::Idle });
     node.feed(Input::Stop);
     node.pass(MS);
@@ -739,7 +739,7 @@
     assert!(most <= 4 + 4 + 1_024 + 4, "{most} kept");
     let held = (0..most as u32).filter(|w| node.core.address(*w).is_some_and(|a| a.port() < 104)).count();
     assert_eq!(held, 1, "the one that still holds the job");
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     assert_eq!(node.answers(), [(client, Answer::Satisfied(Bytes::from_static(b"r")))]);
     assert_eq!(node.core.stats().broken, 0);
 }
@@ -757,9 +757,9 @@
     #[case] lost: bool,
 ) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
-    let report = Some(Report { free_slots: Some(8.0), in_hand: Some(0.0), ..Report::default() });
+    let report = Some(Report { free_slots: Some(8.0), active_jobs: Some(0.0), ..Report::default() });
     let end = |node: &mut Node, link| {
-        node.feed(Input::Ended { link, outcome: Outcome::Satisfied, result: Bytes::new(), report });
+        node.feed(Input::Ended { link, outcome: Outcome::Completed, result: Bytes::new(), report });
         node.feed(Input::Freed { link, named: true });
     };
     let (_, first) = node.under_way(LOOK);
@@ -788,11 +788,11 @@
 struct Heedless;
 
 impl linestack_dispatch::types::Decide for Heedless {
-    fn go_on_under(&mut self, _: linestack_dispatch::types::StandingOrders) {}
+    fn reconfigure(&mut self, _: linestack_dispatch::types::DispatchConfig) {}
 
-    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Order] {
+    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Action] {
         match event {
-            Event::Submitted { .. } => &[Order::Execute { submission: 0, worker: 0, timeout: 1_000 * MS }],
+            Event::Submitted { .. } => &[Action::Execute { submission: 0, worker: 0, timeout: 1_000 * MS }],
             _ => &[],
         }
     }
@@ -858,7 +858,7 @@
     node.feed(Input::LinkDown { link: at, broken: WHOLE });
     assert_eq!(node.answers(), [(pay, Answer::Aborted)], "it may have run");
     assert!(node.opened().is_none() && node.sent().is_none());
-    node.end(other, Outcome::Satisfied);
+    node.end(other, Outcome::Completed);
     assert!(matches!(node.answers()[..], [(client, Answer::Satisfied(_))] if client == look));
     let probes = node.core.stats().probes;
     for _ in 0..40 {
@@ -890,7 +890,7 @@
     assert!(node.opened().is_none() && node.sent().is_none());
     let stats = node.core.stats();
     assert_eq!((stats.taken, stats.fenced, stats.open), (1, 1, 1));
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     let under = node.effects.iter().find_map(|e| match e {
         Effect::Answer { client, version, .. } if *client == held => Some(*version),
         _ => None,
@@ -930,8 +930,8 @@
 
 // An answer without a report is an answer: peers are not told that the executor is silent. One that did not answer is.
 #[rstest]
-#[case::answered(Outcome::Satisfied, false)]
-#[case::full(Outcome::Full, false)]
+#[case::answered(Outcome::Completed, false)]
+#[case::full(Outcome::Overloaded, false)]
 #[case::silent(Outcome::TimedOut, true)]
 fn what_peers_are_told(#[case] outcome: Outcome, #[case] silent: bool) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
@@ -1120,17 +1120,17 @@
     node.feed(Input::LinkUp { link });
     let ticket = keeps(&node)[0].1.unwrap();
     node.feed(Input::Kept { ticket, lasts: true });
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     assert_eq!(keeps(&node), [(linestack_recovery::Fate::Satisfied(Bytes::from_static(b"r")), None)]);
 }
 
 /// Decisions that order the same twice, whatever is allowed.
-struct Twice(Order);
+struct Twice(Action);
 
 impl linestack_dispatch::types::Decide for Twice {
-    fn go_on_under(&mut self, _: linestack_dispatch::types::StandingOrders) {}
+    fn reconfigure(&mut self, _: linestack_dispatch::types::DispatchConfig) {}
 
-    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Order] {
+    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Action] {
         if matches!(event, Event::Submitted { .. }) { std::slice::from_ref(&self.0) } else { &[] }
     }
 }
@@ -1145,8 +1145,8 @@
 ) {
     let text = common::SETTINGS.replace(&format!("\"{key}\": true"), &format!("\"{key}\": {allowed}"));
     let order = match key {
-        "mayProbe" => Order::Probe { worker: 0 },
-        _ => Order::Execute { submission: 0, worker: 0, timeout: 1_000 * MS },
+        "mayProbe" => Action::Probe { worker: 0 },
+        _ => Action::Execute { submission: 0, worker: 0, timeout: 1_000 * MS },
     };
     let settings = linestack_settings::read(text.as_bytes(), 7).unwrap();
     let core = Core::with(Box::new(Twice(order)), settings, 64, 32 << 20);
@@ -1311,7 +1311,7 @@
 ) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
     let (_, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
+    node.end(link, Outcome::Completed);
     node.feed(Input::Freed { link, named });
     node.now += after * MS;
     node.submit(PAY, 5_000 * MS);
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -13,8 +13,8 @@
 use std::borrow::Cow;
 
 use crate::types::{
-    Ending, Event, Group, Health, ListKind, Listing, Nanos, Order, Outcome, Repeats, StandingOrders,
-    Submission, Worker,
+    Action, DedupScope, DispatchConfig, Ending, Event, Health, ListKind, Nanos, Outcome, RepeatPolicy,
+    Submission, Worker, WorkerEntry,
 };
 use crate::worker_stats::{
     AnswerTime, Choice, Desk, Draw, Fleet, Flow, Held, MODEST, Out, Tenant, at, longest, median, usual, whole,
@@ -39,7 +39,7 @@
 const IDLE_BEARS: f64 = 2.0; // and so many answer times one of them may keep an idle connection to it.
 
 pub struct Dispatcher {
-    pub(crate) terms: StandingOrders,
+    pub(crate) terms: DispatchConfig,
     pub(crate) chance: fastrand::Rng,
     pub(crate) now: Nanos,
     pub(crate) fleet: Fleet,
@@ -54,32 +54,32 @@
     /// The best payoff, and the points that reports may cost: starts tell at once what reports tell late.
     best: f64,
     spend: f64,
-    todo: Vec<Order>,
+    todo: Vec<Action>,
 }
 
 impl Dispatcher {
     #[must_use]
-    pub fn new(terms: StandingOrders) -> Self {
+    pub fn new(terms: DispatchConfig) -> Self {
         Self {
             chance: fastrand::Rng::with_seed(terms.seed),
             now: 0,
             fleet: Fleet::default(),
             held: Vec::new(),
             tenants: vec![Tenant::default(); terms.quotas.len()],
-            answers: terms.products.iter().map(|p| AnswerTime::expected(p.agreed)).collect(),
-            flow: Flow::new(terms.idle, terms.products.len()),
+            answers: terms.products.iter().map(|p| AnswerTime::expected(p.latency_target)).collect(),
+            flow: Flow::new(terms.idle_timeout, terms.products.len()),
             next_pulse: 0,
             subscribe_at: Nanos::MAX,
             unheard: 0,
             best: terms.products.iter().map(|p| p.payoff).fold(f64::MIN_POSITIVE, f64::max),
-            spend: if terms.tells_start { PROBE_SPEND / 10.0 } else { PROBE_SPEND },
+            spend: if terms.reports_start { PROBE_SPEND / 10.0 } else { PROBE_SPEND },
             todo: Vec::new(),
             terms,
         }
     }
 
     /// Takes one thing that happened, returns what is to be done, in order.
-    pub fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Order] {
+    pub fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Action] {
         self.todo.clear();
         if self.now == 0 {
             // Until arrivals were seen, this node's part of all shares is what it expects.
@@ -92,16 +92,16 @@
             self.pulse();
         }
         match event {
-            Event::Listed { kind, entries } => self.listed(kind, entries),
+            Event::ListReceived { kind, entries } => self.listed(kind, entries),
             Event::Submitted { submission, job } => {
                 at(&mut self.held, submission).take(job);
                 self.submitted(submission);
             }
-            Event::Left { submission } => self.close(submission),
+            Event::ClientLeft { submission } => self.close(submission),
             Event::Streaming { submission, .. } => {
                 self.held.get_mut(submission as usize).into_iter().for_each(|h| h.streaming = true);
             }
-            Event::Noted { submission, execution } => {
+            Event::Progressed { submission, execution } => {
                 let held = self.held.get(submission as usize);
                 let worker = held.and_then(|h| h.tried.get(usize::from(execution))).copied();
                 if let Some((waited, idled)) =
@@ -135,11 +135,11 @@
                 }
             }
             // Back at once, it would be sent as much as a warm one before the list tells of its start.
-            Event::Died { worker } => self.fleet.get_mut(worker).into_iter().for_each(|desk| {
+            Event::ProcessLost { worker } => self.fleet.get_mut(worker).into_iter().for_each(|desk| {
                 (desk.aside, desk.suspected, desk.died) = (desk.aside.max(1), true, true);
             }),
             Event::Retired { worker } => self.fleet.retire(worker),
-            Event::Rang { .. } => {} // The pulse was seen to above; a stale timer calls for nothing.
+            Event::TimerFired { .. } => {} // The pulse was seen to above; a stale timer calls for nothing.
         }
         &self.todo
     }
@@ -149,16 +149,16 @@
     fn let_go(&mut self, worker: Worker) {
         let Some(desk) = self.fleet.desks.get(worker as usize).filter(|d| d.out.is_empty()) else { return };
         let many = f64::from(self.terms.nodes) > CROWD * self.fleet.mean_slots(desk);
-        let kept = if many { IDLE_BEARS * longest(&self.answers) } else { self.terms.idle as f64 };
+        let kept = if many { IDLE_BEARS * longest(&self.answers) } else { self.terms.idle_timeout as f64 };
         let seldom = self.flow.arrivals.read(self.now) * kept < self.fleet.ready.len() as f64;
         // Where a new one is priced, what is kept is used first.
-        if seldom && self.terms.connection_price <= 0.0 {
-            self.todo.push(Order::Release { worker });
+        if seldom && self.terms.connection_cost <= 0.0 {
+            self.todo.push(Action::CloseIdleConnections { worker });
         }
     }
 
-    fn listed(&mut self, kind: ListKind, entries: &[Listing]) {
-        if let (Some(within), ListKind::Failed | ListKind::Cached) = (self.terms.ask_within, kind) {
+    fn listed(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
+        if let (Some(within), ListKind::Failed | ListKind::Cached) = (self.terms.list_refresh_limit, kind) {
             // A list not asked for would count as told of drains that were never heard of; but what all nodes
             // ask together, or again at once, fails together, and a herd of calls keeps the changes from all.
             self.unheard = if kind == ListKind::Failed { (self.unheard + 1).min(MAX_STRIKES) } else { 0 };
@@ -176,11 +176,11 @@
         let threshold = self.fleet.mean_threshold().unwrap_or(MODEST);
         for &listing in entries {
             self.fleet.meet(listing.kind, threshold);
-            if self.fleet.follow(listing, self.terms.listed_sizes) {
+            if self.fleet.follow(listing, self.terms.weights_are_sizes) {
                 self.fleet[listing.worker].restarted();
             }
         }
-        self.fleet.take_stock(self.now, self.terms.cold_for);
+        self.fleet.take_stock(self.now, self.terms.slow_start_duration);
     }
 
     fn submitted(&mut self, submission: Submission) {
@@ -198,7 +198,7 @@
         let limit = (self.flow.limit * self.fleet.room() / ready).max(1.0) * open;
         let full = choice.members == 0 && choice.mean * open + job.slots > limit;
         // While hardly any job starts at once all would come late: some are turned away, by chance.
-        let least = if self.terms.tells_start { LEAST * self.chance.f64() } else { 0.0 };
+        let least = if self.terms.reports_start { LEAST * self.chance.f64() } else { 0.0 };
         if choice.room < reserve.max(least) || full {
             return self.finish(submission, excess > 0.0);
         }
@@ -231,22 +231,23 @@
         let (held, fleet) = (&self.held[submission as usize], &self.fleet);
         let product = &self.terms.products[usize::from(held.job.product)];
         let open = fleet.open(product);
-        let own = if product.is_bound() { fleet.own_slots(product) } else { self.flow.in_flight };
+        let own = if product.is_restricted() { fleet.own_slots(product) } else { self.flow.in_flight };
         let mean = own / open.max(1) as f64;
         // Where many are not known at all, what was heard of long ago is neither free nor full.
         let sparse = fleet.watched.len() < fleet.ready.len();
         let fresh = FRESH * longest(&self.answers) + self.flow.lag(self.now) as f64;
         let stale = |d: &Desk| d.reported.is_none_or(|r| (self.now - r) as f64 > fresh);
-        let linked = |d: &Desk| self.terms.connection_price > 0.0 && d.is_linked(self.now, self.flow.kept);
-        let near = |d: &Desk| self.terms.crossing_price <= 0.0 || d.listing.zone == self.terms.zone;
+        let linked = |d: &Desk| self.terms.connection_cost > 0.0 && d.is_linked(self.now, self.flow.kept);
+        let near = |d: &Desk| self.terms.zone_crossing_cost <= 0.0 || d.listing.zone == self.terms.zone;
         let terms = self.answers.iter().zip(&self.terms.products);
-        let waits = terms.map(|(a, p)| p.agreed as f64 + (p.stretch - 1.0).max(0.0) * a.shortest);
+        let waits = terms
+            .map(|(a, p)| p.latency_target as f64 + (p.latency_target_factor - 1.0).max(0.0) * a.shortest);
         let bears = waits.fold(f64::INFINITY, f64::min) / usual(&self.answers);
         let [mut members, mut others, mut aside]: [Draw; 3] = Default::default();
         let (mut known, mut roomy, mut strangers, mut chance) = (0, 0, open, self.chance.clone());
         for &worker in &fleet.watched {
             let desk = &fleet[worker];
-            if !product.open_to(&desk.listing) {
+            if !product.allows(&desk.listing) {
                 continue;
             }
             strangers -= usize::from(desk.listing.health == Health::Ready);
@@ -261,13 +262,13 @@
             // One that lost its process is cold when it is back, though the list does not tell yet.
             aside.offer_if(warm && !fit && !desk.died, worker, 0, &mut chance);
             // A crossing costs less than an answer that comes late for sure.
-            let pace = desk.pace(self.now, self.terms.cold_for);
+            let pace = desk.pace(self.now, self.terms.slow_start_duration);
             let crawls = u8::from(pace > CRAWLS);
             others.offer_if(fit && warm && self.in_time(desk, bears), worker, crawls, &mut chance);
             if below && warm {
                 roomy += 1;
                 let (far, slow) = (u8::from(!near(desk)), u8::from(pace > SLOW));
-                let new = u8::from(self.terms.connection_price > 0.0 && !linked(desk));
+                let new = u8::from(self.terms.connection_cost > 0.0 && !linked(desk));
                 let rank = 8 * crawls + 4 * far + 2 * new + slow;
                 members.offer_if(!sparse || !stale(desk) || good, worker, rank, &mut chance);
             }
@@ -278,7 +279,7 @@
             others.pick = aside.pick;
         }
         // Of few that a repeat may go to, hardly one would come up among all.
-        let few = held.anchor.is_some() && product.repeats.is_grouped();
+        let few = held.anchor.is_some() && product.repeat_policy.limits_retries();
         let group = || fleet.ready.iter().copied().filter(|w| self.allowed(held, *w)).collect::<Vec<_>>();
         let ready = &*if few { Cow::Owned(group()) } else { Cow::Borrowed(&fleet.ready) };
         let strangers = strangers.min(ready.len());
@@ -316,7 +317,7 @@
         }
         // Those known just now are largely those that hold our jobs or turned some away.
         let more = strangers as f64;
-        let likely = if self.terms.tells_start { BLIND * self.flow.prompt } else { fleet.roomy(self.now) };
+        let likely = if self.terms.reports_start { BLIND * self.flow.prompt } else { fleet.roomy(self.now) };
         let room = (roomy as f64 + more * likely) / (known as f64 + more).max(1.0);
         let members = members.offered + usize::from(pick.is_some() && pick != others.pick);
         self.chance = chance;
@@ -326,7 +327,7 @@
     fn below_threshold(&self, desk: &Desk, held: &Held, mean: f64) -> bool {
         let (job, own) = (&held.job, desk.own_slots);
         let threshold = self.fleet.kind(desk).map_or(0.0, |k| k.threshold);
-        let waits = self.terms.tells_start && desk.out.iter().any(|o| o.waits);
+        let waits = self.terms.reports_start && desk.out.iter().any(|o| o.waits);
         if own + job.slots > threshold || own > mean + job.slots || waits {
             return false;
         }
@@ -339,7 +340,7 @@
             return desk.out.is_empty() || (!self.fleet.told && self.answers.iter().any(|a| a.seen > 0.0));
         }
         // A late report misses what was sent before it came, and what we hold is never free.
-        let (free, waiting) = (desk.report.free_slots.map(whole), desk.report.waiting.map_or(0.0, whole));
+        let (free, waiting) = (desk.report.free_slots.map(whole), desk.report.queued_jobs.map_or(0.0, whole));
         let since = desk.since(self.flow.lag(self.now), |o| o.slots);
         if free.is_some_and(|f| (f - waiting - since).min(desk.slots - own) < job.slots) {
             return false;
@@ -353,7 +354,7 @@
     /// late, or the most patient product would fill them until the others get nothing.
     fn in_time(&self, desk: &Desk, bears: f64) -> bool {
         let since = desk.since(self.flow.lag(self.now), |o| o.slots);
-        let (free, waiting) = (desk.report.free_slots, desk.report.waiting);
+        let (free, waiting) = (desk.report.free_slots, desk.report.queued_jobs);
         let ahead = waiting.map_or(0.0, whole) + since - free.map_or(0.0, whole);
         ahead / desk.slots.max(1.0) <= bears
     }
@@ -369,17 +370,17 @@
         let desk = &self.fleet[worker];
         let product = &self.terms.products[usize::from(held.job.product)];
         let over = !held.open || held.streaming || held.executions >= self.terms.max_executions;
-        let late = self.now + self.terms.answer_slack >= held.job.cut_off;
-        let closed = !product.open_to(&desk.listing);
+        let late = self.now + self.terms.deadline_margin >= held.job.deadline;
+        let closed = !product.allows(&desk.listing);
         if over || late || closed || desk.listing.health != Health::Ready {
             return false;
         }
-        match (held.anchor, product.repeats) {
-            (None, _) | (_, Repeats::Harmless) => true,
-            (Some(_), Repeats::OneShot) => false,
-            (Some((first, sent)), Repeats::Stamped { group, memory }) => {
+        match (held.anchor, product.repeat_policy) {
+            (None, _) | (_, RepeatPolicy::Idempotent) => true,
+            (Some(_), RepeatPolicy::OneShot) => false,
+            (Some((first, sent)), RepeatPolicy::Stamped { scope: group, dedup_window: memory }) => {
                 // A copy must reach them while they remember, connecting included.
-                let same = group.joins(&self.fleet[first].listing, &desk.listing);
+                let same = group.covers(&self.fleet[first].listing, &desk.listing);
                 same && self.now + self.terms.connect_timeout < sent + memory
             }
         }
@@ -389,13 +390,13 @@
     /// once: the part of each is spent by chance, and their mean kept far below what it bears in a window.
     fn slow_start(&self, desk: &Desk) -> Option<f64> {
         let age = self.now.saturating_sub(desk.listing.started);
-        if desk.listing.started == 0 || age >= self.terms.cold_for {
+        if desk.listing.started == 0 || age >= self.terms.slow_start_duration {
             return None;
         }
-        let warmth = age as f64 / self.terms.cold_for as f64;
-        let present = self.terms.cold_from + (1.0 - self.terms.cold_from) * warmth;
-        let window = self.terms.fall_window as f64;
-        let bears = self.terms.fall_multiple * present * self.fleet.mean_slots(desk) * window;
+        let warmth = age as f64 / self.terms.slow_start_duration as f64;
+        let present = self.terms.cold_capacity_share + (1.0 - self.terms.cold_capacity_share) * warmth;
+        let window = self.terms.overload_window as f64;
+        let bears = self.terms.overload_factor * present * self.fleet.mean_slots(desk) * window;
         let jobs = bears / self.flow.work(&self.answers);
         // The mean that stays below it with three deviations of chance.
         let mean = ((jobs + 2.25).sqrt() - 1.5).powi(2);
@@ -412,17 +413,17 @@
         let (now, held) = (self.now, &mut self.held[submission as usize]);
         let usual = self.answers[usize::from(held.job.product)].mean;
         self.flow.in_flight += held.job.slots;
-        let mut out = held.send(submission, worker, now, self.terms.tells_start, usual);
+        let mut out = held.send(submission, worker, now, self.terms.reports_start, usual);
         let desk = self.fleet.watch(worker);
         // One that stood idle for too long may have been dropped unseen, and a job sent on it is lost.
         match desk.linked.take().map(|since| now - since) {
             Some(idled) if (idled as f64) < self.flow.kept => out.idled = idled,
-            Some(_) => self.todo.push(Order::Release { worker }),
+            Some(_) => self.todo.push(Action::CloseIdleConnections { worker }),
             None => {}
         }
         desk.send(out);
-        let timeout = held.job.cut_off - now - self.terms.answer_slack / 2;
-        self.todo.push(Order::Execute { submission, worker, timeout });
+        let timeout = held.job.deadline - now - self.terms.deadline_margin / 2;
+        self.todo.push(Action::Execute { submission, worker, timeout });
         self.pulse_at(now + self.terms.connect_timeout / 5);
     }
 
@@ -432,13 +433,16 @@
         if !held.open || held.out > 0 {
             return;
         }
-        let repeats = self.terms.products.get(usize::from(held.job.product)).map(|p| p.repeats);
-        let free = matches!(repeats, Some(Repeats::Harmless | Repeats::Stamped { group: Group::All, .. }));
+        let repeats = self.terms.products.get(usize::from(held.job.product)).map(|p| p.repeat_policy);
+        let free = matches!(
+            repeats,
+            Some(RepeatPolicy::Idempotent | RepeatPolicy::Stamped { scope: DedupScope::All, .. })
+        );
         if free || held.anchor.is_none() {
-            let come_back = self.terms.come_back.map(|most| if excess { most } else { most / 8 });
-            self.todo.push(Order::Dismiss { submission, come_back });
+            let come_back = self.terms.retry_after.map(|most| if excess { most } else { most / 8 });
+            self.todo.push(Action::Dismiss { submission, retry_after: come_back });
         } else {
-            self.todo.push(Order::Abort { submission });
+            self.todo.push(Action::Abort { submission });
         }
         self.close(submission);
     }
@@ -449,7 +453,7 @@
         held.open = false;
         if self.terms.may_cancel && held.out > 0 {
             let out = self.fleet.out(submission, &held.tried);
-            self.todo.extend(out.map(|execution| Order::Cancel { submission, execution }));
+            self.todo.extend(out.map(|execution| Action::Cancel { submission, execution }));
         }
         self.forget(submission);
     }
@@ -457,7 +461,7 @@
     fn forget(&mut self, submission: Submission) {
         let held = self.held.get_mut(submission as usize).filter(|h| !h.open && h.out == 0);
         if held.is_some_and(|h| std::mem::take(&mut h.known)) {
-            self.todo.push(Order::Forget { submission });
+            self.todo.push(Action::Forget { submission });
         }
     }
 
@@ -469,13 +473,13 @@
         held.ended(!outcome.never_ran());
         self.flow.in_flight = (self.flow.in_flight - out.slots).max(0.0);
         let (product, took) = (usize::from(held.job.product), ending.took as f64);
-        let harmless = self.terms.products[product].repeats == Repeats::Harmless;
+        let harmless = self.terms.products[product].repeat_policy == RepeatPolicy::Idempotent;
         let kind = self.fleet.kinds.get_mut(usize::from(desk.listing.kind));
         let Some(Some(kind)) = kind else { return };
         match outcome {
-            Outcome::Satisfied => {
+            Outcome::Completed => {
                 (desk.heard, desk.served, desk.linked) = (now, desk.served + 1, Some(now));
-                desk.paced(now, self.terms.cold_for, took / self.answers[product].mean);
+                desk.paced(now, self.terms.slow_start_duration, took / self.answers[product].mean);
                 desk.strikes -= u32::from(desk.strikes > 0 && desk.served % (2 * RUN) == 0);
                 kind.run += 1;
                 if kind.run >= RUN {
@@ -483,7 +487,7 @@
                     (kind.run, kind.threshold) = (0, (kind.threshold + 1.0).min(kind.start()));
                 }
             }
-            Outcome::Full => {
+            Outcome::Overloaded => {
                 desk.heard = now;
                 if desk.listing.health == Health::Ready {
                     (kind.run, kind.threshold) = (0, (kind.threshold - out.slots).max(THRESHOLD_FLOOR));
@@ -492,19 +496,19 @@
             // It looks empty and would draw all the work; but where a repeat makes good, it still does some.
             Outcome::Error if harmless => desk.aside = desk.aside.max(1),
             Outcome::Error => set_aside(desk, false),
-            Outcome::Unusable => held.executions = self.terms.max_executions,
+            Outcome::InvalidSubmission => held.executions = self.terms.max_executions,
             // Dropped unseen while it stood idle, it says nothing of the worker.
             Outcome::Reset if out.idled > 0 && out.waits && ending.took < self.terms.connect_timeout / 5 => {
                 self.flow.started(false, out.idled);
             }
             Outcome::Reset | Outcome::ConnectFailed => set_aside(desk, true),
             Outcome::TimedOut if desk.heard <= out.sent => set_aside(desk, false),
-            Outcome::TimedOut | Outcome::Stale | Outcome::Cancelled | Outcome::NotSent => {}
+            Outcome::TimedOut | Outcome::StaleConnection | Outcome::Cancelled | Outcome::NotSent => {}
         }
         if ending.closed {
             self.close(ending.submission);
         }
-        if outcome == Outcome::Satisfied {
+        if outcome == Outcome::Completed {
             self.answers[product].add(took);
             self.flow.stretch += (took / self.answers[product].shortest - self.flow.stretch) / 32.0;
             let most = self.fleet.room();
@@ -526,7 +530,7 @@
     fn pulse_at(&mut self, at: Nanos) {
         if at < self.next_pulse {
             self.next_pulse = at;
-            self.todo.push(Order::Ring { at, token: 0 });
+            self.todo.push(Action::SetTimer { at, timer_id: 0 });
         }
     }
 
@@ -534,13 +538,13 @@
         self.next_pulse = Nanos::MAX;
         if self.now >= self.subscribe_at {
             self.subscribe_at = Nanos::MAX;
-            self.todo.push(Order::Subscribe);
+            self.todo.push(Action::Subscribe);
         }
         let (now, period, took) = (self.now, self.terms.connect_timeout / 5, longest(&self.answers));
-        let silence = 2.0 * (self.terms.progress_every.unwrap_or(0) as f64 + took) + period as f64;
+        let silence = 2.0 * (self.terms.progress_interval.unwrap_or(0) as f64 + took) + period as f64;
         let remembered = REMEMBERED * took + self.flow.lag(self.now) as f64;
         // Asked less often where a probe is dear: no job costs more of them than refreshing may.
-        let dear = took * self.terms.probe_price / self.spend;
+        let dear = took * self.terms.probe_cost / self.spend;
         let unheard = (2 * self.terms.connect_timeout).max(dear as Nanos);
         let owed = -self.flow.probes.0;
         let (mut known, mut full, mut next) = (0.0, 0.5, self.subscribe_at);
@@ -563,7 +567,7 @@
                 let wait = period << desk.unanswered.min(MAX_STRIKES);
                 (desk.probed, desk.ask_at) = (Some(now), now + wait / 2 + self.chance.u64(..=wait));
                 self.flow.probes.0 -= f64::from(u8::from(!unasked));
-                self.todo.push(Order::Probe { worker });
+                self.todo.push(Action::Probe { worker });
             }
             for j in 0..self.fleet[worker].out.len() {
                 self.rescue(worker, j);
@@ -575,7 +579,7 @@
             full += counts * f64::from(desk.report.free_slots.is_none_or(|f| f < 1.0));
             if !desk.out.is_empty() || desk.aside > 0 || desk.probed.is_some() {
                 next = next.min(now + period);
-            } else if !(told || self.terms.connection_price > 0.0 && desk.is_linked(now, self.flow.kept)) {
+            } else if !(told || self.terms.connection_cost > 0.0 && desk.is_linked(now, self.flow.kept)) {
                 desk.watched = false;
                 self.fleet.watched.swap_remove(i);
             }
@@ -587,14 +591,14 @@
     /// Probes workers in turn, in proportion to how many look full. Returns when the next is due.
     fn refresh(&mut self, full: f64) -> f64 {
         let (now, ready) = (self.now, self.fleet.ready.len());
-        let bearable = self.spend / self.terms.probe_price.max(self.spend / 64.0);
+        let bearable = self.spend / self.terms.probe_cost.max(self.spend / 64.0);
         let rate = self.flow.arrivals.read(now) * bearable * full;
         let old = (ready as f64 / rate).max(self.flow.lag(self.now) as f64);
         self.flow.save(now, rate, 1.0 + rate * (2 * self.terms.connect_timeout / 5) as f64);
         while self.flow.probes.0 >= 1.0 {
             let Some(worker) = self.fleet.next_older(now, old) else { break };
             self.flow.probes.0 -= 1.0;
-            self.todo.push(Order::Probe { worker });
+            self.todo.push(Action::Probe { worker });
         }
         (1.0 - self.flow.probes.0).max(0.0) / rate
     }
@@ -604,7 +608,7 @@
         (desk.aside, desk.unanswered) = (desk.aside.saturating_sub(1), 0);
         if desk.aside == 0 && desk.take_death(!self.terms.may_probe) {
             (desk.listing.started, desk.reported) = (self.now, None);
-            self.fleet.take_stock(self.now, self.terms.cold_for);
+            self.fleet.take_stock(self.now, self.terms.slow_start_duration);
         }
     }
 
@@ -615,13 +619,13 @@
         let Some(job) = desk.out.get(out) else { return };
         let &Out { submission, execution, waits, sent, looked, idled, .. } = job;
         // Held for there, a lost job would fill a worker that is free, and make reports look as old as it.
-        if self.terms.may_cancel && desk.lost(job, self.terms.progress_every, now) {
+        if self.terms.may_cancel && desk.lost(job, self.terms.progress_interval, now) {
             self.flow.lag = (0, now);
-            return self.todo.push(Order::Cancel { submission, execution });
+            return self.todo.push(Action::Cancel { submission, execution });
         }
         let held = &self.held[submission as usize];
         let product = &self.terms.products[usize::from(held.job.product)];
-        let patience = product.agreed / 2;
+        let patience = product.latency_target / 2;
         // Some go on where they were called off: what pays less moves only while the more start at once.
         let prompt = self.flow.prompt > PROMPT.max(1.0 - product.payoff / self.best);
         let stuck = waits && now - sent > patience && prompt && self.terms.may_cancel;
@@ -633,7 +637,7 @@
         let choice = self.choose(submission);
         if choice.members > 0 && stuck {
             self.flow.started(false, idled);
-            self.todo.push(Order::Cancel { submission, execution });
+            self.todo.push(Action::Cancel { submission, execution });
         } else if choice.members > 0 {
             self.execute(submission, &choice);
         }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -8,11 +8,11 @@
 mod worker_stats;
 
 impl types::Decide for decide::Dispatcher {
-    fn decide(&mut self, now: types::Nanos, event: types::Event<'_>) -> &[types::Order] {
+    fn decide(&mut self, now: types::Nanos, event: types::Event<'_>) -> &[types::Action] {
         Self::decide(self, now, event)
     }
 
-    fn go_on_under(&mut self, terms: types::StandingOrders) {
-        Self::go_on_under(self, terms);
+    fn reconfigure(&mut self, terms: types::DispatchConfig) {
+        Self::reconfigure(self, terms);
     }
 }
--- a/crates/dispatch/src/reconfigure.rs
+++ b/crates/dispatch/src/reconfigure.rs
@@ -5,14 +5,14 @@
 //! Reports, shares, limits, thresholds and answer times were measured under the old terms, and start afresh.
 
 use crate::decide::Dispatcher;
-use crate::types::{Nanos, StandingOrders};
+use crate::types::{DispatchConfig, Nanos};
 use crate::worker_stats::Fleet;
 
 impl Dispatcher {
     /// Goes on under other terms. The lists that products, tenants, kinds and zones are places in must be the
     /// same, and so must the promises on repeats; the caller sees to that.
-    pub fn go_on_under(&mut self, terms: StandingOrders) {
-        let (sized, cold_for) = (terms.listed_sizes, terms.cold_for);
+    pub fn reconfigure(&mut self, terms: DispatchConfig) {
+        let (sized, cold_for) = (terms.weights_are_sizes, terms.slow_start_duration);
         let old = std::mem::replace(self, Self::new(terms));
         self.now = old.now;
         self.chance = old.chance;
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -1,44 +1,46 @@
-//! What the decisions are told, what they order, and what is read once at start.
+//! The interface of the decisions: events in, actions out, and the configuration that holds in between.
 //!
-//! Times are nanoseconds on the caller's clock, which only goes forward. Submissions and workers are
-//! small indices that the caller hands out; a submission keeps its index until its last execution
-//! has ended, and a worker keeps its own until it is retired.
+//! Times are nanoseconds on the caller's monotonic clock. Submissions and workers are small indices that
+//! the caller assigns. A submission keeps its index until its last execution has ended, and a worker keeps
+//! its index until [`Event::Retired`].
 
 pub type Nanos = u64;
 pub type Submission = u32;
 pub type Worker = u32;
-/// An execution of a submission, numbered from 0 in the order of the [`Order::Execute`]s.
+/// An execution of a submission, numbered from 0 in the order of the [`Action::Execute`]s.
 pub type Execution = u16;
 
+/// Whether a submission may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
-    /// May run any number of times.
-    Harmless,
-    /// Carries a mark by which the workers of one group drop repeats for `memory`.
-    Stamped { group: Group, memory: Nanos },
-    /// Must never run twice.
+pub enum RepeatPolicy {
+    /// It may run any number of times.
+    Idempotent,
+    /// It carries an id by which the workers within `scope` drop repeats for the length of `dedup_window`.
+    Stamped { scope: DedupScope, dedup_window: Nanos },
+    /// It must never run twice.
     OneShot,
 }
 
+/// The set of workers among which repeats of a stamped submission are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
 }
 
-impl Repeats {
-    /// A repeat may go to some of the workers only.
+impl RepeatPolicy {
+    /// Returns whether a retry may go to only some of the workers.
     #[must_use]
-    pub fn is_grouped(self) -> bool {
-        matches!(self, Self::Stamped { group: Group::Zone | Group::Cell, .. })
+    pub fn limits_retries(self) -> bool {
+        matches!(self, Self::Stamped { scope: DedupScope::Zone | DedupScope::Cell, .. })
     }
 }
 
-impl Group {
-    /// Whether both drop repeats of what the other has seen.
+impl DedupScope {
+    /// Returns whether each of the two workers drops repeats of what the other has executed.
     #[must_use]
-    pub fn joins(self, one: &Listing, other: &Listing) -> bool {
+    pub fn covers(self, one: &WorkerEntry, other: &WorkerEntry) -> bool {
         match self {
             Self::All => true,
             Self::Zone => one.zone == other.zone,
@@ -47,74 +49,91 @@
     }
 }
 
+/// The terms of one class of submissions.
 #[derive(Clone, Debug)]
 pub struct Product {
-    pub repeats: Repeats,
-    pub agreed: Nanos,
-    /// By how many times its own running time the agreed time grows.
-    pub stretch: f64,
+    pub repeat_policy: RepeatPolicy,
+    /// The time within which an answer earns the full payoff.
+    pub latency_target: Nanos,
+    /// The multiple of a submission's own running time by which its latency target grows.
+    pub latency_target_factor: f64,
     pub payoff: f64,
-    /// The part of the payoff that is left after the agreed time.
+    /// The part of the payoff that an answer after the latency target still earns.
     pub late_payoff: f64,
-    /// The kinds of worker and the zones that are open to it; `None` where all are.
-    pub kinds: Option<Vec<u16>>,
-    pub zones: Option<Vec<u16>>,
+    /// The kinds of worker that may execute it, or `None` for all kinds.
+    pub allowed_kinds: Option<Vec<u16>>,
+    /// The zones in which it may be executed, or `None` for all zones.
+    pub allowed_zones: Option<Vec<u16>>,
 }
 
 impl Product {
-    /// Whether it may be sent there at all. One that is not open to it stays so when all others are down.
+    /// Returns whether a worker of this kind and zone may execute the product. The restriction holds even if
+    /// every allowed worker is down.
     #[must_use]
-    pub fn open_to(&self, place: &Listing) -> bool {
-        let within = |open: &Option<Vec<u16>>, is: u16| open.as_ref().is_none_or(|open| open.contains(&is));
-        within(&self.kinds, place.kind) && within(&self.zones, place.zone)
+    pub fn allows(&self, worker: &WorkerEntry) -> bool {
+        let within =
+            |allowed: &Option<Vec<u16>>, value: u16| allowed.as_ref().is_none_or(|a| a.contains(&value));
+        within(&self.allowed_kinds, worker.kind) && within(&self.allowed_zones, worker.zone)
     }
 
+    /// Returns whether the product is restricted to some kinds or zones.
     #[must_use]
-    pub fn is_bound(&self) -> bool {
-        self.kinds.is_some() || self.zones.is_some()
+    pub fn is_restricted(&self) -> bool {
+        self.allowed_kinds.is_some() || self.allowed_zones.is_some()
     }
 }
 
-/// The terms under which a node works, read once at start.
+/// The configuration of a node's decisions. [`Decide::reconfigure`] replaces it while the node runs.
 #[derive(Clone, Debug)]
-pub struct StandingOrders {
+pub struct DispatchConfig {
+    /// Seeds the random number generator of this node's decisions.
     pub seed: u64,
+    /// The number of nodes that share the workers.
     pub nodes: u32,
+    /// The zone of this node.
     pub zone: u16,
     pub products: Vec<Product>,
-    /// Submissions a second within each tenant's share, for all nodes together.
+    /// The submissions per second within each tenant's share, for all nodes together.
     pub quotas: Vec<f64>,
-    /// What a submission beyond its tenant's share is worth, as a part of the payoff.
+    /// The value of a submission beyond its tenant's share, as a part of its payoff.
     pub excess_payoff: f64,
-    /// Points lost for each probe a submission, and for each crossing of zones.
-    pub probe_price: f64,
-    pub crossing_price: f64,
-    /// And for each new connection a submission.
-    pub connection_price: f64,
+    /// The points lost per submission for each probe.
+    pub probe_cost: f64,
+    /// The points lost per submission for each execution in another zone.
+    pub zone_crossing_cost: f64,
+    /// The points lost per submission for each new connection.
+    pub connection_cost: f64,
     pub max_executions: u16,
     pub may_duplicate: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
-    /// The longest come-back time that clients heed, where they are given one.
-    pub come_back: Option<Nanos>,
+    /// The longest Retry-After that clients honour, or `None` if they get none.
+    pub retry_after: Option<Nanos>,
     pub connect_timeout: Nanos,
-    /// An idle connection closes by itself after this.
-    pub idle: Nanos,
-    pub answer_slack: Nanos,
-    pub cold_from: f64,
-    pub cold_for: Nanos,
-    pub fall_multiple: f64,
-    pub fall_window: Nanos,
-    /// Where the list must be asked for: how long a node may go without asking.
-    pub ask_within: Option<Nanos>,
-    /// Time between progress notes, where workers send them.
-    pub progress_every: Option<Nanos>,
-    pub tells_start: bool,
-    /// The list's weights are the workers' sizes.
-    pub listed_sizes: bool,
+    /// The time after which an idle connection is closed.
+    pub idle_timeout: Nanos,
+    /// The time before a submission's deadline at which no execution is begun any more.
+    pub deadline_margin: Nanos,
+    /// The part of its capacity that a worker has right after its start.
+    pub cold_capacity_share: f64,
+    /// The time from a worker's start until it has its whole capacity.
+    pub slow_start_duration: Nanos,
+    /// A worker collapses when it gets more than this multiple of its capacity within `overload_window`.
+    pub overload_factor: f64,
+    pub overload_window: Nanos,
+    /// The longest time between two requests for the list, where the node must request it.
+    pub list_refresh_limit: Option<Nanos>,
+    /// The time between two progress messages of a job, where workers send them.
+    pub progress_interval: Option<Nanos>,
+    /// Whether workers report that a job has started.
+    pub reports_start: bool,
+    /// Whether the weights in the list are the workers' sizes.
+    pub weights_are_sizes: bool,
+    /// Whether jobs take a part of a worker's memory that must be accounted for.
     pub counts_memory: bool,
 }
 
+/// The state of a worker in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
     Ready,
@@ -123,133 +142,143 @@
     Gone,
 }
 
+/// One worker in the list that discovery sends.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listing {
+pub struct WorkerEntry {
     pub worker: Worker,
     pub health: Health,
     pub kind: u16,
     pub zone: u16,
     pub cell: u16,
-    /// The last start, 0 if long ago.
+    /// The time of the last start, or 0 if it was long ago.
     pub started: Nanos,
-    /// Its size, or what of it is free where weights are live; 0 if the list gives none.
+    /// The worker's size, or the free part of it where weights are live; 0 if the list gives none.
     pub weight: f32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
+    /// Only the entries that changed.
     Changes,
+    /// All entries. A worker that is missing is gone.
     Whole,
-    /// The whole list as it was once known, perhaps long ago.
+    /// All entries as they were last stored, perhaps long ago.
     Cached,
-    /// A call failed or the subscription broke; the old list stands.
+    /// A request failed or the subscription broke; the previous list stays valid.
     Failed,
 }
 
-/// A worker's load report. A figure that is not told, or makes no sense, is absent.
+/// A worker's load report. A figure that is missing or invalid is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     pub free_slots: Option<f32>,
     pub free_memory: Option<f32>,
-    pub waiting: Option<f32>,
-    pub in_hand: Option<f32>,
+    pub queued_jobs: Option<f32>,
+    /// The jobs that the worker holds, the queued ones among them.
+    pub active_jobs: Option<f32>,
 }
 
+/// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Satisfied,
-    /// Turned away unseen.
-    Full,
+    Completed,
+    /// The worker refused the job for lack of capacity, without looking at it.
+    Overloaded,
     Error,
-    /// The worker can't make use of it: the submission is at fault, not the worker.
-    Unusable,
+    /// The worker can't process the job: the submission is at fault, not the worker.
+    InvalidSubmission,
     TimedOut,
     ConnectFailed,
     Reset,
-    /// The connection was closed at the other end before: it may have run, and tells nothing of the worker.
-    Stale,
+    /// The other end had closed the reused connection. The job may have run, and the failure says nothing
+    /// about the worker.
+    StaleConnection,
     Cancelled,
     NotSent,
 }
 
 impl Outcome {
+    /// Returns whether the worker has certainly not begun the job.
     #[must_use]
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent)
+        matches!(self, Self::Overloaded | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// What a submission asks for.
+/// The requirements of a submission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Job {
     pub product: u8,
     pub tenant: u16,
-    pub cut_off: Nanos,
+    /// The time by which the client must be answered.
+    pub deadline: Nanos,
     pub slots: f64,
     pub memory: f64,
 }
 
-/// How an execution ended.
+/// The end of an execution.
 #[derive(Clone, Copy, Debug)]
 pub struct Ending {
     pub submission: Submission,
     pub execution: Execution,
     pub worker: Worker,
     pub outcome: Outcome,
-    /// The submission is over, by this ending or before it.
+    /// Whether the submission is over, by this end or earlier.
     pub closed: bool,
     pub took: Nanos,
     pub report: Option<Report>,
 }
 
+/// An input to the decisions.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    Listed {
+    ListReceived {
         kind: ListKind,
-        entries: &'a [Listing],
+        entries: &'a [WorkerEntry],
     },
     Submitted {
         submission: Submission,
         job: Job,
     },
-    /// The client left, or was answered by others; nothing more is owed.
-    Left {
+    /// The client left, or was answered by another node. The submission needs no answer any more.
+    ClientLeft {
         submission: Submission,
     },
-    /// The answer has begun; no cut-off runs any longer.
+    /// The answer has begun to arrive; the deadline no longer applies.
     Streaming {
         submission: Submission,
         execution: Execution,
     },
     /// The job has started or made progress.
-    Noted {
+    Progressed {
         submission: Submission,
         execution: Execution,
     },
     Ended(Ending),
     Probed {
         worker: Worker,
-        /// `None` when the worker turned the probe away, having too many of them.
+        /// `None` if the worker refused the probe because it gets too many.
         answered: Option<bool>,
         report: Option<Report>,
     },
-    /// All that was seen of its connections says that its process or machine was lost: it is gone, or back
-    /// and cold.
-    Died {
+    /// The state of all connections to the worker shows that its process or machine was lost: the worker is
+    /// gone, or it has restarted and is cold.
+    ProcessLost {
         worker: Worker,
     },
-    Rang {
-        token: u64,
+    TimerFired {
+        timer_id: u64,
     },
-    /// The worker is gone, and no submission that is still known was ever sent to it: its index will mean
-    /// another one.
+    /// The worker is gone, and no submission that is still known was ever sent to it. Its index will be
+    /// assigned to another worker.
     Retired {
         worker: Worker,
     },
 }
 
+/// An output of the decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum Action {
     Execute {
         submission: Submission,
         worker: Worker,
@@ -259,38 +288,39 @@
         submission: Submission,
         execution: Execution,
     },
-    /// Final: turned away, with the promise that a retry is harmless.
+    /// Final: answers the client with the promise that a retry is harmless.
     Dismiss {
         submission: Submission,
-        come_back: Option<Nanos>,
+        retry_after: Option<Nanos>,
     },
-    /// Final: not done, with no promise.
+    /// Final: answers the client without that promise.
     Abort {
         submission: Submission,
     },
     Probe {
         worker: Worker,
     },
-    /// Close the idle connections to it.
-    Release {
+    CloseIdleConnections {
         worker: Worker,
     },
-    /// Ask for the changes of the list from now on.
+    /// Requests the list and its changes from now on.
     Subscribe,
-    /// The submission is over and its last execution has ended: its index is free again.
+    /// The submission is over and its last execution has ended. Its index is free again.
     Forget {
         submission: Submission,
     },
-    Ring {
+    /// Asks for an [`Event::TimerFired`] with the same id at `at`.
+    SetTimer {
         at: Nanos,
-        token: u64,
+        timer_id: u64,
     },
 }
 
-/// Who decides: what happened goes in, in the order in which it happened; what is to be done comes out.
+/// A dispatcher: takes events in the order in which they happen and returns the actions to carry out.
 pub trait Decide {
-    fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Order];
+    fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Action];
 
-    /// Other terms hold from now on; what was learned and is held stays, as far as it means the same.
-    fn go_on_under(&mut self, terms: StandingOrders);
+    /// Replaces the configuration. Everything learned or held so far is kept as far as it means the same
+    /// under the new configuration.
+    fn reconfigure(&mut self, config: DispatchConfig);
 }
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -2,7 +2,7 @@
 
 use std::ops::{Index, IndexMut};
 
-use crate::types::{Execution, Health, Job, Listing, Nanos, Product, Report, Submission, Worker};
+use crate::types::{Execution, Health, Job, Nanos, Product, Report, Submission, Worker, WorkerEntry};
 
 /// A sum that loses its past: what was added `span` ago counts 1/e.
 #[derive(Clone, Copy, Debug, Default)]
@@ -61,7 +61,7 @@
 /// What is known of one worker.
 #[derive(Debug, Default)]
 pub(crate) struct Desk {
-    pub(crate) listing: Listing,
+    pub(crate) listing: WorkerEntry,
     pub(crate) report: Report,
     pub(crate) reported: Option<Nanos>,
     /// The most slots that its reports have shown it to have.
@@ -132,17 +132,17 @@
         let started = || self.out.iter().filter(|o| !o.waits).map(|o| o.slots).sum::<f64>().max(free);
         // What waits is in hand as well, and noise grows with it: counted as slots, a long queue would make a
         // worker look the larger the less it can take.
-        let queued = report.waiting.map_or(free < 1.0, |w| whole(w) > 0.0);
-        let seen = report.in_hand.map_or_else(started, |n| if queued { 0.0 } else { free + whole(n) });
+        let queued = report.queued_jobs.map_or(free < 1.0, |w| whole(w) > 0.0);
+        let seen = report.active_jobs.map_or_else(started, |n| if queued { 0.0 } else { free + whole(n) });
         if report.free_slots.is_some() {
             self.slots = self.slots.max(seen);
         }
-        if let (None, Some(n)) = (report.waiting, report.in_hand) {
+        if let (None, Some(n)) = (report.queued_jobs, report.active_jobs) {
             let beyond = if queued && self.slots > 0.0 { f64::from(n) - self.slots } else { 0.0 };
-            report.waiting = Some(beyond.max(0.0) as f32);
+            report.queued_jobs = Some(beyond.max(0.0) as f32);
         }
         (self.report, self.reported) = (report, Some(now));
-        self.out.get(whole(report.in_hand?) as usize).map(|missed| now - missed.sent)
+        self.out.get(whole(report.active_jobs?) as usize).map(|missed| now - missed.sent)
     }
 
     /// Of what we hold there, the part sent since its last report was taken, which was `lag` before it came.
@@ -197,7 +197,7 @@
     pub(crate) fn lost(&self, out: &Out, every: Option<Nanos>, now: Nanos) -> bool {
         let (Some(every), Some(reported)) = (every, self.reported) else { return false };
         let settled = self.out.iter().filter(|o| reported > o.sent + every).count();
-        let denied = self.report.in_hand.is_some_and(|n| whole(n) < settled as f64);
+        let denied = self.report.active_jobs.is_some_and(|n| whole(n) < settled as f64);
         denied && now > out.heard + 2 * every && reported > out.heard + every
     }
 
@@ -363,13 +363,13 @@
 
     /// How many ready workers are open to a product.
     pub(crate) fn open(&self, product: &Product) -> usize {
-        let open = |w: &&Worker| product.open_to(&self[**w].listing);
-        if product.is_bound() { self.ready.iter().filter(open).count() } else { self.ready.len() }
+        let open = |w: &&Worker| product.allows(&self[**w].listing);
+        if product.is_restricted() { self.ready.iter().filter(open).count() } else { self.ready.len() }
     }
 
     /// What this node holds at those.
     pub(crate) fn own_slots(&self, product: &Product) -> f64 {
-        let open = self.watched.iter().map(|w| &self[*w]).filter(|d| product.open_to(&d.listing));
+        let open = self.watched.iter().map(|w| &self[*w]).filter(|d| product.allows(&d.listing));
         open.map(|d| d.own_slots).sum()
     }
 
@@ -420,7 +420,7 @@
     }
 
     /// Follows a line of the list. True if it tells of a new start.
-    pub(crate) fn follow(&mut self, listing: Listing, sized: bool) -> bool {
+    pub(crate) fn follow(&mut self, listing: WorkerEntry, sized: bool) -> bool {
         let desk = at(&mut self.desks, listing.worker);
         match (desk.listing.health == Health::Ready, listing.health == Health::Ready) {
             (false, true) => self.ready.push(listing.worker),
@@ -455,7 +455,7 @@
     /// Notes what a probe tells of all workers.
     pub(crate) fn surveyed(&mut self, report: Option<Report>, now: Nanos) {
         let Some((report, free)) = report.and_then(|r| Some((r, r.free_slots?))) else { return };
-        let room = whole(free) - report.waiting.map_or(0.0, whole) >= 1.0;
+        let room = whole(free) - report.queued_jobs.map_or(0.0, whole) >= 1.0;
         self.asked.add(now, Rate::SPAN, 1.0);
         self.free.add(now, Rate::SPAN, f64::from(u8::from(room)));
     }
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -79,49 +79,49 @@
     trouble: Trouble,
 }
 
-fn terms(seed: u64, nodes: u32, rate: f64) -> StandingOrders {
+fn terms(seed: u64, nodes: u32, rate: f64) -> DispatchConfig {
     let product = Product {
-        repeats: Repeats::Harmless,
-        agreed: 400 * MS,
-        stretch: 1.25,
+        repeat_policy: RepeatPolicy::Idempotent,
+        latency_target: 400 * MS,
+        latency_target_factor: 1.25,
         payoff: 1.0,
         late_payoff: 0.5,
-        kinds: None,
-        zones: None,
+        allowed_kinds: None,
+        allowed_zones: None,
     };
-    StandingOrders {
+    DispatchConfig {
         seed,
         nodes,
         zone: 0,
         products: vec![product],
         quotas: vec![rate],
         excess_payoff: 0.2,
-        probe_price: 0.002,
-        crossing_price: 0.0,
-        connection_price: 0.0,
+        probe_cost: 0.002,
+        zone_crossing_cost: 0.0,
+        connection_cost: 0.0,
         max_executions: 3,
         may_duplicate: true,
         may_probe: true,
         may_cancel: true,
-        come_back: Some(2 * SECOND),
+        retry_after: Some(2 * SECOND),
         connect_timeout: 250 * MS,
-        idle: 60 * SECOND,
-        answer_slack: 16 * MS,
-        cold_from: COLD_FROM,
-        cold_for: COLD_FOR,
-        fall_multiple: MULTIPLE,
-        fall_window: WINDOW,
-        ask_within: None,
-        progress_every: Some(SECOND),
-        tells_start: false,
-        listed_sizes: false,
+        idle_timeout: 60 * SECOND,
+        deadline_margin: 16 * MS,
+        cold_capacity_share: COLD_FROM,
+        slow_start_duration: COLD_FOR,
+        overload_factor: MULTIPLE,
+        overload_window: WINDOW,
+        list_refresh_limit: None,
+        progress_interval: Some(SECOND),
+        reports_start: false,
+        weights_are_sizes: false,
         counts_memory: false,
     }
 }
 
-fn listing(worker: Worker) -> Listing {
+fn listing(worker: Worker) -> WorkerEntry {
     let started = if worker == COLD { BASE + START } else { 0 };
-    Listing { worker, health: Health::Ready, started, ..Listing::default() }
+    WorkerEntry { worker, health: Health::Ready, started, ..WorkerEntry::default() }
 }
 
 impl World {
@@ -134,7 +134,7 @@
         let orders = self.nodes[node].0.decide(BASE + now, event).to_vec();
         for order in orders {
             match order {
-                Order::Execute { submission, worker, .. } => {
+                Action::Execute { submission, worker, .. } => {
                     let tried = self.nodes[node].2.entry(submission);
                     let execution = *tried as Execution;
                     *tried += 1;
@@ -147,11 +147,11 @@
                     let took = if full { 2 * MS } else { self.took };
                     self.at(now + took, Happening::End(node, submission, execution, worker, full));
                 }
-                Order::Probe { worker } => {
+                Action::Probe { worker } => {
                     let report = Some(self.report(worker));
                     self.decide(now, node, Event::Probed { worker, answered: Some(true), report });
                 }
-                Order::Ring { at, .. } => self.at((at - BASE).max(now + 1), Happening::Ring(node)),
+                Action::SetTimer { at, .. } => self.at((at - BASE).max(now + 1), Happening::Ring(node)),
                 _ => {}
             }
         }
@@ -160,7 +160,12 @@
     fn report(&self, worker: Worker) -> Report {
         let held = self.held[worker as usize];
         let (free, waiting) = ((SLOTS - held).max(0.0), (held - SLOTS).max(0.0));
-        Report { free_slots: Some(free), waiting: Some(waiting), in_hand: Some(held), free_memory: None }
+        Report {
+            free_slots: Some(free),
+            queued_jobs: Some(waiting),
+            active_jobs: Some(held),
+            free_memory: None,
+        }
     }
 }
 
@@ -194,7 +199,7 @@
         let mut dispatcher = Dispatcher::new(terms(seed, nodes as u32, rate));
         let entries: Vec<_> = (0..WARM + u32::from(cold)).map(listing).collect();
         let now = BASE + if cold { START + SECOND } else { 1 };
-        let _ = dispatcher.decide(now, Event::Listed { kind: ListKind::Cached, entries: &entries });
+        let _ = dispatcher.decide(now, Event::ListReceived { kind: ListKind::Cached, entries: &entries });
         (dispatcher, 0, Vec::new())
     };
     let mut world = World {
@@ -244,13 +249,13 @@
                 let submission = world.nodes[node].1;
                 world.nodes[node].1 += 1;
                 let job =
-                    Job { product: 0, tenant: 0, cut_off: BASE + now + 4 * SECOND, slots: 1.0, memory: 0.0 };
+                    Job { product: 0, tenant: 0, deadline: BASE + now + 4 * SECOND, slots: 1.0, memory: 0.0 };
                 world.decide(now, node, Event::Submitted { submission, job });
             }
             Happening::End(node, submission, execution, worker, full) => {
                 world.held[worker as usize] -= f32::from(u8::from(!full));
                 let report = Some(world.report(worker));
-                let outcome = if full { Outcome::Full } else { Outcome::Satisfied };
+                let outcome = if full { Outcome::Overloaded } else { Outcome::Completed };
                 let ending =
                     Ending { submission, execution, worker, outcome, closed: !full, took: jobs.took, report };
                 // What a life before this one sent is nobody's.
@@ -258,10 +263,10 @@
                     world.decide(now, node, Event::Ended(ending));
                 }
             }
-            Happening::Ring(node) => world.decide(now, node, Event::Rang { token: 0 }),
+            Happening::Ring(node) => world.decide(now, node, Event::TimerFired { timer_id: 0 }),
             Happening::List(node) => {
                 let entries = [listing(COLD)];
-                world.decide(now, node, Event::Listed { kind: ListKind::Changes, entries: &entries });
+                world.decide(now, node, Event::ListReceived { kind: ListKind::Changes, entries: &entries });
             }
             Happening::Restart(node) => world.nodes[node] = fresh(seed * 7_000 + node as u64, true),
         }
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 
 const MS: Nanos = 1_000_000;
-const STAMPED: Repeats = Repeats::Stamped { group: Group::Cell, memory: 3_000 * MS };
+const STAMPED: RepeatPolicy = RepeatPolicy::Stamped { scope: DedupScope::Cell, dedup_window: 3_000 * MS };
 
 struct Node {
     dispatcher: Dispatcher,
@@ -13,101 +13,111 @@
     next: Submission,
 }
 
-fn terms(repeats: Repeats) -> StandingOrders {
+fn terms(repeats: RepeatPolicy) -> DispatchConfig {
     let product = |payoff| Product {
-        repeats,
-        agreed: 400 * MS,
-        stretch: 1.0,
+        repeat_policy: repeats,
+        latency_target: 400 * MS,
+        latency_target_factor: 1.0,
         payoff,
         late_payoff: 0.5,
-        kinds: None,
-        zones: None,
+        allowed_kinds: None,
+        allowed_zones: None,
     };
-    StandingOrders {
+    DispatchConfig {
         seed: 7,
         nodes: 2,
         zone: 0,
         products: vec![product(4.0), product(1.0)],
         quotas: vec![],
         excess_payoff: 0.1,
-        probe_price: 0.0,
-        crossing_price: 0.0,
-        connection_price: 0.0,
+        probe_cost: 0.0,
+        zone_crossing_cost: 0.0,
+        connection_cost: 0.0,
         max_executions: 3,
         may_duplicate: true,
         may_probe: true,
         may_cancel: true,
-        come_back: Some(2_000 * MS),
+        retry_after: Some(2_000 * MS),
         connect_timeout: 250 * MS,
-        idle: 60_000 * MS,
-        answer_slack: 16 * MS,
-        cold_from: 0.2,
-        cold_for: 10_000 * MS,
-        fall_multiple: 3.0,
-        fall_window: 1_000 * MS,
-        ask_within: None,
-        progress_every: Some(1_000 * MS),
-        tells_start: false,
-        listed_sizes: false,
+        idle_timeout: 60_000 * MS,
+        deadline_margin: 16 * MS,
+        cold_capacity_share: 0.2,
+        slow_start_duration: 10_000 * MS,
+        overload_factor: 3.0,
+        overload_window: 1_000 * MS,
+        list_refresh_limit: None,
+        progress_interval: Some(1_000 * MS),
+        reports_start: false,
+        weights_are_sizes: false,
         counts_memory: false,
     }
 }
 
-fn listing(worker: Worker) -> Listing {
-    Listing { worker, health: Health::Ready, cell: worker as u16 / 2, ..Listing::default() }
+fn listing(worker: Worker) -> WorkerEntry {
+    WorkerEntry { worker, health: Health::Ready, cell: worker as u16 / 2, ..WorkerEntry::default() }
 }
 
 fn report(free: f32, waiting: f32, in_hand: f32) -> Option<Report> {
-    Some(Report { free_slots: Some(free), waiting: Some(waiting), in_hand: Some(in_hand), free_memory: None })
+    Some(Report {
+        free_slots: Some(free),
+        queued_jobs: Some(waiting),
+        active_jobs: Some(in_hand),
+        free_memory: None,
+    })
 }
 
 impl Node {
-    fn new(terms: StandingOrders, workers: Worker) -> Self {
+    fn new(terms: DispatchConfig, workers: Worker) -> Self {
         let mut node = Self { dispatcher: Dispatcher::new(terms), now: 5_000_000 * MS, next: 0 };
         let entries: Vec<_> = (0..workers).map(listing).collect();
-        node.event(Event::Listed { kind: ListKind::Cached, entries: &entries });
+        node.event(Event::ListReceived { kind: ListKind::Cached, entries: &entries });
         (0..workers).for_each(|w| drop(node.probed(w, Some(true), report(4.0, 0.0, 0.0))));
         node
     }
 
-    fn event(&mut self, event: Event<'_>) -> Vec<Order> {
+    fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let ordered = self.dispatcher.decide(self.now, event).iter();
         ordered
-            .filter(|o| !matches!(o, Order::Ring { .. } | Order::Release { .. } | Order::Forget { .. }))
+            .filter(|o| {
+                !matches!(
+                    o,
+                    Action::SetTimer { .. } | Action::CloseIdleConnections { .. } | Action::Forget { .. }
+                )
+            })
             .copied()
             .collect()
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[Listing]) -> Vec<Order> {
-        self.event(Event::Listed { kind, entries })
+    fn list(&mut self, kind: ListKind, entries: &[WorkerEntry]) -> Vec<Action> {
+        self.event(Event::ListReceived { kind, entries })
     }
 
-    fn submit(&mut self, product: u8, tenant: u16, memory: f64) -> Vec<Order> {
-        let job = Job { product, tenant, cut_off: self.now + 5_000 * MS, slots: 1.0, memory };
+    fn submit(&mut self, product: u8, tenant: u16, memory: f64) -> Vec<Action> {
+        let job = Job { product, tenant, deadline: self.now + 5_000 * MS, slots: 1.0, memory };
         self.next += 1;
         self.event(Event::Submitted { submission: self.next - 1, job })
     }
 
-    fn ended(&mut self, worker: Worker, execution: Execution, outcome: Outcome) -> Vec<Order> {
-        let (submission, closed) = (self.next - 1, outcome == Outcome::Satisfied);
+    fn ended(&mut self, worker: Worker, execution: Execution, outcome: Outcome) -> Vec<Action> {
+        let (submission, closed) = (self.next - 1, outcome == Outcome::Completed);
         let ending = Ending { submission, execution, worker, outcome, closed, took: 300 * MS, report: None };
         self.event(Event::Ended(ending))
     }
 
-    fn probed(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) -> Vec<Order> {
+    fn probed(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) -> Vec<Action> {
         self.event(Event::Probed { worker, answered, report })
     }
 
-    fn pass(&mut self, span: Nanos, answering: &[Worker]) -> Vec<Order> {
+    fn pass(&mut self, span: Nanos, answering: &[Worker]) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += 25 * MS;
-            for order in self.event(Event::Rang { token: 0 }) {
+            for order in self.event(Event::TimerFired { timer_id: 0 }) {
                 match order {
-                    Order::Probe { worker } if answering.contains(&worker) => {
+                    Action::Probe { worker } if answering.contains(&worker) => {
                         all.extend(self.probed(worker, Some(true), report(4.0, 0.0, 0.0)));
                     }
-                    Order::Probe { .. } => {}
+                    Action::Probe { .. } => {}
                     other => all.push(other),
                 }
             }
@@ -118,7 +128,7 @@
     fn spread(&mut self, n: usize) -> Vec<Worker> {
         let one = |node: &mut Self| {
             let worker = sent(&node.submit(0, 0, 0.0));
-            worker.inspect(|w| drop(node.ended(*w, 0, Outcome::Satisfied)))
+            worker.inspect(|w| drop(node.ended(*w, 0, Outcome::Completed)))
         };
         (0..n).filter_map(|_| one(self)).collect()
     }
@@ -126,7 +136,7 @@
 
 /// The first submission's only execution has ended, and with it the submission.
 fn over(worker: Worker) -> Event<'static> {
-    let (submission, execution, outcome) = (0, 0, Outcome::Satisfied);
+    let (submission, execution, outcome) = (0, 0, Outcome::Completed);
     Event::Ended(Ending {
         submission,
         execution,
@@ -138,29 +148,29 @@
     })
 }
 
-fn sent(orders: &[Order]) -> Option<Worker> {
-    orders.iter().find_map(|o| if let Order::Execute { worker, .. } = o { Some(*worker) } else { None })
+fn sent(orders: &[Action]) -> Option<Worker> {
+    orders.iter().find_map(|o| if let Action::Execute { worker, .. } = o { Some(*worker) } else { None })
 }
 
-fn dismissed(orders: &[Order]) -> bool {
-    orders.iter().any(|o| matches!(o, Order::Dismiss { .. }))
+fn dismissed(orders: &[Action]) -> bool {
+    orders.iter().any(|o| matches!(o, Action::Dismiss { .. }))
 }
 
-fn aborted(orders: &[Order]) -> bool {
-    orders.iter().any(|o| matches!(o, Order::Abort { .. }))
+fn aborted(orders: &[Action]) -> bool {
+    orders.iter().any(|o| matches!(o, Action::Abort { .. }))
 }
 
 #[rstest]
-#[case::one_shot_never_ran(Repeats::OneShot, 50, Outcome::Full, "again")]
-#[case::one_shot_no_connection(Repeats::OneShot, 50, Outcome::ConnectFailed, "again")]
-#[case::one_shot_perhaps_ran(Repeats::OneShot, 50, Outcome::Error, "abort")]
-#[case::one_shot_timed_out(Repeats::OneShot, 50, Outcome::TimedOut, "abort")]
-#[case::stamped_never_ran(STAMPED, 50, Outcome::Full, "again")]
+#[case::one_shot_never_ran(RepeatPolicy::OneShot, 50, Outcome::Overloaded, "again")]
+#[case::one_shot_no_connection(RepeatPolicy::OneShot, 50, Outcome::ConnectFailed, "again")]
+#[case::one_shot_perhaps_ran(RepeatPolicy::OneShot, 50, Outcome::Error, "abort")]
+#[case::one_shot_timed_out(RepeatPolicy::OneShot, 50, Outcome::TimedOut, "abort")]
+#[case::stamped_never_ran(STAMPED, 50, Outcome::Overloaded, "again")]
 #[case::stamped_inside_its_memory(STAMPED, 2_000, Outcome::Error, "same cell")]
 #[case::stamped_past_its_memory(STAMPED, 2_900, Outcome::Error, "abort")]
-#[case::harmless_perhaps_ran(Repeats::Harmless, 50, Outcome::Error, "again")]
+#[case::harmless_perhaps_ran(RepeatPolicy::Idempotent, 50, Outcome::Error, "again")]
 fn an_effect_is_never_doubled(
-    #[case] repeats: Repeats,
+    #[case] repeats: RepeatPolicy,
     #[case] after: u64,
     #[case] outcome: Outcome,
     #[case] expected: &str,
@@ -180,11 +190,11 @@
 #[case::used_up(3)]
 #[case::no_other_worker(2)]
 fn full_answers_end_in_a_prompt_dismissal(#[case] workers: Worker) {
-    let mut node = Node::new(terms(Repeats::OneShot), workers);
+    let mut node = Node::new(terms(RepeatPolicy::OneShot), workers);
     let mut orders = node.submit(0, 0, 0.0);
     let mut executions = 0;
     while let Some(worker) = sent(&orders) {
-        orders = node.ended(worker, executions, Outcome::Full);
+        orders = node.ended(worker, executions, Outcome::Overloaded);
         executions += 1;
     }
     assert_eq!((u32::from(executions), dismissed(&orders)), (workers, true));
@@ -195,8 +205,8 @@
 #[case::gone(ListKind::Changes, Some(Health::Gone))]
 #[case::missing_from_a_whole_list(ListKind::Whole, None)]
 fn drains_are_kept(#[case] kind: ListKind, #[case] health: Option<Health>) {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
-    let told = health.map_or(listing(1), |health| Listing { health, ..listing(0) });
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
+    let told = health.map_or(listing(1), |health| WorkerEntry { health, ..listing(0) });
     node.list(kind, &[told]);
     assert_eq!(node.spread(20), [1; 20]);
     node.list(ListKind::Whole, &[]);
@@ -205,9 +215,10 @@
 
 #[test]
 fn list_calls_are_made_in_time_but_not_by_all_nodes_at_once() {
-    let asks = |orders: &[Order]| orders.iter().filter(|o| **o == Order::Subscribe).count();
+    let asks = |orders: &[Action]| orders.iter().filter(|o| **o == Action::Subscribe).count();
     let early = |seed| {
-        let terms = StandingOrders { seed, nodes: 1000, ask_within: Some(10_000 * MS), ..terms(STAMPED) };
+        let terms =
+            DispatchConfig { seed, nodes: 1000, list_refresh_limit: Some(10_000 * MS), ..terms(STAMPED) };
         let mut node = Node { dispatcher: Dispatcher::new(terms), now: 5_000 * MS, next: 0 };
         node.list(ListKind::Cached, &[]);
         let (early, late) = (asks(&node.pass(1_000 * MS, &[])), asks(&node.pass(7_000 * MS, &[])));
@@ -223,9 +234,9 @@
 #[test]
 fn any_number_of_nodes_asks_in_time() {
     for nodes in [1, 100_000, u32::MAX] {
-        let terms = StandingOrders {
+        let terms = DispatchConfig {
             nodes,
-            ask_within: Some(10_000 * MS),
+            list_refresh_limit: Some(10_000 * MS),
             connect_timeout: 60_000 * MS,
             ..terms(STAMPED)
         };
@@ -233,8 +244,8 @@
         for kind in [ListKind::Cached, ListKind::Failed, ListKind::Failed, ListKind::Failed] {
             node.list(kind, &[]);
             node.now += 6_000 * MS;
-            let orders = node.event(Event::Rang { token: 0 });
-            assert!(orders.contains(&Order::Subscribe), "{nodes} {kind:?} {orders:?}");
+            let orders = node.event(Event::TimerFired { timer_id: 0 });
+            assert!(orders.contains(&Action::Subscribe), "{nodes} {kind:?} {orders:?}");
         }
     }
 }
@@ -243,10 +254,11 @@
 #[test]
 fn nodes_that_start_together_are_all_heard_in_time() {
     let asked = |seed| {
-        let terms = StandingOrders { seed, nodes: 100, ask_within: Some(10_000 * MS), ..terms(STAMPED) };
+        let terms =
+            DispatchConfig { seed, nodes: 100, list_refresh_limit: Some(10_000 * MS), ..terms(STAMPED) };
         let mut node = Node { dispatcher: Dispatcher::new(terms), now: 5_000 * MS, next: 0 };
         node.list(ListKind::Cached, &[]);
-        (0..400).find(|_| node.pass(25 * MS, &[]).contains(&Order::Subscribe)).unwrap() * 25
+        (0..400).find(|_| node.pass(25 * MS, &[]).contains(&Action::Subscribe)).unwrap() * 25
     };
     let mut calls: Vec<u64> = (1..=100).map(asked).collect();
     calls.sort_unstable();
@@ -262,7 +274,7 @@
 #[case::many(40)]
 fn a_cold_worker_is_not_pushed_over_by_all_nodes_together(#[case] nodes: u32) {
     let one = |seed| {
-        let terms = StandingOrders { seed, nodes, may_probe: false, ..terms(Repeats::Harmless) };
+        let terms = DispatchConfig { seed, nodes, may_probe: false, ..terms(RepeatPolicy::Idempotent) };
         let mut node = Node::new(terms, 2);
         let sent_in = |node: &mut Node, steps| {
             let mut step = || {
@@ -272,7 +284,7 @@
             (0..steps).map(|_| step()).sum::<usize>()
         };
         sent_in(&mut node, 800);
-        node.list(ListKind::Changes, &[Listing { started: node.now, ..listing(0) }]);
+        node.list(ListKind::Changes, &[WorkerEntry { started: node.now, ..listing(0) }]);
         let while_cold = sent_in(&mut node, 300);
         node.now += 10_000 * MS;
         (0..2).for_each(|w| drop(node.probed(w, Some(true), report(4.0, 0.0, 0.0))));
@@ -294,26 +306,27 @@
     #[case] workers: Worker,
     #[case] released: bool,
 ) {
-    let mut node = Node::new(StandingOrders { nodes, ..terms(Repeats::Harmless) }, workers);
+    let mut node = Node::new(DispatchConfig { nodes, ..terms(RepeatPolicy::Idempotent) }, workers);
     let worker = sent(&node.submit(0, 0, 0.0)).unwrap();
     let other = (worker + 1) % workers;
     let probed = Event::Probed { worker: other, answered: Some(true), report: report(4.0, 0.0, 0.0) };
     for (worker, event) in [(worker, over(worker)), (other, probed)] {
         let orders = node.dispatcher.decide(node.now, event);
-        assert_eq!(orders.contains(&Order::Release { worker }), released);
+        assert_eq!(orders.contains(&Action::CloseIdleConnections { worker }), released);
     }
 }
 
 #[test]
 fn a_large_fleet_is_not_probed_all_at_once() {
-    let mut node = Node { dispatcher: Dispatcher::new(terms(Repeats::Harmless)), now: 5_000 * MS, next: 0 };
+    let mut node =
+        Node { dispatcher: Dispatcher::new(terms(RepeatPolicy::Idempotent)), now: 5_000 * MS, next: 0 };
     let entries: Vec<_> = (0..400).map(listing).collect();
     node.list(ListKind::Cached, &entries);
-    let probes = |orders: Vec<Order>| orders.iter().filter(|o| matches!(o, Order::Probe { .. })).count();
+    let probes = |orders: Vec<Action>| orders.iter().filter(|o| matches!(o, Action::Probe { .. })).count();
     let mut asked = 0;
     for _ in 0..100 {
         node.now += 50 * MS;
-        asked += probes(node.event(Event::Rang { token: 0 }));
+        asked += probes(node.event(Event::TimerFired { timer_id: 0 }));
         // Each is turned away, for others ask as well.
         (0..400).for_each(|w| asked += probes(node.probed(w, None, None)));
     }
@@ -326,14 +339,14 @@
 #[case::one_free(report(1.0, 0.0, 3.0), true)]
 #[case::no_figures(Some(Report::default()), true)]
 fn the_set_follows_the_last_report(#[case] told: Option<Report>, #[case] member: bool) {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
     node.probed(0, Some(true), told);
     assert_eq!(node.spread(30).contains(&0), member);
 }
 
 #[test]
 fn slots_sent_since_the_report_are_taken_off_and_a_late_report_does_not_free_them() {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
     node.probed(1, Some(true), report(0.0, 0.0, 4.0));
     for _ in 0..2 {
         assert_eq!(sent(&node.submit(0, 0, 0.0)), Some(0));
@@ -347,7 +360,7 @@
 
 #[test]
 fn reports_older_than_an_answer_takes_are_left_aside() {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
     node.spread(4);
     let held = sent(&node.submit(0, 0, 0.0)).unwrap();
     node.now += 1_000 * MS;
@@ -361,11 +374,11 @@
 #[case::not_counted(false, 3.5, true)]
 #[case::it_fits(true, 0.5, true)]
 fn memory_must_fit_if_counted(#[case] counts_memory: bool, #[case] memory: f64, #[case] member: bool) {
-    let mut node = Node::new(StandingOrders { counts_memory, ..terms(Repeats::Harmless) }, 2);
+    let mut node = Node::new(DispatchConfig { counts_memory, ..terms(RepeatPolicy::Idempotent) }, 2);
     node.probed(0, Some(true), report(3.0, 0.0, 1.0));
     let goes = |node: &mut Node| {
         let worker = sent(&node.submit(0, 0, memory)).unwrap();
-        node.ended(worker, 0, Outcome::Satisfied);
+        node.ended(worker, 0, Outcome::Completed);
         worker
     };
     assert_eq!((0..20).any(|_| goes(&mut node) == 0), member);
@@ -373,7 +386,8 @@
 
 #[test]
 fn a_restarted_node_sends_one_feeler_to_each_worker_it_knows_nothing_of() {
-    let mut node = Node { dispatcher: Dispatcher::new(terms(Repeats::Harmless)), now: 5_000 * MS, next: 0 };
+    let mut node =
+        Node { dispatcher: Dispatcher::new(terms(RepeatPolicy::Idempotent)), now: 5_000 * MS, next: 0 };
     node.list(ListKind::Cached, &[listing(0), listing(1), listing(2)]);
     let mut first: Vec<_> = (0..3).map(|_| sent(&node.submit(0, 0, 0.0)).unwrap()).collect();
     first.sort_unstable();
@@ -385,7 +399,7 @@
 #[case::broken_connection(Outcome::Reset)]
 #[case::no_connection(Outcome::ConnectFailed)]
 fn a_failing_worker_is_set_aside_and_returns_after_answered_probes(#[case] outcome: Outcome) {
-    let mut node = Node::new(terms(Repeats::Harmless), 3);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 3);
     let bad = sent(&node.submit(0, 0, 0.0)).unwrap();
     node.ended(bad, 0, outcome);
     node.now += MS;
@@ -405,10 +419,10 @@
     #[case] answers: bool,
     #[case] share: std::ops::Range<usize>,
 ) {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
     let worker = sent(&node.submit(0, 0, 0.0)).unwrap();
     node.ended(worker, 0, outcome);
-    node.ended(1 - worker, 1, Outcome::Satisfied);
+    node.ended(1 - worker, 1, Outcome::Completed);
     if !answers {
         node.probed(worker, Some(false), None);
     }
@@ -422,10 +436,10 @@
 #[case::silent(false, true)]
 #[case::lost(true, false)]
 fn what_lost_its_process_is_no_refuge(#[case] died: bool, #[case] drawn: bool) {
-    let mut node = Node::new(StandingOrders { may_probe: false, ..terms(Repeats::Harmless) }, 4);
+    let mut node = Node::new(DispatchConfig { may_probe: false, ..terms(RepeatPolicy::Idempotent) }, 4);
     node.probed(0, Some(true), report(0.0, 4.0, 8.0));
     for worker in 1..4 {
-        let event = if died { Event::Died { worker } } else { over(worker) };
+        let event = if died { Event::ProcessLost { worker } } else { over(worker) };
         node.event(event);
         node.probed(worker, Some(false), None);
     }
@@ -436,20 +450,26 @@
 // One client that sends what no worker can use would take them all from the others.
 #[rstest]
 fn what_a_worker_cannot_use_costs_the_worker_nothing(
-    #[values(Repeats::Harmless, STAMPED, Repeats::OneShot)] repeats: Repeats,
+    #[values(RepeatPolicy::Idempotent, STAMPED, RepeatPolicy::OneShot)] repeats: RepeatPolicy,
 ) {
     let mut node = Node::new(terms(repeats), 2);
     let worker = sent(&node.submit(0, 0, 0.0)).unwrap();
-    let after = node.ended(worker, 0, Outcome::Unusable);
+    let after = node.ended(worker, 0, Outcome::InvalidSubmission);
     // No other could use it either, and it may have run.
-    assert!(sent(&after).is_none() && dismissed(&after) == (repeats == Repeats::Harmless), "{after:?}");
+    assert!(
+        sent(&after).is_none() && dismissed(&after) == (repeats == RepeatPolicy::Idempotent),
+        "{after:?}"
+    );
     assert!(node.spread(8).contains(&worker));
 }
 
 #[rstest]
-#[case::a_repeat_makes_good_for_it(Repeats::Harmless, true)]
-#[case::each_costs_a_submission(Repeats::OneShot, false)]
-fn errors_keep_a_worker_away_for_longer_where_they_cost_more(#[case] repeats: Repeats, #[case] back: bool) {
+#[case::a_repeat_makes_good_for_it(RepeatPolicy::Idempotent, true)]
+#[case::each_costs_a_submission(RepeatPolicy::OneShot, false)]
+fn errors_keep_a_worker_away_for_longer_where_they_cost_more(
+    #[case] repeats: RepeatPolicy,
+    #[case] back: bool,
+) {
     let mut node = Node::new(terms(repeats), 1);
     for _ in 0..5 {
         if sent(&node.submit(0, 0, 0.0)).is_some() {
@@ -467,7 +487,7 @@
 
 #[test]
 fn a_worker_that_answers_no_probe_is_left_out_until_it_does() {
-    let mut node = Node::new(terms(Repeats::Harmless), 3);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 3);
     node.pass(500 * MS, &[0, 1]);
     assert!(!node.spread(30).contains(&2));
     node.probed(2, Some(true), report(4.0, 0.0, 0.0));
@@ -475,9 +495,12 @@
 }
 
 #[rstest]
-#[case::harmless_is_copied(Repeats::Harmless, true)]
-#[case::one_shot_waits(Repeats::OneShot, false)]
-fn what_a_silent_worker_holds_is_copied_where_that_is_safe(#[case] repeats: Repeats, #[case] copied: bool) {
+#[case::harmless_is_copied(RepeatPolicy::Idempotent, true)]
+#[case::one_shot_waits(RepeatPolicy::OneShot, false)]
+fn what_a_silent_worker_holds_is_copied_where_that_is_safe(
+    #[case] repeats: RepeatPolicy,
+    #[case] copied: bool,
+) {
     let mut node = Node::new(terms(repeats), 3);
     let silent = sent(&node.submit(0, 0, 0.0)).unwrap();
     let others: Vec<_> = (0..3).filter(|w| *w != silent).collect();
@@ -490,16 +513,16 @@
 #[case::never_started(false, true)]
 #[case::started(true, false)]
 fn a_job_told_as_not_started_in_time_moves(#[case] started: bool, #[case] moved: bool) {
-    let mut node = Node::new(StandingOrders { tells_start: true, ..terms(Repeats::Harmless) }, 2);
+    let mut node = Node::new(DispatchConfig { reports_start: true, ..terms(RepeatPolicy::Idempotent) }, 2);
     let first = sent(&node.submit(0, 0, 0.0)).unwrap();
     // With an unstarted job of ours it is at threshold.
     assert_eq!(sent(&node.submit(0, 0, 0.0)), Some(1 - first));
-    node.ended(1 - first, 0, Outcome::Satisfied);
+    node.ended(1 - first, 0, Outcome::Completed);
     if started {
-        node.event(Event::Noted { submission: 0, execution: 0 });
+        node.event(Event::Progressed { submission: 0, execution: 0 });
     }
     let orders = node.pass(300 * MS, &[0, 1]);
-    assert_eq!(orders.contains(&Order::Cancel { submission: 0, execution: 0 }), moved);
+    assert_eq!(orders.contains(&Action::Cancel { submission: 0, execution: 0 }), moved);
 }
 
 // Held for there until its cut-off, it filled a worker that was free, and made all reports look as old as it.
@@ -515,23 +538,23 @@
     #[case] another: bool,
     #[case] off: bool,
 ) {
-    let mut node = Node::new(terms(Repeats::OneShot), 1);
+    let mut node = Node::new(terms(RepeatPolicy::OneShot), 1);
     node.spread(4);
     let holder = sent(&node.submit(0, 0, 0.0)).unwrap();
     let submission = node.next - 1;
     let mut orders = Vec::new();
     for step in 0..92 {
         node.now += 25 * MS;
-        orders.extend(node.event(Event::Rang { token: 0 }));
+        orders.extend(node.event(Event::TimerFired { timer_id: 0 }));
         orders.extend(node.probed(holder, Some(true), report(4.0 - in_hand, 0.0, in_hand)));
         if another && step == 70 {
             assert_eq!(sent(&node.submit(0, 0, 0.0)), Some(holder));
         }
         if sign.is_some_and(|sign| sign == node.now - 5_000_000 * MS) {
-            node.event(Event::Noted { submission, execution: 0 });
+            node.event(Event::Progressed { submission, execution: 0 });
         }
     }
-    assert_eq!(orders.contains(&Order::Cancel { submission, execution: 0 }), off);
+    assert_eq!(orders.contains(&Action::Cancel { submission, execution: 0 }), off);
     if off {
         let after = node.ended(holder, 0, Outcome::Cancelled);
         assert!(aborted(&after), "{after:?}");
@@ -541,7 +564,7 @@
 
 #[test]
 fn a_worker_whose_jobs_stay_silent_is_set_aside_though_it_answers_probes() {
-    let mut node = Node::new(StandingOrders { may_cancel: false, ..terms(Repeats::OneShot) }, 3);
+    let mut node = Node::new(DispatchConfig { may_cancel: false, ..terms(RepeatPolicy::OneShot) }, 3);
     node.spread(3);
     let silent = sent(&node.submit(0, 0, 0.0)).unwrap();
     node.pass(2_800 * MS, &[0, 1, 2]);
@@ -552,12 +575,12 @@
 #[case::impatient(0)]
 #[case::patient(1)]
 fn a_queue_that_outlasts_the_least_agreed_time_is_not_joined(#[case] product: u8) {
-    let mut terms = terms(Repeats::Harmless);
-    (terms.products[1].agreed, terms.products[1].payoff) = (9_000 * MS, 4.0);
+    let mut terms = terms(RepeatPolicy::Idempotent);
+    (terms.products[1].latency_target, terms.products[1].payoff) = (9_000 * MS, 4.0);
     let mut node = Node::new(terms, 1);
     for p in [1, 0] {
         node.submit(p, 0, 0.0);
-        node.ended(0, 0, Outcome::Satisfied);
+        node.ended(0, 0, Outcome::Completed);
     }
     node.probed(0, Some(true), report(0.0, 4.0, 8.0));
     assert_eq!(sent(&node.submit(product, 0, 0.0)), Some(0));
@@ -569,14 +592,15 @@
 #[case::pays_best(0, true)]
 #[case::pays_less(1, false)]
 fn the_last_room_is_kept_for_what_pays_more(#[case] product: u8, #[case] taken: bool) {
-    let mut node = Node::new(terms(Repeats::Harmless), 10);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 10);
     (0..9).for_each(|w| drop(node.probed(w, Some(true), report(0.0, 1.0, 5.0))));
     assert_eq!(sent(&node.submit(product, 0, 0.0)).is_some(), taken);
 }
 
 #[test]
 fn a_tenant_far_over_its_share_costs_the_others_nothing() {
-    let terms = StandingOrders { quotas: vec![4.0, 4.0, 4.0], may_probe: false, ..terms(Repeats::Harmless) };
+    let terms =
+        DispatchConfig { quotas: vec![4.0, 4.0, 4.0], may_probe: false, ..terms(RepeatPolicy::Idempotent) };
     let mut node = Node::new(terms, 6);
     (0..5).for_each(|w| drop(node.probed(w, Some(true), report(0.0, 0.0, 4.0))));
     let mut refused = [0; 3];
@@ -584,7 +608,7 @@
         let tenant = if i % 10 == 0 { i / 10 % 2 + 1 } else { 0 };
         let orders = node.submit(0, tenant, 0.0);
         match sent(&orders) {
-            Some(worker) => drop(node.ended(worker, 0, Outcome::Satisfied)),
+            Some(worker) => drop(node.ended(worker, 0, Outcome::Completed)),
             None => refused[usize::from(tenant)] += 1,
         }
         node.now += 20 * MS;
@@ -596,7 +620,7 @@
 #[test]
 fn chance_alone_makes_no_excess_where_few_are_seen() {
     let quotas = vec![66.0, 46.0, 21.0, 12.0, 10.0, 10.0];
-    let terms = StandingOrders { quotas, nodes: 100, ..terms(Repeats::Harmless) };
+    let terms = DispatchConfig { quotas, nodes: 100, ..terms(RepeatPolicy::Idempotent) };
     let mut node = Node::new(terms, 10);
     (0..9).for_each(|w| drop(node.probed(w, Some(true), report(0.0, 0.0, 4.0))));
     assert!((0..3).all(|_| sent(&node.submit(0, 4, 0.0)).is_some()));
@@ -607,7 +631,7 @@
 #[case::most_had_room(4.0, true)]
 #[case::few_had(0.0, false)]
 fn room_is_judged_by_all_that_were_asked_lately(#[case] free: f32, #[case] taken: bool) {
-    let terms = StandingOrders { may_probe: false, ..terms(Repeats::Harmless) };
+    let terms = DispatchConfig { may_probe: false, ..terms(RepeatPolicy::Idempotent) };
     let mut node = Node { dispatcher: Dispatcher::new(terms), now: 5_000_000 * MS, next: 0 };
     let entries: Vec<_> = (0..60).map(listing).collect();
     node.list(ListKind::Cached, &entries);
@@ -627,15 +651,15 @@
 #[case::silent(Health::Ready, 4..30)]
 #[case::draining(Health::Draining, 0..1)]
 fn what_is_down_is_asked_ever_more_seldom(#[case] health: Health, #[case] times: std::ops::Range<usize>) {
-    let mut node = Node::new(terms(Repeats::Harmless), 20);
-    node.list(ListKind::Changes, &[Listing { health, ..listing(0) }]);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 20);
+    node.list(ListKind::Changes, &[WorkerEntry { health, ..listing(0) }]);
     node.probed(0, Some(false), None);
     let mut asked = 0;
     for _ in 0..400 {
         node.now += 25 * MS;
-        let orders = node.event(Event::Rang { token: 0 });
+        let orders = node.event(Event::TimerFired { timer_id: 0 });
         for order in orders {
-            let Order::Probe { worker } = order else { continue };
+            let Action::Probe { worker } = order else { continue };
             asked += usize::from(worker == 0);
             node.probed(worker, Some(worker > 0), report(4.0, 0.0, 0.0).filter(|_| worker > 0));
         }
@@ -645,22 +669,22 @@
 
 #[test]
 fn nothing_follows_the_end_and_the_index_is_free_after_the_last_execution() {
-    let mut node = Node::new(terms(Repeats::Harmless), 3);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 3);
     let worker = sent(&node.submit(0, 0, 0.0)).unwrap();
-    let left = node.dispatcher.decide(node.now, Event::Left { submission: 0 }).to_vec();
-    assert_eq!(left, [Order::Cancel { submission: 0, execution: 0 }]);
-    assert_eq!(node.dispatcher.decide(node.now, over(worker)), [Order::Forget { submission: 0 }]);
+    let left = node.dispatcher.decide(node.now, Event::ClientLeft { submission: 0 }).to_vec();
+    assert_eq!(left, [Action::Cancel { submission: 0, execution: 0 }]);
+    assert_eq!(node.dispatcher.decide(node.now, over(worker)), [Action::Forget { submission: 0 }]);
     assert_eq!(node.dispatcher.decide(node.now, over(worker)), []);
 }
 
 #[rstest]
-#[case::unknown_submission(Event::Left { submission: 99 })]
-#[case::unknown_execution(Event::Noted { submission: 0, execution: 9 })]
+#[case::unknown_submission(Event::ClientLeft { submission: 99 })]
+#[case::unknown_execution(Event::Progressed { submission: 0, execution: 9 })]
 #[case::unknown_worker(Event::Probed { worker: 99, answered: Some(false), report: None })]
 #[case::unknown_stream(Event::Streaming { submission: 99, execution: 0 })]
-#[case::stale_timer(Event::Rang { token: 12 })]
+#[case::stale_timer(Event::TimerFired { timer_id: 12 })]
 fn events_about_the_unknown_do_no_harm(#[case] event: Event<'static>) {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
     assert_eq!(node.event(event), []);
     assert!(dismissed(&node.submit(9, 0, 0.0)) && sent(&node.submit(0, 0, 0.0)).is_some());
 }
@@ -668,7 +692,7 @@
 #[test]
 fn the_same_events_lead_to_the_same_orders() {
     let run = || {
-        let mut node = Node::new(terms(Repeats::Harmless), 5);
+        let mut node = Node::new(terms(RepeatPolicy::Idempotent), 5);
         (0..50).map(|_| node.submit(0, 0, 0.0)).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
@@ -680,7 +704,7 @@
     #[values(4, 8, 64, 512)] slots: u32,
     #[values(1, 2)] nodes: u32,
 ) {
-    let mut node = Node::new(StandingOrders { nodes, ..terms(Repeats::Harmless) }, 4);
+    let mut node = Node::new(DispatchConfig { nodes, ..terms(RepeatPolicy::Idempotent) }, 4);
     (0..4).for_each(|w| drop(node.probed(w, Some(true), report(slots as f32, 0.0, 0.0))));
     let mut held = [0; 4];
     for _ in 0..4 * slots {
@@ -693,10 +717,10 @@
 // An index means another machine from then on, of which nothing is known.
 #[test]
 fn a_retired_index_starts_anew() {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
     let worker = sent(&node.submit(0, 0, 0.0)).unwrap();
     node.ended(worker, 0, Outcome::ConnectFailed);
-    node.list(ListKind::Changes, &[Listing { health: Health::Gone, ..listing(worker) }]);
+    node.list(ListKind::Changes, &[WorkerEntry { health: Health::Gone, ..listing(worker) }]);
     node.event(Event::Retired { worker });
     node.list(ListKind::Changes, &[listing(worker)]);
     // One report is enough for it, where the one set aside would want two answered probes.
@@ -708,7 +732,7 @@
 #[test]
 fn without_reports_the_threshold_governs() {
     let mut node =
-        Node { dispatcher: Dispatcher::new(terms(Repeats::Harmless)), now: 5_000_000 * MS, next: 0 };
+        Node { dispatcher: Dispatcher::new(terms(RepeatPolicy::Idempotent)), now: 5_000_000 * MS, next: 0 };
     let entries: Vec<_> = (0..2).map(listing).collect();
     node.list(ListKind::Cached, &entries);
     assert!(!node.spread(1).is_empty());
@@ -721,9 +745,9 @@
 #[case::dead(true)]
 #[case::not(false)]
 fn one_that_died_comes_back_cold(#[case] died: bool) {
-    let mut node = Node::new(terms(Repeats::Harmless), 2);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 2);
     if died {
-        node.event(Event::Died { worker: 0 });
+        node.event(Event::ProcessLost { worker: 0 });
         assert!(!node.spread(20).contains(&0));
     }
     node.probed(0, Some(true), report(4.0, 0.0, 0.0));
@@ -742,9 +766,9 @@
     #[values(None, Some(Health::Gone), Some(Health::Draining))] listed: Option<Health>,
     #[values(true, false)] may_probe: bool,
 ) {
-    let mut terms = StandingOrders { may_probe, ..terms(Repeats::Harmless) };
-    (terms.products[0].kinds, terms.products[0].zones) = (kinds, zones);
-    let place = |w: Worker| Listing { kind: w as u16, zone: w as u16, ..listing(w) };
+    let mut terms = DispatchConfig { may_probe, ..terms(RepeatPolicy::Idempotent) };
+    (terms.products[0].allowed_kinds, terms.products[0].allowed_zones) = (kinds, zones);
+    let place = |w: Worker| WorkerEntry { kind: w as u16, zone: w as u16, ..listing(w) };
     let mut node = Node::new(terms, 0);
     let entries = [0, 1, 2].map(place);
     node.list(ListKind::Whole, &entries);
@@ -752,14 +776,14 @@
     let all = node.spread(40);
     assert!(all.len() >= 30 && all.iter().all(|w| *w == 1), "{all:?}");
     match listed {
-        Some(health) => drop(node.list(ListKind::Changes, &[Listing { health, ..place(1) }])),
+        Some(health) => drop(node.list(ListKind::Changes, &[WorkerEntry { health, ..place(1) }])),
         None => drop(node.probed(1, Some(false), None)),
     }
     for _ in 0..40 {
         let orders = node.submit(0, 0, 0.0);
         assert!(sent(&orders).is_none_or(|w| w == 1), "{orders:?}");
         if let Some(worker) = sent(&orders) {
-            let orders = node.ended(worker, 0, Outcome::Full);
+            let orders = node.ended(worker, 0, Outcome::Overloaded);
             assert!(sent(&orders).is_none(), "{orders:?}");
         } else {
             assert!(dismissed(&orders), "{orders:?}");
@@ -773,7 +797,7 @@
 /// Nothing is told of the jobs in hand, and the product that pays less is still executed where there is room.
 #[test]
 fn slots_are_seen_where_reports_do_not_count_the_jobs_in_hand() {
-    let mut node = Node::new(terms(Repeats::Harmless), 0);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 0);
     node.list(ListKind::Whole, &[0, 1, 2, 3].map(listing));
     let free = |f| Some(Report { free_slots: Some(f), ..Report::default() });
     (0..4).for_each(|w| drop(node.probed(w, Some(true), free(3.0))));
@@ -786,12 +810,12 @@
 // Its jobs are out until their cut-off, and each node that holds one would ask it at every pulse.
 #[test]
 fn a_worker_that_answers_no_probe_is_asked_ever_more_seldom_though_it_holds_a_job() {
-    let mut node = Node::new(StandingOrders { may_cancel: false, ..terms(Repeats::OneShot) }, 1);
+    let mut node = Node::new(DispatchConfig { may_cancel: false, ..terms(RepeatPolicy::OneShot) }, 1);
     assert_eq!(sent(&node.submit(0, 0, 0.0)), Some(0));
     let (end, mut asked) = (node.now + 4_000 * MS, 0);
     while node.now < end {
         node.now += 25 * MS;
-        if node.event(Event::Rang { token: 0 }).contains(&Order::Probe { worker: 0 }) {
+        if node.event(Event::TimerFired { timer_id: 0 }).contains(&Action::Probe { worker: 0 }) {
             asked += 1;
             node.probed(0, Some(false), None);
         }
@@ -807,15 +831,16 @@
     #[case] probe_price: f64,
     #[case] bears: std::ops::RangeInclusive<usize>,
 ) {
-    let product = |p: Product| Product { agreed: 3_000 * MS, ..p };
-    let mut terms = StandingOrders { probe_price, may_cancel: false, ..terms(Repeats::OneShot) };
+    let product = |p: Product| Product { latency_target: 3_000 * MS, ..p };
+    let mut terms =
+        DispatchConfig { probe_cost: probe_price, may_cancel: false, ..terms(RepeatPolicy::OneShot) };
     terms.products = terms.products.into_iter().map(product).collect();
     let mut node = Node::new(terms, 1);
     assert_eq!(sent(&node.submit(0, 0, 0.0)), Some(0));
     let (end, mut asked) = (node.now + 4_500 * MS, 0);
     while node.now < end {
         node.now += 25 * MS;
-        if node.event(Event::Rang { token: 0 }).contains(&Order::Probe { worker: 0 }) {
+        if node.event(Event::TimerFired { timer_id: 0 }).contains(&Action::Probe { worker: 0 }) {
             asked += 1;
             node.probed(0, Some(true), report(3.0, 0.0, 1.0));
         }
@@ -825,11 +850,11 @@
 
 #[test]
 fn what_is_out_for_longer_than_usual_counts_against_its_worker() {
-    let mut node = Node::new(terms(Repeats::OneShot), 3);
+    let mut node = Node::new(terms(RepeatPolicy::OneShot), 3);
     let slow = sent(&node.submit(0, 0, 0.0)).unwrap();
     for _ in 0..24 {
         node.now += 50 * MS;
-        node.event(Event::Rang { token: 0 });
+        node.event(Event::TimerFired { timer_id: 0 });
         for w in 0..3 {
             let held = f32::from(u8::from(w == slow));
             node.probed(w, Some(true), report(4.0 - held, 0.0, held));
@@ -845,17 +870,21 @@
 #[case::negative(-1.0)]
 #[case::beyond_all(f32::INFINITY)]
 fn weights_that_make_no_sense_starve_nobody(#[case] weight: f32) {
-    let mut node = Node::new(StandingOrders { listed_sizes: true, ..terms(Repeats::Harmless) }, 0);
+    let mut node =
+        Node::new(DispatchConfig { weights_are_sizes: true, ..terms(RepeatPolicy::Idempotent) }, 0);
     let sizes = [weight, weight, 2.0, 1.0];
-    node.list(ListKind::Whole, &[0, 1, 2, 3].map(|w| Listing { weight: sizes[w as usize], ..listing(w) }));
+    node.list(
+        ListKind::Whole,
+        &[0, 1, 2, 3].map(|w| WorkerEntry { weight: sizes[w as usize], ..listing(w) }),
+    );
     let drawn = node.spread(60);
     assert!(drawn.len() == 60 && (0..4).all(|w| drawn.contains(&w)), "{drawn:?}");
 }
 
 /// Many workers, of which a node meets each seldom, and only some small figures differ from the usual terms.
-fn rarely_met(workers: Worker, terms: StandingOrders, weight: impl Fn(Worker) -> f32) -> Node {
+fn rarely_met(workers: Worker, terms: DispatchConfig, weight: impl Fn(Worker) -> f32) -> Node {
     let mut node = Node { dispatcher: Dispatcher::new(terms), now: 5_000_000 * MS, next: 0 };
-    let entries: Vec<_> = (0..workers).map(|w| Listing { weight: weight(w), ..listing(w) }).collect();
+    let entries: Vec<_> = (0..workers).map(|w| WorkerEntry { weight: weight(w), ..listing(w) }).collect();
     node.list(ListKind::Whole, &entries);
     node
 }
@@ -867,7 +896,12 @@
     #[case] listed_sizes: bool,
     #[case] large: std::ops::Range<usize>,
 ) {
-    let terms = StandingOrders { listed_sizes, nodes: 300, may_probe: false, ..terms(Repeats::Harmless) };
+    let terms = DispatchConfig {
+        weights_are_sizes: listed_sizes,
+        nodes: 300,
+        may_probe: false,
+        ..terms(RepeatPolicy::Idempotent)
+    };
     let mut node = rarely_met(400, terms, |w| if w < 200 { 4.0 } else { 2.0 });
     let mut one = || {
         node.now += 300 * MS;
@@ -879,19 +913,19 @@
 
 // Without copies: called off first, sent on when that is known, inside its group, and a one-shot never.
 #[rstest]
-#[case::harmless(Repeats::Harmless, true)]
+#[case::harmless(RepeatPolicy::Idempotent, true)]
 #[case::stamped(STAMPED, true)]
-#[case::one_shot(Repeats::OneShot, false)]
-fn what_waits_moves_by_way_of_a_cancel(#[case] repeats: Repeats, #[case] moved: bool) {
-    let terms = StandingOrders { tells_start: true, may_duplicate: false, nodes: 300, ..terms(repeats) };
+#[case::one_shot(RepeatPolicy::OneShot, false)]
+fn what_waits_moves_by_way_of_a_cancel(#[case] repeats: RepeatPolicy, #[case] moved: bool) {
+    let terms = DispatchConfig { reports_start: true, may_duplicate: false, nodes: 300, ..terms(repeats) };
     let mut node = rarely_met(400, terms, |_| 1.0);
     let first = sent(&node.submit(0, 0, 0.0)).unwrap();
     let orders = node.pass(300 * MS, &[]);
-    assert_eq!(orders.contains(&Order::Cancel { submission: 0, execution: 0 }), moved);
+    assert_eq!(orders.contains(&Action::Cancel { submission: 0, execution: 0 }), moved);
     assert!(sent(&orders).is_none(), "two out at once: {orders:?}");
     let next = sent(&node.ended(first, 0, Outcome::Cancelled));
     assert_eq!(next.is_some(), moved);
-    assert!(next.is_none_or(|w| repeats == Repeats::Harmless || w == first ^ 1), "{next:?}");
+    assert!(next.is_none_or(|w| repeats == RepeatPolicy::Idempotent || w == first ^ 1), "{next:?}");
 }
 
 // Seen on a day of releases: all others full, each submission asked sixteen times for each of its executions,
@@ -899,16 +933,16 @@
 #[test]
 fn a_cold_worker_gets_no_more_where_all_others_are_full() {
     let one = |seed| {
-        let terms = StandingOrders { seed, nodes: 40, may_probe: false, ..terms(Repeats::Harmless) };
+        let terms = DispatchConfig { seed, nodes: 40, may_probe: false, ..terms(RepeatPolicy::Idempotent) };
         let mut node = rarely_met(40, terms, |_| 1.0);
-        node.list(ListKind::Changes, &[Listing { started: node.now, ..listing(0) }]);
+        node.list(ListKind::Changes, &[WorkerEntry { started: node.now, ..listing(0) }]);
         let mut cold = 0;
         for _ in 0..100 {
             node.now += 10 * MS;
             let (mut orders, mut execution) = (node.submit(0, 0, 0.0), 0);
             while let Some(worker) = sent(&orders) {
                 cold += usize::from(worker == 0);
-                let outcome = if worker == 0 { Outcome::Satisfied } else { Outcome::Full };
+                let outcome = if worker == 0 { Outcome::Completed } else { Outcome::Overloaded };
                 orders = node.ended(worker, execution, outcome);
                 execution += 1;
             }
@@ -923,9 +957,9 @@
 #[test]
 fn what_waits_is_no_slot_where_reports_do_not_tell_it() {
     let told = |free: f32, in_hand: f32| {
-        Some(Report { free_slots: Some(free), in_hand: Some(in_hand), ..Report::default() })
+        Some(Report { free_slots: Some(free), active_jobs: Some(in_hand), ..Report::default() })
     };
-    let mut node = Node::new(terms(Repeats::Harmless), 0);
+    let mut node = Node::new(terms(RepeatPolicy::Idempotent), 0);
     node.list(ListKind::Whole, &[listing(0), listing(1)]);
     for _ in 0..3 {
         (0..2).for_each(|w| drop(node.probed(w, Some(true), told(1.0, 3.0))));
@@ -946,11 +980,16 @@
     #[case] idle_ms: u64,
     #[case] again: bool,
 ) {
-    let base = StandingOrders { tells_start: true, nodes: 300, idle: 5_000 * MS, ..terms(Repeats::Harmless) };
-    let mut node = rarely_met(400, StandingOrders { connection_price, ..base }, |_| 1.0);
+    let base = DispatchConfig {
+        reports_start: true,
+        nodes: 300,
+        idle_timeout: 5_000 * MS,
+        ..terms(RepeatPolicy::Idempotent)
+    };
+    let mut node = rarely_met(400, DispatchConfig { connection_cost: connection_price, ..base }, |_| 1.0);
     let first = sent(&node.submit(0, 0, 0.0)).unwrap();
-    node.event(Event::Noted { submission: 0, execution: 0 });
-    node.ended(first, 0, Outcome::Satisfied);
+    node.event(Event::Progressed { submission: 0, execution: 0 });
+    node.ended(first, 0, Outcome::Completed);
     node.pass(idle_ms * MS, &[]);
     assert_eq!(sent(&node.submit(0, 0, 0.0)) == Some(first), again);
 }
@@ -959,29 +998,30 @@
 #[case::soon(1_000, false)]
 #[case::idle_for_too_long(6_000, true)]
 fn a_connection_that_may_have_been_dropped_is_not_used(#[case] idle_ms: u64, #[case] released: bool) {
-    let base = StandingOrders { tells_start: true, idle: 5_000 * MS, ..terms(Repeats::Harmless) };
-    let mut node = rarely_met(1, StandingOrders { connection_price: 0.08, ..base }, |_| 1.0);
+    let base =
+        DispatchConfig { reports_start: true, idle_timeout: 5_000 * MS, ..terms(RepeatPolicy::Idempotent) };
+    let mut node = rarely_met(1, DispatchConfig { connection_cost: 0.08, ..base }, |_| 1.0);
     assert_eq!(node.spread(1), [0]);
     node.now += idle_ms * MS;
-    let job = Job { cut_off: node.now + 5_000 * MS, slots: 1.0, ..Job::default() };
+    let job = Job { deadline: node.now + 5_000 * MS, slots: 1.0, ..Job::default() };
     let orders = node.dispatcher.decide(node.now, Event::Submitted { submission: 0, job });
-    let kinds = |o: &&Order| matches!(o, Order::Release { .. } | Order::Execute { .. });
+    let kinds = |o: &&Action| matches!(o, Action::CloseIdleConnections { .. } | Action::Execute { .. });
     let first = orders.iter().find(kinds);
-    assert_eq!(matches!(first, Some(Order::Release { worker: 0 })), released, "{orders:?}");
+    assert_eq!(matches!(first, Some(Action::CloseIdleConnections { worker: 0 })), released, "{orders:?}");
 }
 
 // Who is cold, set aside or gone stays so whatever the terms are; what reports said was measured under others.
 #[test]
 fn a_switch_of_terms_keeps_health_and_starts_and_drops_reports() {
-    let mut node = Node::new(terms(Repeats::OneShot), 4);
+    let mut node = Node::new(terms(RepeatPolicy::OneShot), 4);
     node.probed(1, Some(true), report(0.0, 60.0, 64.0));
-    node.list(ListKind::Changes, &[Listing { health: Health::Gone, ..listing(2) }]);
-    node.list(ListKind::Changes, &[Listing { started: node.now, ..listing(3) }]);
+    node.list(ListKind::Changes, &[WorkerEntry { health: Health::Gone, ..listing(2) }]);
+    node.list(ListKind::Changes, &[WorkerEntry { started: node.now, ..listing(3) }]);
     let first = sent(&node.submit(0, 0, 0.0)).unwrap();
-    let strict = StandingOrders { may_probe: false, nodes: 100, ..terms(Repeats::OneShot) };
-    node.dispatcher.go_on_under(strict);
+    let strict = DispatchConfig { may_probe: false, nodes: 100, ..terms(RepeatPolicy::OneShot) };
+    node.dispatcher.reconfigure(strict);
     assert!(aborted(&node.ended(first, 0, Outcome::Error)), "held over the switch, and it may have run");
-    node.dispatcher.go_on_under(StandingOrders { nodes: 100, ..terms(Repeats::OneShot) });
+    node.dispatcher.reconfigure(DispatchConfig { nodes: 100, ..terms(RepeatPolicy::OneShot) });
     let drawn: Vec<_> = (0..200).flat_map(|_| node.spread(1)).collect();
     let times = |w: Worker| drawn.iter().filter(|d| **d == w).count();
     assert!(times(2) == 0 && times(3) < 5 && times(1) > 50, "{drawn:?}");
--- a/crates/dispatch/tests/zones.rs
+++ b/crates/dispatch/tests/zones.rs
@@ -12,42 +12,42 @@
 const TOOK_HERE: Nanos = 900 * MS;
 const TOOK_THERE: Nanos = 150 * MS;
 
-fn terms() -> StandingOrders {
+fn terms() -> DispatchConfig {
     let product = Product {
-        repeats: Repeats::Harmless,
-        agreed: AGREED,
-        stretch: 1.0,
+        repeat_policy: RepeatPolicy::Idempotent,
+        latency_target: AGREED,
+        latency_target_factor: 1.0,
         payoff: 1.0,
         late_payoff: 0.5,
-        kinds: None,
-        zones: None,
+        allowed_kinds: None,
+        allowed_zones: None,
     };
-    StandingOrders {
+    DispatchConfig {
         seed: 7,
         nodes: 2,
         zone: 0,
         products: vec![product],
         quotas: vec![],
         excess_payoff: 0.2,
-        probe_price: 0.002,
-        crossing_price: 0.01,
-        connection_price: 0.0,
+        probe_cost: 0.002,
+        zone_crossing_cost: 0.01,
+        connection_cost: 0.0,
         max_executions: 3,
         may_duplicate: false,
         may_probe: false,
         may_cancel: false,
-        come_back: Some(2_000 * MS),
+        retry_after: Some(2_000 * MS),
         connect_timeout: 250 * MS,
-        idle: 60_000 * MS,
-        answer_slack: 16 * MS,
-        cold_from: 0.3,
-        cold_for: 8_000 * MS,
-        fall_multiple: 2.5,
-        fall_window: 1_000 * MS,
-        ask_within: None,
-        progress_every: None,
-        tells_start: false,
-        listed_sizes: false,
+        idle_timeout: 60_000 * MS,
+        deadline_margin: 16 * MS,
+        cold_capacity_share: 0.3,
+        slow_start_duration: 8_000 * MS,
+        overload_factor: 2.5,
+        overload_window: 1_000 * MS,
+        list_refresh_limit: None,
+        progress_interval: None,
+        reports_start: false,
+        weights_are_sizes: false,
         counts_memory: false,
     }
 }
@@ -66,10 +66,14 @@
     const SUBMITTED: u32 = 600;
     let mut dispatcher = Dispatcher::new(terms());
     let mut now = 5_000_000 * MS;
-    let listing =
-        |worker| Listing { worker, zone: zone_of(worker), health: Health::Ready, ..Listing::default() };
+    let listing = |worker| WorkerEntry {
+        worker,
+        zone: zone_of(worker),
+        health: Health::Ready,
+        ..WorkerEntry::default()
+    };
     let entries: Vec<_> = (0..2 * EACH_ZONE).map(listing).collect();
-    dispatcher.decide(now, Event::Listed { kind: ListKind::Whole, entries: &entries });
+    dispatcher.decide(now, Event::ListReceived { kind: ListKind::Whole, entries: &entries });
     let mut out: VecDeque<(Nanos, Ending)> = VecDeque::new();
     let mut crossed = 0;
     for submission in 0..SUBMITTED {
@@ -78,13 +82,13 @@
             let Some((_, ending)) = out.remove(next) else { break };
             dispatcher.decide(now, Event::Ended(ending));
         }
-        let job = Job { product: 0, tenant: 0, cut_off: now + 5_000 * MS, slots: 1.0, memory: 0.0 };
+        let job = Job { product: 0, tenant: 0, deadline: now + 5_000 * MS, slots: 1.0, memory: 0.0 };
         for order in dispatcher.decide(now, Event::Submitted { submission, job }) {
-            let Order::Execute { submission, worker, .. } = *order else { continue };
+            let Action::Execute { submission, worker, .. } = *order else { continue };
             let there = zone_of(worker) > 0;
             crossed += u32::from(there && submission >= SUBMITTED / 2);
             let took = if there { TOOK_THERE } else { TOOK_HERE };
-            let (outcome, closed, report) = (Outcome::Satisfied, true, None);
+            let (outcome, closed, report) = (Outcome::Completed, true, None);
             out.push_back((
                 now + took,
                 Ending { submission, execution: 0, worker, outcome, closed, took, report },
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -6,8 +6,8 @@
 use clap::ValueEnum;
 use linestack_core::Nanos;
 use linestack_dispatch::types::{
-    Decide, Ending, Event, Group, Health, Job, ListKind, Listing, Order, Outcome, Repeats, Report,
-    StandingOrders, Submission, Worker,
+    Action, Decide, DedupScope, DispatchConfig, Ending, Event, Health, Job, ListKind, Outcome, RepeatPolicy,
+    Report, Submission, Worker, WorkerEntry,
 };
 use linestack_world::{Machine, Seat, Truth, linestack};
 use rand::{Rng as _, SeedableRng as _};
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Default)]
 struct Desk {
-    listing: Listing,
+    listing: WorkerEntry,
     own: f64,
     report: Option<Report>,
     since: f64,
@@ -70,7 +70,7 @@
 
 struct Plain {
     policy: Policy,
-    terms: StandingOrders,
+    terms: DispatchConfig,
     node: usize,
     truth: Arc<Mutex<Truth>>,
     rng: Pcg64Mcg,
@@ -78,11 +78,11 @@
     desks: Vec<Desk>,
     held: Vec<Held>,
     turn: usize,
-    orders: Vec<Order>,
+    orders: Vec<Action>,
 }
 
 impl Plain {
-    fn new(policy: Policy, terms: StandingOrders, node: usize, truth: Arc<Mutex<Truth>>) -> Self {
+    fn new(policy: Policy, terms: DispatchConfig, node: usize, truth: Arc<Mutex<Truth>>) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(terms.seed);
         let (desks, held, orders) = (Vec::new(), Vec::new(), Vec::new());
         Self { policy, terms, node, truth, rng, now: 0, desks, held, turn: 0, orders }
@@ -91,15 +91,15 @@
     fn allowed(&self, held: &Held, worker: Worker) -> bool {
         let desk = &self.desks[worker as usize];
         let product = &self.terms.products[usize::from(held.job.product)];
-        let late = self.now + self.terms.answer_slack >= held.job.cut_off;
+        let late = self.now + self.terms.deadline_margin >= held.job.deadline;
         if desk.listing.health != Health::Ready || late || held.executions >= self.terms.max_executions {
             return false;
         }
-        match (held.anchor, product.repeats) {
-            (None, _) | (_, Repeats::Harmless) => !held.tried.iter().any(|(w, _)| *w == worker),
-            (Some(_), Repeats::OneShot) => false,
-            (Some((first, sent)), Repeats::Stamped { group, memory }) => {
-                let joined = group.joins(&self.desks[first as usize].listing, &desk.listing);
+        match (held.anchor, product.repeat_policy) {
+            (None, _) | (_, RepeatPolicy::Idempotent) => !held.tried.iter().any(|(w, _)| *w == worker),
+            (Some(_), RepeatPolicy::OneShot) => false,
+            (Some((first, sent)), RepeatPolicy::Stamped { scope: group, dedup_window: memory }) => {
+                let joined = group.covers(&self.desks[first as usize].listing, &desk.listing);
                 joined && self.now + self.terms.connect_timeout < sent + memory
             }
         }
@@ -133,7 +133,8 @@
                 let load = |w: Worker| {
                     let desk = &self.desks[w as usize];
                     let told = desk.report.map_or(0.0, |r| {
-                        f64::from(r.waiting.unwrap_or(0.0)) - f64::from(r.free_slots.unwrap_or(0.0)).min(4.0)
+                        f64::from(r.queued_jobs.unwrap_or(0.0))
+                            - f64::from(r.free_slots.unwrap_or(0.0)).min(4.0)
                     });
                     told + desk.since
                 };
@@ -167,7 +168,7 @@
             return;
         }
         let Some(worker) = self.pick(&held) else { return self.finish(submission) };
-        let (now, slack) = (self.now, self.terms.answer_slack / 2);
+        let (now, slack) = (self.now, self.terms.deadline_margin / 2);
         let held = &mut self.held[submission as usize];
         held.executions += 1;
         held.out += 1;
@@ -176,18 +177,21 @@
         let desk = &mut self.desks[worker as usize];
         desk.own += held.job.slots;
         desk.since += held.job.slots;
-        let timeout = held.job.cut_off - now - slack;
-        self.orders.push(Order::Execute { submission, worker, timeout });
+        let timeout = held.job.deadline - now - slack;
+        self.orders.push(Action::Execute { submission, worker, timeout });
     }
 
     fn finish(&mut self, submission: Submission) {
         let held = &self.held[submission as usize];
-        let repeats = self.terms.products.get(usize::from(held.job.product)).map(|p| p.repeats);
-        let free = matches!(repeats, Some(Repeats::Harmless | Repeats::Stamped { group: Group::All, .. }));
+        let repeats = self.terms.products.get(usize::from(held.job.product)).map(|p| p.repeat_policy);
+        let free = matches!(
+            repeats,
+            Some(RepeatPolicy::Idempotent | RepeatPolicy::Stamped { scope: DedupScope::All, .. })
+        );
         let order = if free || held.anchor.is_none() {
-            Order::Dismiss { submission, come_back: self.terms.come_back.map(|most| most / 8) }
+            Action::Dismiss { submission, retry_after: self.terms.retry_after.map(|most| most / 8) }
         } else {
-            Order::Abort { submission }
+            Action::Abort { submission }
         };
         self.orders.push(order);
         self.close(submission);
@@ -198,7 +202,7 @@
         held.open = false;
         if self.terms.may_cancel {
             for (execution, _) in held.tried.iter().enumerate().filter(|(_, (_, out))| *out) {
-                self.orders.push(Order::Cancel { submission, execution: execution as u16 });
+                self.orders.push(Action::Cancel { submission, execution: execution as u16 });
             }
         }
         self.forget(submission);
@@ -207,7 +211,7 @@
     fn forget(&mut self, submission: Submission) {
         let held = &mut self.held[submission as usize];
         if !held.open && held.out == 0 && std::mem::take(&mut held.known) {
-            self.orders.push(Order::Forget { submission });
+            self.orders.push(Action::Forget { submission });
         }
     }
 
@@ -223,7 +227,7 @@
         let slots = held.job.slots;
         self.desks[e.worker as usize].own -= slots;
         self.report(e.worker, e.report);
-        if e.closed || e.outcome == Outcome::Satisfied {
+        if e.closed || e.outcome == Outcome::Completed {
             self.close(e.submission);
         } else if self.held[e.submission as usize].open {
             self.go_on(e.submission);
@@ -239,15 +243,15 @@
 }
 
 impl Decide for Plain {
-    fn go_on_under(&mut self, terms: StandingOrders) {
+    fn reconfigure(&mut self, terms: DispatchConfig) {
         self.terms = terms;
     }
 
-    fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Order] {
+    fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Action] {
         self.orders.clear();
         self.now = now;
         match event {
-            Event::Listed { kind, entries } => {
+            Event::ListReceived { kind, entries } => {
                 if matches!(kind, ListKind::Whole | ListKind::Cached) {
                     self.desks.iter_mut().for_each(|d| d.listing.health = Health::Gone);
                 }
@@ -258,10 +262,12 @@
                     }
                     self.desks[place].listing = *listing;
                 }
-                if let Some(within) = self.terms.ask_within {
+                if let Some(within) = self.terms.list_refresh_limit {
                     match kind {
-                        ListKind::Cached => self.orders.push(Order::Subscribe),
-                        ListKind::Failed => self.orders.push(Order::Ring { at: now + within / 10, token: 1 }),
+                        ListKind::Cached => self.orders.push(Action::Subscribe),
+                        ListKind::Failed => {
+                            self.orders.push(Action::SetTimer { at: now + within / 10, timer_id: 1 })
+                        }
                         _ => {}
                     }
                 }
@@ -274,14 +280,17 @@
                 self.held[place] = Held { job, open: true, known: true, ..Held::default() };
                 self.go_on(submission);
             }
-            Event::Left { submission } => self.close(submission),
+            Event::ClientLeft { submission } => self.close(submission),
             Event::Ended(ending) => self.ended(&ending),
             Event::Probed { worker, report, .. } => self.report(worker, report),
-            Event::Rang { token: 1 } => self.orders.push(Order::Subscribe),
+            Event::TimerFired { timer_id: 1 } => self.orders.push(Action::Subscribe),
             Event::Retired { worker } => {
                 self.desks.get_mut(worker as usize).into_iter().for_each(|d| *d = Desk::default());
             }
-            Event::Rang { .. } | Event::Streaming { .. } | Event::Noted { .. } | Event::Died { .. } => {}
+            Event::TimerFired { .. }
+            | Event::Streaming { .. }
+            | Event::Progressed { .. }
+            | Event::ProcessLost { .. } => {}
         }
         &self.orders
     }
--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -105,7 +105,12 @@
     fn report(&self, worker: usize) -> Report {
         let in_hand = self.workers[worker] as f64;
         let (free, in_hand) = ((self.slots - in_hand).max(0.0) as f32, in_hand as f32);
-        Report { free_slots: Some(free), free_memory: None, waiting: Some(0.0), in_hand: Some(in_hand) }
+        Report {
+            free_slots: Some(free),
+            free_memory: None,
+            queued_jobs: Some(0.0),
+            active_jobs: Some(in_hand),
+        }
     }
 
     /// Takes an input, and all that follows from it at once.
@@ -185,7 +190,7 @@
         let Some(worker) = self.links.get(&link).copied() else { return };
         self.workers[worker] -= 1;
         let report = Some(self.report(worker));
-        self.feed(Input::Ended { link, outcome: Outcome::Satisfied, result: Bytes::new(), report });
+        self.feed(Input::Ended { link, outcome: Outcome::Completed, result: Bytes::new(), report });
         self.feed(Input::Freed { link, named: true });
     }
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -19,7 +19,7 @@
 use linestack::net::{Node, Parts, clients, clock::Clock, spawn};
 use linestack::peers;
 use linestack_core::{Core, Input};
-use linestack_dispatch::types::{ListKind, Repeats};
+use linestack_dispatch::types::{ListKind, RepeatPolicy};
 use linestack_history::What;
 use linestack_recovery::start::{Found, Start as Starting};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -207,7 +207,7 @@
             .orders
             .products
             .iter()
-            .map(|p| matches!(p.repeats, Repeats::Stamped { .. }))
+            .map(|p| matches!(p.repeat_policy, RepeatPolicy::Stamped { .. }))
             .collect(),
         discovery,
         index,
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -285,8 +285,8 @@
         let Some(head) = &self.head else { return };
         let report = head.load.as_deref().and_then(|text| text_report(node, text));
         let outcome = match head.status {
-            503 | 504 if head.declined => Outcome::Full,
-            400..500 => Outcome::Unusable,
+            503 | 504 if head.declined => Outcome::Overloaded,
+            400..500 => Outcome::InvalidSubmission,
             _ => Outcome::Error,
         };
         self.tell(node, link, outcome, Bytes::new(), report);
@@ -338,16 +338,16 @@
                 return false;
             }
             let outcome = match &*line.state {
-                "done" => Outcome::Satisfied,
+                "done" => Outcome::Completed,
                 "failed" => Outcome::Error,
-                "returned" => Outcome::Full,
+                "returned" => Outcome::Overloaded,
                 "lost" => Outcome::Reset,
                 _ => {
                     node.feed(Input::Noted { link });
                     continue;
                 }
             };
-            let Some(result) = line.result.or_else(|| (outcome != Outcome::Satisfied).then(String::new))
+            let Some(result) = line.result.or_else(|| (outcome != Outcome::Completed).then(String::new))
             else {
                 return false;
             };
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand.rs
@@ -40,7 +40,7 @@
     fn load(model: &mut StandIn, now: u64) -> String {
         model.report(now).map_or(String::new(), |r| {
             let figure = |f: Option<f32>| f.unwrap_or(0.0);
-            let (x0, queue, inflight) = (figure(r.free_slots), figure(r.waiting), figure(r.in_hand));
+            let (x0, queue, inflight) = (figure(r.free_slots), figure(r.queued_jobs), figure(r.active_jobs));
             format!("{{\"x0\":{x0},\"queue\":{queue},\"inflight\":{inflight}}}")
         })
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,14 +1,14 @@
 //! The settings: JSON with the simulator wire's names, read into the standing orders. The simulator sends
 //! them at the start of an instance; a node on sockets finds the same object in its configuration.
 
-use linestack_dispatch::types::{Group, Nanos, Product, Repeats, Report, StandingOrders};
+use linestack_dispatch::types::{DedupScope, DispatchConfig, Nanos, Product, RepeatPolicy, Report};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
 /// What a node is started with.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub orders: StandingOrders,
+    pub orders: DispatchConfig,
     pub layout: ReportLayout,
     pub names: Names,
     /// The longest that a client of any product waits.
@@ -23,7 +23,7 @@
     #[must_use]
     pub fn restart_for(&self, newer: &Self) -> Option<&'static str> {
         let (names, others) = (&self.names, &newer.names);
-        let promised = |s: &Self| s.orders.products.iter().map(|p| p.repeats).collect::<Vec<_>>();
+        let promised = |s: &Self| s.orders.products.iter().map(|p| p.repeat_policy).collect::<Vec<_>>();
         let differ = [
             ("settings.products", names.products != others.products || promised(self) != promised(newer)),
             ("settings.tenants", names.tenants != others.tenants),
@@ -32,7 +32,10 @@
             ("settings.report", names.figures != others.figures || self.layout != newer.layout),
             // Its own place, and the way the list is followed.
             ("settings.az", self.orders.zone != newer.orders.zone),
-            ("settings.discovery", self.orders.ask_within.is_some() != newer.orders.ask_within.is_some()),
+            (
+                "settings.discovery",
+                self.orders.list_refresh_limit.is_some() != newer.orders.list_refresh_limit.is_some(),
+            ),
         ];
         differ.into_iter().find_map(|(key, differs)| differs.then_some(key))
     }
@@ -66,8 +69,8 @@
         let report = Report {
             free_slots: get(self.free_slots),
             free_memory: get(self.free_memory),
-            waiting: get(self.waiting),
-            in_hand: get(self.in_hand),
+            queued_jobs: get(self.waiting),
+            active_jobs: get(self.in_hand),
         };
         (report != Report::default()).then_some(report)
     }
@@ -370,24 +373,24 @@
     let open: Vec<_> = info.products.iter().enumerate().map(|(i, class)| open(i, class)).collect();
     type Open = (Option<Vec<u16>>, Option<Vec<u16>>);
     let product = |((i, class), (kinds, zones)): ((usize, &Class), Open)| Product {
-        repeats: match class.effect.as_str() {
-            "pure" => Repeats::Harmless,
-            "token" => Repeats::Stamped {
-                group: match class.dedup_scope.as_str() {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    _ => Group::Cell,
+        repeat_policy: match class.effect.as_str() {
+            "pure" => RepeatPolicy::Idempotent,
+            "token" => RepeatPolicy::Stamped {
+                scope: match class.dedup_scope.as_str() {
+                    "all" => DedupScope::All,
+                    "zone" => DedupScope::Zone,
+                    _ => DedupScope::Cell,
                 },
-                memory: nanos(class.memory_span_ms),
+                dedup_window: nanos(class.memory_span_ms),
             },
-            _ => Repeats::OneShot,
+            _ => RepeatPolicy::OneShot,
         },
-        agreed: nanos(class.agreed_time_ms),
-        stretch: class.aim_stretch.or(family.class_stretch.get(i).copied()).unwrap_or(0.0),
+        latency_target: nanos(class.agreed_time_ms),
+        latency_target_factor: class.aim_stretch.or(family.class_stretch.get(i).copied()).unwrap_or(0.0),
         payoff: class.payoff,
         late_payoff: class.late_payoff,
-        kinds,
-        zones,
+        allowed_kinds: kinds,
+        allowed_zones: zones,
     };
     let field = |name: &str| info.report.fields.iter().position(|f| f == name);
     let extra = |word: &str| {
@@ -402,33 +405,33 @@
     };
     let (limits, rules) = (&info.limits, &info.invariants);
     let some = |span: Nanos| (span > 0).then_some(span);
-    let orders = StandingOrders {
+    let orders = DispatchConfig {
         seed,
         nodes: info.balancers.max(1),
         zone: info.az,
         products: info.products.iter().enumerate().zip(open).map(product).collect(),
         quotas: info.tenants.iter().map(|t| t.quota_per_s.max(0.0)).collect(),
         excess_payoff: info.excess_payoff,
-        probe_price: info.deductions.probe,
-        crossing_price: info.deductions.cross_zone,
-        connection_price: info.deductions.handshake,
+        probe_cost: info.deductions.probe,
+        zone_crossing_cost: info.deductions.cross_zone,
+        connection_cost: info.deductions.handshake,
         max_executions: limits.max_executions,
         may_duplicate: limits.may_duplicate,
         may_probe: limits.may_probe,
         may_cancel: limits.cancel,
-        come_back: some(nanos(limits.max_retry_after_ms)).filter(|_| limits.retry_after),
+        retry_after: some(nanos(limits.max_retry_after_ms)).filter(|_| limits.retry_after),
         // Pulses are a part of it.
         connect_timeout: nanos(limits.connect_timeout_ms.max(5.0)),
-        idle: nanos(limits.conn_idle_ms),
-        answer_slack: nanos(rules.answer_slack_ms),
-        cold_from: rules.cold_from,
-        cold_for: nanos(rules.cold_ms),
-        fall_multiple: rules.fall_multiple,
-        fall_window: nanos(rules.fall_ms),
-        ask_within: some(nanos(rules.must_ask_in_ms)).filter(|_| info.discovery == "on_request"),
-        progress_every: some(nanos(family.progress_ms)),
-        tells_start: family.tells_start,
-        listed_sizes: matches!(info.weights.as_str(), "nominal" | "rough"),
+        idle_timeout: nanos(limits.conn_idle_ms),
+        deadline_margin: nanos(rules.answer_slack_ms),
+        cold_capacity_share: rules.cold_from,
+        slow_start_duration: nanos(rules.cold_ms),
+        overload_factor: rules.fall_multiple,
+        overload_window: nanos(rules.fall_ms),
+        list_refresh_limit: some(nanos(rules.must_ask_in_ms)).filter(|_| info.discovery == "on_request"),
+        progress_interval: some(nanos(family.progress_ms)),
+        reports_start: family.tells_start,
+        weights_are_sizes: matches!(info.weights.as_str(), "nominal" | "rough"),
         counts_memory: family.memory_unit.as_ref().is_some_and(|unit| !unit.is_empty()),
     };
     let longest_cut_off = nanos(info.products.iter().map(|p| p.cut_off_ms).fold(0.0, f64::max));
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use linestack_dispatch::decide::Dispatcher;
-use linestack_dispatch::types::{Ending, Event, Listing, Nanos, Order};
+use linestack_dispatch::types::{Action, Ending, Event, Nanos, WorkerEntry};
 use linestack_settings::{ReportLayout, Settings};
 use linestack_simwire::{Entry, Incoming, Outgoing, Reply};
 
@@ -16,7 +16,7 @@
     free: Vec<u32>,
     workers: HashMap<u32, u32>,
     executors: Vec<u32>,
-    listings: Vec<Listing>,
+    listings: Vec<WorkerEntry>,
 }
 
 impl Instance {
@@ -41,31 +41,33 @@
             // The listings are lent to the event and taken back after it.
             let listings = std::mem::take(&mut self.listings);
             let event = match event {
-                Event::Listed { kind, .. } => Event::Listed { kind, entries: &listings },
+                Event::ListReceived { kind, .. } => Event::ListReceived { kind, entries: &listings },
                 other => other,
             };
             for order in self.dispatcher.decide(clock, event) {
                 let call = |submission: &u32| self.calls[*submission as usize];
                 let action = match order {
-                    Order::Execute { submission, worker, timeout } => Outgoing::Execute {
+                    Action::Execute { submission, worker, timeout } => Outgoing::Execute {
                         call: call(submission),
                         timeout: *timeout,
                         executor: self.executors[*worker as usize],
                     },
-                    Order::Cancel { submission, execution } => {
+                    Action::Cancel { submission, execution } => {
                         Outgoing::Cancel { call: call(submission), execution: *execution }
                     }
-                    Order::Dismiss { submission, come_back } => {
+                    Action::Dismiss { submission, retry_after: come_back } => {
                         Outgoing::Dismiss { call: call(submission), come_back: come_back.unwrap_or(0) }
                     }
-                    Order::Abort { submission } => Outgoing::Abort { call: call(submission) },
-                    Order::Probe { worker } => Outgoing::Probe { executor: self.executors[*worker as usize] },
-                    Order::Release { worker } => {
+                    Action::Abort { submission } => Outgoing::Abort { call: call(submission) },
+                    Action::Probe { worker } => {
+                        Outgoing::Probe { executor: self.executors[*worker as usize] }
+                    }
+                    Action::CloseIdleConnections { worker } => {
                         Outgoing::Release { executor: self.executors[*worker as usize] }
                     }
-                    Order::Subscribe => Outgoing::Subscribe,
-                    Order::Ring { at, token } => Outgoing::Ring { at: *at, token: *token },
-                    Order::Forget { submission } => {
+                    Action::Subscribe => Outgoing::Subscribe,
+                    Action::SetTimer { at, timer_id: token } => Outgoing::Ring { at: *at, token: *token },
+                    Action::Forget { submission } => {
                         self.submissions.remove(&call(submission));
                         self.free.push(*submission);
                         continue;
@@ -89,9 +91,9 @@
                         self.executors.len() as u32 - 1
                     });
                     let Entry { health, kind, zone, cell, started, weight, .. } = e;
-                    self.listings.push(Listing { worker, health, kind, zone, cell, started, weight });
+                    self.listings.push(WorkerEntry { worker, health, kind, zone, cell, started, weight });
                 }
-                Event::Listed { kind, entries: &[] }
+                Event::ListReceived { kind, entries: &[] }
             }
             Incoming::Submitted { call, job } => {
                 if known(call).is_some() {
@@ -106,11 +108,11 @@
                 self.submissions.insert(call, submission);
                 Event::Submitted { submission, job }
             }
-            Incoming::Left { call } => Event::Left { submission: known(call)? },
+            Incoming::Left { call } => Event::ClientLeft { submission: known(call)? },
             Incoming::Streaming { call, execution } => {
                 Event::Streaming { submission: known(call)?, execution }
             }
-            Incoming::Noted { call, execution } => Event::Noted { submission: known(call)?, execution },
+            Incoming::Noted { call, execution } => Event::Progressed { submission: known(call)?, execution },
             Incoming::Ended { call, execution, executor, outcome, closed, took, figures } => {
                 Event::Ended(Ending {
                     submission: known(call)?,
@@ -127,7 +129,7 @@
                 answered,
                 report: self.layout.report(|place| figures.get(place)),
             },
-            Incoming::Rang { token } => Event::Rang { token },
+            Incoming::Rang { token } => Event::TimerFired { timer_id: token },
         })
     }
 }
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -162,7 +162,7 @@
                 job: Job {
                     product: f.u8(11),
                     tenant: f.u16(12),
-                    cut_off: nanos(f.f64(22)),
+                    deadline: nanos(f.f64(22)),
                     slots: positive(f.f32(38)).filter(|s| *s > 0.0).unwrap_or(1.0).into(),
                     memory: positive(f.f32(42)).unwrap_or(0.0).into(),
                 },
@@ -361,8 +361,8 @@
 
 fn outcome(reason: u16) -> Outcome {
     match reason {
-        200 => Outcome::Satisfied,
-        429 => Outcome::Full,
+        200 => Outcome::Completed,
+        429 => Outcome::Overloaded,
         408 => Outcome::TimedOut,
         521 => Outcome::ConnectFailed,
         520 => Outcome::Reset,
--- a/crates/simwire/tests/frames.rs
+++ b/crates/simwire/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames and start texts, good and bad.
 
-use linestack_dispatch::types::{Group, Health, ListKind, Outcome, Repeats};
+use linestack_dispatch::types::{DedupScope, Health, ListKind, Outcome, RepeatPolicy};
 use linestack_simwire::{Batch, Fault, Incoming, Outgoing, Reply};
 use rstest::rstest;
 
@@ -42,12 +42,12 @@
         panic!()
     };
     assert_eq!((node, call, execution, executor, closed, took), (3, 5, 2, 9, true, 1_500_000));
-    assert_eq!(outcome, Outcome::Full);
+    assert_eq!(outcome, Outcome::Overloaded);
     let text =
         r#"{"report":{"fields":["x0","backlog","outstanding"]},"familyInfo":{"reportX0":"free slots"}}"#;
     let Incoming::Begin(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
     let report = start.layout.report(|place| figures.get(place)).unwrap();
-    assert_eq!((report.free_slots, report.waiting, report.in_hand), (Some(2.0), None, None));
+    assert_eq!((report.free_slots, report.queued_jobs, report.active_jobs), (Some(2.0), None, None));
 }
 
 #[test]
@@ -76,22 +76,22 @@
 ) {
     let Incoming::Begin(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
     let o = start.orders;
-    assert_eq!((o.quotas.len(), o.come_back, o.ask_within), (tenants, come_back, ask_within));
+    assert_eq!((o.quotas.len(), o.retry_after, o.list_refresh_limit), (tenants, come_back, ask_within));
     assert!(!o.may_probe && !o.may_duplicate && o.max_executions == 1);
 }
 
 #[rstest]
-#[case::harmless(r#""effect":"pure""#, Repeats::Harmless)]
+#[case::harmless(r#""effect":"pure""#, RepeatPolicy::Idempotent)]
 #[case::stamped(
     r#""effect":"token","dedupScope":"zone","memorySpanMs":3"#,
-    Repeats::Stamped { group: Group::Zone, memory: 3_000_000 }
+    RepeatPolicy::Stamped { scope: DedupScope::Zone, dedup_window: 3_000_000 }
 )]
-#[case::one_shot(r#""effect":"side_effect""#, Repeats::OneShot)]
-#[case::never_heard_of(r#""effect":"other""#, Repeats::OneShot)]
-fn products_say_what_a_repeat_does(#[case] fields: &str, #[case] repeats: Repeats) {
+#[case::one_shot(r#""effect":"side_effect""#, RepeatPolicy::OneShot)]
+#[case::never_heard_of(r#""effect":"other""#, RepeatPolicy::OneShot)]
+fn products_say_what_a_repeat_does(#[case] fields: &str, #[case] repeats: RepeatPolicy) {
     let text = format!(r#"{{"products":[{{{fields}}}]}}"#);
     let Incoming::Begin(start) = decoded(&begin(&text)).unwrap().1 else { panic!() };
-    assert_eq!(start.orders.products[0].repeats, repeats);
+    assert_eq!(start.orders.products[0].repeat_policy, repeats);
 }
 
 #[rstest]
--- a/crates/world/src/executor.rs
+++ b/crates/world/src/executor.rs
@@ -337,8 +337,8 @@
         let in_hand = (self.running.len() + self.waiting.len()) as f64;
         let present = Report {
             free_slots: Some(noisy(if self.faults.reports_idle { self.slots } else { free })),
-            waiting: Some(noisy(if self.faults.reports_idle { 0.0 } else { waiting })),
-            in_hand: Some(noisy(if self.faults.reports_idle { 0.0 } else { in_hand })),
+            queued_jobs: Some(noisy(if self.faults.reports_idle { 0.0 } else { waiting })),
+            active_jobs: Some(noisy(if self.faults.reports_idle { 0.0 } else { in_hand })),
             free_memory: None,
         };
         let delay = delay + self.faults.report_delay;
--- a/crates/world/src/scenario/settings.rs
+++ b/crates/world/src/scenario/settings.rs
@@ -1,6 +1,8 @@
 //! The settings that a scenario's nodes are started with.
 
-use linestack_dispatch::types::{Group, Product as ProductTerms, Repeats as RepeatTerms, StandingOrders};
+use linestack_dispatch::types::{
+    DedupScope, DispatchConfig, Product as ProductTerms, RepeatPolicy as RepeatTerms,
+};
 use linestack_settings::{Names, ReportLayout, Settings};
 
 use super::{Product, Repeats, Scenario, millis, seconds};
@@ -27,38 +29,38 @@
         }
     }
 
-    fn standing_orders(&self, zone: u16, seed: u64) -> StandingOrders {
+    fn standing_orders(&self, zone: u16, seed: u64) -> DispatchConfig {
         let (limits, rules, executors) = (&self.limits, &self.rules, &self.executors);
         let cold_from = executors.iter().map(|e| e.cold_from).fold(1.0, f64::min);
         let cold_s = executors.iter().map(|e| e.cold_s).fold(0.0, f64::max);
         let idle_s = executors.iter().map(|e| e.idle_s).fold(f64::INFINITY, f64::min);
         let unless_zero = |ms: f64| (ms > 0.0).then(|| millis(ms));
-        StandingOrders {
+        DispatchConfig {
             seed,
             nodes: self.nodes.count,
             zone,
             products: self.products.iter().map(product_terms).collect(),
             quotas: self.quotas(),
             excess_payoff: limits.excess_payoff,
-            probe_price: limits.probe_price,
-            crossing_price: if self.zones > 1 { limits.crossing_price } else { 0.0 },
-            connection_price: 0.0,
+            probe_cost: limits.probe_price,
+            zone_crossing_cost: if self.zones > 1 { limits.crossing_price } else { 0.0 },
+            connection_cost: 0.0,
             max_executions: limits.max_executions,
             may_duplicate: limits.may_duplicate,
             may_probe: limits.may_probe,
             may_cancel: limits.may_cancel,
-            come_back: unless_zero(limits.come_back_ms),
+            retry_after: unless_zero(limits.come_back_ms),
             connect_timeout: millis(limits.connect_ms),
-            idle: seconds(idle_s),
-            answer_slack: millis(limits.answer_slack_ms),
-            cold_from,
-            cold_for: seconds(cold_s),
-            fall_multiple: rules.fall_multiple,
-            fall_window: millis(rules.fall_window_ms),
-            ask_within: self.discovery.asked.then(|| seconds(ASK_WITHIN_S)),
-            progress_every: unless_zero(self.progress_s * 1e3),
-            tells_start: self.tells_start,
-            listed_sizes: false,
+            idle_timeout: seconds(idle_s),
+            deadline_margin: millis(limits.answer_slack_ms),
+            cold_capacity_share: cold_from,
+            slow_start_duration: seconds(cold_s),
+            overload_factor: rules.fall_multiple,
+            overload_window: millis(rules.fall_window_ms),
+            list_refresh_limit: self.discovery.asked.then(|| seconds(ASK_WITHIN_S)),
+            progress_interval: unless_zero(self.progress_s * 1e3),
+            reports_start: self.tells_start,
+            weights_are_sizes: false,
             counts_memory: false,
         }
     }
@@ -82,18 +84,18 @@
 
 fn product_terms(product: &Product) -> ProductTerms {
     ProductTerms {
-        repeats: match product.repeats {
-            Repeats::Harmless => RepeatTerms::Harmless,
+        repeat_policy: match product.repeats {
+            Repeats::Harmless => RepeatTerms::Idempotent,
             Repeats::Stamped => {
-                RepeatTerms::Stamped { group: Group::Cell, memory: seconds(product.memory_s) }
+                RepeatTerms::Stamped { scope: DedupScope::Cell, dedup_window: seconds(product.memory_s) }
             }
             Repeats::OneShot => RepeatTerms::OneShot,
         },
-        agreed: millis(product.agreed_ms),
-        stretch: product.stretch,
+        latency_target: millis(product.agreed_ms),
+        latency_target_factor: product.stretch,
         payoff: product.payoff,
         late_payoff: product.late_payoff,
-        kinds: None,
-        zones: None,
+        allowed_kinds: None,
+        allowed_zones: None,
     }
 }
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -105,7 +105,7 @@
             return Admission::Queued;
         }
         if draining || self.happens_at_rate(faults.refusal_rate) {
-            return Admission::Answered(ExecutionOutcome::Full);
+            return Admission::Answered(ExecutionOutcome::Overloaded);
         }
         if self.happens_at_rate(error_rate) || (faults.product_fails && product_index == 0) {
             return Admission::Answered(ExecutionOutcome::Error);
@@ -114,10 +114,10 @@
             return Admission::Lost;
         }
         if product.repeats == Repeats::Stamped && self.is_duplicate(index, attempt) {
-            return Admission::Answered(ExecutionOutcome::Satisfied);
+            return Admission::Answered(ExecutionOutcome::Completed);
         }
         if !self.executors[index].admits(product.slots) {
-            return Admission::Answered(ExecutionOutcome::Full);
+            return Admission::Answered(ExecutionOutcome::Overloaded);
         }
         Admission::Queued
     }
@@ -168,8 +168,8 @@
             return;
         }
         match outcome {
-            ExecutionOutcome::Satisfied => self.judge.made(attempt),
-            ExecutionOutcome::Full => self.judge.never_ran(attempt, connection),
+            ExecutionOutcome::Completed => self.judge.made(attempt),
+            ExecutionOutcome::Overloaded => self.judge.never_ran(attempt, connection),
             _ => {}
         }
         let ConnectionId { node, incarnation, link } = connection;
--- a/crates/world/src/world/execution.rs
+++ b/crates/world/src/world/execution.rs
@@ -33,7 +33,7 @@
         }
         for job in done {
             self.release_job(index, &job);
-            self.send_reply(index, job.connection, job.attempt, ExecutionOutcome::Satisfied);
+            self.send_reply(index, job.connection, job.attempt, ExecutionOutcome::Completed);
         }
         self.schedule_wake(index);
         if !self.executors[index].is_cold(now) {
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -68,7 +68,7 @@
             if phase.begins() {
                 settings.orders.may_probe = false;
                 settings.orders.may_duplicate = false;
-                settings.orders.connection_price = SWITCHED_CONNECTION_PRICE;
+                settings.orders.connection_cost = SWITCHED_CONNECTION_PRICE;
             }
             let incarnation = self.nodes[node].incarnation;
             self.give_input(node, incarnation, Input::Terms { settings, version: 0 });
