--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use linestack_accord::*;
-use linestack_member::{self as member, Member, Out as Does};
+use linestack_member::{self as member, Member, Output as Does};
 
 pub const HOLD: Nanos = 40;
 pub const LEASE: Nanos = 120;
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Default)]
 pub struct Mistakes {
     pub coordinator: Option<Broken>,
-    pub member: Option<member::Broken>,
+    pub member: Option<member::InjectedFault>,
 }
 
 #[derive(Clone)]
@@ -88,8 +88,10 @@
         (0..coordinators).for_each(|c| world.start(c));
         for m in 0..members {
             let incarnation = Incarnation { home: m as u64, life: 1 };
-            world.members.push(Member::new(incarnation, 0, LEASE, 0, None).broken(mistakes.member));
-            world.member(m, member::Input::Up);
+            world
+                .members
+                .push(Member::new(incarnation, 0, LEASE, 0, None).with_injected_fault(mistakes.member));
+            world.member(m, member::Input::SessionOpened);
         }
         world
     }
@@ -185,7 +187,7 @@
                 }
                 if first {
                     for (m, member) in self.members.iter().enumerate() {
-                        if member.may_serve(self.now) && !member.has(version) {
+                        if member.may_serve(self.now) && !member.has_version(version) {
                             self.broken =
                                 Some(format!("{version} decided, and {m} may serve without having it"));
                         }
@@ -204,7 +206,7 @@
 
     pub fn member(&mut self, m: usize, input: member::Input) {
         let (now, mut outs) = (self.now, Vec::new());
-        self.members[m].take(now, input, &mut outs);
+        self.members[m].handle(now, input, &mut outs);
         // What is kept and gone by is so at once here.
         let mut at = 0;
         while at < outs.len() {
@@ -215,17 +217,17 @@
                 }
                 Does::Stage(policy) => {
                     let done = member::Input::Staged { version: policy.version, result: Ok(()) };
-                    self.members[m].take(now, done, &mut outs);
+                    self.members[m].handle(now, done, &mut outs);
                 }
                 Does::Activate(policy) => {
                     let done = member::Input::Activated { version: policy.version, result: Ok(()) };
-                    self.members[m].take(now, done, &mut outs);
+                    self.members[m].handle(now, done, &mut outs);
                 }
-                Does::Elsewhere => {
+                Does::TryAnotherCoordinator => {
                     self.asks[m] = (self.asks[m] + 1) % self.coordinators.len() as Id;
-                    self.members[m].take(now, member::Input::Up, &mut outs);
+                    self.members[m].handle(now, member::Input::SessionOpened, &mut outs);
                 }
-                Does::Serve { .. } | Does::Tell(_) => {}
+                Does::Serve { .. } | Does::Notify(_) => {}
             }
             at += 1;
         }
--- a/crates/accord/tests/search.rs
+++ b/crates/accord/tests/search.rs
@@ -262,7 +262,7 @@
     Mistakes { coordinator: Some(broken), member: None }
 }
 
-fn by_member(broken: member::Broken) -> Mistakes {
+fn by_member(broken: member::InjectedFault) -> Mistakes {
     Mistakes { coordinator: None, member: Some(broken) }
 }
 
@@ -370,7 +370,7 @@
     };
     assert!(matches!(ask(&mut world)[..], [Reply::TurnedDown(_)]), "it may serve");
     // It is never heard again.
-    world.members[1].take(world.now, member::Input::Down, &mut Vec::new());
+    world.members[1].handle(world.now, member::Input::SessionClosed, &mut Vec::new());
     world.settle(2 * LEASE);
     world.heard.clear();
     assert_eq!(ask(&mut world), []);
@@ -460,9 +460,9 @@
 #[case::majority(coordinator(Broken::Majority))]
 #[case::old_speaker(coordinator(Broken::OldSpeaker))]
 #[case::not_blind(coordinator(Broken::NotBlind))]
-#[case::from_receipt(by_member(member::Broken::FromReceipt))]
-#[case::early(by_member(member::Broken::Early))]
-#[case::unfenced(by_member(member::Broken::Unfenced))]
+#[case::from_receipt(by_member(member::InjectedFault::LeaseFromReceipt))]
+#[case::early(by_member(member::InjectedFault::ActivateUndecided))]
+#[case::unfenced(by_member(member::InjectedFault::LeaseNeverEnds))]
 fn known_mistakes_are_found(#[case] mistakes: Mistakes) {
     let found = (0..3_000).find_map(|seed| walk(seed, mistakes, 1500).broken.map(|b| (seed, b)));
     println!("{found:?}");
--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients' connections and what they hand in.
 
-use linestack_recovery::Fate;
+use linestack_recovery::StoredOutcome;
 
 use super::*;
 
@@ -161,7 +161,7 @@
             Answer::Repeated => {}
         }
         if matches!(answer, Answer::Dismissed(_)) {
-            self.fated(submission, Fate::Unsent);
+            self.fated(submission, StoredOutcome::NeverSent);
         }
         self.client_phase(client, Phase::Answering);
         self.effects.push(Effect::Answer { client, answer, last: self.refusing, version });
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -1,6 +1,6 @@
 //! Executions of submissions, from the order to the outcome.
 
-use linestack_recovery::Fate;
+use linestack_recovery::StoredOutcome;
 
 use super::*;
 
@@ -77,7 +77,7 @@
             _ => {}
         }
         if let (Outcome::Satisfied, Some(result)) = (outcome, &result) {
-            self.fated(submission, Fate::Satisfied(result.clone()));
+            self.fated(submission, StoredOutcome::Completed(result.clone()));
         }
         let owed = |core: &Self| core.taken[submission as usize].as_ref().is_some_and(|t| t.client.is_some());
         if let (Outcome::Satisfied, Some(result), true) = (outcome, result, owed(self)) {
--- a/crates/core/src/fates.rs
+++ b/crates/core/src/fates.rs
@@ -2,7 +2,7 @@
 //! of an execution leaves; what asks again under the same key is answered from what is known, and never run twice.
 
 use linestack_dispatch::types::Repeats;
-use linestack_recovery::{Age, Fate, Fates};
+use linestack_recovery::{OutcomeTable, StoreTime, StoredOutcome};
 
 use super::*;
 
@@ -11,9 +11,9 @@
 
 /// What a node that remembers is told at its start.
 pub struct Remembered {
-    pub fates: Fates,
+    pub fates: OutcomeTable,
     /// How old the store is at the time that the node starts.
-    pub age: Age,
+    pub age: StoreTime,
     pub now: Nanos,
     /// Clients keep `Idempotency-Key` when they ask again, or else `Req-Id`.
     pub by_stamp: bool,
@@ -22,8 +22,8 @@
 }
 
 pub(crate) struct Book {
-    fates: Fates,
-    age: Age,
+    fates: OutcomeTable,
+    age: StoreTime,
     since: Nanos,
     by_stamp: bool,
     doubtful: Nanos,
@@ -60,8 +60,8 @@
 
     /// How a submission with this key stands, for whoever asks.
     #[must_use]
-    pub fn fate(&self, key: &[u8]) -> Option<&Fate> {
-        self.book.as_ref()?.fates.fate(key)
+    pub fn fate(&self, key: &[u8]) -> Option<&StoredOutcome> {
+        self.book.as_ref()?.fates.outcome(key)
     }
 
     /// Whether one-shots can be taken, where they are to be remembered.
@@ -89,13 +89,13 @@
             // Both would be sent, and neither has an end yet.
             return Some(Answer::Repeated);
         }
-        match book.fates.fate(&key) {
-            Some(Fate::Satisfied(result)) => Some(Answer::Satisfied(result.clone())),
-            Some(Fate::MayHaveRun) => Some(Answer::Aborted),
+        match book.fates.outcome(&key) {
+            Some(StoredOutcome::Completed(result)) => Some(Answer::Satisfied(result.clone())),
+            Some(StoredOutcome::MayHaveRun) => Some(Answer::Aborted),
             // Dismissed, it would be told that asking again is harmless.
             None if self.now < book.doubtful => Some(Answer::Aborted),
-            _ if book.failed || book.waiting >= STALLED || book.fates.full() => Some(turned_away),
-            Some(Fate::Unsent) | None => None,
+            _ if book.failed || book.waiting >= STALLED || book.fates.is_full() => Some(turned_away),
+            Some(StoredOutcome::NeverSent) | None => None,
         }
     }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    fn age_now(&self) -> Age {
+    fn age_now(&self) -> StoreTime {
         self.book.as_ref().map_or(0, |b| b.age + self.now.saturating_sub(b.since))
     }
 
@@ -127,7 +127,7 @@
         let (Some(key), now) = (self.key(&shipment), self.age_now()) else { return false };
         let Some(book) = &mut self.book else { return false };
         book.waiting += 1;
-        let keep = book.fates.sending(&key, now);
+        let keep = book.fates.record_sending(&key, now);
         let ticket = Some(Ticket { link, submission, number, execution });
         self.effects.push(Effect::Keep { keep, ticket });
         true
@@ -168,13 +168,13 @@
     }
 
     /// How a submission that was written down ended, as far as that makes it more certain.
-    pub(crate) fn fated(&mut self, submission: Submission, fate: Fate) {
+    pub(crate) fn fated(&mut self, submission: Submission, fate: StoredOutcome) {
         let Some(taken) = self.taken.get(submission as usize).and_then(Option::as_ref) else { return };
         if !self.one_shot(taken.product) {
             return;
         }
         let (Some(key), now) = (self.key(&taken.shipment), self.age_now()) else { return };
-        if let Some(keep) = self.book.as_mut().and_then(|b| b.fates.ended(&key, fate, now)) {
+        if let Some(keep) = self.book.as_mut().and_then(|b| b.fates.record_outcome(&key, fate, now)) {
             self.effects.push(Effect::Keep { keep, ticket: None });
         }
     }
@@ -182,7 +182,7 @@
     pub(crate) fn forget_fates(&mut self) {
         let now = self.age_now();
         if let Some(book) = &mut self.book {
-            book.fates.forget(now);
+            book.fates.expire(now);
         }
     }
 }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use linestack_dispatch::types::{Health, ListKind, Nanos, Outcome, Report};
-use linestack_peers::Heard;
-use linestack_recovery::Keep;
+use linestack_peers::Observation;
+use linestack_recovery::OutcomeRecord;
 use linestack_recovery::start::Stage;
 use linestack_settings::Settings;
 
@@ -82,7 +82,7 @@
 
 #[derive(Debug)]
 pub enum Input {
-    /// Other settings hold from now on; [`Settings::restart_for`] has found nothing against it. What was taken
+    /// Other settings hold from now on; [`Settings::key_needing_restart`] has found nothing against it. What was taken
     /// before keeps the version that it was taken under.
     Terms {
         settings: Box<Settings>,
@@ -114,7 +114,7 @@
     },
     /// What may be gone by of what a running node told.
     Heard {
-        items: Vec<Heard>,
+        items: Vec<Observation>,
     },
     ClientUp {
         client: Client,
@@ -211,7 +211,7 @@
     Watch,
     /// Write this down durably; with a ticket, say when it lasts: something waits for it.
     Keep {
-        keep: Keep,
+        keep: OutcomeRecord,
         ticket: Option<Ticket>,
     },
     /// The start has come so far.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -319,7 +319,7 @@
     /// `sockets` is the limit on descriptors, `memory` that on bytes.
     #[must_use]
     pub fn new(settings: Settings, sockets: usize, memory: usize) -> Self {
-        let dispatcher = Box::new(Dispatcher::new(settings.orders.clone()));
+        let dispatcher = Box::new(Dispatcher::new(settings.dispatch.clone()));
         Self::with(dispatcher, settings, sockets, memory)
     }
 
@@ -331,8 +331,8 @@
         sockets: usize,
         memory: usize,
     ) -> Self {
-        let (orders, names) = (settings.orders, settings.names);
-        let (idle, last_span, longest_wait) = spans(orders.idle, settings.longest_cut_off);
+        let (orders, names) = (settings.dispatch, settings.names);
+        let (idle, last_span, longest_wait) = spans(orders.idle, settings.longest_deadline);
         // The rest is for the listener, the watch, the signals, and what is just being closed.
         let spare = sockets.saturating_sub(16);
         // An eighth of the memory for what each client's connection takes, as much for executors'.
@@ -396,12 +396,12 @@
 
     /// What is held, in flight and known stays; see the dispatcher's `go_on_under`.
     fn go_on_under(&mut self, settings: Settings) {
-        let orders = settings.orders;
+        let orders = settings.dispatch;
         self.dispatcher.go_on_under(orders.clone());
         (self.connect_timeout, self.may_probe) = (orders.connect_timeout, orders.may_probe);
         self.may_duplicate = orders.may_duplicate;
         self.come_back = orders.come_back;
-        (self.idle, self.last_span, self.longest_wait) = spans(orders.idle, settings.longest_cut_off);
+        (self.idle, self.last_span, self.longest_wait) = spans(orders.idle, settings.longest_deadline);
         self.kept = self.kept.min(self.idle);
         self.products = orders.products;
     }
--- a/crates/core/src/starting.rs
+++ b/crates/core/src/starting.rs
@@ -1,12 +1,12 @@
 //! A start in stages, where an operator asks for one: what may be taken, and when connections are made and lists
 //! asked for. Without it a node takes what comes as soon as it has a list.
 
-use linestack_recovery::start::{Stage, Start};
+use linestack_recovery::start::{Stage, StagedStart};
 
 use super::*;
 
 pub(crate) struct Starting {
-    start: Start,
+    start: StagedStart,
     /// A list of an age that is not known, for when discovery stays silent.
     old: Vec<Endpoint>,
     armed: Nanos,
@@ -15,7 +15,7 @@
 impl Core {
     /// From now on the start goes by stages; `old` is a list of an age that is not known. To be called before anything
     /// else.
-    pub fn start_by(&mut self, now: Nanos, start: Start, old: Vec<Endpoint>) {
+    pub fn start_by(&mut self, now: Nanos, start: StagedStart, old: Vec<Endpoint>) {
         self.now = self.now.max(now);
         self.effects.push(Effect::Stage(start.stage()));
         self.start = Some(Starting { start, old, armed: 0 });
@@ -30,13 +30,13 @@
     pub(crate) fn proved(&mut self) {
         let (now, leave) = (self.now, self.leave);
         if let Some(s) = self.start.as_mut().filter(|_| now < leave) {
-            s.start.proved();
+            s.start.confirm_settings();
         }
     }
 
     pub(crate) fn go_on_starting(&mut self) {
         let Some(Starting { start, old, armed }) = &mut self.start else { return };
-        while let Some(stage) = start.step(self.now) {
+        while let Some(stage) = start.advance(self.now) {
             self.effects.push(Effect::Stage(stage));
         }
         let due = start.next_due();
@@ -44,7 +44,8 @@
         if rearm {
             *armed = due.max(self.now + 1);
         }
-        let (at, by_old) = (*armed, if start.by_old() { std::mem::take(old) } else { Vec::new() });
+        let (at, by_old) =
+            (*armed, if start.should_use_old_list() { std::mem::take(old) } else { Vec::new() });
         if rearm {
             self.arm(at, Timer::Stage);
         }
@@ -58,15 +59,17 @@
 
     pub(crate) fn told_at_start(&mut self, kind: ListKind, ready: usize) {
         if let Some(s) = &mut self.start {
-            s.start.listed(kind != ListKind::Cached, ready);
+            s.start.list_received(kind != ListKind::Cached, ready);
         }
     }
 
     pub(crate) fn seen_at_start(&mut self, worker: Worker, outcome: Outcome) {
         let Some(Starting { start, .. }) = &mut self.start else { return };
         match outcome {
-            Outcome::Satisfied | Outcome::Error | Outcome::Unusable => start.answered(worker),
-            Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => start.refused(),
+            Outcome::Satisfied | Outcome::Error | Outcome::Unusable => start.executor_answered(worker),
+            Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
+                start.execution_rejected()
+            }
             Outcome::Stale | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
@@ -89,7 +92,7 @@
 
     /// When the next connection may be made.
     pub(crate) fn turn(&mut self) -> Nanos {
-        self.start.as_mut().map_or(self.now, |s| s.start.connect_at(self.now))
+        self.start.as_mut().map_or(self.now, |s| s.start.schedule_connect(self.now))
     }
 
     pub(crate) fn turn_came(&mut self, link: Link) {
@@ -101,7 +104,7 @@
 
     /// When the list may be asked for, where that is later.
     pub(crate) fn list_in(&mut self) -> Option<Nanos> {
-        let at = self.start.as_mut()?.start.list_at(self.now);
+        let at = self.start.as_mut()?.start.schedule_list_request(self.now);
         (at > self.now).then_some(at)
     }
 }
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -33,7 +33,7 @@
         // No tenant is over its quota here.
         let settings = settings.replace("\"quotaPerS\": 50.0", "\"quotaPerS\": 1000000.0");
         let settings = linestack_settings::read(settings.as_bytes(), 7).unwrap();
-        assert_eq!(settings.orders.nodes, 350);
+        assert_eq!(settings.dispatch.nodes, 350);
         Self { core: Core::new(settings, SOCKETS, MEMORY), now: 100_000 * MS }
     }
 
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -901,14 +901,14 @@
 }
 
 /// A node that remembers one-shots by their ids.
-fn remembering(fates: linestack_recovery::Fates) -> Node {
+fn remembering(fates: linestack_recovery::OutcomeTable) -> Node {
     let mut node = Node::new(2);
     node.core.remember(Remembered { fates, age: 0, now: node.now, by_stamp: false, doubtful: 0 });
     node
 }
 
-fn fates() -> linestack_recovery::Fates {
-    linestack_recovery::Fates::new(1_000_000 * MS, 100, 1 << 20)
+fn fates() -> linestack_recovery::OutcomeTable {
+    linestack_recovery::OutcomeTable::new(1_000_000 * MS, 100, 1 << 20)
 }
 
 // What an earlier store knew is gone: one that is not known may have run, until that is over.
@@ -937,7 +937,7 @@
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
     let (_, link) = node.under_way(LOOK);
     node.end(link, outcome);
-    let told: Vec<bool> = node.core.tale(node.now).iter().map(|i| i.silent).collect();
+    let told: Vec<bool> = node.core.tale(node.now).iter().map(|i| i.unresponsive).collect();
     assert_eq!(told, [silent]);
 }
 
@@ -958,22 +958,27 @@
 
 /// A node that starts by stages, with an old list of four.
 fn starting(per_s: f64) -> Node {
-    use linestack_recovery::start::{Found, Start, Terms};
+    use linestack_recovery::start::{StagedStart, StartConditions, StartLimits};
     let settings = linestack_settings::read(common::SETTINGS.as_bytes(), 7).unwrap();
     let core = Core::new(settings, 64, 32 << 20);
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), clients: 0 };
     let within = 500 * MS;
     let (nodes, connects_per_s, lists_per_s, sessions_per_s) = (1, per_s, per_s, per_s);
-    let terms = Terms {
+    let terms = StartLimits {
         nodes,
         connects_per_s,
         lists_per_s,
         sessions_per_s,
-        list_within: within,
-        known_within: within,
-        share_within: within,
+        list_timeout: within,
+        known_timeout: within,
+        share_timeout: within,
     };
-    let start = Start::new(terms, Found { proved: true, fresh: false, old: true }, [0.0; 2], node.now);
+    let start = StagedStart::new(
+        terms,
+        StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: true },
+        [0.0; 2],
+        node.now,
+    );
     node.core.start_by(node.now, start, (0..4).map(|w| endpoint(w, Health::Ready)).collect());
     node.list(ListKind::Cached, Vec::new());
     node
@@ -1027,9 +1032,9 @@
     assert!(gaps.len() >= 2 && gaps.windows(2).all(|w| w[1] - w[0] >= 90 * MS), "{gaps:?}");
 }
 
-fn keeps(node: &Node) -> Vec<(linestack_recovery::Fate, Option<Ticket>)> {
+fn keeps(node: &Node) -> Vec<(linestack_recovery::StoredOutcome, Option<Ticket>)> {
     let keeps = node.effects.iter().filter_map(|e| match e {
-        Effect::Keep { keep, ticket } => Some((keep.fate.clone(), *ticket)),
+        Effect::Keep { keep, ticket } => Some((keep.outcome.clone(), *ticket)),
         _ => None,
     });
     keeps.collect()
@@ -1047,7 +1052,7 @@
     let (link, _) = node.opened().unwrap();
     node.feed(Input::LinkUp { link });
     assert_eq!(node.sent(), None);
-    let [(linestack_recovery::Fate::MayHaveRun, Some(ticket))] = keeps(&node)[..] else { panic!() };
+    let [(linestack_recovery::StoredOutcome::MayHaveRun, Some(ticket))] = keeps(&node)[..] else { panic!() };
     if !in_time {
         node.feed(Input::ClientGone { client });
     }
@@ -1069,11 +1074,15 @@
 // Asked again: told what it was, aborted if it may have run, taken if it never did.
 #[test]
 fn asked_again_after_a_restart() {
-    use linestack_recovery::{Fate, Keep};
+    use linestack_recovery::{OutcomeRecord, StoredOutcome};
     let result = Bytes::from_static(b"done");
     let mut known = fates();
-    let kept = [("1", Fate::MayHaveRun), ("2", Fate::Satisfied(result.clone())), ("3", Fate::Unsent)];
-    known.restore(kept.map(|(key, fate)| Keep { key: key.into(), fate, at: 0 }));
+    let kept = [
+        ("1", StoredOutcome::MayHaveRun),
+        ("2", StoredOutcome::Completed(result.clone())),
+        ("3", StoredOutcome::NeverSent),
+    ];
+    known.restore(kept.map(|(key, fate)| OutcomeRecord { key: key.into(), outcome: fate, at: 0 }));
     let mut node = remembering(known);
     let first = node.submit(PAY, 5_000 * MS);
     assert_eq!(node.answers(), [(first, Answer::Aborted)]);
@@ -1121,7 +1130,10 @@
     let ticket = keeps(&node)[0].1.unwrap();
     node.feed(Input::Kept { ticket, lasts: true });
     node.end(link, Outcome::Satisfied);
-    assert_eq!(keeps(&node), [(linestack_recovery::Fate::Satisfied(Bytes::from_static(b"r")), None)]);
+    assert_eq!(
+        keeps(&node),
+        [(linestack_recovery::StoredOutcome::Completed(Bytes::from_static(b"r")), None)]
+    );
 }
 
 /// Decisions that order the same twice, whatever is allowed.
--- a/crates/frames/src/lib.rs
+++ b/crates/frames/src/lib.rs
@@ -5,7 +5,7 @@
 //! | 4 | `LSF` and the version of the wire |
 //! | 1 | kind of the message, for whoever only passes it on |
 //! | 3 | nothing, 0 |
-//! | 4 | length of the body, little end first, [`LARGEST`] at most |
+//! | 4 | length of the body, little end first, [`MAX_BODY_LENGTH`] at most |
 //! | 4 | CRC-32 of the kind and the body |
 //! | ... | body |
 //!
@@ -17,17 +17,17 @@
 /// The version of the wire that this program speaks.
 pub const VERSION: u8 = 1;
 /// Bytes before the body.
-pub const HEAD: usize = 16;
+pub const HEADER_LENGTH: usize = 16;
 /// The longest body, in bytes.
-pub const LARGEST: usize = 1 << 20;
+pub const MAX_BODY_LENGTH: usize = 1 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum FrameError {
     #[error("no frame")]
     Magic,
     #[error("wire version {0}, and this speaks {VERSION}")]
     Version(u8),
-    #[error("a body of {0} bytes, {LARGEST} at most")]
+    #[error("a body of {0} bytes, {MAX_BODY_LENGTH} at most")]
     Oversized(u32),
     #[error("wrong checksum")]
     Checksum,
@@ -50,13 +50,13 @@
 ///
 /// # Errors
 ///
-/// [`Fault::Oversized`].
-pub fn encode(kind: u8, body: &[u8]) -> Result<Vec<u8>, Fault> {
+/// [`FrameError::Oversized`].
+pub fn encode(kind: u8, body: &[u8]) -> Result<Vec<u8>, FrameError> {
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
-    if body.len() > LARGEST {
-        return Err(Fault::Oversized(length));
+    if body.len() > MAX_BODY_LENGTH {
+        return Err(FrameError::Oversized(length));
     }
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_LENGTH + body.len());
     bytes.extend_from_slice(&[b'L', b'S', b'F', VERSION, kind, 0, 0, 0]);
     bytes.extend_from_slice(&length.to_le_bytes());
     bytes.extend_from_slice(&checksum(kind, body).to_le_bytes());
@@ -77,7 +77,7 @@
 
     /// Bytes held that make no whole frame yet.
     #[must_use]
-    pub fn held(&self) -> &[u8] {
+    pub fn buffered(&self) -> &[u8] {
         &self.held
     }
 
@@ -86,33 +86,33 @@
     /// # Errors
     ///
     /// What came is no frame. The connection is to be closed.
-    pub fn take(&mut self) -> Result<Option<Frame>, Fault> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let h = &self.held;
         // Told as soon as it shows, not once a length that makes no sense has come in.
         if !b"LSF".starts_with(&h[..h.len().min(3)]) {
-            return Err(Fault::Magic);
+            return Err(FrameError::Magic);
         }
         if let Some(version) = h.get(3).filter(|v| **v != VERSION) {
-            return Err(Fault::Version(*version));
+            return Err(FrameError::Version(*version));
         }
-        if h.len() < HEAD {
+        if h.len() < HEADER_LENGTH {
             return Ok(None);
         }
         if h[5..8] != [0; 3] {
-            return Err(Fault::Magic);
+            return Err(FrameError::Magic);
         }
         let word = |at: usize| u32::from_le_bytes([h[at], h[at + 1], h[at + 2], h[at + 3]]);
         let length = word(8);
-        if length as usize > LARGEST {
-            return Err(Fault::Oversized(length));
+        if length as usize > MAX_BODY_LENGTH {
+            return Err(FrameError::Oversized(length));
         }
-        let end = HEAD + length as usize;
+        let end = HEADER_LENGTH + length as usize;
         if h.len() < end {
             return Ok(None);
         }
-        let (kind, body) = (h[4], h[HEAD..end].to_vec());
+        let (kind, body) = (h[4], h[HEADER_LENGTH..end].to_vec());
         if checksum(kind, &body) != word(12) {
-            return Err(Fault::Checksum);
+            return Err(FrameError::Checksum);
         }
         self.held.drain(..end);
         Ok(Some(Frame { kind, body }))
@@ -127,6 +127,6 @@
 
 /// The number of a kind.
 #[must_use]
-pub fn kind(name: &str) -> Option<u8> {
+pub fn kind_number(name: &str) -> Option<u8> {
     KINDS.iter().position(|k| *k == name).and_then(|at| u8::try_from(at).ok())
 }
--- a/crates/frames/tests/frames.rs
+++ b/crates/frames/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames come out as they went in however they are cut, and what is no frame is refused.
 
-use linestack_frames::{Fault, Frame, HEAD, LARGEST, Reader, VERSION, encode};
+use linestack_frames::{Frame, FrameError, HEADER_LENGTH, MAX_BODY_LENGTH, Reader, VERSION, encode};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -14,7 +14,7 @@
         let (mut reader, mut seen) = (Reader::default(), Vec::new());
         for piece in bytes.chunks(step) {
             reader.push(piece);
-            while let Some(Frame { kind, body }) = reader.take().unwrap() {
+            while let Some(Frame { kind, body }) = reader.next_frame().unwrap() {
                 seen.push((kind, body));
             }
         }
@@ -29,32 +29,32 @@
         bytes[bit / 8] ^= 1 << (bit % 8);
         let mut reader = Reader::default();
         reader.push(&bytes);
-        prop_assert!(!matches!(reader.take(), Ok(Some(_))));
+        prop_assert!(!matches!(reader.next_frame(), Ok(Some(_))));
     }
 
     #[test]
     fn garbage_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
         let mut reader = Reader::default();
         reader.push(&bytes);
-        while let Ok(Some(_)) = reader.take() {}
+        while let Ok(Some(_)) = reader.next_frame() {}
     }
 }
 
 #[rstest]
-#[case::magic(0, b'H', Fault::Magic)]
-#[case::version(3, VERSION + 1, Fault::Version(VERSION + 1))]
-#[case::spare(6, 1, Fault::Magic)]
-#[case::oversized(11, 1, Fault::Oversized(0x0100_0002))]
-#[case::checksum(HEAD, 9, Fault::Checksum)]
-fn refused(#[case] at: usize, #[case] byte: u8, #[case] fault: Fault) {
+#[case::magic(0, b'H', FrameError::Magic)]
+#[case::version(3, VERSION + 1, FrameError::Version(VERSION + 1))]
+#[case::spare(6, 1, FrameError::Magic)]
+#[case::oversized(11, 1, FrameError::Oversized(0x0100_0002))]
+#[case::checksum(HEADER_LENGTH, 9, FrameError::Checksum)]
+fn refused(#[case] at: usize, #[case] byte: u8, #[case] fault: FrameError) {
     let mut bytes = encode(1, b"ab").unwrap();
     bytes[at] = byte;
     let mut reader = Reader::default();
     reader.push(&bytes);
-    assert_eq!(reader.take(), Err(fault));
+    assert_eq!(reader.next_frame(), Err(fault));
 }
 
 #[test]
 fn none_too_large_is_made() {
-    assert!(encode(1, &vec![0; LARGEST + 1]).is_err());
+    assert!(encode(1, &vec![0; MAX_BODY_LENGTH + 1]).is_err());
 }
--- a/crates/lab/src/agree.rs
+++ b/crates/lab/src/agree.rs
@@ -9,7 +9,7 @@
     Ask, Coordinator, Guest, Id, Incarnation, Input, Keep, Letter, Nanos, Note, Out, Record, Reply, Request,
     State, Terms,
 };
-use linestack_member::{self as member, Member, Out as Does};
+use linestack_member::{self as member, Member, Output as Does};
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -193,7 +193,7 @@
             return;
         }
         let mut outs = Vec::new();
-        self.members[m].take(self.now, input, &mut outs);
+        self.members[m].handle(self.now, input, &mut outs);
         let (mut at, here, mut after) = (0, self.coordinators.len() + m, self.now);
         while at < outs.len() {
             match outs[at].clone() {
@@ -204,19 +204,19 @@
                 Does::Stage(policy) => {
                     after += self.size.sync;
                     let done = member::Input::Staged { version: policy.version, result: Ok(()) };
-                    self.members[m].take(self.now, done, &mut outs);
+                    self.members[m].handle(self.now, done, &mut outs);
                 }
                 Does::Activate(policy) => {
                     after += self.size.sync;
                     let done = member::Input::Activated { version: policy.version, result: Ok(()) };
-                    self.members[m].take(self.now, done, &mut outs);
+                    self.members[m].handle(self.now, done, &mut outs);
                 }
                 Does::Serve { version, until } => self.until[m] = (version, until),
-                Does::Elsewhere => {
+                Does::TryAnotherCoordinator => {
                     self.asks[m] = (self.asks[m] + 1) % self.coordinators.len();
-                    self.members[m].take(self.now, member::Input::Up, &mut outs);
+                    self.members[m].handle(self.now, member::Input::SessionOpened, &mut outs);
                 }
-                Does::Tell(_) => {}
+                Does::Notify(_) => {}
             }
             at += 1;
         }
@@ -249,7 +249,10 @@
                 Message::TickCoordinator => {}
                 Message::TickMember => {
                     let first = self.members[to - count].next_due() == Nanos::MAX;
-                    self.member(to - count, if first { member::Input::Up } else { member::Input::Tick });
+                    self.member(
+                        to - count,
+                        if first { member::Input::SessionOpened } else { member::Input::Tick },
+                    );
                 }
             }
         }
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -43,7 +43,7 @@
         if self == Self::Linestack {
             return linestack(seat);
         }
-        let plain = Plain::new(self, seat.settings.orders.clone(), seat.node, Arc::clone(&seat.truth));
+        let plain = Plain::new(self, seat.settings.dispatch.clone(), seat.node, Arc::clone(&seat.truth));
         seat.with(Box::new(plain))
     }
 }
--- a/crates/lab/src/scale/members.rs
+++ b/crates/lab/src/scale/members.rs
@@ -8,7 +8,7 @@
 use linestack::fleet::boottime;
 use linestack::fleet::wire::{self, Body, Ear, Own, Pen, Who};
 use linestack_accord::{Incarnation, Nanos, Reply, Request};
-use linestack_member::{Input, Member, Out};
+use linestack_member::{Input, Member, Output};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use serde::Serialize;
 
@@ -169,7 +169,7 @@
         match Session::open(coordinators[self.coordinator], &self.own) {
             Ok(session) => {
                 self.session = Some(session);
-                self.take(Input::Up, target);
+                self.take(Input::SessionOpened, target);
             }
             Err(_) => self.move_on(coordinators.len()),
         }
@@ -177,7 +177,7 @@
 
     fn move_on(&mut self, coordinators: usize) {
         self.session = None;
-        self.member.take(boottime(), Input::Down, &mut Vec::new());
+        self.member.handle(boottime(), Input::SessionClosed, &mut Vec::new());
         self.coordinator = (self.coordinator + 1) % coordinators;
         self.connect_at = boottime() + RETRY;
     }
@@ -185,29 +185,29 @@
     /// Gives an input to the state machine and does what follows. Without a session afterwards it is to move on.
     fn take(&mut self, input: Input, target: u64) -> u64 {
         let (mut outs, mut refused) = (Vec::new(), 0);
-        self.member.take(boottime(), input, &mut outs);
+        self.member.handle(boottime(), input, &mut outs);
         let mut at = 0;
         while let Some(out) = outs.get(at).cloned() {
             at += 1;
             match out {
-                Out::Send(renew) => self.send(renew),
-                Out::Stage(policy) => {
+                Output::Send(renew) => self.send(renew),
+                Output::Stage(policy) => {
                     self.passage.staged_at = Some(boottime());
                     let done = Input::Staged { version: policy.version, result: Ok(()) };
-                    self.member.take(boottime(), done, &mut outs);
+                    self.member.handle(boottime(), done, &mut outs);
                 }
-                Out::Activate(policy) => {
+                Output::Activate(policy) => {
                     let done = Input::Activated { version: policy.version, result: Ok(()) };
-                    self.member.take(boottime(), done, &mut outs);
+                    self.member.handle(boottime(), done, &mut outs);
                 }
-                Out::Serve { version, until } => {
+                Output::Serve { version, until } => {
                     self.serves = (version, until);
                     if version >= target && self.passage.in_force_at.is_none() {
                         self.passage.in_force_at = Some(boottime());
                     }
                 }
-                Out::Elsewhere => self.session = None,
-                Out::Tell(_) => refused += 1,
+                Output::TryAnotherCoordinator => self.session = None,
+                Output::Notify(_) => refused += 1,
             }
         }
         refused
@@ -248,7 +248,7 @@
         // A frame is written anew to count it: its form is the same on both ends.
         let body = serde_json::to_vec(&frame).map_or(0, |body| body.len());
         self.traffic.messages_in += 1;
-        self.traffic.bytes_in += (linestack_frames::HEAD + body) as u64;
+        self.traffic.bytes_in += (linestack_frames::HEADER_LENGTH + body) as u64;
         let Body::Reply(reply) = frame.body else {
             self.session = None;
             return 0;
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,103 +1,104 @@
-//! A member's side of the agreement. It asks to serve, keeps changes that are not decided, goes by what is, and
-//! knows until when it may serve. It knows nothing of how coordinators agree, and nothing of what a policy says.
-//! Inputs and the time go in, what is to be done comes out.
+//! The member's side of the coordination protocol. A member requests a lease from the coordinators, stores proposed
+//! changes until they are decided, activates decided policies, and knows until when it may serve. It does not know how
+//! coordinators agree, nor what a policy contains. It does no input or output of its own: it is given inputs and the time,
+//! and returns what is to be done.
 
 use linestack_accord::{Grant, Incarnation, Nanos, Policy, Renew, Reply};
 
+/// What a member has to handle.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
+    /// The time of [`Member::next_due`] has come.
     Tick,
-    /// A session with a coordinator begins.
-    Up,
-    Down,
+    /// A session with a coordinator was opened.
+    SessionOpened,
+    /// The session with the coordinator was closed.
+    SessionClosed,
+    /// The coordinator replied.
     Reply(Reply),
-    /// A change was looked at and kept, or can't be taken, by a key.
-    Staged {
-        version: u64,
-        result: Result<(), String>,
-    },
-    /// A policy holds from now on, or can't be taken.
-    Activated {
-        version: u64,
-        result: Result<(), String>,
-    },
+    /// The change of [`Output::Stage`] was checked and stored, or can't be applied because of the key in `result`.
+    Staged { version: u64, result: Result<(), String> },
+    /// The policy of [`Output::Activate`] is active, or can't be applied because of the key in `result`.
+    Activated { version: u64, result: Result<(), String> },
 }
 
+/// What the caller has to do for a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Out {
+pub enum Output {
+    /// Send this request to the coordinator.
     Send(Renew),
-    /// Look at this change and keep it durably; then say so.
+    /// Check this change and store it durably, then return [`Input::Staged`].
     Stage(Policy),
-    /// Go by this policy; then say so.
+    /// Apply this policy, then return [`Input::Activated`].
     Activate(Policy),
-    /// Serve under this version until then, by this clock. Nothing is to be taken after it.
-    Serve {
-        version: u64,
-        until: Nanos,
-    },
-    /// Nobody answers here; try another coordinator.
-    Elsewhere,
-    /// Something that an operator wants to read.
-    Tell(Told),
+    /// Serve under this version until the given time of the member's clock, and take no submission after it.
+    Serve { version: u64, until: Nanos },
+    /// This coordinator does not answer; open a session with another one.
+    TryAnotherCoordinator,
+    /// Report this to the operator.
+    Notify(Notice),
 }
 
+/// Conditions that an operator should know of.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
+pub enum Notice {
+    /// The coordinators rejected the member, for this reason.
     Refused(String),
-    /// The coordinators go by an older version than this member has: they have lost what was decided.
-    Ahead {
-        mine: u64,
-        theirs: u64,
-    },
-    Unable {
-        version: u64,
-        key: String,
-    },
+    /// The coordinators have an older version than this member: they lost a decided change.
+    CoordinatorsBehind { own: u64, theirs: u64 },
+    /// The decided version can't be applied, because of this key.
+    CannotActivate { version: u64, key: String },
 }
 
-/// Known mistakes, for the tests that must find them.
+/// Faults that tests inject to show that their checks find them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Broken {
-    /// Leave is counted from when it came.
-    FromReceipt,
-    /// A change is gone by as soon as it is kept.
-    Early,
-    /// Leave is never over.
-    Unfenced,
+pub enum InjectedFault {
+    /// A lease is counted from its receipt rather than from the request.
+    LeaseFromReceipt,
+    /// A change is activated as soon as it is proposed.
+    ActivateUndecided,
+    /// A lease never expires.
+    LeaseNeverEnds,
 }
 
+/// The state machine of a member.
 #[derive(Clone, Debug, Hash)]
 pub struct Member {
     pub incarnation: Incarnation,
-    /// Thousandths by which a leave is taken to be shorter than it was given.
+    /// The safety margin for the drift of clocks, in thousandths of a lease: a lease is taken to be shorter by this.
     drift: u64,
     active: u64,
     staged: Option<Policy>,
-    /// Being kept: nothing may be said of it before it is.
+    /// The change that is being stored; it must not be reported before it is durable.
     staging: Option<Policy>,
+    /// The version that can't be applied, and the key for which it can't.
     declined: Option<(u64, String)>,
-    /// How far its start has come, for people.
-    stage: String,
+    /// The stage of the node's start, as shown to operators.
+    start_stage: String,
+    /// When the lease ends.
     until: Nanos,
-    /// How long a leave lasted last.
+    /// The duration of the last lease.
     span: Nanos,
-    /// When it last asked, and the ask of the newest leave.
+    /// When the last request was sent.
     asked: Nanos,
+    /// Whether the last request was answered.
     answered: bool,
+    /// When the newest lease was requested.
     granted: Nanos,
-    up: bool,
+    connected: bool,
+    /// When the next request is due, or when the answer to the last one counts as lost.
     next: Nanos,
-    /// A leave for a policy that is being taken.
+    /// A lease for a policy that is being activated: its version and its end.
     waiting: Option<(u64, Nanos)>,
-    broken: Option<Broken>,
+    injected_fault: Option<InjectedFault>,
 }
 
-/// After being turned away.
-const AGAIN: Nanos = 200_000_000;
+/// The delay before the next request after a rejection: 200 ms.
+const REFUSED_RETRY_DELAY: Nanos = 200_000_000;
 
 impl Member {
-    /// One that goes by the version `active`, which it kept, and may serve nothing yet. `span` is how long a leave
-    /// is taken to last until the first has come; waits follow from it.
+    /// Creates a member with the stored active version `active` and the stored change `staged`, which may not serve yet.
+    /// `span` is the assumed duration of a lease until the first one arrives; the waiting times follow from it.
     #[must_use]
     pub fn new(
         incarnation: Incarnation,
@@ -113,81 +114,83 @@
             staged,
             staging: None,
             declined: None,
-            stage: String::new(),
+            start_stage: String::new(),
             until: 0,
             span,
             asked: 0,
             answered: true,
             granted: 0,
-            up: false,
+            connected: false,
             next: 0,
             waiting: None,
-            broken: None,
+            injected_fault: None,
         }
     }
 
-    /// With a known mistake.
+    /// Sets a fault for tests.
     #[must_use]
-    pub fn broken(mut self, broken: Option<Broken>) -> Self {
-        self.broken = broken;
+    pub fn with_injected_fault(mut self, fault: Option<InjectedFault>) -> Self {
+        self.injected_fault = fault;
         self
     }
 
+    /// Returns the active version.
     #[must_use]
     pub fn active(&self) -> u64 {
         self.active
     }
 
-    /// Whether it goes by a version, or has kept it.
+    /// Returns whether the member has activated or stored a version.
     #[must_use]
-    pub fn has(&self, version: u64) -> bool {
+    pub fn has_version(&self, version: u64) -> bool {
         self.active >= version || self.staged.as_ref().is_some_and(|s| s.version == version)
     }
 
-    /// Whether it may serve at this time.
+    /// Returns whether the member may serve at this time.
     #[must_use]
     pub fn may_serve(&self, now: Nanos) -> bool {
-        now < self.until || (self.until > 0 && self.broken == Some(Broken::Unfenced))
+        now < self.until || (self.until > 0 && self.injected_fault == Some(InjectedFault::LeaseNeverEnds))
     }
 
-    /// What operators are told of its start from now on.
-    pub fn at_stage(&mut self, stage: &str) {
-        if self.stage != stage {
-            stage.clone_into(&mut self.stage);
+    /// Sets the stage of the node's start that is reported to operators.
+    pub fn set_start_stage(&mut self, stage: &str) {
+        if self.start_stage != stage {
+            stage.clone_into(&mut self.start_stage);
         }
     }
 
-    /// When it wants a tick.
+    /// Returns when the next [`Input::Tick`] is due.
     #[must_use]
     pub fn next_due(&self) -> Nanos {
-        if self.up { self.next } else { Nanos::MAX }
+        if self.connected { self.next } else { Nanos::MAX }
     }
 
-    pub fn take(&mut self, now: Nanos, input: Input, outs: &mut Vec<Out>) {
+    /// Handles an input and appends what is to be done to `outputs`.
+    pub fn handle(&mut self, now: Nanos, input: Input, outputs: &mut Vec<Output>) {
         match input {
-            Input::Up => {
-                (self.up, self.answered) = (true, true);
-                self.ask(now, outs);
+            Input::SessionOpened => {
+                (self.connected, self.answered) = (true, true);
+                self.request_lease(now, outputs);
             }
-            Input::Down => self.up = false,
-            Input::Tick if self.up && now >= self.next => {
+            Input::SessionClosed => self.connected = false,
+            Input::Tick if self.connected && now >= self.next => {
                 if self.answered {
-                    self.ask(now, outs);
+                    self.request_lease(now, outputs);
                 } else {
-                    self.up = false;
-                    outs.push(Out::Elsewhere);
+                    self.connected = false;
+                    outputs.push(Output::TryAnotherCoordinator);
                 }
             }
             Input::Tick => {}
-            Input::Reply(reply) => self.reply(now, reply, outs),
+            Input::Reply(reply) => self.handle_reply(now, reply, outputs),
             Input::Staged { version, result } => {
                 let Some(policy) = self.staging.take_if(|s| s.version == version) else { return };
                 match result {
                     Ok(()) => self.staged = Some(policy),
                     Err(key) => self.declined = Some((version, key)),
                 }
-                if self.up {
-                    self.ask(now, outs);
+                if self.connected {
+                    self.request_lease(now, outputs);
                 }
             }
             Input::Activated { version, result } => {
@@ -199,60 +202,61 @@
                             self.staged = None;
                         }
                         if let Some((_, until)) = waiting {
-                            self.serve(until, outs);
+                            self.serve(until, outputs);
                         }
                         if self.answered {
-                            // So that operators see it at once.
+                            // Report the new version at once, so that operators see it.
                             self.next = now;
                         }
                     }
                     Err(key) => {
-                        // It may not serve under what it goes by, and can't go by what holds.
+                        // The member may not serve under its active version, and can't apply the decided one.
                         self.until = 0;
                         self.declined = Some((version, key.clone()));
-                        outs.push(Out::Serve { version: self.active, until: 0 });
-                        outs.push(Out::Tell(Told::Unable { version, key }));
+                        outputs.push(Output::Serve { version: self.active, until: 0 });
+                        outputs.push(Output::Notify(Notice::CannotActivate { version, key }));
                     }
                 }
             }
         }
     }
 
-    fn ask(&mut self, now: Nanos, outs: &mut Vec<Out>) {
+    fn request_lease(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
         (self.asked, self.answered) = (now, false);
-        // An answer that does not come is waited for for a part of what is left of a leave.
+        // A missing answer is noticed while enough of the lease is left to try another coordinator.
         self.next = now + (self.span / 6).max(1);
         let (active, declined) = (self.active, self.declined.clone());
         let staged = self.staged.as_ref().map_or(0, |s| s.version);
-        let (incarnation, stage) = (self.incarnation, self.stage.clone());
-        outs.push(Out::Send(Renew { incarnation, at: now, active, staged, declined, stage }));
+        let (incarnation, stage) = (self.incarnation, self.start_stage.clone());
+        outputs.push(Output::Send(Renew { incarnation, at: now, active, staged, declined, stage }));
     }
 
-    fn serve(&mut self, until: Nanos, outs: &mut Vec<Out>) {
+    fn serve(&mut self, until: Nanos, outputs: &mut Vec<Output>) {
         self.until = self.until.max(until);
-        outs.push(Out::Serve { version: self.active, until: self.until });
+        outputs.push(Output::Serve { version: self.active, until: self.until });
     }
 
-    fn reply(&mut self, now: Nanos, reply: Reply, outs: &mut Vec<Out>) {
+    fn handle_reply(&mut self, now: Nanos, reply: Reply, outputs: &mut Vec<Output>) {
         match reply {
-            Reply::Grant(grant) => self.granted(now, grant, outs),
-            Reply::Nudge => self.ask(now, outs),
+            Reply::Grant(grant) => self.handle_grant(now, grant, outputs),
+            Reply::Nudge => self.request_lease(now, outputs),
             Reply::Nobody => {
-                // Whoever speaks next may be found here, too: it is not worth another connection at once.
+                // There is no leader. The next one may be reachable through this coordinator, too, so another
+                // connection is not tried at once.
                 self.answered = true;
                 self.next = now + (self.span / 12).max(1);
             }
-            Reply::Refused(why) => {
-                (self.answered, self.next) = (true, now + AGAIN.min(self.span).max(1));
-                outs.push(Out::Tell(Told::Refused(why)));
+            Reply::Refused(reason) => {
+                (self.answered, self.next) = (true, now + REFUSED_RETRY_DELAY.min(self.span).max(1));
+                outputs.push(Output::Notify(Notice::Refused(reason)));
             }
             _ => {}
         }
     }
 
-    fn granted(&mut self, now: Nanos, grant: Grant, outs: &mut Vec<Out>) {
+    fn handle_grant(&mut self, now: Nanos, grant: Grant, outputs: &mut Vec<Output>) {
         let Grant { incarnation, at, span, version, policy, change } = grant;
-        // Another's, or asked in another life, or answered before: it says nothing new.
+        // A grant for another incarnation, or for a request already answered by a newer grant, is out of date.
         if incarnation != self.incarnation || at > now || at <= self.granted && self.granted > 0 {
             return;
         }
@@ -263,18 +267,19 @@
         }
         self.span = span;
         if version < self.active {
-            outs.push(Out::Tell(Told::Ahead { mine: self.active, theirs: version }));
+            let notice = Notice::CoordinatorsBehind { own: self.active, theirs: version };
+            outputs.push(Output::Notify(notice));
             return;
         }
-        let from = if self.broken == Some(Broken::FromReceipt) { now } else { at };
+        let from = if self.injected_fault == Some(InjectedFault::LeaseFromReceipt) { now } else { at };
         let until = from + (span - span / 1000 * self.drift);
         if version == self.active {
-            self.serve(until, outs);
+            self.serve(until, outputs);
         } else if self.waiting.is_none_or(|(v, _)| v != version) {
-            let kept = self.staged.clone().filter(|s| s.version == version);
-            if let Some(policy) = policy.filter(|p| p.version == version).or(kept) {
+            let stored = self.staged.clone().filter(|s| s.version == version);
+            if let Some(policy) = policy.filter(|p| p.version == version).or(stored) {
                 self.waiting = Some((version, until));
-                outs.push(Out::Activate(policy));
+                outputs.push(Output::Activate(policy));
             }
         } else {
             self.waiting = Some((version, until));
@@ -287,12 +292,12 @@
                 .iter()
                 .all(|s| s.as_ref().is_none_or(|s| s.version != change.version))
         {
-            if self.broken == Some(Broken::Early) {
+            if self.injected_fault == Some(InjectedFault::ActivateUndecided) {
                 self.waiting = Some((change.version, until));
-                outs.push(Out::Activate(change.clone()));
+                outputs.push(Output::Activate(change.clone()));
             }
             self.staging = Some(change.clone());
-            outs.push(Out::Stage(change));
+            outputs.push(Output::Stage(change));
         }
     }
 }
--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -1,14 +1,14 @@
 //! A member alone: what it says, and until when it may serve.
 
 use linestack_accord::{Grant, Incarnation, Policy, Reply};
-use linestack_member::{Input, Member, Out, Told};
+use linestack_member::{Input, Member, Notice, Output};
 use rstest::rstest;
 
 const SPAN: u64 = 3_000;
 
 struct Stand {
     member: Member,
-    outs: Vec<Out>,
+    outs: Vec<Output>,
 }
 
 fn policy(version: u64) -> Policy {
@@ -21,9 +21,9 @@
         Self { member: Member::new(incarnation, 10, SPAN, active, None), outs: Vec::new() }
     }
 
-    fn take(&mut self, now: u64, input: Input) -> &[Out] {
+    fn take(&mut self, now: u64, input: Input) -> &[Output] {
         self.outs.clear();
-        self.member.take(now, input, &mut self.outs);
+        self.member.handle(now, input, &mut self.outs);
         &self.outs
     }
 
@@ -32,7 +32,7 @@
         Grant { incarnation, at, span: SPAN, version, policy: with.map(policy), change: change.map(policy) }
     }
 
-    fn granted(&mut self, now: u64, grant: Grant) -> &[Out] {
+    fn granted(&mut self, now: u64, grant: Grant) -> &[Output] {
         self.take(now, Input::Reply(Reply::Grant(grant)))
     }
 }
@@ -43,9 +43,12 @@
 #[case::late(2_500)]
 fn counted_from_the_asking(#[case] comes: u64) {
     let mut stand = Stand::new(1);
-    stand.take(1_000, Input::Up);
+    stand.take(1_000, Input::SessionOpened);
     let until = 1_000 + SPAN - SPAN / 1000 * 10;
-    assert_eq!(stand.granted(comes, Stand::grant(1_000, 1, None, None)), [Out::Serve { version: 1, until }]);
+    assert_eq!(
+        stand.granted(comes, Stand::grant(1_000, 1, None, None)),
+        [Output::Serve { version: 1, until }]
+    );
     assert!(stand.member.may_serve(until - 1) && !stand.member.may_serve(until));
 }
 
@@ -55,7 +58,7 @@
 #[case::without_the_text(Stand::grant(1_000, 2, None, None))]
 fn no_leave_by(#[case] grant: Grant) {
     let mut stand = Stand::new(1);
-    stand.take(1_000, Input::Up);
+    stand.take(1_000, Input::SessionOpened);
     stand.granted(1_100, grant);
     assert!(!stand.member.may_serve(1_100));
 }
@@ -63,7 +66,7 @@
 #[test]
 fn the_same_answer_twice_says_nothing_new() {
     let mut stand = Stand::new(1);
-    stand.take(1_000, Input::Up);
+    stand.take(1_000, Input::SessionOpened);
     stand.granted(1_100, Stand::grant(1_000, 1, None, None));
     assert_eq!(stand.granted(1_200, Stand::grant(1_000, 1, None, None)), []);
 }
@@ -72,41 +75,42 @@
 #[test]
 fn kept_before_it_is_said_and_decided_before_it_is_gone_by() {
     let mut stand = Stand::new(1);
-    stand.take(1_000, Input::Up);
+    stand.take(1_000, Input::SessionOpened);
     let outs = stand.granted(1_100, Stand::grant(1_000, 1, None, Some(2))).to_vec();
-    assert!(outs.contains(&Out::Stage(policy(2))));
-    let staged =
-        |outs: &[Out]| outs.iter().find_map(|o| if let Out::Send(r) = o { Some(r.staged) } else { None });
+    assert!(outs.contains(&Output::Stage(policy(2))));
+    let staged = |outs: &[Output]| {
+        outs.iter().find_map(|o| if let Output::Send(r) = o { Some(r.staged) } else { None })
+    };
     assert_eq!(staged(stand.take(1_200, Input::Reply(Reply::Nudge))), Some(0));
     let kept = Input::Staged { version: 2, result: Ok(()) };
     assert_eq!(staged(stand.take(1_300, kept)), Some(2));
     assert_eq!(stand.member.active(), 1);
     // The text is its own by now.
     let outs = stand.granted(1_400, Stand::grant(1_300, 2, None, None)).to_vec();
-    assert_eq!(outs, [Out::Activate(policy(2))]);
+    assert_eq!(outs, [Output::Activate(policy(2))]);
     let until = 1_300 + SPAN - SPAN / 1000 * 10;
     let active = Input::Activated { version: 2, result: Ok(()) };
-    assert_eq!(stand.take(1_450, active), [Out::Serve { version: 2, until }]);
+    assert_eq!(stand.take(1_450, active), [Output::Serve { version: 2, until }]);
 }
 
 #[test]
 fn what_it_can_not_go_by_it_does_not_serve() {
     let mut stand = Stand::new(1);
-    stand.take(1_000, Input::Up);
+    stand.take(1_000, Input::SessionOpened);
     stand.granted(1_100, Stand::grant(1_000, 1, None, None));
     stand.take(1_200, Input::Reply(Reply::Nudge));
     stand.granted(1_300, Stand::grant(1_200, 2, Some(2), None));
     let outs =
         stand.take(1_310, Input::Activated { version: 2, result: Err("settings.kinds".into()) }).to_vec();
-    assert!(outs.contains(&Out::Serve { version: 1, until: 0 }) && !stand.member.may_serve(1_310));
+    assert!(outs.contains(&Output::Serve { version: 1, until: 0 }) && !stand.member.may_serve(1_310));
 }
 
 #[test]
 fn coordinators_that_have_lost_what_was_decided_give_no_leave() {
     let mut stand = Stand::new(3);
-    stand.take(1_000, Input::Up);
+    stand.take(1_000, Input::SessionOpened);
     let outs = stand.granted(1_100, Stand::grant(1_000, 2, Some(2), None)).to_vec();
-    assert_eq!(outs, [Out::Tell(Told::Ahead { mine: 3, theirs: 2 })]);
+    assert_eq!(outs, [Output::Notify(Notice::CoordinatorsBehind { own: 3, theirs: 2 })]);
     assert!(!stand.member.may_serve(1_100));
 }
 
@@ -114,9 +118,9 @@
 #[test]
 fn no_answer_means_elsewhere() {
     let mut stand = Stand::new(1);
-    stand.take(1_000, Input::Up);
+    stand.take(1_000, Input::SessionOpened);
     let due = stand.member.next_due();
     assert_eq!(stand.take(due - 1, Input::Tick), []);
-    assert_eq!(stand.take(due, Input::Tick), [Out::Elsewhere]);
+    assert_eq!(stand.take(due, Input::Tick), [Output::TryAnotherCoordinator]);
     assert_eq!(stand.member.next_due(), u64::MAX);
 }
--- a/crates/node/src/begin.rs
+++ b/crates/node/src/begin.rs
@@ -2,14 +2,14 @@
 
 use std::path::Path;
 
-use linestack_recovery::start::{Kept, Terms};
+use linestack_recovery::start::{BootTimestamp, StartLimits};
 use serde::Deserialize;
 
 use crate::fleet::boottime;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    pub terms: Terms,
+    pub terms: StartLimits,
     /// A list that was kept is gone by at once while it is younger.
     pub list_fresh: u64,
 }
@@ -88,22 +88,22 @@
     if !faults.is_empty() {
         return Err(faults.join("\n"));
     }
-    let terms = Terms {
+    let terms = StartLimits {
         nodes,
         connects_per_s: t.connects_per_s,
         lists_per_s: t.lists_per_s,
         sessions_per_s: t.sessions_per_s,
-        list_within: t.list_within_ms * 1_000_000,
-        known_within: t.known_within_ms * 1_000_000,
-        share_within: t.share_within_ms * 1_000_000,
+        list_timeout: t.list_within_ms * 1_000_000,
+        known_timeout: t.known_within_ms * 1_000_000,
+        share_timeout: t.share_within_ms * 1_000_000,
     };
     Ok(Config { terms, list_fresh: t.list_fresh_ms * 1_000_000 })
 }
 
 /// Now, by a clock that goes on over a restart of the process, and ends with the machine's run.
 #[must_use]
-pub fn stamp() -> Kept {
+pub fn stamp() -> BootTimestamp {
     let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
     let digits: String = boot.chars().filter(char::is_ascii_hexdigit).collect();
-    Kept { boot: u128::from_str_radix(&digits, 16).unwrap_or(0), at: boottime() }
+    BootTimestamp { boot: u128::from_str_radix(&digits, 16).unwrap_or(0), at: boottime() }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -71,7 +71,7 @@
             ("known", self.known != newer.known),
         ];
         let kept = differ.into_iter().filter_map(|(key, differs)| differs.then_some(key));
-        kept.chain(self.settings.restart_for(&newer.settings)).collect()
+        kept.chain(self.settings.key_needing_restart(&newer.settings)).collect()
     }
 }
 
--- a/crates/node/src/fleet/policy.rs
+++ b/crates/node/src/fleet/policy.rs
@@ -33,7 +33,7 @@
     let newer = settings(newer, 0, 0).map_err(|e| vec![e])?;
     // What holds was checked when it came.
     let Ok(present) = settings(present, 0, 0) else { return Ok(()) };
-    match present.restart_for(&newer) {
+    match present.key_needing_restart(&newer) {
         None => Ok(()),
         Some(key) => Err(vec![format!("{key}: wants new processes, and can't change in running ones")]),
     }
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -10,8 +10,8 @@
 use linestack_accord::{Guest, Incarnation, Policy, Request};
 use linestack_core::Input as CoreInput;
 use linestack_history::What;
-use linestack_member::{Broken, Input, Member, Out, Told};
-use linestack_recovery::start::{Terms, session_after};
+use linestack_member::{InjectedFault, Input, Member, Notice, Output};
+use linestack_recovery::start::{StartLimits, session_delay};
 use linestack_settings::Settings;
 use serde::{Deserialize, Serialize};
 
@@ -97,23 +97,30 @@
     #[must_use]
     pub fn terms(&self, own: &Settings, seed: u64) -> Option<Settings> {
         let known = &self.record.active;
-        let settings = settings(&known.text, own.orders.zone, seed).ok().filter(|_| known.version > 0);
+        let settings = settings(&known.text, own.dispatch.zone, seed).ok().filter(|_| known.version > 0);
         tries::leave(&self.fleet.folder);
         let settings = settings?;
-        own.restart_for(&settings).is_none().then_some(settings)
+        own.key_needing_restart(&settings).is_none().then_some(settings)
     }
 
     /// Runs the session for as long as the program does.
-    pub fn run(self, node: Arc<Node>, present: Settings, seed: u64, active: u64, bounds: Option<Terms>) {
+    pub fn run(
+        self,
+        node: Arc<Node>,
+        present: Settings,
+        seed: u64,
+        active: u64,
+        bounds: Option<StartLimits>,
+    ) {
         let Self { fleet, store, record } = self;
         let broken = super::fault().and_then(|f| match f.as_str() {
-            "early" => Some(Broken::Early),
-            "from-receipt" => Some(Broken::FromReceipt),
-            "unfenced" => Some(Broken::Unfenced),
+            "early" => Some(InjectedFault::ActivateUndecided),
+            "from-receipt" => Some(InjectedFault::LeaseFromReceipt),
+            "unfenced" => Some(InjectedFault::LeaseNeverEnds),
             _ => None,
         });
         let staged = record.staged.clone();
-        let member = Member::new(record.life, DRIFT, SPAN, active, staged).broken(broken);
+        let member = Member::new(record.life, DRIFT, SPAN, active, staged).with_injected_fault(broken);
         let own = Own { fleet: fleet.id.clone(), who: Who::Member(fleet.member.clone()), life: record.life };
         let session =
             Session { node, fleet, store, record, member, present, seed, own, told: None, broken, bounds };
@@ -130,10 +137,10 @@
     present: Settings,
     seed: u64,
     own: Own,
-    told: Option<(Told, Instant)>,
-    broken: Option<Broken>,
+    told: Option<(Notice, Instant)>,
+    broken: Option<InjectedFault>,
     /// What the fleet's coordinators bear, where that is bounded.
-    bounds: Option<Terms>,
+    bounds: Option<StartLimits>,
 }
 
 /// Far over what two readings of the clocks lie apart, and far under any sleep.
@@ -151,8 +158,8 @@
         let mut quiet = Instant::now() - QUIET;
         // Others may have started in the same instant.
         let mut chance = fastrand::Rng::with_seed(self.seed ^ super::draw());
-        let mut turn = |terms: &Option<Terms>, again: Duration| {
-            let wait = terms.map_or(0, |terms| session_after(&terms, chance.f64()));
+        let mut turn = |terms: &Option<StartLimits>, again: Duration| {
+            let wait = terms.map_or(0, |terms| session_delay(&terms, chance.f64()));
             std::thread::sleep(again.max(Duration::from_nanos(wait)));
         };
         turn(&self.bounds, Duration::ZERO);
@@ -170,7 +177,7 @@
                 Err(_) => {}
             }
             let mut none = Vec::new();
-            self.member.take(self.now(), Input::Down, &mut none);
+            self.member.handle(self.now(), Input::SessionClosed, &mut none);
             at = (at + 1) % self.fleet.coordinators.len();
             turn(&self.bounds, AGAIN);
         }
@@ -179,13 +186,13 @@
     /// Returns why it is over.
     fn converse(&mut self, mut socket: TcpStream, mut ear: Ear, mut pen: Pen) -> String {
         let mut outs = Vec::new();
-        self.member.take(self.now(), Input::Up, &mut outs);
+        self.member.handle(self.now(), Input::SessionOpened, &mut outs);
         loop {
             let mut at = 0;
             while at < outs.len() {
                 match self.carry_out(outs[at].clone(), &mut socket, &mut pen) {
                     Ok(None) => {}
-                    Ok(Some(input)) => self.member.take(self.now(), input, &mut outs),
+                    Ok(Some(input)) => self.member.handle(self.now(), input, &mut outs),
                     Err(why) => return why,
                 }
                 at += 1;
@@ -194,7 +201,7 @@
             match ear.take() {
                 Ok(Some(frame)) => {
                     if let Body::Reply(reply) = frame.body {
-                        self.member.take(self.now(), Input::Reply(reply), &mut outs);
+                        self.member.handle(self.now(), Input::Reply(reply), &mut outs);
                         continue;
                     }
                     return "not what was due".into();
@@ -203,7 +210,7 @@
                 Err(why) => return why.to_string(),
             }
             if let Some(stage) = self.node.stage() {
-                self.member.at_stage(stage.word());
+                self.member.set_start_stage(stage.as_str());
             }
             let wait = self.member.next_due().saturating_sub(self.now());
             // A time limit of nothing would be none.
@@ -214,24 +221,24 @@
             if let Err(why) = ear.read(&mut socket) {
                 return why.to_string();
             }
-            self.member.take(self.now(), Input::Tick, &mut outs);
+            self.member.handle(self.now(), Input::Tick, &mut outs);
         }
     }
 
     fn carry_out(
         &mut self,
-        out: Out,
+        out: Output,
         socket: &mut TcpStream,
         pen: &mut Pen,
     ) -> Result<Option<Input>, String> {
         let now = self.node.clock.now();
         match out {
-            Out::Send(renew) => {
+            Output::Send(renew) => {
                 let bytes = pen.write(Body::Request(Request::Renew(renew))).map_err(|e| e.to_string())?;
                 socket.write_all(&bytes).map_err(|e| e.to_string())?;
             }
-            Out::Elsewhere => return Err("no answer in time".into()),
-            Out::Stage(policy) => {
+            Output::TryAnotherCoordinator => return Err("no answer in time".into()),
+            Output::Stage(policy) => {
                 let version = policy.version;
                 let result = self.stage(policy);
                 match &result {
@@ -243,15 +250,15 @@
                 }
                 return Ok(Some(Input::Staged { version, result }));
             }
-            Out::Activate(policy) => {
+            Output::Activate(policy) => {
                 let version = policy.version;
                 let result = self.activate(policy);
                 if let Err(key) = &result {
-                    self.tell(Told::Unable { version, key: key.clone() });
+                    self.tell(Notice::CannotActivate { version, key: key.clone() });
                 }
                 return Ok(Some(Input::Activated { version, result }));
             }
-            Out::Serve { version, until } => {
+            Output::Serve { version, until } => {
                 if self.fleet.mode == Mode::Strict {
                     // On the node's clock it lasts for as long as the machine does not sleep again.
                     let slept = super::slept();
@@ -260,12 +267,13 @@
                     if let Some(trail) = &self.node.trail {
                         trail.write(now, What::Leased { version, until: trail.machine(until) });
                     }
-                    let until = if self.broken == Some(Broken::Unfenced) { u64::MAX } else { until };
+                    let until =
+                        if self.broken == Some(InjectedFault::LeaseNeverEnds) { u64::MAX } else { until };
                     self.node.count_from(slept + READING);
                     self.node.feed(CoreInput::Leave { until });
                 }
             }
-            Out::Tell(told) => self.tell(told),
+            Output::Notify(told) => self.tell(told),
         }
         Ok(None)
     }
@@ -276,20 +284,20 @@
         }
     }
 
-    fn tell(&mut self, told: Told) {
+    fn tell(&mut self, told: Notice) {
         if self.told.as_ref().is_some_and(|(last, at)| *last == told && at.elapsed() < QUIET) {
             return;
         }
         match &told {
-            Told::Refused(why) => tracing::warn!(why, "not let in by the coordinators"),
-            Told::Ahead { mine, theirs } => {
+            Notice::Refused(why) => tracing::warn!(why, "not let in by the coordinators"),
+            Notice::CoordinatorsBehind { own: mine, theirs } => {
                 tracing::error!(
                     mine,
                     theirs,
                     "the coordinators have lost what was decided; nothing is taken"
                 );
             }
-            Told::Unable { version, key } => {
+            Notice::CannotActivate { version, key } => {
                 tracing::error!(
                     version,
                     key,
@@ -301,8 +309,8 @@
     }
 
     fn read(&self, policy: &Policy) -> Result<Settings, String> {
-        let settings = settings(&policy.text, self.present.orders.zone, self.seed)?;
-        match self.present.restart_for(&settings) {
+        let settings = settings(&policy.text, self.present.dispatch.zone, self.seed)?;
+        match self.present.key_needing_restart(&settings) {
             None => Ok(settings),
             Some(key) => Err(key.to_owned()),
         }
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use linestack_accord::{Incarnation, Letter, Peer, Reply, Request};
-use linestack_frames::{Reader, encode, kind};
+use linestack_frames::{Reader, encode, kind_number};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -76,7 +76,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
-    Frame(#[from] linestack_frames::Fault),
+    Frame(#[from] linestack_frames::FrameError),
     #[error("a body that is not understood: {0}")]
     Body(#[from] serde_json::Error),
     #[error("of fleet {0:?}")]
@@ -99,10 +99,10 @@
     pub fn why(&self) -> &'static str {
         match self {
             Self::Io(_) => "io",
-            Self::Frame(linestack_frames::Fault::Magic) => "no frame",
-            Self::Frame(linestack_frames::Fault::Version(_)) => "wire version",
-            Self::Frame(linestack_frames::Fault::Oversized(_)) => "oversized",
-            Self::Frame(linestack_frames::Fault::Checksum) => "checksum",
+            Self::Frame(linestack_frames::FrameError::Magic) => "no frame",
+            Self::Frame(linestack_frames::FrameError::Version(_)) => "wire version",
+            Self::Frame(linestack_frames::FrameError::Oversized(_)) => "oversized",
+            Self::Frame(linestack_frames::FrameError::Checksum) => "checksum",
             Self::Body(_) => "body",
             Self::Fleet(_) => "fleet",
             Self::Session => "session",
@@ -141,7 +141,7 @@
     /// It is too large for a frame.
     pub fn write(&mut self, body: Body) -> Result<Vec<u8>, Fault> {
         self.number += 1;
-        let kind = kind(body.kind()).unwrap_or_default();
+        let kind = kind_number(body.kind()).unwrap_or_default();
         let Own { fleet, who, life } = self.own.clone();
         let frame = Frame { fleet, from: who, life, session: self.session, number: self.number, body };
         Ok(encode(kind, &serde_json::to_vec(&frame)?)?)
@@ -191,12 +191,12 @@
     ///
     /// The connection is to be closed.
     pub fn take(&mut self) -> Result<Option<Frame>, Fault> {
-        let Some(raw) = self.reader.take()? else { return Ok(None) };
+        let Some(raw) = self.reader.next_frame()? else { return Ok(None) };
         let frame: Frame = serde_json::from_slice(&raw.body)?;
         if frame.fleet != self.fleet {
             return Err(Fault::Fleet(frame.fleet));
         }
-        if kind(frame.body.kind()) != Some(raw.kind) {
+        if kind_number(frame.body.kind()) != Some(raw.kind) {
             return Err(Fault::Order);
         }
         // A greeting has no session yet.
--- a/crates/node/src/keep.rs
+++ b/crates/node/src/keep.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use linestack_core::{Core, Input, Nanos, Remembered, Ticket};
-use linestack_recovery::start::{Kept, fresh};
-use linestack_recovery::{Age, Fate, Fates, Keep};
+use linestack_recovery::start::{BootTimestamp, is_fresh};
+use linestack_recovery::{OutcomeRecord, OutcomeTable, StoreTime, StoredOutcome};
 use linestack_store::{Damage, Fault, Folder, LARGEST, Limits, Op, Store, repair};
 use serde::{Deserialize, Serialize};
 
@@ -124,14 +124,14 @@
     Ok(Config { folder, same_by, remember_s, budget_mb, sync, when_failed })
 }
 
-fn limits(span: Age, budget_mb: u64, sync: Sync) -> Limits {
+fn limits(span: StoreTime, budget_mb: u64, sync: Sync) -> Limits {
     let sync = sync == Sync::Group;
     Limits { budget: budget_mb << 20, spans: vec![(FATE, span)], sync, ..Limits::default() }
 }
 
 /// What is to be kept.
 pub enum Note {
-    Fate(Keep, Option<Ticket>),
+    Fate(OutcomeRecord, Option<Ticket>),
     /// The list as it stands now.
     List(List),
     /// Discovery was heard, and the list stands.
@@ -154,7 +154,7 @@
 
 impl Stamp {
     fn now() -> Vec<u8> {
-        let Kept { boot, at } = begin::stamp();
+        let BootTimestamp { boot, at } = begin::stamp();
         serde_json::to_vec(&Self { boot, at }).unwrap_or_default()
     }
 }
@@ -162,10 +162,10 @@
 pub struct Keeper {
     store: Store<Folder>,
     config: Config,
-    age: Age,
-    fates: Vec<Keep>,
+    age: StoreTime,
+    fates: Vec<OutcomeRecord>,
     list: Option<List>,
-    heard: Option<Kept>,
+    heard: Option<BootTimestamp>,
     /// One before it was lost: what that one sent is not known.
     lost: bool,
 }
@@ -241,7 +241,7 @@
         fates.sort_by_key(|k| k.at);
         let list = only(&store, LIST).and_then(|text| List::read(&text).ok());
         let heard: Option<Stamp> = only(&store, HEARD).and_then(|text| serde_json::from_slice(&text).ok());
-        let heard = heard.map(|Stamp { boot, at }| Kept { boot, at });
+        let heard = heard.map(|Stamp { boot, at }| BootTimestamp { boot, at });
         let lost = only(&store, LOST).is_some();
         // No clock of day is asked: only the time in which nodes ran makes anything old.
         let age = fates.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
@@ -254,15 +254,15 @@
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
         let age = self.heard.and_then(|kept| kept.age(&begin::stamp()));
         tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
-        Some((list, fresh(age, within)))
+        Some((list, is_fresh(age, within)))
     }
 
     /// What the reducer is to know of it. `memory` is what the program may have, in bytes.
     pub fn tell(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
         let span = self.config.remember_s * 1_000_000_000;
-        let mut fates = Fates::new(span, usize::MAX, memory / MEMORY_PART);
+        let mut fates = OutcomeTable::new(span, usize::MAX, memory / MEMORY_PART);
         fates.restore(std::mem::take(&mut self.fates));
-        fates.forget(self.age);
+        fates.expire(self.age);
         tracing::info!(known = fates.len(), folder = %self.config.folder.display(), "store read");
         let by_stamp = self.config.same_by == SameBy::IdempotencyKey;
         // Whoever waits for what the one before had taken notices at once, and asks again within its own cut-off.
@@ -291,7 +291,7 @@
 const STAMPED: Duration = Duration::from_millis(500);
 
 /// The fates that are kept.
-fn fates_of(store: &Store<Folder>) -> Result<Vec<Keep>, Fault> {
+fn fates_of(store: &Store<Folder>) -> Result<Vec<OutcomeRecord>, Fault> {
     let poisoned = crate::fleet::fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
     let mut fates = Vec::new();
     store.each(|entry, value| {
@@ -300,8 +300,8 @@
         }
         if entry.kind == FATE {
             // Of a later version: it may have run, for all that this one can tell.
-            let fate = Fate::from_bytes(&value).unwrap_or(Fate::MayHaveRun);
-            fates.push(Keep { key: entry.key.into(), fate, at: entry.at });
+            let fate = StoredOutcome::from_bytes(&value).unwrap_or(StoredOutcome::MayHaveRun);
+            fates.push(OutcomeRecord { key: entry.key.into(), outcome: fate, at: entry.at });
         }
     })?;
     Ok(fates)
@@ -370,14 +370,14 @@
     Some(std::iter::once(first).chain(from.try_iter().take(GROUP - 1)).collect())
 }
 
-fn put(kind: u8, key: &[u8], value: Vec<u8>, at: Age) -> Op {
+fn put(kind: u8, key: &[u8], value: Vec<u8>, at: StoreTime) -> Op {
     Op::Put { kind, key: key.to_vec(), value, at }
 }
 
 /// Makes records of notes.
 struct Record {
     /// The age of the youngest.
-    last: Age,
+    last: StoreTime,
     /// When it was last written down that discovery was heard.
     stamped: Option<Instant>,
 }
@@ -387,7 +387,7 @@
         match note {
             Note::Fate(keep, _) => {
                 self.last = self.last.max(keep.at);
-                Some(put(FATE, &keep.key, keep.fate.to_bytes(), keep.at))
+                Some(put(FATE, &keep.key, keep.outcome.to_bytes(), keep.at))
             }
             Note::List(list) => {
                 let text = list.write();
@@ -425,14 +425,14 @@
         Self { pause: TRY_AGAIN, tried: Instant::now(), owed: Vec::new() }
     }
 
-    fn owe(&mut self, keep: &Keep) {
+    fn owe(&mut self, keep: &OutcomeRecord) {
         if self.owed.len() < MOST_OWED {
-            self.owed.push(put(FATE, &keep.key, keep.fate.to_bytes(), keep.at));
+            self.owed.push(put(FATE, &keep.key, keep.outcome.to_bytes(), keep.at));
         }
     }
 
     /// Tries whether the disk takes what came meanwhile, if it is time. True if it does.
-    fn may_be_over(&mut self, store: &mut Store<Folder>, now: Age) -> bool {
+    fn may_be_over(&mut self, store: &mut Store<Folder>, now: StoreTime) -> bool {
         if self.tried.elapsed() < self.pause {
             return false;
         }
@@ -510,7 +510,9 @@
             for (entry, value) in entries {
                 let key = String::from_utf8_lossy(&entry.key);
                 let word = match entry.kind {
-                    FATE => Fate::from_bytes(&value).map_or("not understood", |f| f.word()).to_owned(),
+                    FATE => {
+                        StoredOutcome::from_bytes(&value).map_or("not understood", |f| f.as_str()).to_owned()
+                    }
                     _ => String::from_utf8_lossy(&value).into_owned(),
                 };
                 println!("{:.3} {} {key} {word}", entry.at as f64 / 1e9, entry.kind);
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -21,7 +21,7 @@
 use linestack_core::{Core, Input};
 use linestack_dispatch::types::{ListKind, Repeats};
 use linestack_history::What;
-use linestack_recovery::start::{Found, Start as Starting};
+use linestack_recovery::start::{StagedStart as Starting, StartConditions};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
@@ -148,7 +148,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let nodes = settings.orders.nodes;
+    let nodes = settings.dispatch.nodes;
     let stages = variable("PROXY_START").map(|path| begin::config(Path::new(&path), nodes)).transpose();
     let stages = match stages {
         Ok(stages) => stages,
@@ -189,14 +189,18 @@
         let old = known.take_if(|_| !fresh).map_or_else(Vec::new, |list| list.endpoints);
         let proved = !fleet.as_ref().is_some_and(|(start, _)| start.fleet().mode == Mode::Strict);
         let mut chance = fastrand::Rng::with_seed(config.seed ^ fleet::draw());
-        let found = Found { proved, fresh, old: !old.is_empty() };
+        let found = StartConditions {
+            settings_confirmed: proved,
+            list_is_fresh: fresh,
+            has_old_list: !old.is_empty(),
+        };
         let start = Starting::new(stages.terms, found, [chance.f64(), chance.f64()], clock.now());
         core.start_by(clock.now(), start, old);
     }
     let index = known.as_ref().map(|known| known.index).filter(|_| !whole);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
     if let Some(keeper) = &mut keeper {
-        keeper.tell(&mut core, memory, clock.now(), settings.longest_cut_off);
+        keeper.tell(&mut core, memory, clock.now(), settings.longest_deadline);
     }
     let (keeper, writer) = keeper.map(Keeper::run).unzip();
     let parts = Parts {
@@ -204,7 +208,7 @@
         names: settings.names.clone(),
         layout: settings.layout,
         stamped: settings
-            .orders
+            .dispatch
             .products
             .iter()
             .map(|p| matches!(p.repeats, Repeats::Stamped { .. }))
@@ -305,7 +309,7 @@
 
 /// No page gives a protocol for messages between nodes.
 fn untold(config: &Config) {
-    if config.settings.may_tell {
+    if config.settings.may_message_peers {
         tracing::warn!("mayTell: nodes on sockets have no messages, so this one works as if all were lost");
     }
 }
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -65,14 +65,14 @@
         (b"GET", path) if path.starts_with(SUBMISSIONS) && node.remembered(b"").is_some() => {
             let fate = node.remembered(&path[SUBMISSIONS.len()..]).and_then(|(_, fate)| fate);
             let out = match fate {
-                Some(fate) => told(200, &format!("{{\"fate\":\"{}\"}}\n", fate.word()), last),
+                Some(fate) => told(200, &format!("{{\"fate\":\"{}\"}}\n", fate.as_str()), last),
                 None => told(404, "{\"fate\":\"not known\"}\n", last),
             };
             Ok(Asked::Health(out, last))
         }
         (b"GET", b"/healthz") if node.stage().is_some_and(|s| s < Stage::Full) => {
             let Some(stage) = node.stage() else { return Ok(Asked::Health(bare(503, last), last)) };
-            let text = format!("starting: {}: {}\n", stage.word(), stage.why());
+            let text = format!("starting: {}: {}\n", stage.as_str(), stage.waits_for());
             Ok(Asked::Health(told(if node.ready() { 200 } else { 503 }, &text, last), last))
         }
         (b"GET", b"/healthz") if !node.sure() && node.ready() => {
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -156,7 +156,7 @@
         Err(_) => return None,
     };
     let group = u16::try_from(raw.group).unwrap_or(u16::MAX);
-    let started = linestack_settings::nanos(raw.since_ms);
+    let started = linestack_settings::nanos_from_millis(raw.since_ms);
     let weight = if raw.weight.is_finite() { raw.weight.max(0.0) } else { 0.0 };
     Some(Endpoint { name: raw.name, address, zone: raw.zone, kind: raw.kind, group, health, started, weight })
 }
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -383,7 +383,7 @@
 
 fn text_report(node: &Node, text: &str) -> Option<Report> {
     node.layout.report(|place| {
-        let name = node.names.figures.get(place)?;
+        let name = node.names.report_fields.get(place)?;
         http::text_figure(text, name).or_else(|| http::text_figure(text, plain(name)))
     })
 }
@@ -393,7 +393,7 @@
 fn json_report(node: &Node, load: &str) -> Option<Report> {
     let load: BTreeMap<Cow<'_, str>, &RawValue> = object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
-        let name = node.names.figures.get(place)?;
+        let name = node.names.report_fields.get(place)?;
         let figure = load.get(name.as_str()).or_else(|| load.get(plain(name)))?;
         figure.get().parse().ok()
     })
@@ -420,7 +420,7 @@
 }
 
 fn probe(node: &Node) -> Out {
-    let path = if node.names.figures.is_empty() { "/healthz" } else { "/load" };
+    let path = if node.names.report_fields.is_empty() { "/healthz" } else { "/load" };
     let mut out = Out::default();
     out.push(Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: executor\r\n\r\n")));
     out
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -28,8 +28,8 @@
 use crate::keep::Note;
 use clock::{Alarm, Clock};
 use linestack_core::{Client, Core, Effect, Input, Link, Refusal};
-use linestack_peers::{Fault as Unheard, Heard, Item, Tale, learn};
-use linestack_recovery::Fate;
+use linestack_peers::{ExecutorObservation, Observation, PeerSnapshot, SnapshotError, usable_observations};
+use linestack_recovery::StoredOutcome;
 use linestack_recovery::start::Stage;
 
 /// A pause for a connection that brings more than one message's worth at once. Giving way would not do: may
@@ -272,7 +272,7 @@
     }
 
     /// Whether one-shots can be taken, and how one stands; none where nothing is remembered.
-    pub(crate) fn remembered(&self, key: &[u8]) -> Option<(bool, Option<Fate>)> {
+    pub(crate) fn remembered(&self, key: &[u8]) -> Option<(bool, Option<StoredOutcome>)> {
         self.keeper.as_ref()?;
         let inner = lock(&self.inner);
         Some((inner.core.remembers(), inner.core.fate(key).cloned()))
@@ -289,21 +289,21 @@
     }
 
     /// What one that starts is told.
-    pub(crate) fn tale(&self) -> Vec<Item> {
+    pub(crate) fn tale(&self) -> Vec<ExecutorObservation> {
         lock(&self.inner).core.tale(self.clock.now())
     }
 
     /// What may be gone by of what a peer told.
     pub(crate) fn learn(
         &self,
-        tale: &Tale,
+        tale: &PeerSnapshot,
         me: &str,
         asked: Nanos,
         young: Nanos,
-    ) -> Result<Vec<Heard>, Unheard> {
+    ) -> Result<Vec<Observation>, SnapshotError> {
         let inner = lock(&self.inner);
         let own = |name: &str| inner.core.own(name);
-        learn(tale, me, (asked, self.clock.now()), young, own, inner.core.ready_workers())
+        usable_observations(tale, me, (asked, self.clock.now()), young, own, inner.core.ready_workers())
     }
 
     /// Discovery was heard; with a version of the list, it is another one from now on.
@@ -444,9 +444,9 @@
                 }
             }
             Effect::Stage(stage) => {
-                tracing::info!(stage = stage.word(), waits_for = stage.why(), "start");
+                tracing::info!(stage = stage.as_str(), waits_for = stage.waits_for(), "start");
                 if let Some(trail) = &self.trail {
-                    let stage = stage.word().to_owned();
+                    let stage = stage.as_str().to_owned();
                     trail.write(self.clock.now(), What::Stage { stage });
                 }
             }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use linestack_core::Input;
-use linestack_frames::{Reader, encode, kind};
-use linestack_peers::{FORM, Tale};
+use linestack_frames::{Reader, encode, kind_number};
+use linestack_peers::{FORMAT_VERSION, PeerSnapshot};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
 
@@ -90,7 +90,7 @@
 
 fn send(socket: &mut TcpStream, word: &str, body: &impl Serialize) -> io::Result<()> {
     let body = serde_json::to_vec(body)?;
-    let kind = kind(word).ok_or(io::ErrorKind::InvalidInput)?;
+    let kind = kind_number(word).ok_or(io::ErrorKind::InvalidInput)?;
     socket.write_all(&encode(kind, &body).map_err(io::Error::other)?)
 }
 
@@ -98,8 +98,8 @@
 fn receive<T: for<'a> Deserialize<'a>>(socket: &mut TcpStream, word: &str) -> io::Result<T> {
     let (begin, mut reader, mut piece) = (Instant::now(), Reader::default(), [0; 16 * 1024]);
     loop {
-        if let Some(frame) = reader.take().map_err(io::Error::other)? {
-            if Some(frame.kind) != kind(word) {
+        if let Some(frame) = reader.next_frame().map_err(io::Error::other)? {
+            if Some(frame.kind) != kind_number(word) {
                 return Err(io::Error::other("not what was due"));
             }
             return Ok(serde_json::from_slice(&frame.body)?);
@@ -148,11 +148,19 @@
             std::thread::spawn(move || {
                 let _ = socket.set_write_timeout(Some(PATIENCE));
                 if let Ok(ask) = receive::<Ask>(&mut socket, "ask")
-                    && ask.form == FORM
+                    && ask.form == FORMAT_VERSION
                     && ask.fleet == fleet
                     && ask.node != name
                 {
-                    let _ = send(&mut socket, "tale", &Tale { form: FORM, teller: name, items: node.tale() });
+                    let _ = send(
+                        &mut socket,
+                        "tale",
+                        &PeerSnapshot {
+                            format_version: FORMAT_VERSION,
+                            sender: name,
+                            observations: node.tale(),
+                        },
+                    );
                 }
                 gone.fetch_sub(1, Ordering::Relaxed);
             });
@@ -170,9 +178,9 @@
             let asked = node.clock.now();
             let told = TcpStream::connect_timeout(&peer, PATIENCE).and_then(|mut socket| {
                 socket.set_write_timeout(Some(PATIENCE))?;
-                let ask = Ask { form: FORM, fleet: config.fleet.clone(), node: name.clone() };
+                let ask = Ask { form: FORMAT_VERSION, fleet: config.fleet.clone(), node: name.clone() };
                 send(&mut socket, "ask", &ask)?;
-                receive::<Tale>(&mut socket, "tale")
+                receive::<PeerSnapshot>(&mut socket, "tale")
             });
             match told {
                 Ok(tale) => return take(&config, &name, &node, &tale, asked),
@@ -183,20 +191,20 @@
 }
 
 /// Takes what may be taken, as soon as there is a list to hold it against.
-fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &Tale, asked: u64) {
+fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &PeerSnapshot, asked: u64) {
     while node.clock.now() < asked + config.young {
         if node.ready() {
             match node.learn(tale, name, asked, config.young) {
                 Ok(heard) => {
                     tracing::info!(
-                        teller = tale.teller,
-                        told = tale.items.len(),
+                        teller = tale.sender,
+                        told = tale.observations.len(),
                         taken = heard.len(),
                         "heard from a peer"
                     );
                     node.feed(Input::Heard { items: heard });
                 }
-                Err(why) => tracing::warn!(teller = tale.teller, %why, "a peer's words are not taken"),
+                Err(why) => tracing::warn!(teller = tale.sender, %why, "a peer's words are not taken"),
             }
             return;
         }
--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -164,7 +164,7 @@
 
 fn tale(items: &str, form: u8) -> Vec<u8> {
     let body = format!("{{\"form\":{form},\"teller\":\"n9\",\"items\":[{items}]}}");
-    linestack_frames::encode(linestack_frames::kind("tale").unwrap(), body.as_bytes()).unwrap()
+    linestack_frames::encode(linestack_frames::kind_number("tale").unwrap(), body.as_bytes()).unwrap()
 }
 
 /// All of the stand-ins' executors, as somebody would have them who means no good.
@@ -235,9 +235,9 @@
     let mut socket = connect();
     let ask = br#"{"form":1,"fleet":"f","node":"x"}"#;
     socket.write_all(&linestack_frames::encode(13, ask).unwrap()).unwrap();
-    let mut answer = [0; linestack_frames::HEAD];
+    let mut answer = [0; linestack_frames::HEADER_LENGTH];
     socket.read_exact(&mut answer).expect("not told");
-    assert_eq!(answer[4], linestack_frames::kind("tale").unwrap());
+    assert_eq!(answer[4], linestack_frames::kind_number("tale").unwrap());
     drop(silent);
 }
 
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,8 +1,11 @@
-//! What a node that starts may learn from one that runs. Each tells only what it saw itself, with the age that this has on
-//! its own clock; whoever hears it adds all the time from asking to hearing. What is not young is not taken, nor what is
-//! older than own knowledge, nor anything of an executor that the own list does not have ready. A peer that lies can
-//! make a node prefer or avoid executors that it has not met yet, until it meets them: at most a third are avoided, and
-//! discovery, drains and the rules are no matter of peers.
+//! What a starting node may learn from a running one. A node sends only its own observations of executors, each with its
+//! age by the sender's clock; the receiver adds the whole time between its request and the reply. An observation is
+//! dropped if it is too old, older than the receiver's own knowledge, or about an executor that is not ready on the
+//! receiver's own list.
+//!
+//! A peer that sends wrong data can make a node prefer or avoid executors that the node has not contacted yet, until it
+//! contacts them. At most a third of the ready executors can be reported as unresponsive in this way, and peers have no
+//! influence on discovery, drains or the settings.
 
 use std::collections::BTreeSet;
 
@@ -10,119 +13,136 @@
 use thiserror::Error;
 
 pub type Nanos = u64;
-/// Of what is told.
-pub const FORM: u8 = 1;
-/// Executors that a peer may tell of, and characters of a name.
-pub const MOST: usize = 8192;
-pub const LONGEST: usize = 256;
-/// Of the executors that are ready, one in so many may be avoided on a peer's word.
-const AVOIDED: usize = 3;
+/// The version of the snapshot format.
+pub const FORMAT_VERSION: u8 = 1;
+/// The largest number of executors in a snapshot.
+pub const MAX_EXECUTORS: usize = 8192;
+/// The longest name of an executor, in bytes.
+pub const MAX_NAME_LENGTH: usize = 256;
+/// At most one in this many of the ready executors may be marked unresponsive on a peer's report.
+const MAX_UNRESPONSIVE_DIVISOR: usize = 3;
 
-/// A load report's figures.
+/// The figures of an executor's load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct LoadFigures {
     pub free_slots: Option<f32>,
     pub free_memory: Option<f32>,
-    pub waiting: Option<f32>,
-    pub in_hand: Option<f32>,
+    #[serde(rename = "waiting")]
+    pub queued_jobs: Option<f32>,
+    #[serde(rename = "in_hand")]
+    pub active_jobs: Option<f32>,
 }
 
-impl Figures {
-    /// Without what makes no sense.
-    fn sound(self) -> Self {
-        let sound = |f: Option<f32>| f.filter(|f| f.is_finite() && *f >= 0.0);
+impl LoadFigures {
+    /// Drops negative figures and those that are not finite.
+    fn valid(self) -> Self {
+        let valid = |f: Option<f32>| f.filter(|f| f.is_finite() && *f >= 0.0);
         Self {
-            free_slots: sound(self.free_slots),
-            free_memory: sound(self.free_memory),
-            waiting: sound(self.waiting),
-            in_hand: sound(self.in_hand),
+            free_slots: valid(self.free_slots),
+            free_memory: valid(self.free_memory),
+            queued_jobs: valid(self.queued_jobs),
+            active_jobs: valid(self.active_jobs),
         }
     }
 }
 
-/// What a node saw of an executor last.
+/// The latest observation of one executor by the sending node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Item {
+pub struct ExecutorObservation {
     pub name: String,
-    /// Since it saw that itself, in ms.
+    /// The time since the sender made this observation, in milliseconds.
     pub age_ms: u64,
-    /// It did not answer.
-    pub silent: bool,
-    pub figures: Option<Figures>,
+    /// Whether the executor did not answer.
+    #[serde(rename = "silent")]
+    pub unresponsive: bool,
+    pub figures: Option<LoadFigures>,
 }
 
+/// The observations that a running node sends to a starting one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tale {
-    pub form: u8,
-    pub teller: String,
-    pub items: Vec<Item>,
+pub struct PeerSnapshot {
+    #[serde(rename = "form")]
+    pub format_version: u8,
+    #[serde(rename = "teller")]
+    pub sender: String,
+    #[serde(rename = "items")]
+    pub observations: Vec<ExecutorObservation>,
 }
 
-/// What the one that hears it knows of an executor.
+/// What the receiver itself knows of an executor.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Own {
-    /// Its list has it ready.
+pub struct LocalKnowledge {
+    /// Whether the executor is ready on the receiver's list.
     pub ready: bool,
-    /// When it saw something of it itself.
+    /// When the receiver last observed the executor itself.
     pub seen: Option<Nanos>,
 }
 
-/// What is taken from a tale.
+/// An observation taken over from a snapshot.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard {
+pub struct Observation {
     pub name: String,
-    pub silent: bool,
-    pub figures: Option<Figures>,
+    pub unresponsive: bool,
+    pub figures: Option<LoadFigures>,
 }
 
+/// The reason why a whole snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
-    #[error("of form {0}, and this reads {FORM}")]
-    Form(u8),
-    #[error("told by this node itself")]
-    Teller,
-    #[error("tells of {0} executors, {MOST} at most")]
-    Many(usize),
+pub enum SnapshotError {
+    #[error("unsupported snapshot format {0}; this version reads {FORMAT_VERSION}")]
+    FormatVersion(u8),
+    #[error("the snapshot was sent by this node itself")]
+    OwnSnapshot,
+    #[error("the snapshot has {0} executors, more than {MAX_EXECUTORS}")]
+    TooManyExecutors(usize),
 }
 
-/// What of a tale may be gone by. It was asked for and heard at these times of the own clock; only what was seen within
-/// `young` before counts.
+/// Returns the observations of a snapshot that `me` may use. The snapshot was requested and received at the given times
+/// of the local clock; only observations younger than `max_age` count. `local` returns the local knowledge of an
+/// executor, and `ready` is the number of ready executors on the local list.
 ///
 /// # Errors
 ///
-/// Nothing of it may.
-pub fn learn(
-    tale: &Tale,
+/// The whole snapshot is unusable.
+pub fn usable_observations(
+    snapshot: &PeerSnapshot,
     me: &str,
-    (asked, came): (Nanos, Nanos),
-    young: Nanos,
-    own: impl Fn(&str) -> Own,
+    (requested, received): (Nanos, Nanos),
+    max_age: Nanos,
+    local: impl Fn(&str) -> LocalKnowledge,
     ready: usize,
-) -> Result<Vec<Heard>, Fault> {
-    if tale.form != FORM {
-        return Err(Fault::Form(tale.form));
+) -> Result<Vec<Observation>, SnapshotError> {
+    if snapshot.format_version != FORMAT_VERSION {
+        return Err(SnapshotError::FormatVersion(snapshot.format_version));
     }
-    if tale.teller == me {
-        return Err(Fault::Teller);
+    if snapshot.sender == me {
+        return Err(SnapshotError::OwnSnapshot);
     }
-    if tale.items.len() > MOST {
-        return Err(Fault::Many(tale.items.len()));
+    if snapshot.observations.len() > MAX_EXECUTORS {
+        return Err(SnapshotError::TooManyExecutors(snapshot.observations.len()));
     }
-    let (mut taken, mut named) = (Vec::new(), BTreeSet::new());
-    for item in &tale.items {
-        // It may have been told at any time since it was asked for.
-        let age = item.age_ms.saturating_mul(1_000_000).saturating_add(came.saturating_sub(asked));
-        let known = own(&item.name);
-        let newer = known.seen.is_some_and(|seen| seen.saturating_add(age) >= came);
-        if age >= young || !known.ready || newer || item.name.len() > LONGEST || !named.insert(&item.name) {
+    let (mut taken, mut names) = (Vec::new(), BTreeSet::new());
+    for observation in &snapshot.observations {
+        // The snapshot may have been made at any time since it was requested.
+        let age =
+            observation.age_ms.saturating_mul(1_000_000).saturating_add(received.saturating_sub(requested));
+        let known = local(&observation.name);
+        let local_is_newer = known.seen.is_some_and(|seen| seen.saturating_add(age) >= received);
+        if age >= max_age
+            || !known.ready
+            || local_is_newer
+            || observation.name.len() > MAX_NAME_LENGTH
+            || !names.insert(&observation.name)
+        {
             continue;
         }
-        let (name, silent) = (item.name.clone(), item.silent);
-        taken.push(Heard { name, silent, figures: item.figures.filter(|_| !silent).map(Figures::sound) });
+        let (name, unresponsive) = (observation.name.clone(), observation.unresponsive);
+        let figures = observation.figures.filter(|_| !unresponsive).map(LoadFigures::valid);
+        taken.push(Observation { name, unresponsive, figures });
     }
-    // More than that is not believed: it would leave the rest to bear it.
-    if taken.iter().filter(|h| h.silent).count() > ready / AVOIDED {
-        taken.retain(|h| !h.silent);
+    // More unresponsive executors than this are not believed: avoiding them all would overload the rest.
+    if taken.iter().filter(|o| o.unresponsive).count() > ready / MAX_UNRESPONSIVE_DIVISOR {
+        taken.retain(|o| !o.unresponsive);
     }
     Ok(taken)
 }
--- a/crates/peers/tests/learn.rs
+++ b/crates/peers/tests/learn.rs
@@ -1,66 +1,78 @@
-//! What is taken from a peer, and what is not.
+//! Which observations of a peer are used, and which are dropped.
 
-use linestack_peers::{FORM, Fault, Figures, Heard, Item, MOST, Nanos, Own, Tale, learn};
+use linestack_peers::{
+    ExecutorObservation, FORMAT_VERSION, LoadFigures, LocalKnowledge, MAX_EXECUTORS, Nanos, Observation,
+    PeerSnapshot, SnapshotError, usable_observations,
+};
 use rstest::rstest;
 
 const MS: Nanos = 1_000_000;
 
-fn item(name: &str, age_ms: u64, silent: bool) -> Item {
-    let figures = Some(Figures { free_slots: Some(3.0), ..Figures::default() });
-    Item { name: name.into(), age_ms, silent, figures }
+fn observed(name: &str, age_ms: u64, unresponsive: bool) -> ExecutorObservation {
+    let figures = Some(LoadFigures { free_slots: Some(3.0), ..LoadFigures::default() });
+    ExecutorObservation { name: name.into(), age_ms, unresponsive, figures }
 }
 
-fn tale(items: Vec<Item>) -> Tale {
-    Tale { form: FORM, teller: "n1".into(), items }
+fn snapshot(observations: Vec<ExecutorObservation>) -> PeerSnapshot {
+    PeerSnapshot { format_version: FORMAT_VERSION, sender: "n1".into(), observations }
 }
 
-/// Of six ready ones `met` was seen 100 ms ago; `gone` is not ready. Asked 50 ms before it came.
-fn heard(tale: &Tale) -> Result<Vec<Heard>, Fault> {
-    let own = |name: &str| Own {
+/// Takes a snapshot that was received 50 ms after it was requested. Of the six ready executors the node itself observed
+/// `met` 100 ms ago; `gone` and `unknown` are not ready.
+fn usable(snapshot: &PeerSnapshot) -> Result<Vec<Observation>, SnapshotError> {
+    let local = |name: &str| LocalKnowledge {
         ready: name != "gone" && name != "unknown",
         seen: (name == "met").then_some(9_900 * MS),
     };
-    learn(tale, "n0", (9_950 * MS, 10_000 * MS), 1000 * MS, own, 6)
+    usable_observations(snapshot, "n0", (9_950 * MS, 10_000 * MS), 1000 * MS, local, 6)
 }
 
 #[rstest]
-#[case::young(vec![item("a", 10, false)], &["a"])]
-#[case::just_young(vec![item("a", 949, false)], &["a"])]
-#[case::aged_on_the_way(vec![item("a", 950, false)], &[])]
-#[case::healthy_20_s_ago(vec![item("a", 20_000, false)], &[])]
-#[case::an_age_beyond_all(vec![item("a", u64::MAX, false)], &[])]
-#[case::older_than_own(vec![item("met", 60, false)], &[])]
-#[case::newer_than_own(vec![item("met", 40, false)], &["met"])]
-#[case::not_ready(vec![item("gone", 10, false), item("unknown", 10, false)], &[])]
-#[case::said_twice(vec![item("a", 10, false), item("a", 10, true)], &["a"])]
-#[case::two_silent(vec![item("a", 10, true), item("b", 10, true)], &["a", "b"])]
-#[case::too_many_silent(vec![item("a", 10, true), item("b", 10, true), item("c", 10, true), item("d", 10, false)], &["d"])]
-#[case::a_name_without_end(vec![item(&"x".repeat(300), 10, false)], &[])]
-fn taken(#[case] items: Vec<Item>, #[case] names: &[&str]) {
-    let taken: Vec<String> = heard(&tale(items)).unwrap().into_iter().map(|h| h.name).collect();
+#[case::young(vec![observed("a", 10, false)], &["a"])]
+#[case::just_young_enough(vec![observed("a", 949, false)], &["a"])]
+#[case::too_old_on_arrival(vec![observed("a", 950, false)], &[])]
+#[case::healthy_20_s_ago(vec![observed("a", 20_000, false)], &[])]
+#[case::largest_age(vec![observed("a", u64::MAX, false)], &[])]
+#[case::older_than_own(vec![observed("met", 60, false)], &[])]
+#[case::newer_than_own(vec![observed("met", 40, false)], &["met"])]
+#[case::not_ready(vec![observed("gone", 10, false), observed("unknown", 10, false)], &[])]
+#[case::duplicate(vec![observed("a", 10, false), observed("a", 10, true)], &["a"])]
+#[case::two_unresponsive(vec![observed("a", 10, true), observed("b", 10, true)], &["a", "b"])]
+#[case::too_many_unresponsive(
+    vec![observed("a", 10, true), observed("b", 10, true), observed("c", 10, true), observed("d", 10, false)],
+    &["d"]
+)]
+#[case::name_too_long(vec![observed(&"x".repeat(300), 10, false)], &[])]
+fn usable_names(#[case] observations: Vec<ExecutorObservation>, #[case] names: &[&str]) {
+    let taken: Vec<String> = usable(&snapshot(observations)).unwrap().into_iter().map(|o| o.name).collect();
     assert_eq!(taken, names);
 }
 
 #[test]
-fn refused_whole() {
-    let good = tale(vec![item("a", 10, false)]);
-    assert_eq!(heard(&Tale { form: 2, ..good.clone() }), Err(Fault::Form(2)));
-    assert_eq!(heard(&Tale { teller: "n0".into(), ..good }), Err(Fault::Teller));
-    let many = (0..=MOST).map(|i| item(&i.to_string(), 10, false)).collect();
-    assert_eq!(heard(&tale(many)), Err(Fault::Many(MOST + 1)));
+fn unusable_snapshots_are_rejected() {
+    let good = snapshot(vec![observed("a", 10, false)]);
+    assert_eq!(
+        usable(&PeerSnapshot { format_version: 2, ..good.clone() }),
+        Err(SnapshotError::FormatVersion(2))
+    );
+    assert_eq!(usable(&PeerSnapshot { sender: "n0".into(), ..good }), Err(SnapshotError::OwnSnapshot));
+    let many = (0..=MAX_EXECUTORS).map(|i| observed(&i.to_string(), 10, false)).collect();
+    assert_eq!(usable(&snapshot(many)), Err(SnapshotError::TooManyExecutors(MAX_EXECUTORS + 1)));
 }
 
 #[test]
-fn figures_that_make_no_sense() {
-    let figures = Figures {
+fn invalid_figures_are_dropped() {
+    let figures = LoadFigures {
         free_slots: Some(f32::NAN),
         free_memory: Some(-1.0),
-        waiting: Some(f32::INFINITY),
-        in_hand: Some(2.0),
+        queued_jobs: Some(f32::INFINITY),
+        active_jobs: Some(2.0),
     };
-    let told = Item { figures: Some(figures), ..item("a", 10, false) };
-    let [Heard { figures: Some(taken), .. }] = &heard(&tale(vec![told])).unwrap()[..] else { panic!() };
-    assert_eq!(*taken, Figures { in_hand: Some(2.0), ..Figures::default() });
-    // Of one that is silent there are none.
-    assert_eq!(heard(&tale(vec![item("a", 10, true)])).unwrap()[0].figures, None);
+    let sent = ExecutorObservation { figures: Some(figures), ..observed("a", 10, false) };
+    let [Observation { figures: Some(taken), .. }] = &usable(&snapshot(vec![sent])).unwrap()[..] else {
+        panic!()
+    };
+    assert_eq!(*taken, LoadFigures { active_jobs: Some(2.0), ..LoadFigures::default() });
+    // An unresponsive executor has no figures.
+    assert_eq!(usable(&snapshot(vec![observed("a", 10, true)])).unwrap()[0].figures, None);
 }
--- a/crates/recovery/src/start.rs
+++ b/crates/recovery/src/start.rs
@@ -1,28 +1,31 @@
-//! The stages of a start: what a node has, what it waits for, what it may take meanwhile, and how fast it may draw on
-//! what the whole fleet shares. It knows nothing of who else starts: each keeps its part of a budget that is the fleet's.
+//! The staged start of a node: which evidence the node has, what it waits for, how many submissions it may take in the
+//! meantime, and how fast it may use resources that the whole fleet shares. A node does not know which others are
+//! starting; each keeps to its share of a fleet-wide budget.
 
 use std::collections::BTreeSet;
 
 pub type Nanos = u64;
-const SECOND: f64 = 1e9;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// How far a start has come.
+/// How far a start has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// It is not proved that the terms are current: nothing is taken.
+    /// The settings are not confirmed as current: no submission is taken.
     Version,
-    /// There is no list that may be gone by: nothing is taken.
+    /// There is no usable list of executors: no submission is taken.
     List,
-    /// Executors are met: what is in hand is bounded by what they have answered.
+    /// Executors are being contacted; the number of active submissions is bounded by how many executors have answered.
     Known,
-    /// Its part of the load is taken on, as fast as executors answer.
+    /// The node takes on its share of the load, as fast as executors answer.
     Share,
+    /// The start is complete: the start sets no limits any more.
     Full,
 }
 
 impl Stage {
+    /// Returns the name of the stage, as it is logged and sent to coordinators.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Version => "version",
             Self::List => "list",
@@ -32,15 +35,15 @@
         }
     }
 
-    /// Whether clients should come.
+    /// Returns whether clients should send requests to a node in this stage.
     #[must_use]
     pub fn serves(self) -> bool {
         self >= Self::Known
     }
 
-    /// What it waits for.
+    /// Returns what a node in this stage waits for, for the log.
     #[must_use]
-    pub fn why(self) -> &'static str {
+    pub fn waits_for(self) -> &'static str {
         match self {
             Self::Version => "no coordinator has proved the terms current",
             Self::List => "discovery has told no list",
@@ -51,259 +54,281 @@
     }
 }
 
-/// What a start keeps to. Rates are the whole fleet's, a second; 0 is no bound.
+/// The limits of a staged start. Rates are per second and hold for the whole fleet; 0 means no limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// How many may start at once, at the most.
+pub struct StartLimits {
+    /// The largest number of nodes that may start at once.
     pub nodes: u32,
-    /// At first; it doubles each half second.
+    /// The initial rate of connections to executors; it doubles every half second.
     pub connects_per_s: f64,
+    /// The rate of requests to discovery for the list.
     pub lists_per_s: f64,
+    /// The rate of new sessions with coordinators.
     pub sessions_per_s: f64,
-    /// After so long without discovery's word an old list is gone by, where there is one.
-    pub list_within: Nanos,
-    /// After so long in a stage the next one begins though its evidence is not there.
-    pub known_within: Nanos,
-    pub share_within: Nanos,
+    /// After this time without a list from discovery the node uses a stored list, if it has one.
+    pub list_timeout: Nanos,
+    /// The longest time in [`Stage::Known`]; the next stage then begins without the evidence.
+    pub known_timeout: Nanos,
+    /// The longest time in [`Stage::Share`]; the next stage then begins without the evidence.
+    pub share_timeout: Nanos,
 }
 
-/// In hand at first, whatever executors have answered; one more for each answer.
-const FIRST: f64 = 4.0;
-/// While executors are met: what may be in hand for each that has answered.
-const EACH: f64 = 4.0;
-/// The share is taken once nothing was turned away for so long.
-const CALM: Nanos = 500_000_000;
-/// Connections that wait for their turn longer than this keep more from being taken.
-const QUEUED: Nanos = 250_000_000;
-
-/// Keeps a rate: one after the other, each at its time. The first comes at a time drawn, so that those who begin
-/// together do not come together. With a ramp the rate doubles each time that it has passed: how many a node needs
-/// where nothing starts is known to nobody, and a rate below that would hold it for good.
+/// The initial limit of active submissions, before any executor has answered. Each answer raises the limit by one.
+const INITIAL_LIMIT: f64 = 4.0;
+/// In [`Stage::Known`], the active submissions allowed for each executor that has answered.
+const LIMIT_PER_EXECUTOR: f64 = 4.0;
+/// [`Stage::Share`] ends once no submission has been rejected for this long.
+const NO_REJECTION_PERIOD: Nanos = 500_000_000;
+/// While new connections are delayed by more than this, no further submissions are taken.
+const MAX_CONNECT_DELAY: Nanos = 250_000_000;
+
+/// A rate limiter that spaces events evenly. The first event has a random delay within one interval, so that nodes that
+/// start together do not act together. A limiter with a ramp doubles its rate each time the ramp's length has passed:
+/// the rate that a node needs once no node is starting is unknown, and a fixed rate below it would slow the node
+/// permanently.
 #[derive(Clone, Copy, Debug)]
 struct Pace {
-    gap: Nanos,
+    interval: Nanos,
     next: Nanos,
     ramp: Nanos,
-    /// When the first had its turn.
-    begun: Option<Nanos>,
+    /// When the first event was due.
+    first_at: Option<Nanos>,
 }
 
-/// The rate of connections doubles after so long.
-const RAMP: Nanos = 500_000_000;
+/// The period after which the rate of connections doubles.
+const CONNECT_RATE_DOUBLING: Nanos = 500_000_000;
 
 impl Pace {
-    fn new(per_s: f64, nodes: u32, now: Nanos, drawn: f64) -> Self {
-        let gap = if per_s > 0.0 { (f64::from(nodes.max(1)) / per_s * SECOND) as Nanos } else { 0 };
-        Self { gap, next: now + (gap as f64 * drawn) as Nanos, ramp: Nanos::MAX, begun: None }
+    fn new(per_s: f64, nodes: u32, now: Nanos, random: f64) -> Self {
+        let interval =
+            if per_s > 0.0 { (f64::from(nodes.max(1)) / per_s * NANOS_PER_SECOND) as Nanos } else { 0 };
+        Self { interval, next: now + (interval as f64 * random) as Nanos, ramp: Nanos::MAX, first_at: None }
     }
 
     fn ramped(self) -> Self {
-        Self { ramp: RAMP, ..self }
+        Self { ramp: CONNECT_RATE_DOUBLING, ..self }
     }
 
-    fn gap(&self, now: Nanos) -> Nanos {
-        let passed = now.saturating_sub(self.begun.unwrap_or(now)) / self.ramp;
-        self.gap >> passed.min(63)
+    fn interval(&self, now: Nanos) -> Nanos {
+        let doublings = now.saturating_sub(self.first_at.unwrap_or(now)) / self.ramp;
+        self.interval >> doublings.min(63)
     }
 
-    /// When the next may come.
-    fn turn(&mut self, now: Nanos) -> Nanos {
+    /// Reserves the next free time slot and returns it.
+    fn reserve(&mut self, now: Nanos) -> Nanos {
         let at = self.next.max(now);
-        self.begun.get_or_insert(at);
-        self.next = at + self.gap(at);
+        self.first_at.get_or_insert(at);
+        self.next = at + self.interval(at);
         at
     }
 }
 
+/// The state machine of a staged start.
 #[derive(Clone, Debug)]
-pub struct Start {
-    terms: Terms,
+pub struct StagedStart {
+    limits: StartLimits,
     stage: Stage,
+    /// When the current stage began.
     since: Nanos,
-    proved: bool,
+    settings_confirmed: bool,
+    /// A list that counts as current has been received.
     listed: bool,
-    /// The list that it is given at first is as young as one just told.
-    fresh: bool,
-    /// An older one is there to go on by.
-    old: bool,
-    /// How many executors the list has ready.
+    /// The stored list is recent enough to count as one just received from discovery.
+    list_is_fresh: bool,
+    /// A stored list of unknown or greater age is there as a fallback, and was not used yet.
+    has_old_list: bool,
+    /// The number of ready executors on the list.
     ready: usize,
-    met: BTreeSet<u32>,
-    /// What may be in hand, and when it was last too little.
+    /// The executors that have answered.
+    answered: BTreeSet<u32>,
+    /// The number of submissions that may be active.
     limit: f64,
-    short: Nanos,
-    turned_away: u64,
+    /// When a submission was last rejected.
+    last_rejection: Nanos,
+    rejected_submissions: u64,
     connects: Pace,
     lists: Pace,
-    /// The turn that the next call for the list has.
-    call: Option<Nanos>,
+    /// The time slot reserved for the next request for the list.
+    list_request_at: Option<Nanos>,
 }
 
-/// What a start finds.
+/// The conditions under which a start begins.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Found {
-    /// It is in no fleet that has to prove its terms.
-    pub proved: bool,
-    /// The list that it is given at first is as young as one just told.
-    pub fresh: bool,
-    /// An old list is there to go on by, should discovery stay silent.
-    pub old: bool,
+pub struct StartConditions {
+    /// The node belongs to no fleet whose coordinators would have to confirm the settings.
+    pub settings_confirmed: bool,
+    /// The stored list is recent enough to count as one just received from discovery.
+    pub list_is_fresh: bool,
+    /// A stored list is there as a fallback, in case discovery does not answer.
+    pub has_old_list: bool,
 }
 
-impl Start {
-    /// One that begins now; `drawn` are numbers from 0 to 1 by chance.
+impl StagedStart {
+    /// Begins a start now. `random` are random numbers from 0 to 1: for the first connection and the first request for
+    /// the list.
     #[must_use]
-    pub fn new(terms: Terms, found: Found, drawn: [f64; 2], now: Nanos) -> Self {
-        let Found { proved, fresh, old } = found;
+    pub fn new(limits: StartLimits, conditions: StartConditions, random: [f64; 2], now: Nanos) -> Self {
+        let StartConditions { settings_confirmed, list_is_fresh, has_old_list } = conditions;
         Self {
-            terms,
+            limits,
             stage: Stage::Version,
             since: now,
-            proved,
+            settings_confirmed,
             listed: false,
-            fresh,
-            old,
+            list_is_fresh,
+            has_old_list,
             ready: 0,
-            met: BTreeSet::new(),
-            limit: FIRST,
-            short: now,
-            turned_away: 0,
-            connects: Pace::new(terms.connects_per_s, terms.nodes, now, drawn[0]).ramped(),
-            lists: Pace::new(terms.lists_per_s, terms.nodes, now, drawn[1]),
-            call: None,
+            answered: BTreeSet::new(),
+            limit: INITIAL_LIMIT,
+            last_rejection: now,
+            rejected_submissions: 0,
+            connects: Pace::new(limits.connects_per_s, limits.nodes, now, random[0]).ramped(),
+            lists: Pace::new(limits.lists_per_s, limits.nodes, now, random[1]),
+            list_request_at: None,
         }
     }
 
+    /// Returns the current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Submissions turned away since the start for being too many at its stage.
+    /// Returns how many submissions were rejected since the start because of the limit of their stage.
     #[must_use]
-    pub fn turned_away(&self) -> u64 {
-        self.turned_away
+    pub fn rejected_submissions(&self) -> u64 {
+        self.rejected_submissions
     }
 
-    /// Whether the old list is to be gone by, since discovery has told none in time. Asked once.
-    pub fn by_old(&mut self) -> bool {
-        self.stage >= Stage::Known && !self.listed && std::mem::take(&mut self.old)
+    /// Returns whether the old list is to be used now because discovery sent none in time. Returns true only once.
+    pub fn should_use_old_list(&mut self) -> bool {
+        self.stage >= Stage::Known && !self.listed && std::mem::take(&mut self.has_old_list)
     }
 
-    /// Goes on to the next stage if evidence or time allow it. Returns the stage that was reached.
-    pub fn step(&mut self, now: Nanos) -> Option<Stage> {
+    /// Moves on to the next stage if evidence or time allow it. Returns the stage reached, or none if it did not move.
+    pub fn advance(&mut self, now: Nanos) -> Option<Stage> {
         let waited = now.saturating_sub(self.since);
-        let (on, next) = match self.stage {
-            // No time makes old terms current: the way on is the coordinators' alone.
-            Stage::Version => (self.proved, Stage::List),
-            Stage::List => (self.listed || (self.old && waited >= self.terms.list_within), Stage::Known),
+        let (done, next) = match self.stage {
+            // There is no time-out here: old settings do not become current by waiting. Only the coordinators can
+            // confirm them.
+            Stage::Version => (self.settings_confirmed, Stage::List),
+            Stage::List => {
+                (self.listed || (self.has_old_list && waited >= self.limits.list_timeout), Stage::Known)
+            }
             Stage::Known => {
-                let met = 2 * self.met.len() >= self.ready.max(1);
-                (met || waited >= self.terms.known_within, Stage::Share)
+                let half_answered = 2 * self.answered.len() >= self.ready.max(1);
+                (half_answered || waited >= self.limits.known_timeout, Stage::Share)
             }
             Stage::Share => {
-                let calm = now.saturating_sub(self.short.max(self.since)) >= CALM;
-                (calm || waited >= self.terms.share_within, Stage::Full)
+                let no_rejections =
+                    now.saturating_sub(self.last_rejection.max(self.since)) >= NO_REJECTION_PERIOD;
+                (no_rejections || waited >= self.limits.share_timeout, Stage::Full)
             }
             Stage::Full => (false, Stage::Full),
         };
-        if on {
+        if done {
             (self.stage, self.since) = (next, now);
         }
-        on.then_some(next)
+        done.then_some(next)
     }
 
-    /// When time alone may bring it on.
+    /// Returns the next time at which [`advance`](Self::advance) may move on without further evidence.
     #[must_use]
     pub fn next_due(&self) -> Nanos {
         match self.stage {
-            Stage::List if self.old => self.since + self.terms.list_within,
-            Stage::Known => self.since + self.terms.known_within,
-            Stage::Share => (self.short.max(self.since) + CALM).min(self.since + self.terms.share_within),
+            Stage::List if self.has_old_list => self.since + self.limits.list_timeout,
+            Stage::Known => self.since + self.limits.known_timeout,
+            Stage::Share => (self.last_rejection.max(self.since) + NO_REJECTION_PERIOD)
+                .min(self.since + self.limits.share_timeout),
             Stage::Version | Stage::List | Stage::Full => Nanos::MAX,
         }
     }
 
-    /// The terms are proved current.
-    pub fn proved(&mut self) {
-        self.proved = true;
+    /// Records that the settings are confirmed as current.
+    pub fn confirm_settings(&mut self) {
+        self.settings_confirmed = true;
     }
 
-    /// A list came, with so many ready: told by discovery, or kept from before.
-    pub fn listed(&mut self, told: bool, ready: usize) {
-        self.listed |= told || (self.fresh && ready > 0);
+    /// Records a list with `ready` ready executors, either received from discovery or read from the store.
+    pub fn list_received(&mut self, from_discovery: bool, ready: usize) {
+        self.listed |= from_discovery || (self.list_is_fresh && ready > 0);
         self.ready = ready;
     }
 
-    /// An executor answered an execution.
-    pub fn answered(&mut self, executor: u32) {
+    /// Records that an executor answered an execution.
+    pub fn executor_answered(&mut self, executor: u32) {
         if self.stage < Stage::Full {
-            self.met.insert(executor);
+            self.answered.insert(executor);
             self.limit += 1.0;
         }
     }
 
-    /// One turned an execution away, or did not answer it: there is less room than was hoped for.
-    pub fn refused(&mut self) {
-        self.limit = (self.limit / 2.0).max(FIRST);
+    /// Records that an executor rejected an execution or did not answer it: there is less capacity than assumed.
+    pub fn execution_rejected(&mut self) {
+        self.limit = (self.limit / 2.0).max(INITIAL_LIMIT);
     }
 
-    /// Whether another may be taken, with so many in hand.
-    pub fn admits(&mut self, now: Nanos, in_hand: usize) -> bool {
+    /// Returns whether another submission may be taken while `active` of them are active. Counts a rejection if not.
+    pub fn admits(&mut self, now: Nanos, active: usize) -> bool {
         let most = match self.stage {
             Stage::Full => return true,
             Stage::Version | Stage::List => 0.0,
-            Stage::Known => self.limit.min(FIRST + EACH * self.met.len() as f64),
+            Stage::Known => self.limit.min(INITIAL_LIMIT + LIMIT_PER_EXECUTOR * self.answered.len() as f64),
             Stage::Share => self.limit,
         };
-        let fits = (in_hand as f64) < most && self.connects.next <= now + self.connects.gap(now) + QUEUED;
+        let fits = (active as f64) < most
+            && self.connects.next <= now + self.connects.interval(now) + MAX_CONNECT_DELAY;
         if !fits {
-            (self.short, self.turned_away) = (now, self.turned_away + 1);
+            (self.last_rejection, self.rejected_submissions) = (now, self.rejected_submissions + 1);
         }
         fits
     }
 
-    /// When the next connection to an executor may be made.
-    pub fn connect_at(&mut self, now: Nanos) -> Nanos {
-        if self.stage == Stage::Full { now } else { self.connects.turn(now) }
+    /// Reserves the time slot of the next connection to an executor and returns it.
+    pub fn schedule_connect(&mut self, now: Nanos) -> Nanos {
+        if self.stage == Stage::Full { now } else { self.connects.reserve(now) }
     }
 
-    /// When the list may be asked for: now, or at a time at which this is to be asked again.
-    pub fn list_at(&mut self, now: Nanos) -> Nanos {
+    /// Returns `now` if the list may be requested at once, or else the time at which this is to be called again.
+    pub fn schedule_list_request(&mut self, now: Nanos) -> Nanos {
         if self.stage == Stage::Full {
             return now;
         }
-        let turn = self.call.take().unwrap_or_else(|| self.lists.turn(now));
-        self.call = (turn > now).then_some(turn);
-        turn.max(now)
+        let slot = self.list_request_at.take().unwrap_or_else(|| self.lists.reserve(now));
+        self.list_request_at = (slot > now).then_some(slot);
+        slot.max(now)
     }
 }
 
-/// Before a session with coordinators is opened, or opened again: by a number drawn from 0 to 1.
+/// Returns how long to wait before a session with coordinators is opened or reopened; `random` is a random number from 0
+/// to 1.
 #[must_use]
-pub fn session_after(terms: &Terms, drawn: f64) -> Nanos {
-    Pace::new(terms.sessions_per_s, terms.nodes, 0, drawn).next
+pub fn session_delay(limits: &StartLimits, random: f64) -> Nanos {
+    Pace::new(limits.sessions_per_s, limits.nodes, 0, random).next
 }
 
-/// When something was kept, by a clock that goes on over a restart of the process, and which run of the machine's
-/// that clock counts from.
+/// A time on a clock that keeps running while the process is down, together with the boot of the machine since which
+/// that clock counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct BootTimestamp {
+    /// The id of the machine's boot; 0 if it is unknown.
     pub boot: u128,
+    /// Nanoseconds since that boot.
     pub at: Nanos,
 }
 
-impl Kept {
-    /// How old it is now; none where no clock tells: the machine was started since, or the clock is behind.
+impl BootTimestamp {
+    /// Returns the time passed since this timestamp, or none if it can't be known: the machine was rebooted since, its
+    /// boot id is unknown, or `now` is earlier.
     #[must_use]
     pub fn age(&self, now: &Self) -> Option<Nanos> {
         (self.boot == now.boot && self.boot != 0).then(|| now.at.checked_sub(self.at)).flatten()
     }
 }
 
-/// Something that was kept is gone by as if it were known now only while it is younger than this; one of an age that
-/// nobody knows never is.
+/// Returns whether stored data of this age may be used as if it were current: only if it is younger than `max_age`. Data
+/// of unknown age never is.
 #[must_use]
-pub fn fresh(age: Option<Nanos>, within: Nanos) -> bool {
-    age.is_some_and(|age| age < within)
+pub fn is_fresh(age: Option<Nanos>, max_age: Nanos) -> bool {
+    age.is_some_and(|age| age < max_age)
 }
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -338,11 +338,11 @@
         to: &mut TcpStream,
     ) -> Result<(), Broken> {
         loop {
-            let frame = match reader.take() {
+            let frame = match reader.next_frame() {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
                 // No frame: whoever reads it is to find out.
-                Err(_) => return self.pass(connection, side, std::mem::take(reader).held(), to),
+                Err(_) => return self.pass(connection, side, std::mem::take(reader).buffered(), to),
             };
             let bytes = encode(frame.kind, &frame.body).map_err(|_| Broken)?;
             match self.take_frame_fault(side, frame.kind) {
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -1,6 +1,6 @@
 //! What is started, and what is done to it in which order. A plan is a TOML file, checked as a whole.
 
-use linestack_frames::kind;
+use linestack_frames::kind_number;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -326,7 +326,7 @@
                 must(processes.iter().any(|p| meant(by, p)) || by == "rig", &key("by"), "no such process");
             }
             if let Some(frame) = &step.frame {
-                must(kind(frame).is_some(), &key("frame"), "no such kind of frame");
+                must(kind_number(frame).is_some(), &key("frame"), "no such kind of frame");
                 let way = step.way.as_deref().unwrap_or("*>*");
                 must(ways.iter().any(|w| meant(way, w)), &key("way"), "no such way");
             }
@@ -367,6 +367,6 @@
     /// The kind of frame that the deed is done to; it stands in `request`.
     #[must_use]
     pub fn frame_for(&self) -> Option<u8> {
-        kind(&self.request)
+        kind_number(&self.request)
     }
 }
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -33,7 +33,7 @@
 
     /// Waits for what a step names, and then for its pace.
     fn wait_for(&mut self, step: &Step) -> io::Result<()> {
-        if let Some(kind) = step.frame.as_deref().and_then(linestack_frames::kind) {
+        if let Some(kind) = step.frame.as_deref().and_then(linestack_frames::kind_number) {
             let link = step.way.clone().unwrap_or_else(|| "*>*".into());
             self.observations.await_frames(AwaitedFrames { link, side: step.side, kind, count: step.count });
         }
--- a/crates/rig/tests/rig.rs
+++ b/crates/rig/tests/rig.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use linestack_frames::{HEAD, encode};
+use linestack_frames::{HEADER_LENGTH, encode};
 use linestack_rig::draw::{draw, shrink};
 use linestack_rig::link::{FrameFault, Link, Side};
 use linestack_rig::plan::{Deed, Plan};
@@ -76,13 +76,13 @@
     let frames = [encode(4, b"one").unwrap(), encode(4, b"two").unwrap()].concat();
     near.write_all(&frames).unwrap();
     let count = order.len() / 3;
-    let expected = (HEAD + 3) * if trick == Some(FrameFault::Hold) { 1 } else { count };
+    let expected = (HEADER_LENGTH + 3) * if trick == Some(FrameFault::Hold) { 1 } else { count };
     let mut bytes = all(&come, expected);
     if trick == Some(FrameFault::Hold) {
         way.release();
-        bytes.extend(all(&come, HEAD + 3));
+        bytes.extend(all(&come, HEADER_LENGTH + 3));
     }
-    let bodies: Vec<u8> = bytes.chunks(HEAD + 3).flat_map(|f| f[HEAD..].to_vec()).collect();
+    let bodies: Vec<u8> = bytes.chunks(HEADER_LENGTH + 3).flat_map(|f| f[HEADER_LENGTH..].to_vec()).collect();
     assert_eq!(bodies, order);
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,31 +8,31 @@
 /// What a node is started with.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub orders: StandingOrders,
+    pub dispatch: StandingOrders,
     pub layout: ReportLayout,
     pub names: Names,
     /// The longest that a client of any product waits.
-    pub longest_cut_off: Nanos,
+    pub longest_deadline: Nanos,
     /// Nodes may send each other messages. This one sends none, and takes none.
-    pub may_tell: bool,
+    pub may_message_peers: bool,
 }
 
 impl Settings {
     /// The first key that a running node can't take over, since what it holds is known by places in these lists,
     /// or was promised by these terms.
     #[must_use]
-    pub fn restart_for(&self, newer: &Self) -> Option<&'static str> {
+    pub fn key_needing_restart(&self, newer: &Self) -> Option<&'static str> {
         let (names, others) = (&self.names, &newer.names);
-        let promised = |s: &Self| s.orders.products.iter().map(|p| p.repeats).collect::<Vec<_>>();
+        let promised = |s: &Self| s.dispatch.products.iter().map(|p| p.repeats).collect::<Vec<_>>();
         let differ = [
             ("settings.products", names.products != others.products || promised(self) != promised(newer)),
             ("settings.tenants", names.tenants != others.tenants),
             ("settings.kinds", names.kinds != others.kinds),
             ("settings.zones", names.zones != others.zones),
-            ("settings.report", names.figures != others.figures || self.layout != newer.layout),
+            ("settings.report", names.report_fields != others.report_fields || self.layout != newer.layout),
             // Its own place, and the way the list is followed.
-            ("settings.az", self.orders.zone != newer.orders.zone),
-            ("settings.discovery", self.orders.ask_within.is_some() != newer.orders.ask_within.is_some()),
+            ("settings.az", self.dispatch.zone != newer.dispatch.zone),
+            ("settings.discovery", self.dispatch.ask_within.is_some() != newer.dispatch.ask_within.is_some()),
         ];
         differ.into_iter().find_map(|(key, differs)| differs.then_some(key))
     }
@@ -46,7 +46,7 @@
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
     /// The figures of a load report.
-    pub figures: Vec<String>,
+    pub report_fields: Vec<String>,
 }
 
 /// Where in a load report each figure stands.
@@ -54,8 +54,8 @@
 pub struct ReportLayout {
     pub free_slots: Option<usize>,
     pub free_memory: Option<usize>,
-    pub waiting: Option<usize>,
-    pub in_hand: Option<usize>,
+    pub queued_jobs: Option<usize>,
+    pub active_jobs: Option<usize>,
 }
 
 impl ReportLayout {
@@ -66,8 +66,8 @@
         let report = Report {
             free_slots: get(self.free_slots),
             free_memory: get(self.free_memory),
-            waiting: get(self.waiting),
-            in_hand: get(self.in_hand),
+            waiting: get(self.queued_jobs),
+            in_hand: get(self.active_jobs),
         };
         (report != Report::default()).then_some(report)
     }
@@ -345,15 +345,15 @@
 
 /// Nanoseconds of a span in milliseconds; what is negative or not a number gives 0.
 #[must_use]
-pub fn nanos(millis: f64) -> Nanos {
+pub fn nanos_from_millis(millis: f64) -> Nanos {
     (millis * 1e6).round() as Nanos
 }
 
 /// Where in the settings something makes no sense, and why.
-pub type Fault = serde_path_to_error::Error<serde_json::Error>;
+pub type SettingsError = serde_path_to_error::Error<serde_json::Error>;
 
 /// Reads the settings object. `seed` is the source of this node's chance.
-pub fn read(text: &[u8], seed: u64) -> Result<Settings, Fault> {
+pub fn read(text: &[u8], seed: u64) -> Result<Settings, SettingsError> {
     let mut info: Info = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))?;
     let family = &info.family_info;
     let (zones, kinds) = (&mut info.zones, &mut info.kinds);
@@ -378,11 +378,11 @@
                     "zone" => Group::Zone,
                     _ => Group::Cell,
                 },
-                memory: nanos(class.memory_span_ms),
+                memory: nanos_from_millis(class.memory_span_ms),
             },
             _ => Repeats::OneShot,
         },
-        agreed: nanos(class.agreed_time_ms),
+        agreed: nanos_from_millis(class.agreed_time_ms),
         stretch: class.aim_stretch.or(family.class_stretch.get(i).copied()).unwrap_or(0.0),
         payoff: class.payoff,
         late_payoff: class.late_payoff,
@@ -397,12 +397,12 @@
     let layout = ReportLayout {
         free_slots: extra("slot"),
         free_memory: extra("memory"),
-        waiting: field("backlog"),
-        in_hand: field("outstanding"),
+        queued_jobs: field("backlog"),
+        active_jobs: field("outstanding"),
     };
     let (limits, rules) = (&info.limits, &info.invariants);
     let some = |span: Nanos| (span > 0).then_some(span);
-    let orders = StandingOrders {
+    let dispatch = StandingOrders {
         seed,
         nodes: info.balancers.max(1),
         zone: info.az,
@@ -416,29 +416,29 @@
         may_duplicate: limits.may_duplicate,
         may_probe: limits.may_probe,
         may_cancel: limits.cancel,
-        come_back: some(nanos(limits.max_retry_after_ms)).filter(|_| limits.retry_after),
+        come_back: some(nanos_from_millis(limits.max_retry_after_ms)).filter(|_| limits.retry_after),
         // Pulses are a part of it.
-        connect_timeout: nanos(limits.connect_timeout_ms.max(5.0)),
-        idle: nanos(limits.conn_idle_ms),
-        answer_slack: nanos(rules.answer_slack_ms),
+        connect_timeout: nanos_from_millis(limits.connect_timeout_ms.max(5.0)),
+        idle: nanos_from_millis(limits.conn_idle_ms),
+        answer_slack: nanos_from_millis(rules.answer_slack_ms),
         cold_from: rules.cold_from,
-        cold_for: nanos(rules.cold_ms),
+        cold_for: nanos_from_millis(rules.cold_ms),
         fall_multiple: rules.fall_multiple,
-        fall_window: nanos(rules.fall_ms),
-        ask_within: some(nanos(rules.must_ask_in_ms)).filter(|_| info.discovery == "on_request"),
-        progress_every: some(nanos(family.progress_ms)),
+        fall_window: nanos_from_millis(rules.fall_ms),
+        ask_within: some(nanos_from_millis(rules.must_ask_in_ms)).filter(|_| info.discovery == "on_request"),
+        progress_every: some(nanos_from_millis(family.progress_ms)),
         tells_start: family.tells_start,
         listed_sizes: matches!(info.weights.as_str(), "nominal" | "rough"),
         counts_memory: family.memory_unit.as_ref().is_some_and(|unit| !unit.is_empty()),
     };
-    let longest_cut_off = nanos(info.products.iter().map(|p| p.cut_off_ms).fold(0.0, f64::max));
-    let may_tell = info.limits.may_tell;
+    let longest_deadline = nanos_from_millis(info.products.iter().map(|p| p.cut_off_ms).fold(0.0, f64::max));
+    let may_message_peers = info.limits.may_tell;
     let names = Names {
         products: info.products.into_iter().map(|p| p.name).collect(),
         tenants: info.tenants.into_iter().map(|t| t.name).collect(),
         kinds: info.kinds,
         zones: info.zones,
-        figures: info.report.fields,
+        report_fields: info.report.fields,
     };
-    Ok(Settings { orders, layout, names, longest_cut_off, may_tell })
+    Ok(Settings { dispatch, layout, names, longest_deadline, may_message_peers })
 }
--- a/crates/settings/tests/places.rs
+++ b/crates/settings/tests/places.rs
@@ -25,7 +25,7 @@
     #[case] zones: Option<Vec<u16>>,
 ) {
     let read = read(settings(product, class_kind).as_bytes(), 1).unwrap();
-    assert_eq!((&read.orders.products[0].kinds, &read.orders.products[0].zones), (&kinds, &zones));
+    assert_eq!((&read.dispatch.products[0].kinds, &read.dispatch.products[0].zones), (&kinds, &zones));
     assert!(read.names.zones.len() >= 2);
 }
 
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -5,7 +5,7 @@
 use linestack_dispatch::decide::Dispatcher;
 use linestack_dispatch::types::{Ending, Event, Listing, Nanos, Order};
 use linestack_settings::{ReportLayout, Settings};
-use linestack_simwire::{Entry, Incoming, Outgoing, Reply};
+use linestack_simwire::{Incoming, ListEntry, Outgoing, Reply};
 
 pub struct Instance {
     node: u16,
@@ -23,7 +23,7 @@
     pub fn new(node: u16, start: Settings) -> Self {
         Self {
             node,
-            dispatcher: Dispatcher::new(start.orders),
+            dispatcher: Dispatcher::new(start.dispatch),
             layout: start.layout,
             submissions: HashMap::new(),
             calls: Vec::new(),
@@ -56,15 +56,15 @@
                         Outgoing::Cancel { call: call(submission), execution: *execution }
                     }
                     Order::Dismiss { submission, come_back } => {
-                        Outgoing::Dismiss { call: call(submission), come_back: come_back.unwrap_or(0) }
+                        Outgoing::Dismiss { call: call(submission), retry_after: come_back.unwrap_or(0) }
                     }
                     Order::Abort { submission } => Outgoing::Abort { call: call(submission) },
                     Order::Probe { worker } => Outgoing::Probe { executor: self.executors[*worker as usize] },
                     Order::Release { worker } => {
-                        Outgoing::Release { executor: self.executors[*worker as usize] }
+                        Outgoing::CloseIdleConnections { executor: self.executors[*worker as usize] }
                     }
                     Order::Subscribe => Outgoing::Subscribe,
-                    Order::Ring { at, token } => Outgoing::Ring { at: *at, token: *token },
+                    Order::Ring { at, token } => Outgoing::SetTimer { at: *at, timer_id: *token },
                     Order::Forget { submission } => {
                         self.submissions.remove(&call(submission));
                         self.free.push(*submission);
@@ -80,15 +80,15 @@
     fn translate(&mut self, event: Incoming) -> Option<Event<'static>> {
         let known = |call: u64| self.submissions.get(&call).copied();
         Some(match event {
-            Incoming::Begin(_) | Incoming::Killed | Incoming::Peer => return None,
-            Incoming::Listed { kind, entries } => {
+            Incoming::Start(_) | Incoming::Killed | Incoming::PeerMessage => return None,
+            Incoming::ListReceived { kind, entries } => {
                 self.listings.clear();
                 for e in entries {
                     let worker = *self.workers.entry(e.executor).or_insert_with(|| {
                         self.executors.push(e.executor);
                         self.executors.len() as u32 - 1
                     });
-                    let Entry { health, kind, zone, cell, started, weight, .. } = e;
+                    let ListEntry { health, kind, zone, cell, started, weight, .. } = e;
                     self.listings.push(Listing { worker, health, kind, zone, cell, started, weight });
                 }
                 Event::Listed { kind, entries: &[] }
@@ -106,11 +106,11 @@
                 self.submissions.insert(call, submission);
                 Event::Submitted { submission, job }
             }
-            Incoming::Left { call } => Event::Left { submission: known(call)? },
+            Incoming::ClientLeft { call } => Event::Left { submission: known(call)? },
             Incoming::Streaming { call, execution } => {
                 Event::Streaming { submission: known(call)?, execution }
             }
-            Incoming::Noted { call, execution } => Event::Noted { submission: known(call)?, execution },
+            Incoming::Progressed { call, execution } => Event::Noted { submission: known(call)?, execution },
             Incoming::Ended { call, execution, executor, outcome, closed, took, figures } => {
                 Event::Ended(Ending {
                     submission: known(call)?,
@@ -127,7 +127,7 @@
                 answered,
                 report: self.layout.report(|place| figures.get(place)),
             },
-            Incoming::Rang { token } => Event::Rang { token },
+            Incoming::TimerFired { timer_id } => Event::Rang { token: timer_id },
         })
     }
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -32,7 +32,7 @@
                 instances.resize_with(place + 1, || None);
             }
             match event {
-                Incoming::Begin(start) => instances[place] = Some(Instance::new(node, *start)),
+                Incoming::Start(start) => instances[place] = Some(Instance::new(node, *start)),
                 Incoming::Killed => instances[place] = None,
                 event => {
                     if let Some(instance) = &mut instances[place] {
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Read, Write};
 
 use linestack_dispatch::types::{Health, Job, ListKind, Nanos, Outcome};
-use linestack_settings::{Settings, nanos};
+use linestack_settings::{Settings, nanos_from_millis};
 use thiserror::Error;
 
 const HEADER: usize = 20;
@@ -14,26 +14,26 @@
 const ENTRY: usize = 23;
 
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum WireError {
     #[error("the frame after batch {after} is cut short: {found} of {wanted} bytes")]
-    CutShort { after: u32, found: usize, wanted: usize },
+    Truncated { after: u32, found: usize, wanted: usize },
     #[error("batch {batch}: {records} records do not fit in {length} bytes")]
-    Length { batch: u32, records: u32, length: u32 },
+    RecordsTooLong { batch: u32, records: u32, length: u32 },
     #[error("batch {batch}: record {record} has the unknown event code {code}")]
-    Code { batch: u32, record: u32, code: u8 },
+    UnknownEvent { batch: u32, record: u32, code: u8 },
     #[error("batch {batch}: record {record} points outside the tail ({offset} + {length} of {tail} bytes)")]
-    Tail { batch: u32, record: u32, offset: u32, length: u64, tail: usize },
-    #[error("batch {batch}: the start text is not usable: {why}")]
-    Start { batch: u32, why: linestack_settings::Fault },
+    OutsideTail { batch: u32, record: u32, offset: u32, length: u64, tail: usize },
+    #[error("batch {batch}: the start text is not usable: {error}")]
+    Settings { batch: u32, error: linestack_settings::SettingsError },
     #[error("batch {batch}: record {record} has the unknown {what} {value}")]
-    Value { batch: u32, record: u32, what: &'static str, value: u8 },
-    #[error("after batch {after}: {why}")]
-    Io { after: u32, why: io::Error },
+    UnknownValue { batch: u32, record: u32, what: &'static str, value: u8 },
+    #[error("after batch {after}: {error}")]
+    Io { after: u32, error: io::Error },
 }
 
 /// A line of a list, with the wire's own id.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListEntry {
     pub executor: u32,
     pub health: Health,
     pub kind: u16,
@@ -46,31 +46,31 @@
 
 /// Up to four figures of a load report, in the order of the site's fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct ReportFigures {
     count: u8,
     values: [f32; 4],
 }
 
 #[derive(Debug)]
 pub enum Incoming {
-    Begin(Box<Settings>),
+    Start(Box<Settings>),
     Killed,
-    Listed {
+    ListReceived {
         kind: ListKind,
-        entries: Vec<Entry>,
+        entries: Vec<ListEntry>,
     },
     Submitted {
         call: u64,
         job: Job,
     },
-    Left {
+    ClientLeft {
         call: u64,
     },
     Streaming {
         call: u64,
         execution: u16,
     },
-    Noted {
+    Progressed {
         call: u64,
         execution: u16,
     },
@@ -81,30 +81,30 @@
         outcome: Outcome,
         closed: bool,
         took: Nanos,
-        figures: Figures,
+        figures: ReportFigures,
     },
     Probed {
         executor: u32,
         answered: Option<bool>,
-        figures: Figures,
+        figures: ReportFigures,
     },
-    Rang {
-        token: u64,
+    TimerFired {
+        timer_id: u64,
     },
     /// A message from another node; nothing here acts on one.
-    Peer,
+    PeerMessage,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Outgoing {
     Cancel { call: u64, execution: u16 },
-    Ring { at: Nanos, token: u64 },
+    SetTimer { at: Nanos, timer_id: u64 },
     Probe { executor: u32 },
     Abort { call: u64 },
     Execute { call: u64, timeout: Nanos, executor: u32 },
-    Release { executor: u32 },
+    CloseIdleConnections { executor: u32 },
     Subscribe,
-    Dismiss { call: u64, come_back: Nanos },
+    Dismiss { call: u64, retry_after: Nanos },
 }
 
 #[derive(Default)]
@@ -117,7 +117,7 @@
 
 impl Batch {
     /// Reads the next batch in place of this one. False at a clean end of the input.
-    pub fn read(&mut self, input: &mut impl Read) -> Result<bool, Fault> {
+    pub fn read(&mut self, input: &mut impl Read) -> Result<bool, WireError> {
         let after = self.number;
         let mut fill = |body: &mut Vec<u8>, wanted: usize| {
             body.clear();
@@ -125,7 +125,7 @@
                 .by_ref()
                 .take(wanted as u64)
                 .read_to_end(body)
-                .map_err(|why| Fault::Io { after, why })?;
+                .map_err(|error| WireError::Io { after, error })?;
             Ok(found)
         };
         let found = fill(&mut self.body, HEADER)?;
@@ -133,36 +133,36 @@
             return Ok(false);
         }
         if found < HEADER {
-            return Err(Fault::CutShort { after, found, wanted: HEADER });
+            return Err(WireError::Truncated { after, found, wanted: HEADER });
         }
         let header = Fields(&self.body);
         let (clock, length, records, number) = (header.f64(0), header.u32(8), header.u32(12), header.u32(16));
-        (self.clock, self.records, self.number) = (nanos(clock), records, number);
+        (self.clock, self.records, self.number) = (nanos_from_millis(clock), records, number);
         if u64::from(records) * EVENT as u64 > u64::from(length) {
-            return Err(Fault::Length { batch: number, records, length });
+            return Err(WireError::RecordsTooLong { batch: number, records, length });
         }
         let found = fill(&mut self.body, length as usize)?;
         if found < length as usize {
-            return Err(Fault::CutShort { after, found, wanted: length as usize });
+            return Err(WireError::Truncated { after, found, wanted: length as usize });
         }
         Ok(true)
     }
 
     /// The events with the numbers of the instances that they are for.
-    pub fn events(&self) -> impl Iterator<Item = Result<(u16, Incoming), Fault>> {
+    pub fn events(&self) -> impl Iterator<Item = Result<(u16, Incoming), WireError>> {
         (0..self.records).map(|record| self.event(record))
     }
 
-    fn event(&self, record: u32) -> Result<(u16, Incoming), Fault> {
+    fn event(&self, record: u32) -> Result<(u16, Incoming), WireError> {
         let f = Fields(&self.body[record as usize * EVENT..][..EVENT]);
-        let value = |what, value| Fault::Value { batch: self.number, record, what, value };
+        let value = |what, value| WireError::UnknownValue { batch: self.number, record, what, value };
         let event = match f.u8(0) {
             1 => Incoming::Submitted {
                 call: f.u64(3),
                 job: Job {
                     product: f.u8(11),
                     tenant: f.u16(12),
-                    cut_off: nanos(f.f64(22)),
+                    cut_off: nanos_from_millis(f.f64(22)),
                     slots: positive(f.f32(38)).filter(|s| *s > 0.0).unwrap_or(1.0).into(),
                     memory: positive(f.f32(42)).unwrap_or(0.0).into(),
                 },
@@ -183,10 +183,10 @@
                 executor: f.u32(28),
                 outcome: outcome(f.u16(13)),
                 closed: f.u8(19) != 0,
-                took: nanos(f.f64(20)),
+                took: nanos_from_millis(f.f64(20)),
                 figures: f.figures(32),
             },
-            5 => Incoming::Noted { call: f.u64(3), execution: f.u16(11) },
+            5 => Incoming::Progressed { call: f.u64(3), execution: f.u16(11) },
             6 => {
                 let kind = match f.u8(3) {
                     0 => ListKind::Changes,
@@ -204,44 +204,50 @@
                         3 => Health::Gone,
                         other => return Err(value("health", other)),
                     };
-                    Ok(Entry {
+                    Ok(ListEntry {
                         executor: e.u32(15),
                         health,
                         kind: e.u16(4),
                         zone: e.u16(21),
                         cell: e.u16(19),
-                        started: nanos(e.f64(7)),
+                        started: nanos_from_millis(e.f64(7)),
                         weight: positive(e.f32(0)).unwrap_or(0.0),
                     })
                 });
-                Incoming::Listed { kind, entries: entries.collect::<Result<_, _>>()? }
+                Incoming::ListReceived { kind, entries: entries.collect::<Result<_, _>>()? }
             }
             7 => {
                 let text = self.tail(record, f.u32(11), u64::from(f.u32(15)))?;
                 let start = linestack_settings::read(text, f.u64(3));
-                let start = start.map_err(|why| Fault::Start { batch: self.number, why })?;
-                Incoming::Begin(Box::new(start))
+                let start = start.map_err(|error| WireError::Settings { batch: self.number, error })?;
+                Incoming::Start(Box::new(start))
             }
             8 => {
                 self.tail(record, f.u32(7), u64::from(f.u32(11)))?;
-                Incoming::Peer
+                Incoming::PeerMessage
             }
             9 => Incoming::Streaming { call: f.u64(3), execution: f.u16(15) },
-            10 => Incoming::Rang { token: f.u64(3) },
-            11 => Incoming::Left { call: f.u64(3) },
-            code => return Err(Fault::Code { batch: self.number, record, code }),
+            10 => Incoming::TimerFired { timer_id: f.u64(3) },
+            11 => Incoming::ClientLeft { call: f.u64(3) },
+            code => return Err(WireError::UnknownEvent { batch: self.number, record, code }),
         };
         Ok((f.u16(1), event))
     }
 
-    fn tail(&self, record: u32, offset: u32, length: u64) -> Result<&[u8], Fault> {
+    fn tail(&self, record: u32, offset: u32, length: u64) -> Result<&[u8], WireError> {
         let tail = &self.body[self.records as usize * EVENT..];
         let (from, to) = (u64::from(offset), u64::from(offset) + length);
         if length == 0 {
             return Ok(&[]);
         }
         if to > tail.len() as u64 {
-            return Err(Fault::Tail { batch: self.number, record, offset, length, tail: tail.len() });
+            return Err(WireError::OutsideTail {
+                batch: self.number,
+                record,
+                offset,
+                length,
+                tail: tail.len(),
+            });
         }
         Ok(&tail[from as usize..to as usize])
     }
@@ -265,9 +271,9 @@
                 put(11, &execution.to_be_bytes());
                 1
             }
-            Outgoing::Ring { at, token } => {
+            Outgoing::SetTimer { at, timer_id } => {
                 put(3, &millis(at).to_be_bytes());
-                put(11, &token.to_be_bytes());
+                put(11, &timer_id.to_be_bytes());
                 2
             }
             Outgoing::Probe { executor } => {
@@ -278,7 +284,7 @@
                 put(3, &call.to_be_bytes());
                 5
             }
-            Outgoing::Release { executor } => {
+            Outgoing::CloseIdleConnections { executor } => {
                 put(3, &executor.to_be_bytes());
                 7
             }
@@ -292,9 +298,9 @@
                 put(3, &[1]);
                 10
             }
-            Outgoing::Dismiss { call, come_back } => {
+            Outgoing::Dismiss { call, retry_after } => {
                 put(3, &call.to_be_bytes());
-                put(11, &millis(come_back).to_be_bytes());
+                put(11, &millis(retry_after).to_be_bytes());
                 12
             }
         };
@@ -347,12 +353,12 @@
         f64::from_be_bytes(self.bytes(at))
     }
 
-    fn figures(&self, at: usize) -> Figures {
-        Figures { count: self.u8(at), values: std::array::from_fn(|i| self.f32(at + 1 + 4 * i)) }
+    fn figures(&self, at: usize) -> ReportFigures {
+        ReportFigures { count: self.u8(at), values: std::array::from_fn(|i| self.f32(at + 1 + 4 * i)) }
     }
 }
 
-impl Figures {
+impl ReportFigures {
     #[must_use]
     pub fn get(&self, place: usize) -> Option<f32> {
         self.values.get(place).filter(|_| place < usize::from(self.count)).copied()
--- a/crates/simwire/tests/frames.rs
+++ b/crates/simwire/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames and start texts, good and bad.
 
 use linestack_dispatch::types::{Group, Health, ListKind, Outcome, Repeats};
-use linestack_simwire::{Batch, Fault, Incoming, Outgoing, Reply};
+use linestack_simwire::{Batch, Incoming, Outgoing, Reply, WireError};
 use rstest::rstest;
 
 /// A batch of one event with these bytes after its code, and a tail.
@@ -16,7 +16,7 @@
     [frame, record, tail.to_vec()].concat()
 }
 
-fn decoded(frame: &[u8]) -> Result<(u16, Incoming), Fault> {
+fn decoded(frame: &[u8]) -> Result<(u16, Incoming), WireError> {
     let mut batch = Batch::default();
     assert!(batch.read(&mut &*frame)?);
     assert_eq!((batch.clock, batch.number), (2_500_000, 7));
@@ -45,7 +45,7 @@
     assert_eq!(outcome, Outcome::Full);
     let text =
         r#"{"report":{"fields":["x0","backlog","outstanding"]},"familyInfo":{"reportX0":"free slots"}}"#;
-    let Incoming::Begin(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
+    let Incoming::Start(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
     let report = start.layout.report(|place| figures.get(place)).unwrap();
     assert_eq!((report.free_slots, report.waiting, report.in_hand), (Some(2.0), None, None));
 }
@@ -55,7 +55,7 @@
     let entry = [&[0; 4][..], &[0, 1, 1], &2.0f64.to_be_bytes(), &[0, 0, 0, 8, 0, 4, 0, 2]].concat();
     let fields = [&[0, 3, 1, 0, 0, 0, 9][..], &0u32.to_be_bytes(), &1u32.to_be_bytes()].concat();
     let (_, event) = decoded(&frame(6, &fields, &entry)).unwrap();
-    let Incoming::Listed { kind: ListKind::Whole, entries } = event else { panic!() };
+    let Incoming::ListReceived { kind: ListKind::Whole, entries } = event else { panic!() };
     let e = entries[0];
     assert_eq!((e.executor, e.health, e.kind, e.zone, e.cell), (8, Health::Draining, 1, 2, 4));
     assert_eq!(e.started, 2_000_000);
@@ -74,8 +74,8 @@
     #[case] come_back: Option<u64>,
     #[case] ask_within: Option<u64>,
 ) {
-    let Incoming::Begin(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
-    let o = start.orders;
+    let Incoming::Start(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
+    let o = start.dispatch;
     assert_eq!((o.quotas.len(), o.come_back, o.ask_within), (tenants, come_back, ask_within));
     assert!(!o.may_probe && !o.may_duplicate && o.max_executions == 1);
 }
@@ -90,8 +90,8 @@
 #[case::never_heard_of(r#""effect":"other""#, Repeats::OneShot)]
 fn products_say_what_a_repeat_does(#[case] fields: &str, #[case] repeats: Repeats) {
     let text = format!(r#"{{"products":[{{{fields}}}]}}"#);
-    let Incoming::Begin(start) = decoded(&begin(&text)).unwrap().1 else { panic!() };
-    assert_eq!(start.orders.products[0].repeats, repeats);
+    let Incoming::Start(start) = decoded(&begin(&text)).unwrap().1 else { panic!() };
+    assert_eq!(start.dispatch.products[0].repeats, repeats);
 }
 
 #[rstest]
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -20,7 +20,7 @@
 
 use linestack_core::{Core, Effect, Input, Nanos, Remembered, Stats};
 use linestack_dispatch::types::{Decide, Worker};
-use linestack_recovery::start::Start;
+use linestack_recovery::start::StagedStart;
 use linestack_settings::Settings;
 
 pub use judge::{Breach, Rule};
@@ -94,7 +94,7 @@
     /// The time of the start.
     pub now: Nanos,
     /// What a start in stages keeps to.
-    pub start: Option<Start>,
+    pub start: Option<StagedStart>,
     /// What the disk has of earlier incarnations.
     pub remembered: Option<Remembered>,
 }
@@ -109,7 +109,7 @@
 }
 
 /// Gives a new node what it starts with.
-fn started(mut core: Core, now: Nanos, start: Option<Start>, remembered: Option<Remembered>) -> Core {
+fn started(mut core: Core, now: Nanos, start: Option<StagedStart>, remembered: Option<Remembered>) -> Core {
     if let Some(start) = start {
         core.start_by(now, start, Vec::new());
     }
--- a/crates/world/src/scenario/settings.rs
+++ b/crates/world/src/scenario/settings.rs
@@ -14,16 +14,16 @@
     pub fn settings(&self, zone: u16, seed: u64) -> Settings {
         let deadlines = self.products.iter().map(|p| p.cut_off_ms);
         Settings {
-            orders: self.standing_orders(zone, seed),
+            dispatch: self.standing_orders(zone, seed),
             layout: ReportLayout {
                 free_slots: Some(0),
                 free_memory: None,
-                waiting: Some(1),
-                in_hand: Some(2),
+                queued_jobs: Some(1),
+                active_jobs: Some(2),
             },
             names: self.names(),
-            longest_cut_off: millis(deadlines.fold(0.0, f64::max)),
-            may_tell: false,
+            longest_deadline: millis(deadlines.fold(0.0, f64::max)),
+            may_message_peers: false,
         }
     }
 
@@ -75,7 +75,7 @@
             tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
             kinds: self.executors.iter().map(|e| e.kind.clone()).collect(),
             zones: (0..self.zones).map(|z| format!("z{z}")).collect(),
-            figures: vec!["x0".into(), "backlog".into(), "outstanding".into()],
+            report_fields: vec!["x0".into(), "backlog".into(), "outstanding".into()],
         }
     }
 }
--- a/crates/world/src/world/event.rs
+++ b/crates/world/src/world/event.rs
@@ -5,7 +5,7 @@
 
 use linestack_core::{Broken, Input, Nanos, Outcome as ExecutionOutcome, Ticket};
 use linestack_dispatch::types::{Health, Report};
-use linestack_recovery::Keep;
+use linestack_recovery::OutcomeRecord;
 
 use crate::executor::ConnectionId;
 
@@ -84,7 +84,7 @@
     /// A silent client of a flood connects to a node.
     FloodConnects { fault: usize, node: usize },
     /// A record that a node wanted persisted is on its disk.
-    RecordPersisted { node: usize, incarnation: u32, keep: Keep, ticket: Option<Ticket> },
+    RecordPersisted { node: usize, incarnation: u32, keep: OutcomeRecord, ticket: Option<Ticket> },
     /// Whatever is long over is dropped, and whatever is overdue is found.
     Sweep,
 }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -66,9 +66,9 @@
             let seed = self.rng.random();
             let mut settings = Box::new(self.scenario.settings(self.nodes[node].zone, seed));
             if phase.begins() {
-                settings.orders.may_probe = false;
-                settings.orders.may_duplicate = false;
-                settings.orders.connection_price = SWITCHED_CONNECTION_PRICE;
+                settings.dispatch.may_probe = false;
+                settings.dispatch.may_duplicate = false;
+                settings.dispatch.connection_price = SWITCHED_CONNECTION_PRICE;
             }
             let incarnation = self.nodes[node].incarnation;
             self.give_input(node, incarnation, Input::Terms { settings, version: 0 });
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -5,8 +5,8 @@
 
 use linestack_core::{Input, Link, Nanos, Remembered, Ticket};
 use linestack_dispatch::types::ListKind;
-use linestack_recovery::start::{Found, Start, Terms};
-use linestack_recovery::{Fates, Keep};
+use linestack_recovery::start::{StagedStart, StartConditions, StartLimits};
+use linestack_recovery::{OutcomeRecord, OutcomeTable};
 use rand::Rng as _;
 
 use super::event::{ClientOutcome, Event};
@@ -60,7 +60,7 @@
     /// Nanoseconds of processor time that each input takes.
     pub(super) cpu_per_input: f64,
     /// The records on its disk, oldest first.
-    persisted: Vec<Keep>,
+    persisted: Vec<OutcomeRecord>,
 }
 
 impl NodeState {
@@ -221,25 +221,25 @@
         self.schedule_after(HEALTH_CHECK_AFTER_START, Event::HealthChecked { node });
     }
 
-    fn start_in_stages(&mut self) -> Start {
+    fn start_in_stages(&mut self) -> StagedStart {
         let starts = &self.scenario.nodes.starts;
-        let terms = Terms {
+        let terms = StartLimits {
             nodes: self.scenario.nodes.count,
             connects_per_s: starts.connects_per_s,
             lists_per_s: starts.lists_per_s,
             sessions_per_s: 0.0,
-            list_within: LIST_WITHIN,
-            known_within: KNOWN_WITHIN,
-            share_within: SHARE_WITHIN,
+            list_timeout: LIST_WITHIN,
+            known_timeout: KNOWN_WITHIN,
+            share_timeout: SHARE_WITHIN,
         };
-        let found = Found { proved: true, fresh: true, old: false };
-        Start::new(terms, found, [self.rng.random(), self.rng.random()], self.now)
+        let found = StartConditions { settings_confirmed: true, list_is_fresh: true, has_old_list: false };
+        StagedStart::new(terms, found, [self.rng.random(), self.rng.random()], self.now)
     }
 
     /// What a node's disk has of earlier incarnations.
     fn remembered(&self, node: usize) -> Remembered {
         let persisted = &self.nodes[node].persisted;
-        let mut fates = Fates::new(RECORDS_REMEMBERED_FOR, usize::MAX, usize::MAX);
+        let mut fates = OutcomeTable::new(RECORDS_REMEMBERED_FOR, usize::MAX, usize::MAX);
         fates.restore(persisted.iter().cloned());
         let age = persisted.iter().map(|k| k.at + 1).max().unwrap_or(0);
         Remembered { fates, age, now: self.now, by_stamp: true, doubtful: 0 }
@@ -250,7 +250,7 @@
         &mut self,
         node: usize,
         incarnation: u32,
-        record: Keep,
+        record: OutcomeRecord,
         ticket: Option<Ticket>,
     ) {
         if !self.nodes[node].runs(incarnation) {
