--- a/crates/settings/tests/places.rs
+++ b/crates/settings/tests/places.rs
@@ -26,7 +26,7 @@
 ) {
     let read = read(settings(product, class_kind).as_bytes(), 1).unwrap();
     assert_eq!(
-        (&read.orders.products[0].allowed_kinds, &read.orders.products[0].allowed_zones),
+        (&read.dispatch.products[0].allowed_kinds, &read.dispatch.products[0].allowed_zones),
         (&kinds, &zones)
     );
     assert!(read.names.zones.len() >= 2);
