--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -10,9 +10,9 @@
 use linestack_recovery::start::Stage;
 use linestack_settings::Settings;
 
-use crate::fates::Ticket;
+use crate::outcomes::Ticket;
 use crate::permission::{Occasion, Refusal, Refusals};
-use crate::started::ListClocks;
+use crate::start_times::ListClocks;
 
 /// A client's connection, numbered by the node and never again.
 pub type Client = u64;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -13,18 +13,18 @@
 }
 
 mod clients;
+mod connections;
 mod eviction;
 mod executions;
-mod fates;
 mod first_list;
-mod hearsay;
 mod io;
-mod limits;
-mod links;
 mod list;
+mod outcomes;
+mod peer_observations;
 mod permission;
-mod started;
-mod starting;
+mod staged_start;
+mod start_times;
+mod timers;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -43,11 +43,11 @@
 
 use first_list::ListState;
 
-pub use fates::{Remembered, Ticket};
 pub use io::*;
 pub use linestack_dispatch::types::{Nanos, Outcome};
+pub use outcomes::{Remembered, Ticket};
 pub use permission::{Occasion, Refusal, Refusals};
-pub use started::ListClocks;
+pub use start_times::ListClocks;
 
 const SECOND: Nanos = 1_000_000_000;
 const DAY: Nanos = 86_400 * SECOND;
@@ -215,7 +215,7 @@
     zone: u16,
     group: u16,
     weight: f32,
-    started: started::Started,
+    started: start_times::Started,
     idle: Vec<Link>,
     /// Connections to it, and executions there of submissions that are still known: while there are any, its
     /// index can mean no other.
@@ -259,8 +259,8 @@
     leave: Nanos,
     /// The longest come-back time that may be named.
     come_back: Option<Nanos>,
-    book: Option<fates::Book>,
-    start: Option<starting::Starting>,
+    book: Option<outcomes::Book>,
+    start: Option<staged_start::Starting>,
     /// How long it may go on after it was told to stop.
     last_span: Nanos,
     /// When all that is taken from now on must be answered.
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -114,7 +114,7 @@
             zone: u16::MAX,
             group: e.group,
             weight: e.weight,
-            started: started::Started::default(),
+            started: start_times::Started::default(),
             idle: Vec::new(),
             lines: 0,
             known: 0,
