--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 impl Core {
-    pub(crate) fn client_up(&mut self, client: Client) {
+    pub(crate) fn client_up(&mut self, client: ClientId) {
         let (since, newcomer) = (self.now, Some(self.now));
         let state = ClientState {
             submission: None,
@@ -21,7 +21,7 @@
     }
 
     /// Lets one go that rests while the node stops: a newcomer once the request that it came for should be here.
-    pub(crate) fn send_off(&mut self, client: Client) {
+    pub(crate) fn send_off(&mut self, client: ClientId) {
         let Some(state) = self.clients.get(&client) else { return };
         let until = match (state.phase, state.newcomer) {
             (Phase::Leaving, _) => state.limit.until.min(self.now + STAY),
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(crate) fn client_phase(&mut self, client: Client, phase: Phase) {
+    pub(crate) fn client_phase(&mut self, client: ClientId, phase: Phase) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         if phase == Phase::Reading && state.phase == Phase::Reading {
             // A byte now and then buys no time.
@@ -55,7 +55,7 @@
         }
     }
 
-    pub(crate) fn client_gone(&mut self, client: Client) {
+    pub(crate) fn client_gone(&mut self, client: ClientId) {
         let Some(state) = self.clients.remove(&client) else { return };
         self.note_room();
         if let Some(submission) = state.submission {
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(crate) fn submitted(&mut self, client: Client, intake: Intake) {
+    pub(crate) fn submitted(&mut self, client: ClientId, intake: NewSubmission) {
         let settled = self.settled(&intake);
         let too_early = if settled.is_none() {
             self.refused_before_first_list().or_else(|| self.too_many_yet())
@@ -102,12 +102,12 @@
         }
         // It would be a second copy of what its holder has out, and an executor that is asked twice for one
         // id looks as if it failed.
-        if !self.ids.insert(intake.shipment.id.clone()) {
+        if !self.ids.insert(intake.request.id.clone()) {
             self.stats.turned_down += 1;
             self.client_phase(client, Phase::Answering);
             return self.effects.push(Effect::Answer {
                 client,
-                answer: Answer::Repeated,
+                answer: Answer::DuplicateId,
                 last: true,
                 version: self.version,
             });
@@ -119,9 +119,9 @@
         (state.submission, state.phase, state.newcomer) = (Some(submission), Phase::Reading, None);
         state.limit.until = Nanos::MAX;
         self.stats.taken += 1;
-        let cut_off = (self.now + intake.patience.min(self.longest_wait)).min(self.last_call);
-        let Intake { product, tenant, slots, memory, shipment, .. } = intake;
-        self.hold_key(product, &shipment, true);
+        let cut_off = (self.now + intake.timeout.min(self.longest_wait)).min(self.last_call);
+        let NewSubmission { product, tenant, slots, memory, request, .. } = intake;
+        self.hold_key(product, &request, true);
         let (number, client, executions) = (self.stats.taken, Some(client), Vec::new());
         self.taken[submission as usize] = Some(Taken {
             number,
@@ -131,7 +131,7 @@
             kept: false,
             product,
             cut_off,
-            shipment,
+            request,
             executions,
         });
         self.arm(cut_off, Timer::CutOff(submission, number));
@@ -140,7 +140,7 @@
     }
 
     /// The client is no longer owed an answer.
-    pub(crate) fn release(&mut self, submission: Submission) -> Option<Client> {
+    pub(crate) fn release(&mut self, submission: Submission) -> Option<ClientId> {
         let client = self.taken.get_mut(submission as usize)?.as_mut()?.client.take();
         if let Some(state) = client.and_then(|c| self.clients.get_mut(&c)) {
             state.submission = None;
@@ -155,10 +155,10 @@
             return;
         };
         match answer {
-            Answer::Satisfied(_) => self.stats.satisfied += 1,
+            Answer::Completed(_) => self.stats.satisfied += 1,
             Answer::Dismissed(_) => self.stats.dismissed += 1,
             Answer::Aborted => self.stats.aborted += 1,
-            Answer::Repeated => {}
+            Answer::DuplicateId => {}
         }
         if matches!(answer, Answer::Dismissed(_)) {
             self.fated(submission, Fate::Unsent);
--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -6,10 +6,11 @@
     /// An idle connection, the last used first. A job gets none that has been idle for so long that others
     /// were closed at the other end by then: what is written to one of those may have run, for all that is
     /// known here. For a probe any will do, since it can be asked again; and it tells how long they last.
-    pub(crate) fn pooled(&mut self, worker: Worker, load: Load) -> Option<Link> {
+    pub(crate) fn pooled(&mut self, worker: Worker, load: Load) -> Option<ConnectionId> {
         let (links, now) = (&self.links, self.now);
         let idle = &mut self.workers.get_mut(worker as usize)?.idle;
-        let place = idle.iter().rposition(|link| links.get(link).is_some_and(|l| l.doubtful <= now))?;
+        let place =
+            idle.iter().rposition(|connection| links.get(connection).is_some_and(|l| l.doubtful <= now))?;
         let idled = now - links.get(&idle[place])?.since;
         if load != Load::Probe && idled > self.kept {
             return None;
@@ -30,18 +31,21 @@
     pub(crate) fn open(&mut self, worker: Worker, load: Load) {
         if self.links.len() >= self.most_links {
             let idle = self.links.iter().filter(|(_, l)| l.stage == Stage::Idle);
-            match idle.min_by_key(|(link, l)| (l.since, **link)).map(|(link, _)| *link) {
-                Some(link) => self.close_link(link),
+            match idle
+                .min_by_key(|(connection, l)| (l.since, **connection))
+                .map(|(connection, _)| *connection)
+            {
+                Some(connection) => self.close_link(connection),
                 None => return self.unsent(worker, load),
             }
         }
-        let link = self.next_link;
+        let connection = self.next_link;
         self.next_link += 1;
         let mut limit = self.connect_timeout;
         if let Load::Execution(submission, execution) = load {
             let now = self.now;
             if let Some(sent) = self.sent(submission, execution) {
-                sent.link = Some(link);
+                sent.connection = Some(connection);
                 limit = limit.min(sent.until.saturating_sub(now));
             }
         }
@@ -60,14 +64,14 @@
             since,
             limit: Limit::NONE,
         };
-        self.links.insert(link, line);
+        self.links.insert(connection, line);
         self.workers[worker as usize].lines += 1;
         let turn = self.turn();
-        self.limit_link(link, turn + limit);
+        self.limit_link(connection, turn + limit);
         if turn > self.now {
-            return self.arm(turn, Timer::Open(link));
+            return self.arm(turn, Timer::Open(connection));
         }
-        self.effects.push(Effect::Open { link, address, limit });
+        self.effects.push(Effect::OpenConnection { connection, address, timeout: limit });
     }
 
     /// What was not sent, and could not be, for a reason that is not the worker's.
@@ -87,46 +91,46 @@
     }
 
     /// Sends the order over a connection that is up and carries nothing.
-    pub(crate) fn hand(&mut self, link: Link, load: Load) {
-        let Some(line) = self.links.get_mut(&link) else {
+    pub(crate) fn hand(&mut self, connection: ConnectionId, load: Load) {
+        let Some(line) = self.links.get_mut(&connection) else {
             must!(self, false, "an idle connection that is not known");
             return;
         };
         must!(self, line.load.is_none() && line.stage != Stage::Busy, "two orders on one connection");
         let (worker, line_address) = (line.worker, line.address);
         if self.permit(Occasion::Connected, worker, line_address, load).is_err() {
-            self.rest(link);
+            self.rest(connection);
             return self.unsent(worker, load);
         }
         let now = self.now;
         let until = match load {
             Load::Probe => {
-                self.effects.push(Effect::Probe { link });
+                self.effects.push(Effect::Probe { connection });
                 now + self.connect_timeout / 2
             }
             Load::Execution(submission, execution) => {
                 let Some(sent) = self.sent(submission, execution) else { return };
-                sent.link = Some(link);
+                sent.connection = Some(connection);
                 let until = sent.until;
-                if !self.waits(link, submission, execution) {
+                if !self.waits(connection, submission, execution) {
                     let taken =
-                        self.taken[submission as usize].as_ref().map(|t| (t.shipment.clone(), t.version));
-                    let (shipment, version) = taken.unwrap_or_default();
-                    self.effects.push(Effect::Send { link, shipment, wait: until - now, version });
+                        self.taken[submission as usize].as_ref().map(|t| (t.request.clone(), t.version));
+                    let (request, version) = taken.unwrap_or_default();
+                    self.effects.push(Effect::Send { connection, request, timeout: until - now, version });
                 }
                 until
             }
         };
-        if let Some(line) = self.links.get_mut(&link) {
+        if let Some(line) = self.links.get_mut(&connection) {
             line.idled = (line.stage == Stage::Idle).then_some(now - line.since);
             (line.stage, line.load) = (Stage::Busy, Some(load));
         }
-        self.limit_link(link, until);
+        self.limit_link(connection, until);
     }
 
     /// The outcome of what the connection carries is known.
-    pub(crate) fn unload(&mut self, link: Link) -> Option<Load> {
-        let line = self.links.get_mut(&link)?;
+    pub(crate) fn unload(&mut self, connection: ConnectionId) -> Option<Load> {
+        let line = self.links.get_mut(&connection)?;
         let load = line.load.take();
         let idled = line.idled.take();
         line.stage = Stage::Finishing;
@@ -134,59 +138,59 @@
         if let Some(idled) = idled {
             self.idled(idled, true);
         }
-        self.limit_link(link, self.now + self.connect_timeout);
+        self.limit_link(connection, self.now + self.connect_timeout);
         load
     }
 
     /// A connection that is up has nothing to carry.
-    pub(crate) fn rest(&mut self, link: Link) {
-        let Some(line) = self.links.get_mut(&link) else { return };
+    pub(crate) fn rest(&mut self, connection: ConnectionId) {
+        let Some(line) = self.links.get_mut(&connection) else { return };
         let place = &mut self.workers[line.worker as usize];
         if place.health == Health::Gone || place.address != line.address || line.last {
-            return self.close_link(link);
+            return self.close_link(connection);
         }
         (line.stage, line.load, line.since) = (Stage::Idle, None, self.now);
-        place.idle.push(link);
+        place.idle.push(connection);
         // Twice what jobs may find it at: a probe then shows whether they could.
         let limit = self.idle.min(IDLE_AT_LEAST.max(2 * self.kept));
-        self.limit_link(link, self.now + limit);
+        self.limit_link(connection, self.now + limit);
     }
 
-    pub(crate) fn link_up(&mut self, link: Link) {
-        let Some(line) = self.links.get_mut(&link) else { return };
+    pub(crate) fn link_up(&mut self, connection: ConnectionId) {
+        let Some(line) = self.links.get_mut(&connection) else { return };
         let seen = &mut self.workers[line.worker as usize].seen;
         (seen.up, seen.unmade) = (seen.up + 1, 0);
         line.up = true;
         match line.load.take() {
-            Some(load) => self.hand(link, load),
-            None => self.rest(link),
+            Some(load) => self.hand(connection, load),
+            None => self.rest(connection),
         }
     }
 
-    pub(crate) fn link_down(&mut self, link: Link, broken: Broken) {
-        let Some(line) = self.forget_link(link) else { return };
-        if !broken.here {
-            self.broke(&line, broken.answered);
+    pub(crate) fn link_down(&mut self, connection: ConnectionId, disconnect: Disconnect) {
+        let Some(line) = self.forget_link(connection) else { return };
+        if !disconnect.local_fault {
+            self.broke(&line, disconnect.response_started);
         }
         let Some(load) = line.load else {
-            let told = line.stage == Stage::Idle && !broken.spoilt;
+            let told = line.stage == Stage::Idle && !disconnect.unexpected_data;
             if told && self.workers[line.worker as usize].health == Health::Ready {
                 self.idled(self.now - line.since, false);
             }
             return;
         };
         let opening = line.stage == Stage::Opening;
-        if broken.here || (opening && !self.stands(&line, load)) {
+        if disconnect.local_fault || (opening && !self.stands(&line, load)) {
             return self.unsent(line.worker, load);
         }
         // Closed at the other end while it was idle, which says nothing of the worker. Before the last byte
         // was written, and for a probe at any time, a new one does as well.
-        if let Some(idled) = line.idled.filter(|_| !broken.answered) {
-            if !broken.spoilt {
+        if let Some(idled) = line.idled.filter(|_| !disconnect.response_started) {
+            if !disconnect.unexpected_data {
                 self.idled(idled, false);
             }
             self.stats.stale += 1;
-            return match (load, broken.written) {
+            return match (load, disconnect.request_written) {
                 (Load::Execution(submission, execution), true) => {
                     self.ended(submission, execution, Outcome::Stale, None, None);
                 }
@@ -200,7 +204,8 @@
             Load::Probe => self.probed(line.worker, Some(false), None),
             Load::Execution(submission, execution) => {
                 // After the last byte nobody can tell whether it ran.
-                let outcome = if broken.written { Outcome::Reset } else { Outcome::ConnectFailed };
+                let outcome =
+                    if disconnect.request_written { Outcome::Reset } else { Outcome::ConnectFailed };
                 self.ended(submission, execution, outcome, None, None);
             }
         }
@@ -231,20 +236,20 @@
         }
     }
 
-    pub(crate) fn forget_link(&mut self, link: Link) -> Option<Line> {
-        let line = self.links.remove(&link)?;
+    pub(crate) fn forget_link(&mut self, connection: ConnectionId) -> Option<Line> {
+        let line = self.links.remove(&connection)?;
         let place = &mut self.workers[line.worker as usize];
         place.lines -= 1;
         place.seen.up -= usize::from(line.up);
         if line.stage == Stage::Idle {
-            self.workers[line.worker as usize].idle.retain(|l| *l != link);
+            self.workers[line.worker as usize].idle.retain(|l| *l != connection);
         }
         Some(line)
     }
 
-    pub(crate) fn close_link(&mut self, link: Link) {
-        if self.forget_link(link).is_some() {
-            self.effects.push(Effect::CloseLink { link });
+    pub(crate) fn close_link(&mut self, connection: ConnectionId) {
+        if self.forget_link(connection).is_some() {
+            self.effects.push(Effect::CloseConnection { connection });
         }
     }
 }
--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -58,18 +58,18 @@
     pub(crate) fn note_room(&mut self) {
         if !self.room_is_short() {
             self.room.short_since = None;
-        } else if self.crowded() {
+        } else if self.is_at_client_limit() {
             self.room.short_since.get_or_insert(self.now);
         }
     }
 
     /// A client has connected: before no room is left, another goes.
-    pub(crate) fn make_room_behind(&mut self, newcomer: Client) {
+    pub(crate) fn make_room_behind(&mut self, newcomer: ClientId) {
         self.note_room();
         if self.room_is_short() {
             self.make_room(Some(newcomer));
         }
-        if self.crowded() {
+        if self.is_at_client_limit() {
             self.check_room_later();
         }
     }
@@ -85,7 +85,7 @@
     /// Makes room while clients hold all of it.
     pub(crate) fn make_room_in_time(&mut self) {
         self.room.check_armed = false;
-        if !self.crowded() {
+        if !self.is_at_client_limit() {
             return;
         }
         for _ in 0..(self.most_clients / MADE_AT_ONCE).max(1) {
@@ -102,7 +102,7 @@
     /// One client goes, the one with the least claim, of those the one that has had it for longest. It is told and then
     /// waited for, lest what crosses resets it; when room is short for that too, or nobody else can go, the one that was
     /// told first is waited for no longer.
-    fn make_room(&mut self, but: Option<Client>) {
+    fn make_room(&mut self, but: Option<ClientId>) {
         let told = self.least_claim(but);
         let short = told.is_none() || self.clients.len() > self.most_clients * 7 / 8;
         let left = if short { self.first_to_leave(but) } else { None };
@@ -111,7 +111,7 @@
         }
     }
 
-    fn least_claim(&self, but: Option<Client>) -> Option<Client> {
+    fn least_claim(&self, but: Option<ClientId>) -> Option<ClientId> {
         let half_requests_may_go = self.half_requests_may_go();
         let claims =
             self.clients.iter().filter(|(client, _)| Some(**client) != but).filter_map(|(client, state)| {
@@ -122,7 +122,7 @@
         claims.min().map(|(.., client)| client)
     }
 
-    fn first_to_leave(&self, but: Option<Client>) -> Option<Client> {
+    fn first_to_leave(&self, but: Option<ClientId>) -> Option<ClientId> {
         let leaving = self.clients.iter().filter(|(client, state)| {
             Some(**client) != but
                 && state.phase == Phase::Leaving
@@ -132,7 +132,7 @@
         leaving.map(|(client, state)| (state.since, *client)).min().map(|(_, client)| client)
     }
 
-    fn evict(&mut self, client: Client) {
+    fn evict(&mut self, client: ClientId) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         state.evicted = true;
         self.stats.evicted += u64::from(state.phase != Phase::Leaving);
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -12,7 +12,7 @@
         };
         let execution = taken.executions.len() as Execution;
         let until = self.now + timeout;
-        taken.executions.push(Sent { worker, at: self.now, until, link: None });
+        taken.executions.push(Sent { worker, at: self.now, until, connection: None });
         self.workers[worker as usize].known += 1;
         self.stats.executions += 1;
         let load = Load::Execution(submission, execution);
@@ -25,7 +25,7 @@
             return self.unsent(worker, load);
         }
         match self.pooled(worker, load) {
-            Some(link) => self.hand(link, load),
+            Some(connection) => self.hand(connection, load),
             None => self.open(worker, load),
         }
     }
@@ -36,14 +36,14 @@
     }
 
     pub(crate) fn cancel(&mut self, submission: Submission, execution: Execution) {
-        let Some(link) = self.sent(submission, execution).and_then(|a| a.link) else { return };
-        let Some(line) = self.links.get_mut(&link) else { return };
+        let Some(connection) = self.sent(submission, execution).and_then(|a| a.connection) else { return };
+        let Some(line) = self.links.get_mut(&connection) else { return };
         if line.stage == Stage::Opening {
             // Nothing was sent; the connection is as good for the next.
             line.load = None;
             self.ended(submission, execution, Outcome::NotSent, None, None);
         } else {
-            self.close_link(link);
+            self.close_link(connection);
             self.ended(submission, execution, Outcome::Cancelled, None, None);
         }
     }
@@ -59,7 +59,7 @@
     ) {
         let now = self.now;
         let Some(sent) = self.sent(submission, execution) else { return };
-        sent.link = None;
+        sent.connection = None;
         let (worker, took) = (sent.worker, now - sent.at);
         self.seen_at_start(worker, outcome);
         match outcome {
@@ -81,7 +81,7 @@
         }
         let owed = |core: &Self| core.taken[submission as usize].as_ref().is_some_and(|t| t.client.is_some());
         if let (Outcome::Satisfied, Some(result), true) = (outcome, result, owed(self)) {
-            self.answer(submission, Answer::Satisfied(result));
+            self.answer(submission, Answer::Completed(result));
         }
         let closed = !owed(self);
         let ending = Ending { submission, execution, worker, outcome, closed, took, report };
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -10,14 +10,14 @@
 use linestack_recovery::start::Stage;
 use linestack_settings::Settings;
 
-use crate::outcomes::Ticket;
+use crate::outcomes::PersistTicket;
 use crate::permission::{Occasion, Refusal, Refusals};
 use crate::start_times::ListClocks;
 
 /// A client's connection, numbered by the node and never again.
-pub type Client = u64;
+pub type ClientId = u64;
 /// A connection to an executor, numbered likewise.
-pub type Link = u64;
+pub type ConnectionId = u64;
 
 /// A line of the list of executors, as discovery words it.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
     pub address: SocketAddr,
     pub zone: String,
     pub kind: String,
-    pub group: u16,
+    pub cell: u16,
     pub health: Health,
     /// Its last start on the node's clock, 0 for long ago.
     pub started: Nanos,
@@ -35,7 +35,7 @@
 
 /// What goes on unchanged to the executor.
 #[derive(Debug, Default)]
-pub struct Shipment {
+pub struct ForwardedRequest {
     pub method: Bytes,
     pub path: Bytes,
     pub host: Bytes,
@@ -46,14 +46,14 @@
 
 /// A submission as the door took it in.
 #[derive(Debug)]
-pub struct Intake {
+pub struct NewSubmission {
     pub product: u8,
     pub tenant: u16,
     /// How long the client waits.
-    pub patience: Nanos,
+    pub timeout: Nanos,
     pub slots: f64,
     pub memory: f64,
-    pub shipment: Arc<Shipment>,
+    pub request: Arc<ForwardedRequest>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,99 +67,99 @@
 
 /// What a connection to an executor had done when it broke.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Broken {
+pub struct Disconnect {
     /// A byte of the request was written.
-    pub begun: bool,
+    pub request_started: bool,
     /// Its last byte was written.
-    pub written: bool,
+    pub request_written: bool,
     /// Something of an answer had come.
-    pub answered: bool,
+    pub response_started: bool,
     /// This machine, not the other, is at fault: no descriptor was left.
-    pub here: bool,
+    pub local_fault: bool,
     /// Something came that nothing had asked for.
-    pub spoilt: bool,
+    pub unexpected_data: bool,
 }
 
 #[derive(Debug)]
 pub enum Input {
     /// Other settings hold from now on; [`Settings::restart_for`] has found nothing against it. What was taken
     /// before keeps the version that it was taken under.
-    Terms {
+    SettingsChanged {
         settings: Box<Settings>,
         version: u64,
     },
     /// Nothing may be taken from then on, unless this is said again. A node that was never told so has leave for
     /// ever.
-    Leave {
+    Lease {
         until: Nanos,
     },
-    /// What [`Effect::Keep`] asked for lasts, or can't be made to.
-    Kept {
-        ticket: Ticket,
-        lasts: bool,
+    /// What [`Effect::Persist`] asked for lasts, or can't be made to.
+    Persisted {
+        ticket: PersistTicket,
+        durable: bool,
     },
     /// By which clocks the list is told that comes next.
     ListClocks(ListClocks),
     /// What is to last can be made to again.
-    StoreBack,
-    Listed {
+    StoreRecovered,
+    ListReceived {
         kind: ListKind,
         endpoints: Vec<Endpoint>,
     },
     /// A call for the list failed, or a watch ended. Discovery may have had something to tell for so long.
-    Unheard {
-        lost: Nanos,
+    ListFailed {
+        silent_for: Nanos,
         /// It turned the call away.
-        busy: bool,
+        overloaded: bool,
     },
     /// What may be gone by of what a running node told.
-    Heard {
-        items: Vec<Heard>,
+    PeerObservations {
+        observations: Vec<Heard>,
     },
-    ClientUp {
-        client: Client,
+    ClientConnected {
+        client: ClientId,
     },
     ClientPhase {
-        client: Client,
+        client: ClientId,
         phase: Phase,
     },
-    ClientGone {
-        client: Client,
+    ClientDisconnected {
+        client: ClientId,
     },
     /// What the client asked for makes no sense; it is told so and then let go.
-    TurnedDown {
-        client: Client,
+    RequestRejected {
+        client: ClientId,
     },
     Submitted {
-        client: Client,
-        intake: Intake,
+        client: ClientId,
+        submission: NewSubmission,
     },
-    LinkUp {
-        link: Link,
+    ExecutorConnected {
+        connection: ConnectionId,
     },
-    LinkDown {
-        link: Link,
-        broken: Broken,
+    ExecutorDisconnected {
+        connection: ConnectionId,
+        disconnect: Disconnect,
     },
-    Noted {
-        link: Link,
+    Progressed {
+        connection: ConnectionId,
     },
     Ended {
-        link: Link,
+        connection: ConnectionId,
         outcome: Outcome,
         result: Bytes,
         report: Option<Report>,
     },
     Probed {
-        link: Link,
+        connection: ConnectionId,
         answered: Option<bool>,
         report: Option<Report>,
     },
     /// The exchange is over to its last byte; the connection can carry another.
-    Freed {
-        link: Link,
+    ConnectionReusable {
+        connection: ConnectionId,
         /// The answer named what it was for: a second one like it can be told from the next one's.
-        named: bool,
+        identified: bool,
     },
     Tick,
     Stop,
@@ -167,17 +167,17 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    Satisfied(Bytes),
+    Completed(Bytes),
     Dismissed(Option<Nanos>),
     Aborted,
     /// Not taken: its id is another's that is still open here.
-    Repeated,
+    DuplicateId,
 }
 
 #[derive(Debug)]
 pub enum Effect {
     Answer {
-        client: Client,
+        client: ClientId,
         answer: Answer,
         last: bool,
         /// What it was taken under.
@@ -185,34 +185,34 @@
     },
     /// Tell it that nothing more comes, and wait until it closes, unless a request is coming in on it.
     CloseClient {
-        client: Client,
+        client: ClientId,
     },
     /// Its time is over: a request half read is turned down, an answer half taken or a wait for its end given up.
     DropClient {
-        client: Client,
+        client: ClientId,
     },
-    Open {
-        link: Link,
+    OpenConnection {
+        connection: ConnectionId,
         address: SocketAddr,
-        limit: Nanos,
+        timeout: Nanos,
     },
     Send {
-        link: Link,
-        shipment: Arc<Shipment>,
-        wait: Nanos,
+        connection: ConnectionId,
+        request: Arc<ForwardedRequest>,
+        timeout: Nanos,
         version: u64,
     },
     Probe {
-        link: Link,
+        connection: ConnectionId,
     },
-    CloseLink {
-        link: Link,
+    CloseConnection {
+        connection: ConnectionId,
     },
-    Watch,
+    RequestList,
     /// Write this down durably; with a ticket, say when it lasts: something waits for it.
-    Keep {
-        keep: Keep,
-        ticket: Option<Ticket>,
+    Persist {
+        record: Keep,
+        ticket: Option<PersistTicket>,
     },
     /// The start has come so far.
     Stage(Stage),
@@ -223,7 +223,7 @@
         occasion: Occasion,
     },
     /// Something that must hold did not; it has been counted.
-    Fault(&'static str),
+    InvariantBroken(&'static str),
     Report(Stats),
     Exit,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,7 +7,7 @@
         if !$holds {
             debug_assert!(false, $what);
             $core.stats.broken += 1;
-            $core.effects.push(Effect::Fault($what));
+            $core.effects.push(Effect::InvariantBroken($what));
         }
     };
 }
@@ -45,7 +45,7 @@
 
 pub use io::*;
 pub use linestack_dispatch::types::{Nanos, Outcome};
-pub use outcomes::{Remembered, Ticket};
+pub use outcomes::{PersistTicket, StoredOutcomes};
 pub use permission::{Occasion, Refusal, Refusals};
 pub use start_times::ListClocks;
 
@@ -105,8 +105,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Ring(u64),
-    Link(Link),
-    Client(Client),
+    Link(ConnectionId),
+    Client(ClientId),
     CutOff(Submission, u64),
     Watch,
     Refuse,
@@ -119,7 +119,7 @@
     /// The start may go on by time alone.
     Stage,
     /// A connection's turn has come.
-    Open(Link),
+    Open(ConnectionId),
     /// Clients hold all the room.
     Room,
 }
@@ -151,7 +151,7 @@
 struct Taken {
     /// Told apart from those that had this index before.
     number: u64,
-    client: Option<Client>,
+    client: Option<ClientId>,
     /// It left before it was answered.
     client_left: bool,
     /// Of the terms that held when it was taken; it keeps it to its end.
@@ -160,7 +160,7 @@
     kept: bool,
     product: u8,
     cut_off: Nanos,
-    shipment: Arc<Shipment>,
+    request: Arc<ForwardedRequest>,
     executions: Vec<Sent>,
 }
 
@@ -169,7 +169,7 @@
     worker: Worker,
     at: Nanos,
     until: Nanos,
-    link: Option<Link>,
+    connection: Option<ConnectionId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -213,10 +213,10 @@
     health: Health,
     kind: u16,
     zone: u16,
-    group: u16,
+    cell: u16,
     weight: f32,
     started: start_times::Started,
-    idle: Vec<Link>,
+    idle: Vec<ConnectionId>,
     /// Connections to it, and executions there of submissions that are still known: while there are any, its
     /// index can mean no other.
     lines: usize,
@@ -283,9 +283,9 @@
     /// Those taken, by their ids.
     ids: HashSet<Bytes>,
     free: Vec<Submission>,
-    clients: HashMap<Client, ClientState>,
-    links: HashMap<Link, Line>,
-    next_link: Link,
+    clients: HashMap<ClientId, ClientState>,
+    links: HashMap<ConnectionId, Line>,
+    next_link: ConnectionId,
     timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
     next_timer: u64,
     pending: VecDeque<Event<'static>>,
@@ -320,12 +320,12 @@
     #[must_use]
     pub fn new(settings: Settings, sockets: usize, memory: usize) -> Self {
         let dispatcher = Box::new(Dispatcher::new(settings.orders.clone()));
-        Self::with(dispatcher, settings, sockets, memory)
+        Self::with_dispatcher(dispatcher, settings, sockets, memory)
     }
 
     /// With decisions of another's making: for comparison, and for tests.
     #[must_use]
-    pub fn with(
+    pub fn with_dispatcher(
         dispatcher: Box<dyn Decide + Send>,
         settings: Settings,
         sockets: usize,
@@ -417,19 +417,19 @@
 
     /// Submissions taken since the start.
     #[must_use]
-    pub fn taken(&self) -> u64 {
+    pub fn submissions_accepted(&self) -> u64 {
         self.stats.taken
     }
 
     /// The version of the terms that hold.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn settings_version(&self) -> u64 {
         self.version
     }
 
     /// Whether no further client can be let in.
     #[must_use]
-    pub fn crowded(&self) -> bool {
+    pub fn is_at_client_limit(&self) -> bool {
         self.clients.len() >= self.most_clients
     }
 
@@ -445,55 +445,55 @@
     }
 
     /// Takes one input and adds to `effects` what is to be done, in order.
-    pub fn take(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
+    pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match input {
-            Input::Terms { settings, version } => {
+            Input::SettingsChanged { settings, version } => {
                 self.version = version;
                 self.go_on_under(*settings);
             }
-            Input::Leave { until } => {
+            Input::Lease { until } => {
                 self.leave = until;
                 self.proved();
             }
-            Input::Kept { ticket, lasts } => self.kept(ticket, lasts),
-            Input::StoreBack => self.store_back(),
+            Input::Persisted { ticket, durable: lasts } => self.kept(ticket, lasts),
+            Input::StoreRecovered => self.store_back(),
             Input::ListClocks(clocks) => self.list_clocks = clocks,
-            Input::Listed { kind, endpoints } => self.listed(kind, endpoints),
-            Input::Unheard { lost, busy } => self.unheard(lost, busy),
-            Input::Heard { items } => self.heard(items),
-            Input::ClientUp { client } => self.client_up(client),
+            Input::ListReceived { kind, endpoints } => self.listed(kind, endpoints),
+            Input::ListFailed { silent_for: lost, overloaded: busy } => self.unheard(lost, busy),
+            Input::PeerObservations { observations: items } => self.heard(items),
+            Input::ClientConnected { client } => self.client_up(client),
             Input::ClientPhase { client, phase } => self.client_phase(client, phase),
-            Input::ClientGone { client } => self.client_gone(client),
-            Input::TurnedDown { client } => {
+            Input::ClientDisconnected { client } => self.client_gone(client),
+            Input::RequestRejected { client } => {
                 self.stats.turned_down += 1;
                 self.client_phase(client, Phase::Answering);
             }
-            Input::Submitted { client, intake } => self.submitted(client, intake),
-            Input::LinkUp { link } => self.link_up(link),
-            Input::LinkDown { link, broken } => self.link_down(link, broken),
-            Input::Noted { link } => {
+            Input::Submitted { client, submission: intake } => self.submitted(client, intake),
+            Input::ExecutorConnected { connection } => self.link_up(connection),
+            Input::ExecutorDisconnected { connection, disconnect } => self.link_down(connection, disconnect),
+            Input::Progressed { connection } => {
                 if let Some(Load::Execution(submission, execution)) =
-                    self.links.get(&link).and_then(|l| l.load)
+                    self.links.get(&connection).and_then(|l| l.load)
                 {
                     self.pending.push_back(Event::Noted { submission, execution });
                 }
             }
-            Input::Ended { link, outcome, result, report } => {
-                if let Some(Load::Execution(submission, execution)) = self.unload(link) {
+            Input::Ended { connection, outcome, result, report } => {
+                if let Some(Load::Execution(submission, execution)) = self.unload(connection) {
                     self.ended(submission, execution, outcome, Some(result), report);
                 }
             }
-            Input::Probed { link, answered, report } => {
-                let worker = self.links.get(&link).map(|l| l.worker);
-                if let (Some(worker), Some(Load::Probe)) = (worker, self.unload(link)) {
+            Input::Probed { connection, answered, report } => {
+                let worker = self.links.get(&connection).map(|l| l.worker);
+                if let (Some(worker), Some(Load::Probe)) = (worker, self.unload(connection)) {
                     self.probed(worker, answered, report);
                 }
             }
-            Input::Freed { link, named } => {
-                if let Some(line) = self.links.get_mut(&link).filter(|l| l.stage == Stage::Finishing) {
+            Input::ConnectionReusable { connection, identified: named } => {
+                if let Some(line) = self.links.get_mut(&connection).filter(|l| l.stage == Stage::Finishing) {
                     line.doubtful = if named { 0 } else { self.now + SECOND_ANSWER };
-                    self.rest(link);
+                    self.rest(connection);
                 }
             }
             Input::Tick => self.tick(),
@@ -553,29 +553,29 @@
                 }
                 self.stats.probes += 1;
                 match self.pooled(worker, Load::Probe) {
-                    Some(link) => self.hand(link, Load::Probe),
+                    Some(connection) => self.hand(connection, Load::Probe),
                     None => self.open(worker, Load::Probe),
                 }
             }
             Order::Release { worker } => {
                 let idle = self.workers.get_mut(worker as usize).map(|w| std::mem::take(&mut w.idle));
-                idle.into_iter().flatten().for_each(|link| self.close_link(link));
+                idle.into_iter().flatten().for_each(|connection| self.close_link(connection));
                 // The one whose end led to this is not idle yet: its last bytes are not in.
                 let here = self.links.values_mut().filter(|l| l.worker == worker);
                 here.filter(|l| l.stage == Stage::Finishing).for_each(|l| l.last = true);
             }
             // The reducer times the next call itself where it knows how the last one ended.
             Order::Subscribe if self.call_at.is_some() => {}
-            Order::Subscribe => self.effects.push(Effect::Watch),
+            Order::Subscribe => self.effects.push(Effect::RequestList),
             Order::Forget { submission } => {
                 let taken = self.taken.get_mut(submission as usize).and_then(Option::take);
                 if let Some(taken) = &taken {
-                    self.ids.remove(&taken.shipment.id);
-                    self.hold_key(taken.product, &taken.shipment, false);
+                    self.ids.remove(&taken.request.id);
+                    self.hold_key(taken.product, &taken.request, false);
                 }
-                let over = taken
-                    .as_ref()
-                    .is_some_and(|t| t.client.is_none() && t.executions.iter().all(|a| a.link.is_none()));
+                let over = taken.as_ref().is_some_and(|t| {
+                    t.client.is_none() && t.executions.iter().all(|a| a.connection.is_none())
+                });
                 must!(self, over, "forgotten while something was owed or out");
                 for sent in taken.iter().flat_map(|t| &t.executions) {
                     self.workers[sent.worker as usize].known -= 1;
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -52,13 +52,13 @@
             let moved = std::mem::replace(&mut place.address, e.address) != e.address;
             if moved {
                 let idle = std::mem::take(&mut place.idle);
-                idle.into_iter().for_each(|link| self.close_link(link));
+                idle.into_iter().for_each(|connection| self.close_link(connection));
             }
             let kind = position(&mut self.kinds, &e.kind);
             let zone = position(&mut self.zones, &e.zone);
             let place = &mut self.workers[worker as usize];
-            (place.kind, place.zone, place.group, place.weight) = (kind, zone, e.group, e.weight);
-            let (health, cell, weight) = (e.health, e.group, e.weight);
+            (place.kind, place.zone, place.cell, place.weight) = (kind, zone, e.cell, e.weight);
+            let (health, cell, weight) = (e.health, e.cell, e.weight);
             listings.push(Listing { worker, health, kind, zone, cell, started, weight });
         }
         // What a whole list lacks has left, and so do the connections kept for it.
@@ -73,7 +73,7 @@
             if !std::mem::replace(&mut place.left, true) {
                 self.left.push_back(worker as Worker);
             }
-            idle.into_iter().for_each(|link| self.close_link(link));
+            idle.into_iter().for_each(|connection| self.close_link(connection));
         }
         self.decide(Event::Listed { kind, entries: &listings });
         self.settle();
@@ -92,7 +92,7 @@
                 address: w.address,
                 zone: word(&self.zones, w.zone),
                 kind: word(&self.kinds, w.kind),
-                group: w.group,
+                cell: w.cell,
                 health: w.health,
                 started: w.started.at(),
                 weight: w.weight,
@@ -112,7 +112,7 @@
             health: e.health,
             kind: u16::MAX,
             zone: u16::MAX,
-            group: e.group,
+            cell: e.cell,
             weight: e.weight,
             started: start_times::Started::default(),
             idle: Vec::new(),
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -10,15 +10,15 @@
 const STALLED: usize = 256;
 
 /// What a node that remembers is told at its start.
-pub struct Remembered {
-    pub fates: Fates,
+pub struct StoredOutcomes {
+    pub outcomes: Fates,
     /// How old the store is at the time that the node starts.
     pub age: Age,
     pub now: Nanos,
     /// Clients keep `Idempotency-Key` when they ask again, or else `Req-Id`.
     pub by_stamp: bool,
     /// What an earlier store knew is lost: until then a one-shot that is not known may have run.
-    pub doubtful: Nanos,
+    pub incomplete_until: Nanos,
 }
 
 pub(crate) struct Book {
@@ -36,8 +36,8 @@
 
 /// An execution that waits until it is written down that it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
-    link: Link,
+pub struct PersistTicket {
+    connection: ConnectionId,
     submission: Submission,
     number: u64,
     execution: Execution,
@@ -45,8 +45,8 @@
 
 impl Core {
     /// From now on one-shots are remembered over a restart. To be called before anything is taken.
-    pub fn remember(&mut self, remembered: Remembered) {
-        let Remembered { fates, age, now, by_stamp, doubtful } = remembered;
+    pub fn enable_outcome_store(&mut self, remembered: StoredOutcomes) {
+        let StoredOutcomes { outcomes: fates, age, now, by_stamp, incomplete_until: doubtful } = remembered;
         let open = HashSet::new();
         self.book =
             Some(Book { fates, age, since: now, by_stamp, doubtful, waiting: 0, open, failed: false });
@@ -54,25 +54,25 @@
 
     /// Whether all that may have run is known.
     #[must_use]
-    pub fn sure(&self) -> bool {
+    pub fn outcomes_complete(&self) -> bool {
         self.book.as_ref().is_none_or(|b| b.doubtful <= self.now)
     }
 
     /// How a submission with this key stands, for whoever asks.
     #[must_use]
-    pub fn fate(&self, key: &[u8]) -> Option<&Fate> {
+    pub fn stored_outcome(&self, key: &[u8]) -> Option<&Fate> {
         self.book.as_ref()?.fates.fate(key)
     }
 
     /// Whether one-shots can be taken, where they are to be remembered.
     #[must_use]
-    pub fn remembers(&self) -> bool {
+    pub fn can_store_outcomes(&self) -> bool {
         self.book.as_ref().is_none_or(|b| !b.failed)
     }
 
-    fn key(&self, shipment: &Shipment) -> Option<Bytes> {
+    fn key(&self, request: &ForwardedRequest) -> Option<Bytes> {
         let book = self.book.as_ref()?;
-        if book.by_stamp { shipment.stamp.clone() } else { Some(shipment.id.clone()) }
+        if book.by_stamp { request.stamp.clone() } else { Some(request.id.clone()) }
     }
 
     fn one_shot(&self, product: u8) -> bool {
@@ -80,17 +80,17 @@
     }
 
     /// The answer to one that asks again, or that can't be remembered; none where it is to be taken.
-    pub(crate) fn settled(&self, intake: &Intake) -> Option<Answer> {
+    pub(crate) fn settled(&self, intake: &NewSubmission) -> Option<Answer> {
         let book = self.book.as_ref().filter(|_| self.one_shot(intake.product))?;
         // Without a key it could not be known again, and would run again.
         let turned_away = Answer::Dismissed(self.come_back.map(|most| most / 8));
-        let Some(key) = self.key(&intake.shipment) else { return Some(turned_away) };
+        let Some(key) = self.key(&intake.request) else { return Some(turned_away) };
         if book.open.contains(&key) {
             // Both would be sent, and neither has an end yet.
-            return Some(Answer::Repeated);
+            return Some(Answer::DuplicateId);
         }
         match book.fates.fate(&key) {
-            Some(Fate::Satisfied(result)) => Some(Answer::Satisfied(result.clone())),
+            Some(Fate::Satisfied(result)) => Some(Answer::Completed(result.clone())),
             Some(Fate::MayHaveRun) => Some(Answer::Aborted),
             // Dismissed, it would be told that asking again is harmless.
             None if self.now < book.doubtful => Some(Answer::Aborted),
@@ -100,11 +100,11 @@
     }
 
     /// A submission is held from now on, or no more.
-    pub(crate) fn hold_key(&mut self, product: u8, shipment: &Shipment, held: bool) {
+    pub(crate) fn hold_key(&mut self, product: u8, request: &ForwardedRequest, held: bool) {
         if !self.one_shot(product) {
             return;
         }
-        if let (Some(key), Some(book)) = (self.key(shipment), &mut self.book) {
+        if let (Some(key), Some(book)) = (self.key(request), &mut self.book) {
             if held {
                 book.open.insert(key)
             } else {
@@ -118,24 +118,29 @@
     }
 
     /// Whether an execution has to wait until it is written down; it is asked for then.
-    pub(crate) fn waits(&mut self, link: Link, submission: Submission, execution: Execution) -> bool {
+    pub(crate) fn waits(
+        &mut self,
+        connection: ConnectionId,
+        submission: Submission,
+        execution: Execution,
+    ) -> bool {
         let Some(taken) = self.taken.get(submission as usize).and_then(Option::as_ref) else { return false };
         if taken.kept || !self.one_shot(taken.product) {
             return false;
         }
-        let (number, shipment) = (taken.number, Arc::clone(&taken.shipment));
-        let (Some(key), now) = (self.key(&shipment), self.age_now()) else { return false };
+        let (number, request) = (taken.number, Arc::clone(&taken.request));
+        let (Some(key), now) = (self.key(&request), self.age_now()) else { return false };
         let Some(book) = &mut self.book else { return false };
         book.waiting += 1;
         let keep = book.fates.sending(&key, now);
-        let ticket = Some(Ticket { link, submission, number, execution });
-        self.effects.push(Effect::Keep { keep, ticket });
+        let ticket = Some(PersistTicket { connection, submission, number, execution });
+        self.effects.push(Effect::Persist { record: keep, ticket });
         true
     }
 
     /// It is written down, or can't be.
-    pub(crate) fn kept(&mut self, ticket: Ticket, lasts: bool) {
-        let Ticket { link, submission, number, execution } = ticket;
+    pub(crate) fn kept(&mut self, ticket: PersistTicket, lasts: bool) {
+        let PersistTicket { connection, submission, number, execution } = ticket;
         if let Some(book) = &mut self.book {
             book.waiting -= 1;
             book.failed |= !lasts;
@@ -144,19 +149,19 @@
         let taken = self.taken.get_mut(submission as usize).and_then(Option::as_mut);
         let Some(taken) = taken.filter(|t| t.number == number) else { return };
         taken.kept |= lasts;
-        let (shipment, version) = (Arc::clone(&taken.shipment), taken.version);
+        let (request, version) = (Arc::clone(&taken.request), taken.version);
         // The connection may have broken meanwhile, or the order been called off.
-        let Some(line) = self.links.get_mut(&link).filter(|l| l.load == Some(load)) else { return };
+        let Some(line) = self.links.get_mut(&connection).filter(|l| l.load == Some(load)) else { return };
         let (worker, address) = (line.worker, line.address);
         if lasts && self.permit(Occasion::Durable, worker, address, load).is_ok() {
             let until = self.sent(submission, execution).map_or(0, |sent| sent.until);
             let wait = until.saturating_sub(self.now);
-            return self.effects.push(Effect::Send { link, shipment, wait, version });
+            return self.effects.push(Effect::Send { connection, request, timeout: wait, version });
         }
-        if let Some(line) = self.links.get_mut(&link) {
+        if let Some(line) = self.links.get_mut(&connection) {
             line.load = None;
         }
-        self.rest(link);
+        self.rest(connection);
         self.unsent(worker, load);
     }
 
@@ -173,9 +178,9 @@
         if !self.one_shot(taken.product) {
             return;
         }
-        let (Some(key), now) = (self.key(&taken.shipment), self.age_now()) else { return };
+        let (Some(key), now) = (self.key(&taken.request), self.age_now()) else { return };
         if let Some(keep) = self.book.as_mut().and_then(|b| b.fates.ended(&key, fate, now)) {
-            self.effects.push(Effect::Keep { keep, ticket: None });
+            self.effects.push(Effect::Persist { record: keep, ticket: None });
         }
     }
 
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -7,7 +7,7 @@
 impl Core {
     /// What was seen here of each executor that is ready, and how long ago.
     #[must_use]
-    pub fn tale(&self, now: Nanos) -> Vec<Item> {
+    pub fn peer_snapshot(&self, now: Nanos) -> Vec<Item> {
         let ready = self.workers.iter().filter(|w| w.health == Health::Ready);
         let items = ready.filter_map(|w| {
             let (at, answered, report) = w.said?;
@@ -25,7 +25,7 @@
 
     /// What is known here of an executor with this name, and how many are ready.
     #[must_use]
-    pub fn own(&self, name: &str) -> Own {
+    pub fn local_knowledge(&self, name: &str) -> Own {
         let place = self.names.get(name).and_then(|w| self.workers.get(*w as usize));
         place.map_or(Own::default(), |w| Own {
             ready: w.health == Health::Ready,
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -32,7 +32,7 @@
 impl Refusal {
     /// As logs and metrics name it.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Withdrawn => "withdrawn",
             Self::Answered => "answered",
@@ -65,7 +65,7 @@
 impl Occasion {
     /// As logs name it.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Order => "order",
             Self::Connected => "connected",
@@ -139,7 +139,7 @@
             return Err(Refusal::NotOpen);
         }
         let others = taken.executions.iter().enumerate().filter(|(i, _)| *i != usize::from(execution));
-        if !self.may_duplicate && others.clone().any(|(_, other)| other.link.is_some()) {
+        if !self.may_duplicate && others.clone().any(|(_, other)| other.connection.is_some()) {
             return Err(Refusal::SecondCopy);
         }
         Ok(left)
@@ -158,7 +158,7 @@
         if let Err(refusal) = permission {
             self.stats.refused.count(refusal);
             let taken = self.taken.get(submission as usize).and_then(Option::as_ref);
-            let id = taken.map(|t| t.shipment.id.clone()).unwrap_or_default();
+            let id = taken.map(|t| t.request.id.clone()).unwrap_or_default();
             self.effects.push(Effect::Refused { id, refusal, occasion });
         }
         permission
@@ -170,17 +170,22 @@
     /// # Errors
     ///
     /// Why nothing may be written.
-    pub fn begin(&mut self, now: Nanos, link: Link, effects: &mut Vec<Effect>) -> Result<Nanos, Refusal> {
+    pub fn begin_send(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        effects: &mut Vec<Effect>,
+    ) -> Result<Nanos, Refusal> {
         self.now = self.now.max(now);
-        let line = self.links.get(&link);
+        let line = self.links.get(&connection);
         let carried = line.and_then(|line| Some((line.worker, line.address, line.load?)));
         let Some((worker, address, load)) = carried else { return Err(Refusal::Withdrawn) };
         let permission = self.permit(Occasion::FirstByte, worker, address, load);
         if permission.is_err() {
-            if let Some(line) = self.links.get_mut(&link) {
+            if let Some(line) = self.links.get_mut(&connection) {
                 (line.load, line.idled) = (None, None);
             }
-            self.rest(link);
+            self.rest(connection);
             self.unsent(worker, load);
             self.settle();
         }
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -15,7 +15,7 @@
 impl Core {
     /// From now on the start goes by stages; `old` is a list of an age that is not known. To be called before anything
     /// else.
-    pub fn start_by(&mut self, now: Nanos, start: Start, old: Vec<Endpoint>) {
+    pub fn start_in_stages(&mut self, now: Nanos, start: Start, old: Vec<Endpoint>) {
         self.now = self.now.max(now);
         self.effects.push(Effect::Stage(start.stage()));
         self.start = Some(Starting { start, old, armed: 0 });
@@ -92,11 +92,11 @@
         self.start.as_mut().map_or(self.now, |s| s.start.connect_at(self.now))
     }
 
-    pub(crate) fn turn_came(&mut self, link: Link) {
-        let Some(line) = self.links.get(&link) else { return };
+    pub(crate) fn turn_came(&mut self, connection: ConnectionId) {
+        let Some(line) = self.links.get(&connection) else { return };
         let (address, limit) = (line.address, line.limit.until);
         let limit = limit.saturating_sub(self.now);
-        self.effects.push(Effect::Open { link, address, limit });
+        self.effects.push(Effect::OpenConnection { connection, address, timeout: limit });
     }
 
     /// When the list may be asked for, where that is later.
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -18,7 +18,7 @@
     /// Discovery was heard at this time, and told of no start that it tells of now; 0 if that is not known.
     pub known_until: Nanos,
     /// By how much this machine's wall clock has moved against the node's own since the node began, in nanoseconds.
-    pub wall_moved: i64,
+    pub wall_clock_shift: i64,
 }
 
 /// A start as it was told, and what that is taken for.
@@ -47,7 +47,7 @@
     if told == 0 {
         return 0;
     }
-    let by_present_wall_clock = told.saturating_add_signed(clocks.wall_moved.saturating_neg());
+    let by_present_wall_clock = told.saturating_add_signed(clocks.wall_clock_shift.saturating_neg());
     let possible = [told, by_present_wall_clock].into_iter().filter(|start| *start <= now + SKEW);
     let start = possible.max().unwrap_or(now).min(now);
     if start + TOLD_WITHIN < clocks.known_until { clocks.known_until } else { start }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -8,16 +8,16 @@
         self.timers.push(Reverse((at, self.next_timer, timer)));
     }
 
-    pub(crate) fn limit_link(&mut self, link: Link, until: Nanos) {
-        let Some(line) = self.links.get_mut(&link) else { return };
+    pub(crate) fn limit_link(&mut self, connection: ConnectionId, until: Nanos) {
+        let Some(line) = self.links.get_mut(&connection) else { return };
         line.limit.until = until;
         if until < line.limit.armed {
             line.limit.armed = until;
-            self.arm(until, Timer::Link(link));
+            self.arm(until, Timer::Link(connection));
         }
     }
 
-    pub(crate) fn limit_client(&mut self, client: Client, until: Nanos) {
+    pub(crate) fn limit_client(&mut self, client: ClientId, until: Nanos) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         state.limit.until = until;
         if until < state.limit.armed {
@@ -40,14 +40,16 @@
     pub(crate) fn ring(&mut self, at: Nanos, timer: Timer) {
         match timer {
             Timer::Ring(token) => self.pending.push_back(Event::Rang { token }),
-            Timer::Link(link) => {
-                let Some(line) = self.links.get_mut(&link).filter(|l| l.limit.armed == at) else { return };
+            Timer::Link(connection) => {
+                let Some(line) = self.links.get_mut(&connection).filter(|l| l.limit.armed == at) else {
+                    return;
+                };
                 line.limit.armed = Nanos::MAX;
                 let until = line.limit.until;
                 if until > self.now {
-                    self.limit_link(link, until);
+                    self.limit_link(connection, until);
                 } else {
-                    self.overdue(link);
+                    self.overdue(connection);
                 }
             }
             Timer::Client(client) => {
@@ -79,19 +81,19 @@
                 Some(later) => self.call_at(later),
                 None => {
                     self.call_at = None;
-                    self.effects.push(Effect::Watch);
+                    self.effects.push(Effect::RequestList);
                 }
             },
             // The reducer looks where the start is after each input.
             Timer::Stage => {}
-            Timer::Open(link) => self.turn_came(link),
+            Timer::Open(connection) => self.turn_came(connection),
             Timer::Room => self.make_room_in_time(),
             Timer::Leave => self.leaving = true,
             Timer::LastCall => {
                 // Taken before the stop, with a cut-off that lies after the kill: unanswered, they would be lost
                 // with the process.
                 let open = (0..).zip(&self.taken).filter_map(|(i, t)| Some((i, t.as_ref()?.client?)));
-                for (submission, _) in open.collect::<Vec<(Submission, Client)>>() {
+                for (submission, _) in open.collect::<Vec<(Submission, ClientId)>>() {
                     self.answer(submission, Answer::Aborted);
                     self.pending.push_back(Event::Left { submission });
                 }
@@ -102,7 +104,7 @@
                 self.arm(self.now + STAY, Timer::Leave);
                 let resting = self.clients.iter().filter(|(_, g)| g.submission.is_none());
                 let resting = resting.filter(|(_, g)| matches!(g.phase, Phase::Idle | Phase::Leaving));
-                let mut resting: Vec<Client> = resting.map(|(c, _)| *c).collect();
+                let mut resting: Vec<ClientId> = resting.map(|(c, _)| *c).collect();
                 resting.sort_unstable();
                 resting.into_iter().for_each(|client| self.send_off(client));
             }
@@ -115,14 +117,14 @@
     }
 
     /// A connection has used up its time.
-    pub(crate) fn overdue(&mut self, link: Link) {
-        let Some(line) = self.links.get(&link) else { return };
+    pub(crate) fn overdue(&mut self, connection: ConnectionId) {
+        let Some(line) = self.links.get(&connection) else { return };
         let (worker, stage, load) = (line.worker, line.stage, line.load);
         if load.is_some() {
             self.workers[worker as usize].seen.silent = true;
         }
-        let Some(line) = self.forget_link(link) else { return };
-        self.effects.push(Effect::CloseLink { link });
+        let Some(line) = self.forget_link(connection) else { return };
+        self.effects.push(Effect::CloseConnection { connection });
         if stage == Stage::Opening {
             self.broke(&line, false);
         }
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -39,28 +39,29 @@
 
     fn feed(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.core.take(self.now, input, &mut effects);
+        self.core.handle(self.now, input, &mut effects);
         effects
     }
 
     fn list(&mut self, kind: ListKind, executors: impl Iterator<Item = Endpoint>) {
-        self.feed(Input::Listed { kind, endpoints: executors.collect() });
+        self.feed(Input::ListReceived { kind, endpoints: executors.collect() });
     }
 
-    /// Hands in a job and lets the connection that it asks for come up. Where it was sent, and over which link.
-    fn submit(&mut self, id: u64) -> Option<(Link, SocketAddr)> {
-        self.feed(Input::ClientUp { client: id });
-        let shipment = Arc::new(Shipment { id: Bytes::from(id.to_string()), ..Shipment::default() });
+    /// Hands in a job and lets the connection that it asks for come up. Where it was sent, and over which connection.
+    fn submit(&mut self, id: u64) -> Option<(ConnectionId, SocketAddr)> {
+        self.feed(Input::ClientConnected { client: id });
+        let request =
+            Arc::new(ForwardedRequest { id: Bytes::from(id.to_string()), ..ForwardedRequest::default() });
         let intake =
-            Intake { product: LOOK, tenant: 0, patience: 5_000 * MS, slots: 1.0, memory: 0.0, shipment };
-        let asked = self.feed(Input::Submitted { client: id, intake });
-        let (link, address) = asked.iter().find_map(|e| match e {
-            Effect::Open { link, address, .. } => Some((*link, *address)),
+            NewSubmission { product: LOOK, tenant: 0, timeout: 5_000 * MS, slots: 1.0, memory: 0.0, request };
+        let asked = self.feed(Input::Submitted { client: id, submission: intake });
+        let (connection, address) = asked.iter().find_map(|e| match e {
+            Effect::OpenConnection { connection, address, .. } => Some((*connection, *address)),
             _ => None,
         })?;
-        let sent = self.feed(Input::LinkUp { link });
-        let sent = sent.iter().any(|e| matches!(e, Effect::Send { link: l, .. } if *l == link));
-        sent.then_some((link, address))
+        let sent = self.feed(Input::ExecutorConnected { connection });
+        let sent = sent.iter().any(|e| matches!(e, Effect::Send { connection: l, .. } if *l == connection));
+        sent.then_some((connection, address))
     }
 }
 
@@ -68,7 +69,7 @@
     let [_, _, high, low] = number.to_be_bytes();
     let address = SocketAddr::from(([127, 0, high, low], 7_000));
     let (zone, kind) = ("here".to_owned(), "small".to_owned());
-    Endpoint { name: format!("w{number}"), address, zone, kind, group: 1, health, started: 0, weight: 1.0 }
+    Endpoint { name: format!("w{number}"), address, zone, kind, cell: 1, health, started: 0, weight: 1.0 }
 }
 
 fn ready(numbers: std::ops::Range<u32>) -> impl Iterator<Item = Endpoint> {
@@ -103,10 +104,10 @@
     let mut sent = 0;
     for id in 0..64 {
         node.now += 20 * MS;
-        if let Some((link, address)) = node.submit(id) {
+        if let Some((connection, address)) = node.submit(id) {
             assert_eq!(address, executor(last, Health::Ready).address);
             node.feed(Input::Ended {
-                link,
+                connection,
                 outcome: Outcome::Satisfied,
                 result: Bytes::from_static(b"r"),
                 report: None,
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -14,22 +14,46 @@
 const PAY: u8 = 0;
 const TOP_UP: u8 = 1;
 const LOOK: u8 = 2;
-const FRESH: Broken = Broken { begun: false, written: false, answered: false, here: false, spoilt: false };
-const HALF: Broken = Broken { begun: true, written: false, answered: false, here: false, spoilt: false };
-const WHOLE: Broken = Broken { begun: true, written: true, answered: false, here: false, spoilt: false };
-const HERE: Broken = Broken { begun: false, written: false, answered: false, here: true, spoilt: false };
+const FRESH: Disconnect = Disconnect {
+    request_started: false,
+    request_written: false,
+    response_started: false,
+    local_fault: false,
+    unexpected_data: false,
+};
+const HALF: Disconnect = Disconnect {
+    request_started: true,
+    request_written: false,
+    response_started: false,
+    local_fault: false,
+    unexpected_data: false,
+};
+const WHOLE: Disconnect = Disconnect {
+    request_started: true,
+    request_written: true,
+    response_started: false,
+    local_fault: false,
+    unexpected_data: false,
+};
+const HERE: Disconnect = Disconnect {
+    request_started: false,
+    request_written: false,
+    response_started: false,
+    local_fault: true,
+    unexpected_data: false,
+};
 
 struct Node {
     core: Core,
     now: Nanos,
     effects: Vec<Effect>,
-    clients: Client,
+    clients: ClientId,
 }
 
 fn endpoint(worker: usize, health: Health) -> Endpoint {
     let address = SocketAddr::from(([127, 0, 0, 1], 100 + worker as u16));
     let (zone, kind) = ("here".to_owned(), "small".to_owned());
-    Endpoint { name: format!("w{worker}"), address, zone, kind, group: 1, health, started: 0, weight: 1.0 }
+    Endpoint { name: format!("w{worker}"), address, zone, kind, cell: 1, health, started: 0, weight: 1.0 }
 }
 
 impl Node {
@@ -57,25 +81,25 @@
 
     fn feed(&mut self, input: Input) {
         self.effects.clear();
-        self.core.take(self.now, input, &mut self.effects);
+        self.core.handle(self.now, input, &mut self.effects);
     }
 
     fn list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) {
-        self.feed(Input::Listed { kind, endpoints });
+        self.feed(Input::ListReceived { kind, endpoints });
     }
 
-    fn submit(&mut self, product: u8, patience: Nanos) -> Client {
+    fn submit(&mut self, product: u8, timeout: Nanos) -> ClientId {
         self.clients += 1;
-        self.feed(Input::ClientUp { client: self.clients });
-        self.submit_as(self.clients, product, patience)
+        self.feed(Input::ClientConnected { client: self.clients });
+        self.submit_as(self.clients, product, timeout)
     }
 
-    fn submit_as(&mut self, id: u64, product: u8, patience: Nanos) -> Client {
+    fn submit_as(&mut self, id: u64, product: u8, timeout: Nanos) -> ClientId {
         let client = self.clients;
         let id = Bytes::from(format!("{id}"));
-        let shipment = Arc::new(Shipment { id, ..Shipment::default() });
-        let intake = Intake { product, tenant: 0, patience, slots: 1.0, memory: 0.0, shipment };
-        self.feed(Input::Submitted { client, intake });
+        let request = Arc::new(ForwardedRequest { id, ..ForwardedRequest::default() });
+        let intake = NewSubmission { product, tenant: 0, timeout, slots: 1.0, memory: 0.0, request };
+        self.feed(Input::Submitted { client, submission: intake });
         client
     }
 
@@ -91,22 +115,26 @@
     }
 
     /// Connections asked for, probes' left out: those are asked for by the clock alone.
-    fn opened(&self) -> Option<(Link, SocketAddr)> {
+    fn opened(&self) -> Option<(ConnectionId, SocketAddr)> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Open { link, address, .. } => Some((*link, *address)),
+            Effect::OpenConnection { connection, address, .. } => Some((*connection, *address)),
             _ => None,
         })
     }
 
-    fn sent(&self) -> Option<Link> {
-        self.effects.iter().find_map(|e| if let Effect::Send { link, .. } = e { Some(*link) } else { None })
+    fn sent(&self) -> Option<ConnectionId> {
+        self.effects
+            .iter()
+            .find_map(|e| if let Effect::Send { connection, .. } = e { Some(*connection) } else { None })
     }
 
-    fn closed(&self, link: Link) -> bool {
-        self.effects.iter().any(|e| matches!(e, Effect::CloseLink { link: l } if *l == link))
+    fn closed(&self, connection: ConnectionId) -> bool {
+        self.effects
+            .iter()
+            .any(|e| matches!(e, Effect::CloseConnection { connection: l } if *l == connection))
     }
 
-    fn answers(&self) -> Vec<(Client, Answer)> {
+    fn answers(&self) -> Vec<(ClientId, Answer)> {
         let answers = self.effects.iter().filter_map(|e| match e {
             Effect::Answer { client, answer, .. } => Some((*client, answer.clone())),
             _ => None,
@@ -115,25 +143,25 @@
     }
 
     /// A submission whose first execution has been sent over a new connection.
-    fn under_way(&mut self, product: u8) -> (Client, Link) {
+    fn under_way(&mut self, product: u8) -> (ClientId, ConnectionId) {
         let client = self.submit(product, 5_000 * MS);
-        let (link, _) = self.opened().unwrap();
-        self.feed(Input::LinkUp { link });
-        assert_eq!(self.sent(), Some(link));
-        (client, link)
+        let (connection, _) = self.opened().unwrap();
+        self.feed(Input::ExecutorConnected { connection });
+        assert_eq!(self.sent(), Some(connection));
+        (client, connection)
     }
 
-    fn end(&mut self, link: Link, outcome: Outcome) {
-        self.feed(Input::Ended { link, outcome, result: Bytes::from_static(b"r"), report: None });
+    fn end(&mut self, connection: ConnectionId, outcome: Outcome) {
+        self.feed(Input::Ended { connection, outcome, result: Bytes::from_static(b"r"), report: None });
     }
 
     /// A worker with a connection that is up and idle, and that no probe uses.
-    fn with_idle() -> (Self, Link) {
+    fn with_idle() -> (Self, ConnectionId) {
         let mut node = Self::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
-        let (_, link) = node.under_way(PAY);
-        node.end(link, Outcome::Satisfied);
-        node.feed(Input::Freed { link, named: true });
-        (node, link)
+        let (_, connection) = node.under_way(PAY);
+        node.end(connection, Outcome::Satisfied);
+        node.feed(Input::ConnectionReusable { connection, identified: true });
+        (node, connection)
     }
 }
 
@@ -154,10 +182,10 @@
 #[case::broken_after_writing(PAY, WHOLE, Then::Aborted)]
 #[case::stamped_same_group(TOP_UP, WHOLE, Then::Elsewhere)]
 #[case::harmless(LOOK, WHOLE, Then::Elsewhere)]
-fn what_follows_a_broken_connection(#[case] product: u8, #[case] broken: Broken, #[case] then: Then) {
+fn what_follows_a_broken_connection(#[case] product: u8, #[case] disconnect: Disconnect, #[case] then: Then) {
     let mut node = Node::new(2);
-    let (client, link) = node.under_way(product);
-    node.feed(Input::LinkDown { link, broken });
+    let (client, connection) = node.under_way(product);
+    node.feed(Input::ExecutorDisconnected { connection, disconnect });
     let found = match (node.opened(), node.answers().as_slice()) {
         (Some(_), []) => Then::Elsewhere,
         (None, [(c, Answer::Dismissed(_))]) if *c == client => Then::Dismissed,
@@ -171,15 +199,15 @@
 #[case::turned_away(Outcome::Full, None, true)]
 #[case::lost(Outcome::Reset, Some(Answer::Aborted), false)]
 #[case::error(Outcome::Error, Some(Answer::Aborted), false)]
-#[case::done(Outcome::Satisfied, Some(Answer::Satisfied(Bytes::from_static(b"r"))), false)]
+#[case::done(Outcome::Satisfied, Some(Answer::Completed(Bytes::from_static(b"r"))), false)]
 fn what_follows_an_answer_to_a_one_shot(
     #[case] outcome: Outcome,
     #[case] answer: Option<Answer>,
     #[case] again: bool,
 ) {
     let mut node = Node::new(2);
-    let (client, link) = node.under_way(PAY);
-    node.end(link, outcome);
+    let (client, connection) = node.under_way(PAY);
+    node.end(connection, outcome);
     assert_eq!(node.answers(), Vec::from_iter(answer.map(|a| (client, a))));
     assert_eq!(node.opened().is_some(), again);
     assert_eq!(node.core.stats().open, usize::from(again));
@@ -191,28 +219,28 @@
 fn a_copy_ordered_as_the_answer_comes_is_not_begun() {
     let mut node = Node::new(2);
     let client = node.submit(LOOK, 5_000 * MS);
-    let (link, executor) = node.opened().unwrap();
-    node.feed(Input::LinkUp { link });
+    let (connection, executor) = node.opened().unwrap();
+    node.feed(Input::ExecutorConnected { connection });
     // Both executors are asked whether they are there, and the one that is at work is not.
     let mut asked = Vec::new();
     while asked.len() < 2 {
         node.pass(MS);
         asked.extend(node.effects.iter().filter_map(|e| match e {
-            Effect::Open { link, address, .. } => Some((*link, *address)),
+            Effect::OpenConnection { connection, address, .. } => Some((*connection, *address)),
             _ => None,
         }));
     }
     for (probe, address) in asked {
         if address == executor {
-            node.feed(Input::LinkDown { link: probe, broken: FRESH });
+            node.feed(Input::ExecutorDisconnected { connection: probe, disconnect: FRESH });
         } else {
-            node.feed(Input::LinkUp { link: probe });
-            node.feed(Input::Probed { link: probe, answered: Some(true), report: None });
+            node.feed(Input::ExecutorConnected { connection: probe });
+            node.feed(Input::Probed { connection: probe, answered: Some(true), report: None });
         }
     }
     node.now += 400 * MS;
-    node.end(link, Outcome::Satisfied);
-    assert_eq!(node.answers(), [(client, Answer::Satisfied(Bytes::from_static(b"r")))]);
+    node.end(connection, Outcome::Satisfied);
+    assert_eq!(node.answers(), [(client, Answer::Completed(Bytes::from_static(b"r")))]);
     let stats = node.core.stats();
     assert_eq!((stats.refused.over, stats.broken), (1, 0));
 }
@@ -224,10 +252,10 @@
 fn an_order_that_waits_for_a_connection_is_checked_again(#[case] health: Health) {
     let mut node = Node::new(2);
     node.submit(PAY, 5_000 * MS);
-    let (link, address) = node.opened().unwrap();
+    let (connection, address) = node.opened().unwrap();
     let worker = usize::from(address.port() - 100);
     node.list(ListKind::Changes, vec![endpoint(worker, health)]);
-    node.feed(Input::LinkUp { link });
+    node.feed(Input::ExecutorConnected { connection });
     assert_eq!(node.sent(), None);
     let (_, other) = node.opened().unwrap();
     assert_ne!(other, address);
@@ -237,24 +265,24 @@
 fn a_client_that_leaves_while_its_order_waits_sends_nothing() {
     let mut node = Node::new(1);
     let client = node.submit(PAY, 5_000 * MS);
-    let (link, _) = node.opened().unwrap();
-    node.feed(Input::ClientGone { client });
-    node.feed(Input::LinkUp { link });
+    let (connection, _) = node.opened().unwrap();
+    node.feed(Input::ClientDisconnected { client });
+    node.feed(Input::ExecutorConnected { connection });
     assert_eq!((node.sent(), node.core.stats().open), (None, 0));
     // The connection is as good for the next.
     node.submit(PAY, 5_000 * MS);
-    assert_eq!(node.sent(), Some(link));
+    assert_eq!(node.sent(), Some(connection));
 }
 
 #[test]
 fn a_client_that_leaves_ends_its_execution() {
     let mut node = Node::new(1);
-    let (client, link) = node.under_way(PAY);
-    node.feed(Input::ClientGone { client });
-    assert!(node.closed(link));
+    let (client, connection) = node.under_way(PAY);
+    node.feed(Input::ClientDisconnected { client });
+    assert!(node.closed(connection));
     // What the connection had on its way comes too late to matter.
-    node.end(link, Outcome::Satisfied);
-    node.feed(Input::LinkDown { link, broken: WHOLE });
+    node.end(connection, Outcome::Satisfied);
+    node.feed(Input::ExecutorDisconnected { connection, disconnect: WHOLE });
     assert_eq!((node.answers().len(), node.core.stats().open), (0, 0));
 }
 
@@ -265,19 +293,19 @@
 #[case::half_written(HALF, None)]
 #[case::written(WHOLE, Some(Answer::Aborted))]
 fn an_idle_connection_that_was_closed_costs_the_worker_nothing(
-    #[case] broken: Broken,
+    #[case] disconnect: Disconnect,
     #[case] answer: Option<Answer>,
 ) {
-    let (mut node, link) = Node::with_idle();
+    let (mut node, connection) = Node::with_idle();
     let client = node.submit(PAY, 5_000 * MS);
-    assert_eq!(node.sent(), Some(link));
-    node.feed(Input::LinkDown { link, broken });
+    assert_eq!(node.sent(), Some(connection));
+    node.feed(Input::ExecutorDisconnected { connection, disconnect });
     assert_eq!(node.answers(), Vec::from_iter(answer.clone().map(|a| (client, a))));
     assert_eq!(node.opened().is_some(), answer.is_none());
-    if let Some((link, _)) = node.opened() {
-        node.feed(Input::LinkUp { link });
-        assert_eq!(node.sent(), Some(link));
-        node.end(link, Outcome::Satisfied);
+    if let Some((connection, _)) = node.opened() {
+        node.feed(Input::ExecutorConnected { connection });
+        assert_eq!(node.sent(), Some(connection));
+        node.end(connection, Outcome::Satisfied);
     }
     node.submit(PAY, 5_000 * MS);
     assert!(node.opened().is_some());
@@ -286,16 +314,16 @@
 #[test]
 fn a_probe_on_an_idle_connection_that_was_closed_is_sent_anew() {
     let mut node = Node::new(1);
-    let (_, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
-    node.feed(Input::Freed { link, named: true });
+    let (_, connection) = node.under_way(PAY);
+    node.end(connection, Outcome::Satisfied);
+    node.feed(Input::ConnectionReusable { connection, identified: true });
     let mut waits = 0;
-    while !node.effects.iter().any(|e| matches!(e, Effect::Probe { link: l } if *l == link)) {
+    while !node.effects.iter().any(|e| matches!(e, Effect::Probe { connection: l } if *l == connection)) {
         waits += 1;
         assert!(waits < 20_000);
         node.pass(MS);
     }
-    node.feed(Input::LinkDown { link, broken: WHOLE });
+    node.feed(Input::ExecutorDisconnected { connection, disconnect: WHOLE });
     assert!(node.opened().is_some());
     assert_eq!(node.core.stats().probes_failed, 0);
 }
@@ -303,38 +331,38 @@
 // Executors may close idle connections sooner than the settings say; what is written to one may have run.
 #[test]
 fn jobs_get_no_connection_that_was_idle_for_as_long_as_those_that_were_closed() {
-    let (mut node, link) = Node::with_idle();
-    let mut link = link;
+    let (mut node, connection) = Node::with_idle();
+    let mut connection = connection;
     let mut found = Vec::new();
     for (idle, closed) in [(400, true), (300, false), (100, false), (100, true), (60, false), (20, false)] {
         node.pass(idle * MS);
         let client = node.submit(PAY, 5_000 * MS);
         found.push(node.opened().is_none());
         if let Some((new, _)) = node.opened() {
-            node.feed(Input::LinkUp { link: new });
-            link = new;
+            node.feed(Input::ExecutorConnected { connection: new });
+            connection = new;
         }
-        assert_eq!(node.sent(), Some(link));
+        assert_eq!(node.sent(), Some(connection));
         if closed {
-            node.feed(Input::LinkDown { link, broken: WHOLE });
+            node.feed(Input::ExecutorDisconnected { connection, disconnect: WHOLE });
             assert_eq!(node.answers(), [(client, Answer::Aborted)]);
             node.submit(PAY, 5_000 * MS);
-            link = node.opened().unwrap().0;
-            node.feed(Input::LinkUp { link });
+            connection = node.opened().unwrap().0;
+            node.feed(Input::ExecutorConnected { connection });
         }
-        node.end(link, Outcome::Satisfied);
-        node.feed(Input::Freed { link, named: true });
+        node.end(connection, Outcome::Satisfied);
+        node.feed(Input::ConnectionReusable { connection, identified: true });
     }
     assert_eq!(found, [true, false, true, true, false, true]);
 }
 
 #[test]
 fn idle_connections_are_closed_well_before_executors_do() {
-    let (mut node, link) = Node::with_idle();
+    let (mut node, connection) = Node::with_idle();
     node.pass(29_000 * MS);
-    assert!(!node.closed(link));
+    assert!(!node.closed(connection));
     node.pass(2_000 * MS);
-    assert!(node.closed(link));
+    assert!(node.closed(connection));
 }
 
 // At the end of what it carried a connection is not idle yet, and must not become so after it was released.
@@ -344,11 +372,11 @@
 fn a_released_connection_closes_when_its_last_bytes_are_in(#[case] nodes: u32, #[case] closed: bool) {
     let settings = common::SETTINGS.replace("\"balancers\": 2", &format!("\"balancers\": {nodes}"));
     let mut node = Node::with(&settings.replace("\"mayProbe\": true", "\"mayProbe\": false"), 60);
-    let (_, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
-    assert!(!node.closed(link));
-    node.feed(Input::Freed { link, named: true });
-    assert_eq!(node.closed(link), closed);
+    let (_, connection) = node.under_way(PAY);
+    node.end(connection, Outcome::Satisfied);
+    assert!(!node.closed(connection));
+    node.feed(Input::ConnectionReusable { connection, identified: true });
+    assert_eq!(node.closed(connection), closed);
 }
 
 // Every wait has an end, and each submission one answer before its cut-off.
@@ -358,19 +386,19 @@
 #[case::short(true, 100)]
 #[case::hopeless(false, 10)]
 #[case::none(false, 0)]
-fn a_silent_executor_leaves_one_answer_before_the_cut_off(#[case] up: bool, #[case] patience: Nanos) {
+fn a_silent_executor_leaves_one_answer_before_the_cut_off(#[case] up: bool, #[case] timeout: Nanos) {
     let mut node = Node::new(2);
-    let client = node.submit(PAY, patience * MS);
+    let client = node.submit(PAY, timeout * MS);
     let mut answers = node.answers();
     let mut answered = None;
-    for passed in 0..patience + 100 {
+    for passed in 0..timeout + 100 {
         let links = node.effects.iter().filter_map(|e| match e {
-            Effect::Open { link, .. } => Some(*link),
+            Effect::OpenConnection { connection, .. } => Some(*connection),
             _ => None,
         });
-        let links: Vec<Link> = links.collect();
-        for link in links.into_iter().filter(|_| up) {
-            node.feed(Input::LinkUp { link });
+        let links: Vec<ConnectionId> = links.collect();
+        for connection in links.into_iter().filter(|_| up) {
+            node.feed(Input::ExecutorConnected { connection });
             answers.extend(node.answers());
         }
         node.pass(MS);
@@ -381,7 +409,7 @@
     }
     assert_eq!(answers.len(), 1, "{answers:?}");
     assert_eq!(answers[0].0, client);
-    assert!(answered.is_none_or(|at| at <= patience));
+    assert!(answered.is_none_or(|at| at <= timeout));
     assert_eq!((node.core.stats().open, node.core.stats().broken), (0, 0));
 }
 
@@ -393,7 +421,7 @@
     }
     // Of 64 descriptors, sixteen left out, three eighths.
     assert!(node.core.stats().links <= 18);
-    assert!(node.core.crowded());
+    assert!(node.core.is_at_client_limit());
 }
 
 // The descriptors alone would allow for connections that fill the memory, and the node would be killed.
@@ -411,7 +439,7 @@
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), clients: 0 };
     node.list(ListKind::Whole, (0..8).map(|w| endpoint(w, Health::Ready)).collect());
     let mut let_in = 0;
-    while !node.core.crowded() {
+    while !node.core.is_at_client_limit() {
         node.submit(PAY, 5_000 * MS);
         let_in += 1;
     }
@@ -424,7 +452,7 @@
 #[test]
 fn half_requests_that_hold_all_room_go_in_time() {
     let mut node = Node::configured(common::SETTINGS, 1);
-    while !node.core.crowded() {
+    while !node.core.is_at_client_limit() {
         // Refused before the first list, it has asked all the same.
         let client = node.submit(LOOK, 5_000 * MS);
         node.feed(Input::ClientPhase { client, phase: Phase::Idle });
@@ -446,16 +474,16 @@
     node.feed(Input::ClientPhase { client: 1, phase: Phase::Leaving });
     node.pass(20 * MS);
     assert!(dropped(&node).contains(&1), "waited for, though others wait for the room");
-    node.feed(Input::ClientGone { client: 1 });
-    assert!(!node.core.crowded());
+    node.feed(Input::ClientDisconnected { client: 1 });
+    assert!(!node.core.is_at_client_limit());
     node.pass(1_000 * MS);
     assert!(dropped(&node).is_empty());
 }
 
 /// Discovery is down: a call fails at once.
-const DOWN: Input = Input::Unheard { lost: MS, busy: false };
+const DOWN: Input = Input::ListFailed { silent_for: MS, overloaded: false };
 /// It is up, and turns a call away after a wait.
-const BUSY: Input = Input::Unheard { lost: 3_000 * MS, busy: true };
+const BUSY: Input = Input::ListFailed { silent_for: 3_000 * MS, overloaded: true };
 
 // The configured list may be of any age, so the first list of this run decides, and no failure of discovery stands in for it.
 #[rstest]
@@ -506,7 +534,7 @@
 fn a_process_is_ready_in_time_when_discovery_stays_silent_and_executes_nothing() {
     let mut node = Node::configured(common::SETTINGS, 1);
     node.pass(125 * MS);
-    assert!(node.effects.iter().any(|e| matches!(e, Effect::Watch)), "no call for the list");
+    assert!(node.effects.iter().any(|e| matches!(e, Effect::RequestList)), "no call for the list");
     node.feed(BUSY);
     node.pass(5_374 * MS);
     assert!(!node.core.ready(node.now));
@@ -532,7 +560,7 @@
 ) {
     let mut node = Node::configured(&common::SETTINGS.replace("on_request", how), 1);
     for second in 0..60 {
-        node.feed(Input::Unheard { lost, busy });
+        node.feed(Input::ListFailed { silent_for: lost, overloaded: busy });
         assert_eq!(node.core.ready(node.now), second >= 6, "after {second} s");
         node.submit(LOOK, 5_000 * MS);
         assert!(matches!(node.answers()[..], [(_, Answer::Dismissed(Some(_)))]), "{:?}", node.answers());
@@ -556,7 +584,7 @@
         node.list(ListKind::Cached, vec![endpoint(0, Health::Ready)]);
         let tenth = (0..10).find(|_| {
             node.pass(100 * MS);
-            node.effects.iter().any(|e| matches!(e, Effect::Watch))
+            node.effects.iter().any(|e| matches!(e, Effect::RequestList))
         });
         calls_by_tenth[tenth.expect("no call within a second")] += 1;
     }
@@ -566,8 +594,8 @@
 #[test]
 fn a_node_that_is_stopped_takes_on_for_a_while_and_answers_what_it_took() {
     let mut node = Node::new(1);
-    let (busy, link) = node.under_way(PAY);
-    node.feed(Input::ClientUp { client: 900 });
+    let (busy, connection) = node.under_way(PAY);
+    node.feed(Input::ClientConnected { client: 900 });
     node.feed(Input::Stop);
     assert!(!node.core.ready(node.now));
     // Clients have nobody else until they are told to go.
@@ -578,11 +606,11 @@
     assert!(!closed(&node, 900));
     node.pass(100 * MS);
     assert!(closed(&node, 900) && !closed(&node, busy));
-    node.feed(Input::ClientGone { client: 900 });
-    node.end(link, Outcome::Satisfied);
+    node.feed(Input::ClientDisconnected { client: 900 });
+    node.end(connection, Outcome::Satisfied);
     assert!(node.effects.iter().any(|e| matches!(e, Effect::Answer { last: true, .. })));
     assert!(!node.effects.iter().any(|e| matches!(e, Effect::Exit)));
-    node.feed(Input::ClientGone { client: busy });
+    node.feed(Input::ClientDisconnected { client: busy });
     assert!(!node.effects.iter().any(|e| matches!(e, Effect::Exit)));
     node.pass(250 * MS);
     assert!(node.effects.iter().any(|e| matches!(e, Effect::Exit)));
@@ -592,45 +620,45 @@
 #[test]
 fn an_id_that_is_still_open_is_turned_down_and_its_holder_untouched() {
     let mut node = Node::new(2);
-    let (holder, link) = node.under_way(PAY);
+    let (holder, connection) = node.under_way(PAY);
     let submit = |node: &mut Node| {
         node.clients += 1;
-        node.feed(Input::ClientUp { client: node.clients });
+        node.feed(Input::ClientConnected { client: node.clients });
         node.submit_as(holder, LOOK, 5_000 * MS)
     };
     let other = submit(&mut node);
-    assert_eq!((node.answers(), node.opened()), (vec![(other, Answer::Repeated)], None));
+    assert_eq!((node.answers(), node.opened()), (vec![(other, Answer::DuplicateId)], None));
     // That the other goes changes nothing.
-    node.feed(Input::ClientGone { client: other });
-    node.end(link, Outcome::Satisfied);
-    assert_eq!(node.answers(), [(holder, Answer::Satisfied(Bytes::from_static(b"r")))]);
+    node.feed(Input::ClientDisconnected { client: other });
+    node.end(connection, Outcome::Satisfied);
+    assert_eq!(node.answers(), [(holder, Answer::Completed(Bytes::from_static(b"r")))]);
     let later = submit(&mut node);
-    assert_ne!(node.answers(), [(later, Answer::Repeated)]);
+    assert_ne!(node.answers(), [(later, Answer::DuplicateId)]);
 }
 
 // Silent ones by the hundreds had a client's idle time, and took the place of those that ask.
 #[test]
 fn a_flood_of_silent_connections_puts_out_its_own() {
     let mut node = Node::new(2);
-    let (busy, link) = node.under_way(PAY);
+    let (busy, connection) = node.under_way(PAY);
     let (usual, other) = node.under_way(PAY);
     node.end(other, Outcome::Satisfied);
     node.feed(Input::ClientPhase { client: usual, phase: Phase::Idle });
     let mut put_out = Vec::new();
     for client in 100..400 {
         node.now += MS;
-        node.feed(Input::ClientUp { client });
-        let closed: Vec<Client> = node.effects.iter().filter_map(closed).collect();
-        closed.iter().for_each(|client| node.feed(Input::ClientGone { client: *client }));
+        node.feed(Input::ClientConnected { client });
+        let closed: Vec<ClientId> = node.effects.iter().filter_map(closed).collect();
+        closed.iter().for_each(|client| node.feed(Input::ClientDisconnected { client: *client }));
         put_out.extend(closed);
-        assert!(!node.core.crowded());
+        assert!(!node.core.is_at_client_limit());
     }
     assert!(put_out.len() > 200 && put_out.iter().all(|c| ![busy, usual].contains(c)));
-    node.end(link, Outcome::Satisfied);
+    node.end(connection, Outcome::Satisfied);
     assert_eq!(node.answers().len(), 1);
 }
 
-fn closed(effect: &Effect) -> Option<Client> {
+fn closed(effect: &Effect) -> Option<ClientId> {
     match effect {
         Effect::CloseClient { client } | Effect::DropClient { client } => Some(*client),
         _ => None,
@@ -648,11 +676,11 @@
 fn a_newcomer_has_a_limit(#[case] usual: bool, #[case] phase: Option<Phase>, #[case] at: Option<u64>) {
     let mut node = Node::new(1);
     let client = if usual {
-        let (client, link) = node.under_way(PAY);
-        node.end(link, Outcome::Satisfied);
+        let (client, connection) = node.under_way(PAY);
+        node.end(connection, Outcome::Satisfied);
         client
     } else {
-        node.feed(Input::ClientUp { client: 1 });
+        node.feed(Input::ClientConnected { client: 1 });
         1
     };
     let start = node.now;
@@ -683,8 +711,8 @@
 ) {
     let named = format!("\"cutOffMs\": {cut_off}, \"agreedTimeMs\"");
     let mut node = Node::with(&common::SETTINGS.replace("\"agreedTimeMs\"", &named), 1);
-    let (usual, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
+    let (usual, connection) = node.under_way(PAY);
+    node.end(connection, Outcome::Satisfied);
     node.feed(Input::ClientPhase { client: usual, phase: Phase::Idle });
     node.feed(Input::Stop);
     node.pass(MS);
@@ -709,7 +737,7 @@
 #[case::idle(Phase::Idle, false)]
 fn a_client_may_not_keep_the_node_waiting(#[case] phase: Phase, #[case] dropped: bool) {
     let mut node = Node::new(1);
-    node.feed(Input::ClientUp { client: 1 });
+    node.feed(Input::ClientConnected { client: 1 });
     let mut effects = Vec::new();
     for second in 0..6 {
         // A byte now and then buys no time.
@@ -728,7 +756,7 @@
 #[test]
 fn machines_come_and_go_for_ever() {
     let mut node = Node::new(4);
-    let (client, link) = node.under_way(PAY);
+    let (client, connection) = node.under_way(PAY);
     let mut most = 0;
     for generation in 1..3_000 {
         let machine =
@@ -739,8 +767,8 @@
     assert!(most <= 4 + 4 + 1_024 + 4, "{most} kept");
     let held = (0..most as u32).filter(|w| node.core.address(*w).is_some_and(|a| a.port() < 104)).count();
     assert_eq!(held, 1, "the one that still holds the job");
-    node.end(link, Outcome::Satisfied);
-    assert_eq!(node.answers(), [(client, Answer::Satisfied(Bytes::from_static(b"r")))]);
+    node.end(connection, Outcome::Satisfied);
+    assert_eq!(node.answers(), [(client, Answer::Completed(Bytes::from_static(b"r")))]);
     assert_eq!(node.core.stats().broken, 0);
 }
 
@@ -758,27 +786,30 @@
 ) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
     let report = Some(Report { free_slots: Some(8.0), in_hand: Some(0.0), ..Report::default() });
-    let end = |node: &mut Node, link| {
-        node.feed(Input::Ended { link, outcome: Outcome::Satisfied, result: Bytes::new(), report });
-        node.feed(Input::Freed { link, named: true });
+    let end = |node: &mut Node, connection| {
+        node.feed(Input::Ended { connection, outcome: Outcome::Satisfied, result: Bytes::new(), report });
+        node.feed(Input::ConnectionReusable { connection, identified: true });
     };
     let (_, first) = node.under_way(LOOK);
     end(&mut node, first);
     let mut links = Vec::new();
     for _ in broken {
         node.submit(LOOK, 5_000 * MS);
-        if let Some((link, _)) = node.opened() {
-            node.feed(Input::LinkUp { link });
+        if let Some((connection, _)) = node.opened() {
+            node.feed(Input::ExecutorConnected { connection });
         }
         links.push(node.sent().unwrap());
     }
-    for (link, busy) in links.iter().zip(broken) {
+    for (connection, busy) in links.iter().zip(broken) {
         if !busy {
-            end(&mut node, *link);
+            end(&mut node, *connection);
         }
     }
-    for link in links {
-        node.feed(Input::LinkDown { link, broken: Broken { answered: true, ..WHOLE } });
+    for connection in links {
+        node.feed(Input::ExecutorDisconnected {
+            connection,
+            disconnect: Disconnect { response_started: true, ..WHOLE },
+        });
         node.now += apart * MS;
     }
     assert_eq!(node.core.stats().died, u64::from(lost));
@@ -812,13 +843,13 @@
 ) {
     let settings = common::SETTINGS.replace(r#""name": "pay","#, &format!(r#""name": "pay", {bound},"#));
     let settings = linestack_settings::read(settings.as_bytes(), 7).unwrap();
-    let core = Core::with(Box::new(Heedless), settings, 64, 32 << 20);
+    let core = Core::with_dispatcher(Box::new(Heedless), settings, 64, 32 << 20);
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), clients: 0 };
     let place = Endpoint { zone: zone.to_owned(), ..endpoint(0, Health::Ready) };
     node.list(ListKind::Whole, vec![place]);
     let noticed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
         node.submit(PAY, 5_000 * MS);
-        node.effects.iter().any(|e| matches!(e, Effect::Fault(what) if what.contains("may not go")))
+        node.effects.iter().any(|e| matches!(e, Effect::InvariantBroken(what) if what.contains("may not go")))
     }));
     // A debug build ends there, a release build counts it.
     assert_eq!(noticed.unwrap_or(true), !open);
@@ -830,7 +861,10 @@
 
 fn terms(changes: &[(&str, &str)]) -> Input {
     let text = changes.iter().fold(common::SETTINGS.to_owned(), |text, (from, to)| text.replace(from, to));
-    Input::Terms { settings: Box::new(linestack_settings::read(text.as_bytes(), 7).unwrap()), version: 2 }
+    Input::SettingsChanged {
+        settings: Box::new(linestack_settings::read(text.as_bytes(), 7).unwrap()),
+        version: 2,
+    }
 }
 
 const STRICT: &[(&str, &str)] = &[
@@ -855,11 +889,11 @@
         node.feed(terms(changes));
         assert!(node.answers().is_empty(), "a switch answers nothing");
     }
-    node.feed(Input::LinkDown { link: at, broken: WHOLE });
+    node.feed(Input::ExecutorDisconnected { connection: at, disconnect: WHOLE });
     assert_eq!(node.answers(), [(pay, Answer::Aborted)], "it may have run");
     assert!(node.opened().is_none() && node.sent().is_none());
     node.end(other, Outcome::Satisfied);
-    assert!(matches!(node.answers()[..], [(client, Answer::Satisfied(_))] if client == look));
+    assert!(matches!(node.answers()[..], [(client, Answer::Completed(_))] if client == look));
     let probes = node.core.stats().probes;
     for _ in 0..40 {
         node.submit(PAY, 5_000 * MS);
@@ -877,10 +911,10 @@
 #[test]
 fn leave_to_take_ends_by_the_clock() {
     let mut node = Node::new(2);
-    node.feed(Input::Terms { settings: settings(), version: 7 });
-    node.feed(Input::Leave { until: node.now + 100 * MS });
-    let (held, link) = node.under_way(PAY);
-    node.feed(Input::Terms { settings: settings(), version: 8 });
+    node.feed(Input::SettingsChanged { settings: settings(), version: 7 });
+    node.feed(Input::Lease { until: node.now + 100 * MS });
+    let (held, connection) = node.under_way(PAY);
+    node.feed(Input::SettingsChanged { settings: settings(), version: 8 });
     assert!(node.core.ready(node.now));
     // Nobody has told it anything since: it was asleep.
     node.now += 100 * MS;
@@ -890,20 +924,26 @@
     assert!(node.opened().is_none() && node.sent().is_none());
     let stats = node.core.stats();
     assert_eq!((stats.taken, stats.fenced, stats.open), (1, 1, 1));
-    node.end(link, Outcome::Satisfied);
+    node.end(connection, Outcome::Satisfied);
     let under = node.effects.iter().find_map(|e| match e {
         Effect::Answer { client, version, .. } if *client == held => Some(*version),
         _ => None,
     });
     assert_eq!(under, Some(7));
-    node.feed(Input::Leave { until: node.now + 100 * MS });
+    node.feed(Input::Lease { until: node.now + 100 * MS });
     node.under_way(LOOK);
 }
 
 /// A node that remembers one-shots by their ids.
 fn remembering(fates: linestack_recovery::Fates) -> Node {
     let mut node = Node::new(2);
-    node.core.remember(Remembered { fates, age: 0, now: node.now, by_stamp: false, doubtful: 0 });
+    node.core.enable_outcome_store(StoredOutcomes {
+        outcomes: fates,
+        age: 0,
+        now: node.now,
+        by_stamp: false,
+        incomplete_until: 0,
+    });
     node
 }
 
@@ -916,16 +956,22 @@
 fn an_earlier_store_was_lost() {
     let mut node = Node::new(2);
     let doubtful = node.now + 1000 * MS;
-    node.core.remember(Remembered { fates: fates(), age: 0, now: node.now, by_stamp: false, doubtful });
+    node.core.enable_outcome_store(StoredOutcomes {
+        outcomes: fates(),
+        age: 0,
+        now: node.now,
+        by_stamp: false,
+        incomplete_until: doubtful,
+    });
     let client = node.submit(PAY, 5_000 * MS);
     assert_eq!(node.answers(), [(client, Answer::Aborted)]);
-    assert!(!node.core.sure());
+    assert!(!node.core.outcomes_complete());
     node.submit(LOOK, 5_000 * MS);
     assert!(node.answers().is_empty());
     node.pass(1000 * MS);
     let taken = node.core.stats().taken;
     node.submit(PAY, 5_000 * MS);
-    assert!(node.core.stats().taken == taken + 1 && node.core.sure());
+    assert!(node.core.stats().taken == taken + 1 && node.core.outcomes_complete());
 }
 
 // An answer without a report is an answer: peers are not told that the executor is silent. One that did not answer is.
@@ -935,9 +981,9 @@
 #[case::silent(Outcome::TimedOut, true)]
 fn what_peers_are_told(#[case] outcome: Outcome, #[case] silent: bool) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
-    let (_, link) = node.under_way(LOOK);
-    node.end(link, outcome);
-    let told: Vec<bool> = node.core.tale(node.now).iter().map(|i| i.silent).collect();
+    let (_, connection) = node.under_way(LOOK);
+    node.end(connection, outcome);
+    let told: Vec<bool> = node.core.peer_snapshot(node.now).iter().map(|i| i.silent).collect();
     assert_eq!(told, [silent]);
 }
 
@@ -974,7 +1020,7 @@
         share_within: within,
     };
     let start = Start::new(terms, Found { proved: true, fresh: false, old: true }, [0.0; 2], node.now);
-    node.core.start_by(node.now, start, (0..4).map(|w| endpoint(w, Health::Ready)).collect());
+    node.core.start_in_stages(node.now, start, (0..4).map(|w| endpoint(w, Health::Ready)).collect());
     node.list(ListKind::Cached, Vec::new());
     node
 }
@@ -1021,15 +1067,15 @@
     let mut gaps = Vec::new();
     for _ in 0..300 {
         node.pass(MS);
-        let opens = node.effects.iter().filter(|e| matches!(e, Effect::Open { .. })).count();
+        let opens = node.effects.iter().filter(|e| matches!(e, Effect::OpenConnection { .. })).count();
         gaps.extend((0..opens).map(|_| node.now));
     }
     assert!(gaps.len() >= 2 && gaps.windows(2).all(|w| w[1] - w[0] >= 90 * MS), "{gaps:?}");
 }
 
-fn keeps(node: &Node) -> Vec<(linestack_recovery::Fate, Option<Ticket>)> {
+fn keeps(node: &Node) -> Vec<(linestack_recovery::Fate, Option<PersistTicket>)> {
     let keeps = node.effects.iter().filter_map(|e| match e {
-        Effect::Keep { keep, ticket } => Some((keep.fate.clone(), *ticket)),
+        Effect::Persist { record: keep, ticket } => Some((keep.fate.clone(), *ticket)),
         _ => None,
     });
     keeps.collect()
@@ -1044,15 +1090,15 @@
     let mut node = remembering(fates());
     node.under_way(LOOK);
     let client = node.submit(PAY, 5_000 * MS);
-    let (link, _) = node.opened().unwrap();
-    node.feed(Input::LinkUp { link });
+    let (connection, _) = node.opened().unwrap();
+    node.feed(Input::ExecutorConnected { connection });
     assert_eq!(node.sent(), None);
     let [(linestack_recovery::Fate::MayHaveRun, Some(ticket))] = keeps(&node)[..] else { panic!() };
     if !in_time {
-        node.feed(Input::ClientGone { client });
+        node.feed(Input::ClientDisconnected { client });
     }
-    node.feed(Input::Kept { ticket, lasts });
-    assert_eq!(node.sent(), Some(link).filter(|_| lasts && in_time));
+    node.feed(Input::Persisted { ticket, durable: lasts });
+    assert_eq!(node.sent(), Some(connection).filter(|_| lasts && in_time));
     if lasts {
         return;
     }
@@ -1060,7 +1106,7 @@
     node.pass(6_000 * MS);
     let late = node.submit(PAY, 5_000 * MS);
     assert!(matches!(node.answers()[..], [(c, Answer::Dismissed(_))] if c == late));
-    assert!(!node.core.remembers());
+    assert!(!node.core.can_store_outcomes());
     let taken = node.core.stats().taken;
     node.submit(LOOK, 5_000 * MS);
     assert_eq!(node.core.stats().taken, taken + 1);
@@ -1078,7 +1124,7 @@
     let first = node.submit(PAY, 5_000 * MS);
     assert_eq!(node.answers(), [(first, Answer::Aborted)]);
     let second = node.submit(PAY, 5_000 * MS);
-    assert_eq!(node.answers(), [(second, Answer::Satisfied(result))]);
+    assert_eq!(node.answers(), [(second, Answer::Completed(result))]);
     assert_eq!((node.core.stats().remembered, node.core.stats().taken), (2, 0));
     node.submit(PAY, 5_000 * MS);
     assert!(node.answers().is_empty() && node.core.stats().taken == 1);
@@ -1088,22 +1134,28 @@
 #[test]
 fn one_of_a_key_at_a_time() {
     let mut node = Node::new(2);
-    node.core.remember(Remembered { fates: fates(), age: 0, now: node.now, by_stamp: true, doubtful: 0 });
+    node.core.enable_outcome_store(StoredOutcomes {
+        outcomes: fates(),
+        age: 0,
+        now: node.now,
+        by_stamp: true,
+        incomplete_until: 0,
+    });
     let ask = |node: &mut Node, id: &'static str| {
         node.clients += 1;
         let client = node.clients;
-        node.feed(Input::ClientUp { client });
+        node.feed(Input::ClientConnected { client });
         let (id, stamp) = (Bytes::from_static(id.as_bytes()), Some(Bytes::from_static(b"k")));
-        let shipment = Arc::new(Shipment { id, stamp, ..Shipment::default() });
-        let patience = 1_000 * MS;
-        let intake = Intake { product: PAY, tenant: 0, patience, slots: 1.0, memory: 0.0, shipment };
-        node.feed(Input::Submitted { client, intake });
+        let request = Arc::new(ForwardedRequest { id, stamp, ..ForwardedRequest::default() });
+        let timeout = 1_000 * MS;
+        let intake = NewSubmission { product: PAY, tenant: 0, timeout, slots: 1.0, memory: 0.0, request };
+        node.feed(Input::Submitted { client, submission: intake });
         client
     };
     let first = ask(&mut node, "a");
     assert!(node.answers().is_empty());
     let second = ask(&mut node, "b");
-    assert_eq!(node.answers(), [(second, Answer::Repeated)]);
+    assert_eq!(node.answers(), [(second, Answer::DuplicateId)]);
     // It never got a connection; what ended unsent may be asked for again.
     node.pass(1_100 * MS);
     assert!(node.answers().iter().any(|(c, _)| *c == first));
@@ -1116,11 +1168,11 @@
 fn ends_are_kept() {
     let mut node = remembering(fates());
     node.submit(PAY, 5_000 * MS);
-    let (link, _) = node.opened().unwrap();
-    node.feed(Input::LinkUp { link });
+    let (connection, _) = node.opened().unwrap();
+    node.feed(Input::ExecutorConnected { connection });
     let ticket = keeps(&node)[0].1.unwrap();
-    node.feed(Input::Kept { ticket, lasts: true });
-    node.end(link, Outcome::Satisfied);
+    node.feed(Input::Persisted { ticket, durable: true });
+    node.end(connection, Outcome::Satisfied);
     assert_eq!(keeps(&node), [(linestack_recovery::Fate::Satisfied(Bytes::from_static(b"r")), None)]);
 }
 
@@ -1149,12 +1201,13 @@
         _ => Order::Execute { submission: 0, worker: 0, timeout: 1_000 * MS },
     };
     let settings = linestack_settings::read(text.as_bytes(), 7).unwrap();
-    let core = Core::with(Box::new(Twice(order)), settings, 64, 32 << 20);
+    let core = Core::with_dispatcher(Box::new(Twice(order)), settings, 64, 32 << 20);
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), clients: 0 };
     node.list(ListKind::Whole, vec![endpoint(0, Health::Ready)]);
     let noticed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        let told =
-            |node: &Node| node.effects.iter().any(|e| matches!(e, Effect::Fault(w) if w.contains(fault)));
+        let told = |node: &Node| {
+            node.effects.iter().any(|e| matches!(e, Effect::InvariantBroken(w) if w.contains(fault)))
+        };
         node.submit(LOOK, 5_000 * MS);
         let first = told(&node);
         node.submit(LOOK, 5_000 * MS);
@@ -1185,11 +1238,11 @@
         let core = Core::new(settings.unwrap(), 64, 32 << 20);
         let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), clients: 0 };
         node.list(ListKind::Cached, vec![endpoint(0, Health::Ready)]);
-        let asks = |node: &Node| node.effects.iter().filter(|e| matches!(e, Effect::Watch)).count();
+        let asks = |node: &Node| node.effects.iter().filter(|e| matches!(e, Effect::RequestList)).count();
         node.pass(4_750 * MS);
         assert!(asks(&node) > 0, "no first call");
         for _ in 0..6 {
-            node.feed(Input::Unheard { lost: lost * MS, busy });
+            node.feed(Input::ListFailed { silent_for: lost * MS, overloaded: busy });
             let mut first = None;
             for ms in 1..=within {
                 node.pass(MS);
@@ -1213,14 +1266,14 @@
         let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), clients: 0 };
         node.list(ListKind::Cached, vec![]);
         node.pass(1_000 * MS);
-        node.feed(Input::Unheard { lost: 0, busy: false });
+        node.feed(Input::ListFailed { silent_for: 0, overloaded: false });
         for ms in 0..20_000 {
             node.pass(MS);
-            if node.effects.iter().any(|e| matches!(e, Effect::Watch)) {
+            if node.effects.iter().any(|e| matches!(e, Effect::RequestList)) {
                 if ms > 15_000 {
                     asked.push(ms);
                 }
-                node.feed(Input::Unheard { lost: 0, busy: true });
+                node.feed(Input::ListFailed { silent_for: 0, overloaded: true });
             }
         }
     }
@@ -1239,7 +1292,7 @@
     let mut waited_for = Vec::new();
     for client in 100..400 {
         node.now += MS;
-        node.feed(Input::ClientUp { client });
+        node.feed(Input::ClientConnected { client });
         let effects = std::mem::take(&mut node.effects);
         for effect in effects {
             match effect {
@@ -1249,12 +1302,12 @@
                 }
                 Effect::DropClient { client } => {
                     assert_eq!(waited_for.remove(0), client, "not the first that was told");
-                    node.feed(Input::ClientGone { client });
+                    node.feed(Input::ClientDisconnected { client });
                 }
                 _ => {}
             }
         }
-        assert!(!node.core.crowded(), "{client}");
+        assert!(!node.core.is_at_client_limit(), "{client}");
     }
     assert!(!waited_for.is_empty());
 }
@@ -1265,7 +1318,7 @@
     let mut node = Node::new(1);
     node.feed(Input::Stop);
     node.pass(1_800 * MS);
-    node.feed(Input::ClientUp { client: 900 });
+    node.feed(Input::ClientConnected { client: 900 });
     node.pass(249 * MS);
     let closed = |node: &Node| node.effects.iter().filter_map(closed).any(|c| c == 900);
     assert!(!closed(&node));
@@ -1282,7 +1335,7 @@
     if holds {
         node.under_way(PAY);
     } else {
-        node.feed(Input::ClientUp { client: 1 });
+        node.feed(Input::ClientConnected { client: 1 });
         node.feed(Input::ClientPhase { client: 1, phase: Phase::Answering });
     }
     node.feed(Input::Stop);
@@ -1310,11 +1363,11 @@
     #[case] used: bool,
 ) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
-    let (_, link) = node.under_way(PAY);
-    node.end(link, Outcome::Satisfied);
-    node.feed(Input::Freed { link, named });
+    let (_, connection) = node.under_way(PAY);
+    node.end(connection, Outcome::Satisfied);
+    node.feed(Input::ConnectionReusable { connection, identified: named });
     node.now += after * MS;
     node.submit(PAY, 5_000 * MS);
-    assert_eq!(node.sent() == Some(link), used);
+    assert_eq!(node.sent() == Some(connection), used);
     assert_eq!(node.opened().is_some(), !used);
 }
--- a/crates/core/tests/started.rs
+++ b/crates/core/tests/started.rs
@@ -20,13 +20,17 @@
         address: SocketAddr::from(([127, 0, 0, 1], 100)),
         zone: "here".to_owned(),
         kind: "small".to_owned(),
-        group: 1,
+        cell: 1,
         health: Health::Ready,
         started: told,
         weight: 1.0,
     };
-    core.take(now, Input::ListClocks(clocks), &mut Vec::new());
-    core.take(now, Input::Listed { kind: ListKind::Changes, endpoints: vec![entry] }, &mut Vec::new());
+    core.handle(now, Input::ListClocks(clocks), &mut Vec::new());
+    core.handle(
+        now,
+        Input::ListReceived { kind: ListKind::Changes, endpoints: vec![entry] },
+        &mut Vec::new(),
+    );
     core.endpoints()[0].started
 }
 
@@ -49,11 +53,11 @@
 #[case::old_where_nothing_was_heard_before(NOW - HOUR, 0, 0, NOW - HOUR)]
 fn a_start_is_taken_for_the_latest_that_it_may_mean(
     #[case] told: Nanos,
-    #[case] wall_moved: i64,
+    #[case] wall_clock_shift: i64,
     #[case] known_until: Nanos,
     #[case] wanted: Nanos,
 ) {
-    let clocks = ListClocks { known_until, wall_moved };
+    let clocks = ListClocks { known_until, wall_clock_shift: wall_clock_shift };
     assert_eq!(taken_for(&mut fresh(), NOW, told, clocks), wanted);
 }
 
@@ -63,6 +67,6 @@
     let mut core = fresh();
     let told = NOW - 2 * HOUR;
     assert_eq!(taken_for(&mut core, NOW, told, ListClocks::default()), told);
-    let stepped = ListClocks { known_until: NOW, wall_moved: HOUR_BACK };
+    let stepped = ListClocks { known_until: NOW, wall_clock_shift: HOUR_BACK };
     assert_eq!(taken_for(&mut core, NOW + S, told, stepped), told);
 }
--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -9,7 +9,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use linestack_core::{Answer, Client, Core, Effect, Endpoint, Input, Intake, Link, Nanos, Outcome, Shipment};
+use linestack_core::{
+    Answer, ClientId, ConnectionId, Core, Effect, Endpoint, ForwardedRequest, Input, Nanos, NewSubmission,
+    Outcome,
+};
 use linestack_dispatch::types::{Health, ListKind, Report};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
@@ -55,9 +58,9 @@
     now: Nanos,
     workers: Vec<usize>,
     slots: f64,
-    links: HashMap<Link, usize>,
-    running: VecDeque<Link>,
-    next_client: Client,
+    links: HashMap<ConnectionId, usize>,
+    running: VecDeque<ConnectionId>,
+    next_client: ClientId,
     answered: usize,
     dismissed: usize,
 }
@@ -75,7 +78,7 @@
         address: SocketAddr::from(([127, high, middle, low], 7000)),
         zone: format!("z{}", worker % 7),
         kind: "accelerator".to_owned(),
-        group: 0,
+        cell: 0,
         health: Health::Ready,
         started: 0,
         weight: 1.0,
@@ -99,7 +102,10 @@
     }
 
     fn whole_list(&self) -> Input {
-        Input::Listed { kind: ListKind::Whole, endpoints: (0..self.workers.len()).map(endpoint).collect() }
+        Input::ListReceived {
+            kind: ListKind::Whole,
+            endpoints: (0..self.workers.len()).map(endpoint).collect(),
+        }
     }
 
     fn report(&self, worker: usize) -> Report {
@@ -113,7 +119,7 @@
         let mut inputs = VecDeque::from([input]);
         let mut effects = Vec::new();
         while let Some(input) = inputs.pop_front() {
-            self.core.take(self.now, input, &mut effects);
+            self.core.handle(self.now, input, &mut effects);
             for effect in effects.drain(..) {
                 self.carry_out(effect, &mut inputs);
             }
@@ -122,36 +128,36 @@
 
     fn carry_out(&mut self, effect: Effect, inputs: &mut VecDeque<Input>) {
         match effect {
-            Effect::Open { link, address, .. } => {
+            Effect::OpenConnection { connection: link, address, .. } => {
                 if let SocketAddr::V4(address) = address {
                     let [_, high, middle, low] = address.ip().octets();
                     self.links.insert(link, u32::from_be_bytes([0, high, middle, low]) as usize);
                 }
-                inputs.push_back(Input::LinkUp { link });
+                inputs.push_back(Input::ExecutorConnected { connection: link });
             }
-            Effect::Send { link, .. } => {
+            Effect::Send { connection: link, .. } => {
                 if let Some(worker) = self.links.get(&link) {
                     self.workers[*worker] += 1;
                 }
                 self.running.push_back(link);
             }
-            Effect::Probe { link } => {
+            Effect::Probe { connection: link } => {
                 let report = self.links.get(&link).map(|worker| self.report(*worker));
-                inputs.push_back(Input::Probed { link, answered: Some(true), report });
-                inputs.push_back(Input::Freed { link, named: true });
+                inputs.push_back(Input::Probed { connection: link, answered: Some(true), report });
+                inputs.push_back(Input::ConnectionReusable { connection: link, identified: true });
             }
-            Effect::CloseLink { link } => {
+            Effect::CloseConnection { connection: link } => {
                 self.links.remove(&link);
             }
             Effect::Answer { client, answer, .. } => {
                 match answer {
-                    Answer::Satisfied(_) => self.answered += 1,
+                    Answer::Completed(_) => self.answered += 1,
                     _ => self.dismissed += 1,
                 }
-                inputs.push_back(Input::ClientGone { client });
+                inputs.push_back(Input::ClientDisconnected { client });
             }
             Effect::CloseClient { client } | Effect::DropClient { client } => {
-                inputs.push_back(Input::ClientGone { client });
+                inputs.push_back(Input::ClientDisconnected { client });
             }
             _ => {}
         }
@@ -169,14 +175,21 @@
     fn submit(&mut self) -> f64 {
         self.next_client += 1;
         let client = self.next_client;
-        self.feed(Input::ClientUp { client });
+        self.feed(Input::ClientConnected { client });
         let id = Bytes::from(format!("job-{client}"));
-        let shipment = Arc::new(Shipment { id, ..Shipment::default() });
+        let shipment = Arc::new(ForwardedRequest { id, ..ForwardedRequest::default() });
         let patience = (CUT_OFF_MS * 1e6) as Nanos;
         let tenant = (client % 26) as u16;
-        let intake = Intake { product: 0, tenant, patience, slots: 1.0, memory: 0.0, shipment };
+        let intake = NewSubmission {
+            product: 0,
+            tenant,
+            timeout: patience,
+            slots: 1.0,
+            memory: 0.0,
+            request: shipment,
+        };
         let before = processor_s();
-        self.feed(Input::Submitted { client, intake });
+        self.feed(Input::Submitted { client, submission: intake });
         processor_s() - before
     }
 
@@ -185,8 +198,13 @@
         let Some(worker) = self.links.get(&link).copied() else { return };
         self.workers[worker] -= 1;
         let report = Some(self.report(worker));
-        self.feed(Input::Ended { link, outcome: Outcome::Satisfied, result: Bytes::new(), report });
-        self.feed(Input::Freed { link, named: true });
+        self.feed(Input::Ended {
+            connection: link,
+            outcome: Outcome::Satisfied,
+            result: Bytes::new(),
+            report,
+        });
+        self.feed(Input::ConnectionReusable { connection: link, identified: true });
     }
 
     /// One submission later: the oldest job ends where as many as wanted are in hand.
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -262,7 +262,7 @@
                     }
                     let until = if self.broken == Some(Broken::Unfenced) { u64::MAX } else { until };
                     self.node.count_from(slept + READING);
-                    self.node.feed(CoreInput::Leave { until });
+                    self.node.feed(CoreInput::Lease { until });
                 }
             }
             Out::Tell(told) => self.tell(told),
@@ -327,7 +327,7 @@
         self.record = record;
         self.present = settings.clone();
         self.write(self.node.clock.now(), What::Active { version, digest });
-        self.node.feed(CoreInput::Terms { settings: Box::new(settings), version });
+        self.node.feed(CoreInput::SettingsChanged { settings: Box::new(settings), version });
         tracing::info!(version, digest, "policy taken over");
         Ok(())
     }
--- a/crates/node/src/fleet/trail.rs
+++ b/crates/node/src/fleet/trail.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{Sender, channel};
 
 use bytes::Bytes;
-use linestack_core::{Answer, Client, Effect, Input};
+use linestack_core::{Answer, ClientId, Effect, Input};
 use linestack_history::{Ended, Line, What};
 
 use crate::net::lock;
@@ -43,7 +43,7 @@
 pub struct Trail {
     lines: Sender<(u64, What)>,
     /// What each client waits for.
-    asked: Mutex<HashMap<Client, Bytes>>,
+    asked: Mutex<HashMap<ClientId, Bytes>>,
     /// From the node's clock to the machine's.
     offset: u64,
 }
@@ -70,9 +70,9 @@
     }
 
     /// What is about to go into the reducer.
-    pub(crate) fn before(&self, input: &Input) -> Option<(Client, Bytes)> {
+    pub(crate) fn before(&self, input: &Input) -> Option<(ClientId, Bytes)> {
         match input {
-            Input::Submitted { client, intake } => Some((*client, intake.shipment.id.clone())),
+            Input::Submitted { client, submission: intake } => Some((*client, intake.request.id.clone())),
             _ => None,
         }
     }
@@ -81,7 +81,7 @@
     pub(crate) fn after(
         &self,
         now: u64,
-        asked: Option<(Client, Bytes)>,
+        asked: Option<(ClientId, Bytes)>,
         taken: Option<u64>,
         effects: &[Effect],
     ) {
@@ -98,16 +98,16 @@
         }
         for effect in effects {
             match effect {
-                Effect::Send { shipment, version, .. } => {
+                Effect::Send { request: shipment, version, .. } => {
                     self.write(now, What::Sent { id: text(&shipment.id), version: *version });
                 }
                 Effect::Answer { client, answer, version, .. } => {
                     let Some(id) = open.remove(client) else { continue };
                     let ended = match answer {
-                        Answer::Satisfied(_) => Ended::Satisfied,
+                        Answer::Completed(_) => Ended::Satisfied,
                         Answer::Dismissed(_) => Ended::Dismissed,
                         Answer::Aborted => Ended::Aborted,
-                        Answer::Repeated => Ended::Repeated,
+                        Answer::DuplicateId => Ended::Repeated,
                     };
                     self.write(now, What::Answered { id: text(&id), version: *version, ended });
                 }
--- a/crates/node/src/keep.rs
+++ b/crates/node/src/keep.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
 
-use linestack_core::{Core, Input, Nanos, Remembered, Ticket};
+use linestack_core::{Core, Input, Nanos, PersistTicket, StoredOutcomes};
 use linestack_recovery::start::{Kept, fresh};
 use linestack_recovery::{Age, Fate, Fates, Keep};
 use linestack_store::{Damage, Fault, Folder, LARGEST, Limits, Op, Store, repair};
@@ -131,7 +131,7 @@
 
 /// What is to be kept.
 pub enum Note {
-    Fate(Keep, Option<Ticket>),
+    Fate(Keep, Option<PersistTicket>),
     /// The list as it stands now.
     List(List),
     /// Discovery was heard, and the list stands.
@@ -270,7 +270,13 @@
         if self.lost {
             tracing::error!("an earlier store was lost: one-shots are aborted until what it sent is over");
         }
-        core.remember(Remembered { fates, age: self.age, now, by_stamp, doubtful });
+        core.enable_outcome_store(StoredOutcomes {
+            outcomes: fates,
+            age: self.age,
+            now,
+            by_stamp,
+            incomplete_until: doubtful,
+        });
     }
 
     /// Runs the thread that writes, and returns where to send what is to be written.
@@ -322,7 +328,7 @@
             if failure.as_mut().is_some_and(|failure| failure.may_be_over(&mut keeper.store, record.last)) {
                 tracing::info!("store takes records again");
                 failure = None;
-                node.feed(Input::StoreBack);
+                node.feed(Input::StoreRecovered);
             }
             let mut ops: Vec<Op> = group.iter().filter_map(|note| record.op(note)).collect();
             if keeper.lost && failure.is_none() && node.sure() {
@@ -342,7 +348,7 @@
             for note in group {
                 match note {
                     Note::Fate(_, Some(ticket)) => {
-                        node.feed(Input::Kept { ticket, lasts: failure.is_none() });
+                        node.feed(Input::Persisted { ticket, durable: failure.is_none() });
                     }
                     Note::Fate(keep, None) => {
                         if let Some(failure) = &mut failure {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -191,7 +191,7 @@
         let mut chance = fastrand::Rng::with_seed(config.seed ^ fleet::draw());
         let found = Found { proved, fresh, old: !old.is_empty() };
         let start = Starting::new(stages.terms, found, [chance.f64(), chance.f64()], clock.now());
-        core.start_by(clock.now(), start, old);
+        core.start_in_stages(clock.now(), start, old);
     }
     let index = known.as_ref().map(|known| known.index).filter(|_| !whole);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
@@ -233,7 +233,7 @@
         peers::ask(peers, name.clone(), Arc::clone(&node));
     }
     // Told even if there is none: it is what makes the node ask for the list.
-    node.feed(Input::Listed { kind: ListKind::Cached, endpoints });
+    node.feed(Input::ListReceived { kind: ListKind::Cached, endpoints });
     let mut tries = 0..LISTEN_TRIES;
     let listen = loop {
         match clients::accept(&node, listen) {
@@ -296,10 +296,10 @@
         if let Some(trail) = node.trail() {
             trail.write(node.clock.now(), what);
         }
-        node.feed(Input::Terms { settings: Box::new(settings.clone()), version: active });
+        node.feed(Input::SettingsChanged { settings: Box::new(settings.clone()), version: active });
     }
     if start.fleet().mode == Mode::Strict {
-        node.feed(Input::Leave { until: 0 });
+        node.feed(Input::Lease { until: 0 });
     }
 }
 
@@ -345,7 +345,7 @@
                 );
             } else if present.differs_in_settings(&newer) {
                 present.take_settings(&newer);
-                node.feed(Input::Terms { settings: Box::new(newer.settings.clone()), version: 0 });
+                node.feed(Input::SettingsChanged { settings: Box::new(newer.settings.clone()), version: 0 });
                 tracing::info!("settings taken over; reports, shares, limits and answer times start afresh");
                 untold(&newer);
             }
--- a/crates/node/src/net/clients/answer.rs
+++ b/crates/node/src/net/clients/answer.rs
@@ -30,7 +30,7 @@
     let mut out = Out::default();
     let last = if last { LAST } else { b"" };
     match answer {
-        Answer::Satisfied(result) => {
+        Answer::Completed(result) => {
             out.push(&b"HTTP/1.1 200 OK\r\n"[..]);
             out.push(last);
             out.push(Bytes::from(format!("Content-Length: {}\r\n\r\n", result.len())));
@@ -44,7 +44,7 @@
             }
             out.push(&b"\r\n"[..]);
         }
-        Answer::Repeated => return bare(409, !last.is_empty()),
+        Answer::DuplicateId => return bare(409, !last.is_empty()),
         Answer::Aborted => {
             out.push(&b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n"[..]);
             out.push(last);
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -17,7 +17,7 @@
 use super::arrivals::Arrivals;
 use super::{Mailbox, Node, TURN, spawn};
 use crate::http::{self, Fault, Out};
-use linestack_core::{Answer, Client, Input, Nanos, Phase};
+use linestack_core::{Answer, ClientId, Input, Nanos, Phase};
 
 use answer::{CONTINUE, answered, bare};
 use reading::{Beyond, KEPT, Read, read};
@@ -72,7 +72,7 @@
                     at_once = if now - last < TURN.as_nanos() as u64 { at_once + 1 } else { 1 };
                     last = now;
                     let (client, mailbox) = node.enlist();
-                    node.feed(Input::ClientUp { client });
+                    node.feed(Input::ClientConnected { client });
                     let served = Arc::clone(&node);
                     spawn(move || serve(&served, client, socket, nobody_waited, &mailbox));
                     if at_once >= AT_ONCE {
@@ -139,7 +139,13 @@
 }
 
 /// `since` is when it connected, at the earliest.
-fn serve(node: &Arc<Node>, client: Client, mut socket: TcpStream, since: Nanos, mailbox: &Mailbox<Message>) {
+fn serve(
+    node: &Arc<Node>,
+    client: ClientId,
+    mut socket: TcpStream,
+    since: Nanos,
+    mailbox: &Mailbox<Message>,
+) {
     // However this ends, by a panic too, the reducer hears of it.
     let _gone = Gone { node, client };
     mailbox.wake(&socket);
@@ -149,20 +155,20 @@
 
 struct Gone<'a> {
     node: &'a Arc<Node>,
-    client: Client,
+    client: ClientId,
 }
 
 impl Drop for Gone<'_> {
     fn drop(&mut self) {
         self.node.forget_client(self.client);
-        self.node.feed(Input::ClientGone { client: self.client });
+        self.node.feed(Input::ClientDisconnected { client: self.client });
     }
 }
 
 /// Returns when the connection is to be closed.
 fn converse(
     node: &Arc<Node>,
-    client: Client,
+    client: ClientId,
     socket: &mut TcpStream,
     since: Nanos,
     mailbox: &Mailbox<Message>,
@@ -268,12 +274,12 @@
                                     let size = body.len();
                                     let now = node.clock.now();
                                     let waited = now.saturating_sub(arrivals.of_consumed(input.len(), now));
-                                    intake.patience = intake.patience.saturating_sub(waited);
-                                    if let Some(shipment) = Arc::get_mut(&mut intake.shipment) {
+                                    intake.timeout = intake.timeout.saturating_sub(waited);
+                                    if let Some(shipment) = Arc::get_mut(&mut intake.request) {
                                         shipment.body = body.split().freeze();
                                     }
                                     state = State::Waiting { last, size };
-                                    node.feed(Input::Submitted { client, intake });
+                                    node.feed(Input::Submitted { client, submission: intake });
                                 }
                                 Asked::Health(out, last) => state = State::Answering { out, last },
                             }
@@ -320,16 +326,16 @@
 }
 
 /// Nothing more is written to the client, which has a while to close too.
-fn leave(node: &Arc<Node>, client: Client, socket: &TcpStream) -> io::Result<()> {
+fn leave(node: &Arc<Node>, client: ClientId, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
     node.feed(Input::ClientPhase { client, phase: Phase::Leaving });
     Ok(())
 }
 
-fn turned_down(node: &Arc<Node>, client: Client, fault: Fault) -> State {
+fn turned_down(node: &Arc<Node>, client: ClientId, fault: Fault) -> State {
     if node.may_log() {
         tracing::warn!(status = fault.status, why = fault.why, "request turned down");
     }
-    node.feed(Input::TurnedDown { client });
+    node.feed(Input::RequestRejected { client });
     State::Answering { out: bare(fault.status, true), last: true }
 }
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
-use linestack_core::{Intake, Shipment};
+use linestack_core::{ForwardedRequest, NewSubmission};
 use linestack_recovery::start::Stage;
 
 use super::NANOS_PER_MS;
@@ -52,7 +52,7 @@
 }
 
 pub(super) enum Asked {
-    Execution(Intake, bool),
+    Execution(NewSubmission, bool),
     Health(Out, bool),
 }
 
@@ -87,7 +87,7 @@
 }
 
 /// What a request asks for, if it may be executed at all. Its body is still to come.
-fn intake(node: &Node, request: &Request, text: &Bytes) -> Result<Intake, Fault> {
+fn intake(node: &Node, request: &Request, text: &Bytes) -> Result<NewSubmission, Fault> {
     let bad = |why| Fault { status: 400, why };
     let part = |range: &Option<Range<usize>>| range.clone().map(|r| text.slice(r)).filter(|t| !t.is_empty());
     let place = |names: &[String], name: &Bytes| names.iter().position(|n| n.as_bytes() == &name[..]);
@@ -115,7 +115,7 @@
         let found = names.iter().find_map(|n| http::text_figure(extra, n));
         found.filter(|f| f.is_finite() && *f >= 0.0).map(f64::from)
     };
-    let shipment = Shipment {
+    let shipment = ForwardedRequest {
         method: text.slice(request.method.clone()),
         path: text.slice(request.path.clone()),
         host: part(&request.host).unwrap_or_default(),
@@ -123,12 +123,12 @@
         stamp,
         body: Bytes::new(),
     };
-    Ok(Intake {
+    Ok(NewSubmission {
         product: u8::try_from(product).map_err(|_| bad("unknown Req-Kind"))?,
         tenant: u16::try_from(tenant).map_err(|_| bad("unknown Req-Owner"))?,
-        patience: deadline * NANOS_PER_MS,
+        timeout: deadline * NANOS_PER_MS,
         slots: figure(["slots", "needs"]).filter(|s| *s > 0.0).unwrap_or(1.0),
         memory: figure(["memory", "memNeeded"]).unwrap_or(0.0),
-        shipment: Arc::new(shipment),
+        request: Arc::new(shipment),
     })
 }
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -115,7 +115,7 @@
             address: e.address,
             zone: &e.zone,
             kind: &e.kind,
-            group: e.group,
+            group: e.cell,
             status: match e.health {
                 Health::Ready => "active",
                 Health::Draining => "draining",
@@ -158,13 +158,22 @@
     let group = u16::try_from(raw.group).unwrap_or(u16::MAX);
     let started = linestack_settings::nanos(raw.since_ms);
     let weight = if raw.weight.is_finite() { raw.weight.max(0.0) } else { 0.0 };
-    Some(Endpoint { name: raw.name, address, zone: raw.zone, kind: raw.kind, group, health, started, weight })
+    Some(Endpoint {
+        name: raw.name,
+        address,
+        zone: raw.zone,
+        kind: raw.kind,
+        cell: group,
+        health,
+        started,
+        weight,
+    })
 }
 
 impl From<List> for Input {
     fn from(list: List) -> Self {
         let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
-        Self::Listed { kind, endpoints: list.endpoints }
+        Self::ListReceived { kind, endpoints: list.endpoints }
     }
 }
 
@@ -298,7 +307,7 @@
         watch.last_word
     };
     tracing::info!(index, whole, entries, "list");
-    node.feed(Input::ListClocks(ListClocks { known_until, wall_moved: node.clock.wall_moved() }));
+    node.feed(Input::ListClocks(ListClocks { known_until, wall_clock_shift: node.clock.wall_moved() }));
     node.feed(list.into());
     node.heard(Some(index));
     Ok(())
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -18,7 +18,7 @@
 use super::connect::{ConnectError, connect};
 use super::{Mailbox, Node, TURN, object};
 use crate::http::{self, Body, Out, Response};
-use linestack_core::{Broken, Input, Link, Shipment};
+use linestack_core::{ConnectionId, Disconnect, ForwardedRequest, Input};
 
 /// The longest line or probe's answer.
 const LINE: usize = 2 * http::BODY;
@@ -26,7 +26,7 @@
 const UNREAD: usize = http::HEAD + http::BODY;
 
 pub(crate) enum Message {
-    Send { shipment: Arc<Shipment> },
+    Send { shipment: Arc<ForwardedRequest> },
     Probe,
     Close,
 }
@@ -34,7 +34,7 @@
 /// What is on the connection.
 struct Exchange {
     /// What is to be executed; none for a probe.
-    shipment: Option<Arc<Shipment>>,
+    shipment: Option<Arc<ForwardedRequest>>,
     /// The submission's id; none for a probe.
     id: Option<Bytes>,
     /// That of the one before, which may be answered a second time.
@@ -60,27 +60,33 @@
 /// Tells the reducer that the connection is down, however that came: after a panic too, and then the worst.
 struct Down<'a> {
     node: &'a Arc<Node>,
-    link: Link,
-    broken: Option<Broken>,
+    link: ConnectionId,
+    broken: Option<Disconnect>,
 }
 
 impl Drop for Down<'_> {
     fn drop(&mut self) {
         self.node.forget_link(self.link);
         if let Some(broken) = self.broken {
-            self.node.feed(Input::LinkDown { link: self.link, broken });
+            self.node.feed(Input::ExecutorDisconnected { connection: self.link, disconnect: broken });
         }
     }
 }
 
 pub(crate) fn run(
     node: &Arc<Node>,
-    link: Link,
+    link: ConnectionId,
     address: SocketAddr,
     limit: Nanos,
     mailbox: &Mailbox<Message>,
 ) {
-    let worst = Broken { begun: true, written: true, answered: true, here: false, spoilt: false };
+    let worst = Disconnect {
+        request_started: true,
+        request_written: true,
+        response_started: true,
+        local_fault: false,
+        unexpected_data: false,
+    };
     let mut down = Down { node, link, broken: Some(worst) };
     // The reducer forgets a connection that it closes.
     let wanted = || node.knows_link(link);
@@ -89,26 +95,27 @@
         Err(why) => {
             tracing::debug!(link, %address, %why, "no connection");
             let here = matches!(why, ConnectError::Local(_));
-            down.broken = Some(Broken { here, ..Broken::default() });
+            down.broken = Some(Disconnect { local_fault: here, ..Disconnect::default() });
             return;
         }
     };
     mailbox.wake(&socket);
     let _ = socket.set_nodelay(true);
-    node.feed(Input::LinkUp { link });
+    node.feed(Input::ExecutorConnected { connection: link });
     let mut exchange: Option<Exchange> = None;
     let (wanted, spoilt) = match converse(node, link, &mut socket, mailbox, &mut exchange) {
         End::Wanted => (true, false),
         End::Broke => (false, false),
         End::Spoilt => (false, true),
     };
-    let broken = exchange.map_or(Broken { spoilt, ..Broken::default() }, |e| Broken {
-        begun: e.out.written > 0,
-        written: e.written,
-        answered: e.head.is_some(),
-        here: false,
-        spoilt,
-    });
+    let broken =
+        exchange.map_or(Disconnect { unexpected_data: spoilt, ..Disconnect::default() }, |e| Disconnect {
+            request_started: e.out.written > 0,
+            request_written: e.written,
+            response_started: e.head.is_some(),
+            local_fault: false,
+            unexpected_data: spoilt,
+        });
     if !wanted {
         tracing::debug!(%address, ?broken, "connection closed at the other end");
     }
@@ -128,7 +135,7 @@
 
 fn converse(
     node: &Arc<Node>,
-    link: Link,
+    link: ConnectionId,
     socket: &mut TcpStream,
     mailbox: &Mailbox<Message>,
     exchange: &mut Option<Exchange>,
@@ -196,7 +203,7 @@
                 let named = current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
                 before = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
-                node.feed(Input::Freed { link, named });
+                node.feed(Input::ConnectionReusable { connection: link, identified: named });
             }
             Step::Free | Step::Close => return End::Broke,
         }
@@ -223,7 +230,7 @@
 impl Exchange {
     /// Goes through what has come. What is not understood ends the connection; the reducer then counts
     /// the execution as one that may have run.
-    fn take(&mut self, node: &Arc<Node>, link: Link, input: &mut BytesMut, ended: bool) -> Step {
+    fn take(&mut self, node: &Arc<Node>, link: ConnectionId, input: &mut BytesMut, ended: bool) -> Step {
         if self.head.is_none() {
             loop {
                 match http::response(input) {
@@ -270,18 +277,18 @@
     fn tell(
         &mut self,
         node: &Arc<Node>,
-        link: Link,
+        link: ConnectionId,
         outcome: Outcome,
         result: Bytes,
         report: Option<Report>,
     ) {
         if !std::mem::replace(&mut self.told, true) {
-            node.feed(Input::Ended { link, outcome, result, report });
+            node.feed(Input::Ended { connection: link, outcome, result, report });
         }
     }
 
     /// An answer that ended the execution by its head.
-    fn turned_away(&mut self, node: &Arc<Node>, link: Link) {
+    fn turned_away(&mut self, node: &Arc<Node>, link: ConnectionId) {
         let Some(head) = &self.head else { return };
         let report = head.load.as_deref().and_then(|text| text_report(node, text));
         let outcome = match head.status {
@@ -292,7 +299,7 @@
         self.tell(node, link, outcome, Bytes::new(), report);
     }
 
-    fn probed(&mut self, node: &Arc<Node>, link: Link, whole: bool) -> bool {
+    fn probed(&mut self, node: &Arc<Node>, link: ConnectionId, whole: bool) -> bool {
         let Some(head) = self.head.as_ref().filter(|_| whole) else { return self.text.len() <= LINE };
         let line = self.text[..].split(|b| *b == b'\n').next().and_then(|line| object::<Line>(line).ok());
         if line.is_some_and(|line| self.before.as_deref() == Some(line.id.as_bytes())) {
@@ -309,13 +316,13 @@
             let body = std::str::from_utf8(&self.text).unwrap_or("");
             let report = json_report(node, body).or_else(|| text_report(node, body));
             let report = report.or_else(|| head.load.as_deref().and_then(|text| text_report(node, text)));
-            node.feed(Input::Probed { link, answered, report });
+            node.feed(Input::Probed { connection: link, answered, report });
         }
         true
     }
 
     /// Goes through the whole lines. False if one is not understood.
-    fn lines(&mut self, node: &Arc<Node>, link: Link, whole: bool) -> bool {
+    fn lines(&mut self, node: &Arc<Node>, link: ConnectionId, whole: bool) -> bool {
         loop {
             let line = match self.text.iter().position(|b| *b == b'\n') {
                 Some(end) => self.text.split_to(end + 1),
@@ -343,7 +350,7 @@
                 "returned" => Outcome::Full,
                 "lost" => Outcome::Reset,
                 _ => {
-                    node.feed(Input::Noted { link });
+                    node.feed(Input::Progressed { connection: link });
                     continue;
                 }
             };
@@ -399,7 +406,7 @@
     })
 }
 
-fn request(shipment: &Shipment, wait: Nanos) -> Out {
+fn request(shipment: &ForwardedRequest, wait: Nanos) -> Out {
     let mut out = Out::default();
     let mut push = |piece: &Bytes| out.push(piece.clone());
     push(&shipment.method);
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -27,7 +27,7 @@
 use crate::fleet::trail::Trail;
 use crate::keep::Note;
 use clock::{Alarm, Clock};
-use linestack_core::{Client, Core, Effect, Input, Link, Refusal};
+use linestack_core::{ClientId, ConnectionId, Core, Effect, Input, Refusal};
 use linestack_peers::{Fault as Unheard, Heard, Item, Tale, learn};
 use linestack_recovery::Fate;
 use linestack_recovery::start::Stage;
@@ -135,9 +135,9 @@
 struct Inner {
     core: Core,
     effects: Vec<Effect>,
-    links: HashMap<Link, Arc<Mailbox<executors::Message>>>,
-    clients: HashMap<Client, Arc<Mailbox<clients::Message>>>,
-    next_client: Client,
+    links: HashMap<ConnectionId, Arc<Mailbox<executors::Message>>>,
+    clients: HashMap<ClientId, Arc<Mailbox<clients::Message>>>,
+    next_client: ClientId,
 }
 
 pub struct Node {
@@ -236,18 +236,23 @@
         let awake = self.awake.load(Ordering::Relaxed);
         if awake > 0 && matches!(input, Input::Submitted { .. }) && slept() > awake {
             self.awake.store(0, Ordering::Relaxed);
-            self.feed(Input::Leave { until: 0 });
+            self.feed(Input::Lease { until: 0 });
         }
         let mut inner = lock(&self.inner);
         let inner = &mut *inner;
         let mut effects = std::mem::take(&mut inner.effects);
         match &self.trail {
-            None => inner.core.take(self.clock.now(), input, &mut effects),
+            None => inner.core.handle(self.clock.now(), input, &mut effects),
             Some(trail) => {
                 let (now, asked) = (self.clock.now(), trail.before(&input));
-                let (version, taken) = (inner.core.version(), inner.core.taken());
-                inner.core.take(now, input, &mut effects);
-                trail.after(now, asked, (inner.core.taken() > taken).then_some(version), &effects);
+                let (version, taken) = (inner.core.settings_version(), inner.core.submissions_accepted());
+                inner.core.handle(now, input, &mut effects);
+                trail.after(
+                    now,
+                    asked,
+                    (inner.core.submissions_accepted() > taken).then_some(version),
+                    &effects,
+                );
             }
         }
         for effect in effects.drain(..) {
@@ -258,11 +263,11 @@
     }
 
     /// The first byte of what this connection carries is about to be written: how long its executor may be told to take.
-    pub(crate) fn begin(self: &Arc<Self>, link: Link) -> Result<Nanos, Refusal> {
+    pub(crate) fn begin(self: &Arc<Self>, link: ConnectionId) -> Result<Nanos, Refusal> {
         let mut inner = lock(&self.inner);
         let inner = &mut *inner;
         let mut effects = std::mem::take(&mut inner.effects);
-        let permission = inner.core.begin(self.clock.now(), link, &mut effects);
+        let permission = inner.core.begin_send(self.clock.now(), link, &mut effects);
         for effect in effects.drain(..) {
             self.carry_out(inner, effect);
         }
@@ -275,12 +280,12 @@
     pub(crate) fn remembered(&self, key: &[u8]) -> Option<(bool, Option<Fate>)> {
         self.keeper.as_ref()?;
         let inner = lock(&self.inner);
-        Some((inner.core.remembers(), inner.core.fate(key).cloned()))
+        Some((inner.core.can_store_outcomes(), inner.core.stored_outcome(key).cloned()))
     }
 
     /// Whether all that may have run before is known.
     pub(crate) fn sure(&self) -> bool {
-        lock(&self.inner).core.sure()
+        lock(&self.inner).core.outcomes_complete()
     }
 
     /// How far its start has come, where that goes by stages.
@@ -290,7 +295,7 @@
 
     /// What one that starts is told.
     pub(crate) fn tale(&self) -> Vec<Item> {
-        lock(&self.inner).core.tale(self.clock.now())
+        lock(&self.inner).core.peer_snapshot(self.clock.now())
     }
 
     /// What may be gone by of what a peer told.
@@ -302,7 +307,7 @@
         young: Nanos,
     ) -> Result<Vec<Heard>, Unheard> {
         let inner = lock(&self.inner);
-        let own = |name: &str| inner.core.own(name);
+        let own = |name: &str| inner.core.local_knowledge(name);
         learn(tale, me, (asked, self.clock.now()), young, own, inner.core.ready_workers())
     }
 
@@ -342,7 +347,7 @@
     }
 
     pub(crate) fn crowded(&self) -> bool {
-        lock(&self.inner).core.crowded()
+        lock(&self.inner).core.is_at_client_limit()
     }
 
     /// The watch ended, or could not be had, when discovery may have had something to tell for as long as `lost`;
@@ -357,7 +362,7 @@
             present
         };
         if present {
-            self.feed(Input::Unheard { lost, busy });
+            self.feed(Input::ListFailed { silent_for: lost, overloaded: busy });
         }
         present
     }
@@ -380,7 +385,7 @@
         spawn(move || discovery::watch(&node, number));
     }
 
-    fn enlist(&self) -> (Client, Arc<Mailbox<clients::Message>>) {
+    fn enlist(&self) -> (ClientId, Arc<Mailbox<clients::Message>>) {
         let mut inner = lock(&self.inner);
         let client = inner.next_client;
         inner.next_client += 1;
@@ -389,26 +394,26 @@
         (client, mailbox)
     }
 
-    fn forget_client(&self, client: Client) {
+    fn forget_client(&self, client: ClientId) {
         lock(&self.inner).clients.remove(&client);
     }
 
     /// Whether the reducer still wants this connection.
-    pub(crate) fn knows_link(&self, link: Link) -> bool {
+    pub(crate) fn knows_link(&self, link: ConnectionId) -> bool {
         lock(&self.inner).links.contains_key(&link)
     }
 
-    fn forget_link(&self, link: Link) {
+    fn forget_link(&self, link: ConnectionId) {
         lock(&self.inner).links.remove(&link);
     }
 
     fn carry_out(self: &Arc<Self>, inner: &mut Inner, effect: Effect) {
-        let client = |client: Client, message: clients::Message| {
+        let client = |client: ClientId, message: clients::Message| {
             if let Some(mailbox) = inner.clients.get(&client) {
                 mailbox.send(message);
             }
         };
-        let link = |link: Link, message: executors::Message| {
+        let link = |link: ConnectionId, message: executors::Message| {
             if let Some(mailbox) = inner.links.get(&link) {
                 mailbox.send(message);
             }
@@ -419,26 +424,28 @@
             }
             Effect::CloseClient { client: to } => client(to, clients::Message::CloseIfIdle),
             Effect::DropClient { client: to } => client(to, clients::Message::Drop),
-            Effect::Send { link: to, shipment, .. } => link(to, executors::Message::Send { shipment }),
-            Effect::Probe { link: to } => link(to, executors::Message::Probe),
-            Effect::CloseLink { link: to } => {
+            Effect::Send { connection: to, request: shipment, .. } => {
+                link(to, executors::Message::Send { shipment })
+            }
+            Effect::Probe { connection: to } => link(to, executors::Message::Probe),
+            Effect::CloseConnection { connection: to } => {
                 link(to, executors::Message::Close);
                 inner.links.remove(&to);
             }
-            Effect::Open { link, address, limit } => {
+            Effect::OpenConnection { connection: link, address, timeout: limit } => {
                 let mailbox = Arc::<Mailbox<_>>::default();
                 inner.links.insert(link, Arc::clone(&mailbox));
                 let node = Arc::clone(self);
                 spawn(move || executors::run(&node, link, address, limit, &mailbox));
             }
-            Effect::Watch => {
+            Effect::RequestList => {
                 let mut watch = lock(&self.watch);
                 if !std::mem::replace(&mut watch.running, true) {
                     let (node, number) = (Arc::clone(self), watch.number);
                     spawn(move || discovery::watch(&node, number));
                 }
             }
-            Effect::Keep { keep, ticket } => {
+            Effect::Persist { record: keep, ticket } => {
                 if let Some(keeper) = &self.keeper {
                     let _ = keeper.send(Note::Fate(keep, ticket));
                 }
@@ -452,10 +459,10 @@
             }
             Effect::Refused { id, refusal, occasion } => {
                 let id = String::from_utf8_lossy(&id);
-                let (why, when) = (refusal.word(), occasion.word());
+                let (why, when) = (refusal.as_str(), occasion.as_str());
                 tracing::debug!(%id, why, when, "execution not begun");
             }
-            Effect::Fault(what) => tracing::error!(what, "invariant broken"),
+            Effect::InvariantBroken(what) => tracing::error!(what, "invariant broken"),
             Effect::Report(stats) => {
                 tracing::info!(
                     taken = stats.taken,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -194,7 +194,7 @@
                         taken = heard.len(),
                         "heard from a peer"
                     );
-                    node.feed(Input::Heard { items: heard });
+                    node.feed(Input::PeerObservations { observations: heard });
                 }
                 Err(why) => tracing::warn!(teller = tale.teller, %why, "a peer's words are not taken"),
             }
--- a/crates/node/tests/list.rs
+++ b/crates/node/tests/list.rs
@@ -26,7 +26,7 @@
     assert_eq!(list.as_ref().ok().map(|l| l.endpoints.len()), entries);
     if let Ok(list) = list {
         let e = &list.endpoints[0];
-        assert_eq!((e.health, e.group, e.started), (Health::Draining, 3, 1_500_000_000));
+        assert_eq!((e.health, e.cell, e.started), (Health::Draining, 3, 1_500_000_000));
     }
 }
 
@@ -38,7 +38,7 @@
         address: SocketAddr::from(([127, 0, 0, 1], 5)),
         zone: "here".into(),
         kind: "small".into(),
-        group: 1,
+        cell: 1,
         health: Health::Ready,
         started: 1_500_000_000,
         weight: 1.0,
--- a/crates/world/src/broken.rs
+++ b/crates/world/src/broken.rs
@@ -5,7 +5,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use linestack_core::{Answer, Broken, Client, Effect, Endpoint, Input, Link, Nanos, Shipment, Stats};
+use linestack_core::{
+    Answer, ClientId, ConnectionId, Disconnect, Effect, Endpoint, ForwardedRequest, Input, Nanos, Stats,
+};
 use linestack_dispatch::types::{Health, Worker};
 
 use crate::Machine;
@@ -35,7 +37,7 @@
 }
 
 /// Links that the tampering opens are numbered from here on, out of the way of the node's own.
-const FIRST_OWN_LINK: Link = 1 << 40;
+const FIRST_OWN_LINK: ConnectionId = 1 << 40;
 
 /// How long the tampering waits for a connection, and for an answer, in nanoseconds.
 const CONNECT_LIMIT: Nanos = 250_000_000;
@@ -46,16 +48,16 @@
     node: Box<dyn Machine>,
     way: Way,
     /// What the node has on its links.
-    in_flight: HashMap<Link, Arc<Shipment>>,
+    in_flight: HashMap<ConnectionId, Arc<ForwardedRequest>>,
     /// Clients whose submissions may have run, on links that broke.
-    may_have_run: HashSet<Client>,
+    may_have_run: HashSet<ClientId>,
     ready: Vec<SocketAddr>,
     drained: Vec<SocketAddr>,
     /// The executor that started last.
     cold: Option<SocketAddr>,
     /// What is to be sent on links that the tampering has opened.
-    own: HashMap<Link, Arc<Shipment>>,
-    next_link: Link,
+    own: HashMap<ConnectionId, Arc<ForwardedRequest>>,
+    next_link: ConnectionId,
 }
 
 impl Tampered {
@@ -76,30 +78,40 @@
     }
 
     /// Opens a connection of its own and sends this over it once it is up.
-    fn send_beside(&mut self, address: SocketAddr, shipment: Arc<Shipment>, effects: &mut Vec<Effect>) {
+    fn send_beside(
+        &mut self,
+        address: SocketAddr,
+        shipment: Arc<ForwardedRequest>,
+        effects: &mut Vec<Effect>,
+    ) {
         let link = self.next_link;
         self.next_link += 1;
         self.own.insert(link, shipment);
-        effects.push(Effect::Open { link, address, limit: CONNECT_LIMIT });
+        effects.push(Effect::OpenConnection { connection: link, address, timeout: CONNECT_LIMIT });
     }
 
     /// Whether an input is for a link that the tampering has opened. The node does not see it.
     fn takes_for_itself(&mut self, input: &Input, effects: &mut Vec<Effect>) -> bool {
-        let (Input::LinkUp { link }
-        | Input::Ended { link, .. }
-        | Input::LinkDown { link, .. }
-        | Input::Noted { link }
-        | Input::Freed { link, .. }) = input
+        let (Input::ExecutorConnected { connection: link }
+        | Input::Ended { connection: link, .. }
+        | Input::ExecutorDisconnected { connection: link, .. }
+        | Input::Progressed { connection: link }
+        | Input::ConnectionReusable { connection: link, .. }) = input
         else {
             return false;
         };
         if *link < FIRST_OWN_LINK {
             return false;
         }
-        if let Input::LinkUp { link } = input
+        if let Input::ExecutorConnected { connection: link } = input
             && let Some(shipment) = self.own.remove(link)
         {
-            effects.push(Effect::Send { link: *link, shipment, wait: ANSWER_LIMIT, version: 0 });
+            effects.push(Effect::Send {
+                connection: *link,
+                request: shipment,
+                timeout: ANSWER_LIMIT,
+                version: 0,
+            });
         }
         true
     }
@@ -122,15 +134,26 @@
     }
 
     /// What was on a link that broke after its last byte, which may have run.
-    fn note_broken(&mut self, input: &Input) -> Option<Arc<Shipment>> {
-        let Input::LinkDown { link, broken: Broken { written: true, .. } } = input else { return None };
+    fn note_broken(&mut self, input: &Input) -> Option<Arc<ForwardedRequest>> {
+        let Input::ExecutorDisconnected {
+            connection: link,
+            disconnect: Disconnect { request_written: true, .. },
+        } = input
+        else {
+            return None;
+        };
         let shipment = self.in_flight.remove(link)?;
         self.may_have_run.insert(client_of(&shipment));
         Some(shipment)
     }
 
     /// Passes on what the node sends, and sends it elsewhere too.
-    fn tamper_with_send(&mut self, link: Link, shipment: &Arc<Shipment>, effects: &mut Vec<Effect>) {
+    fn tamper_with_send(
+        &mut self,
+        link: ConnectionId,
+        shipment: &Arc<ForwardedRequest>,
+        effects: &mut Vec<Effect>,
+    ) {
         self.in_flight.insert(link, Arc::clone(shipment));
         let elsewhere = match self.way {
             Way::SendsToDrained => self.drained.first().copied(),
@@ -143,11 +166,11 @@
     }
 
     /// The answers that the client gets for one of the node's.
-    fn tamper_with_answer(&self, client: Client, answer: Answer) -> Vec<Answer> {
+    fn tamper_with_answer(&self, client: ClientId, answer: Answer) -> Vec<Answer> {
         match (self.way, answer) {
             (Way::AnswersNothing, _) => Vec::new(),
             (Way::AnswersTwice, answer) => vec![answer.clone(), answer],
-            (Way::MakesUp, _) => vec![Answer::Satisfied("".into())],
+            (Way::MakesUp, _) => vec![Answer::Completed("".into())],
             (Way::DismissesWhatRan, Answer::Aborted) if self.may_have_run.contains(&client) => {
                 vec![Answer::Dismissed(None)]
             }
@@ -156,9 +179,9 @@
     }
 
     /// Sends something for a client that has its answer.
-    fn send_after_answer(&mut self, client: Client, effects: &mut Vec<Effect>) {
+    fn send_after_answer(&mut self, client: ClientId, effects: &mut Vec<Effect>) {
         let id = format!("{client}").into();
-        let shipment = Arc::new(Shipment { id, ..Shipment::default() });
+        let shipment = Arc::new(ForwardedRequest { id, ..ForwardedRequest::default() });
         if let Some(address) = self.ready.first().copied() {
             self.send_beside(address, shipment, effects);
         }
@@ -166,9 +189,9 @@
 
     fn tamper(&mut self, effect: Effect, effects: &mut Vec<Effect>) {
         match effect {
-            Effect::Send { link, shipment, wait, version } => {
+            Effect::Send { connection: link, request: shipment, timeout: wait, version } => {
                 self.tamper_with_send(link, &shipment, effects);
-                effects.push(Effect::Send { link, shipment, wait, version });
+                effects.push(Effect::Send { connection: link, request: shipment, timeout: wait, version });
             }
             Effect::Answer { client, answer, last, version } => {
                 for answer in self.tamper_with_answer(client, answer) {
@@ -184,7 +207,7 @@
 }
 
 /// The client of a shipment, which its identifier names.
-fn client_of(shipment: &Shipment) -> Client {
+fn client_of(shipment: &ForwardedRequest) -> ClientId {
     std::str::from_utf8(&shipment.id).ok().and_then(|id| id.parse().ok()).unwrap_or(0)
 }
 
@@ -193,10 +216,10 @@
         if self.takes_for_itself(&input, effects) {
             return;
         }
-        if let Input::LinkUp { link } = &input {
+        if let Input::ExecutorConnected { connection: link } = &input {
             self.in_flight.remove(link);
         }
-        if let Input::Listed { endpoints, .. } = &input {
+        if let Input::ListReceived { endpoints, .. } = &input {
             self.note_listed(endpoints);
         }
         let broken = self.note_broken(&input);
--- a/crates/world/src/executor.rs
+++ b/crates/world/src/executor.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use linestack_core::{Link, Nanos};
+use linestack_core::{ConnectionId as CoreConnectionId, Nanos};
 use linestack_dispatch::types::Report;
 use rand::Rng as _;
 
@@ -20,7 +20,7 @@
 pub(crate) struct ConnectionId {
     pub(crate) node: usize,
     pub(crate) incarnation: u32,
-    pub(crate) link: Link,
+    pub(crate) link: CoreConnectionId,
 }
 
 /// A job that waits or runs.
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -165,7 +165,7 @@
             self.breach(Rule::Lost, now, format!("{attempt}: answered after its cut-off"));
         }
         match answer {
-            Answer::Satisfied(_) if !made => self.breach(Rule::MadeUp, now, format!("{attempt}")),
+            Answer::Completed(_) if !made => self.breach(Rule::MadeUp, now, format!("{attempt}")),
             Answer::Dismissed(_) if harmful => {
                 self.breach(Rule::DismissedMayHaveRun, now, format!("{attempt}"));
             }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use linestack_core::{Core, Effect, Input, Nanos, Remembered, Stats};
+use linestack_core::{Core, Effect, Input, Nanos, Stats, StoredOutcomes};
 use linestack_dispatch::types::{Decide, Worker};
 use linestack_recovery::start::Start;
 use linestack_settings::Settings;
@@ -46,7 +46,7 @@
 
 impl Machine for Core {
     fn take(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
-        Self::take(self, now, input, effects);
+        Self::handle(self, now, input, effects);
     }
 
     fn next_due(&self) -> Nanos {
@@ -58,7 +58,7 @@
     }
 
     fn crowded(&self) -> bool {
-        Self::crowded(self)
+        Self::is_at_client_limit(self)
     }
 
     fn stats(&self) -> Stats {
@@ -96,25 +96,25 @@
     /// What a start in stages keeps to.
     pub start: Option<Start>,
     /// What the disk has of earlier incarnations.
-    pub remembered: Option<Remembered>,
+    pub remembered: Option<StoredOutcomes>,
 }
 
 impl Seat {
     /// A whole node that decides by another policy.
     #[must_use]
     pub fn with(self, decisions: Box<dyn Decide + Send>) -> Box<dyn Machine> {
-        let core = Core::with(decisions, self.settings, self.sockets, self.memory);
+        let core = Core::with_dispatcher(decisions, self.settings, self.sockets, self.memory);
         Box::new(started(core, self.now, self.start, self.remembered))
     }
 }
 
 /// Gives a new node what it starts with.
-fn started(mut core: Core, now: Nanos, start: Option<Start>, remembered: Option<Remembered>) -> Core {
+fn started(mut core: Core, now: Nanos, start: Option<Start>, remembered: Option<StoredOutcomes>) -> Core {
     if let Some(start) = start {
-        core.start_by(now, start, Vec::new());
+        core.start_in_stages(now, start, Vec::new());
     }
     if let Some(remembered) = remembered {
-        core.remember(remembered);
+        core.enable_outcome_store(remembered);
     }
     core
 }
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use linestack_core::{Client, Input, Intake, Nanos, Shipment};
+use linestack_core::{ClientId, ForwardedRequest, Input, Nanos, NewSubmission};
 use rand::Rng as _;
 
 use super::event::{ClientOutcome, Event, GiveUp};
@@ -161,30 +161,30 @@
         let product = &self.scenario.products[self.requests[self.attempts[attempt].request].product];
         let intake = self.intake(attempt);
         // The node counts the deadline from when it reads the submission, for nothing tells it more.
-        let deadline = self.now + intake.patience;
+        let deadline = self.now + intake.timeout;
         let memory = seconds(product.memory_s);
         let process = NodeProcess { node, incarnation };
         self.judge.taken(attempt, process, product.repeats, memory, deadline);
-        let client = attempt as Client;
-        self.give_input(node, incarnation, Input::ClientUp { client });
-        self.give_input(node, incarnation, Input::Submitted { client, intake });
+        let client = attempt as ClientId;
+        self.give_input(node, incarnation, Input::ClientConnected { client });
+        self.give_input(node, incarnation, Input::Submitted { client, submission: intake });
     }
 
     /// The submission as the node is given it.
-    fn intake(&self, attempt: usize) -> Intake {
+    fn intake(&self, attempt: usize) -> NewSubmission {
         let index = self.attempts[attempt].request;
         let request = &self.requests[index];
         let product = &self.scenario.products[request.product];
         let stamped = product.repeats == Repeats::Stamped || self.scenario.nodes.store;
         let stamp = stamped.then(|| index.to_string().into());
         let id = Bytes::from(attempt.to_string());
-        Intake {
+        NewSubmission {
             product: request.product as u8,
             tenant: request.tenant as u16,
-            patience: millis(product.cut_off_ms),
+            timeout: millis(product.cut_off_ms),
             slots: product.slots,
             memory: 0.0,
-            shipment: Arc::new(Shipment { id, stamp, ..Shipment::default() }),
+            request: Arc::new(ForwardedRequest { id, stamp, ..ForwardedRequest::default() }),
         }
     }
 
@@ -198,7 +198,7 @@
             if !self.attempts[attempt].answered {
                 self.judge_unanswered(attempt, assignment, reason);
             }
-            let gone = Input::ClientGone { client: attempt as Client };
+            let gone = Input::ClientDisconnected { client: attempt as ClientId };
             self.give_input(assignment.node, assignment.incarnation, gone);
         }
         self.outcome.unanswered += 1;
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -1,7 +1,7 @@
 //! Jobs and probes on their way to executors, whether they are admitted there, and the replies.
 
 use bytes::Bytes;
-use linestack_core::{Broken, Input, Nanos, Outcome as ExecutionOutcome, Shipment};
+use linestack_core::{Disconnect, ForwardedRequest, Input, Nanos, Outcome as ExecutionOutcome};
 use linestack_dispatch::types::{Health, Report};
 use rand::Rng as _;
 
@@ -26,7 +26,7 @@
 
 impl World<'_> {
     /// A node sends a job over a connection.
-    pub(super) fn send_job(&mut self, connection: ConnectionId, shipment: &Shipment) {
+    pub(super) fn send_job(&mut self, connection: ConnectionId, shipment: &ForwardedRequest) {
         let id = std::str::from_utf8(&shipment.id).ok().and_then(|id| id.parse::<usize>().ok());
         let Some(attempt) = id.filter(|a| *a < self.attempts.len()) else { return };
         let Some(state) = self.connections.get_mut(&connection) else { return };
@@ -68,7 +68,13 @@
             self.pass_to_executor(connection, Event::JobAtExecutor { connection, attempt });
         }
         let written = moment > BEFORE_LAST_BYTE;
-        let broken = Broken { begun: true, written, answered: false, here: false, spoilt: false };
+        let broken = Disconnect {
+            request_started: true,
+            request_written: written,
+            response_started: false,
+            local_fault: false,
+            unexpected_data: false,
+        };
         let event = Event::DisconnectedAtNode { connection, broken: Some(broken) };
         self.schedule_after(RESET_SEEN_AFTER, event);
     }
@@ -137,7 +143,13 @@
     ) {
         let report = self.load_report(index);
         if self.happens_at_rate(self.executors[index].faults.garbage_rate) {
-            let broken = Broken { begun: true, written: true, answered: true, here: false, spoilt: false };
+            let broken = Disconnect {
+                request_started: true,
+                request_written: true,
+                response_started: true,
+                local_fault: false,
+                unexpected_data: false,
+            };
             let message = Event::DisconnectedAtNode { connection, broken: Some(broken) };
             return self.pass_to_node(connection, message);
         }
@@ -174,15 +186,15 @@
         }
         let ConnectionId { node, incarnation, link } = connection;
         let result = Bytes::from_static(b"done");
-        self.give_input(node, incarnation, Input::Ended { link, outcome, result, report });
-        self.give_input(node, incarnation, Input::Freed { link, named: true });
+        self.give_input(node, incarnation, Input::Ended { connection: link, outcome, result, report });
+        self.give_input(node, incarnation, Input::ConnectionReusable { connection: link, identified: true });
     }
 
     /// A notice of a job's start or progress reaches the node, if it still waits for that job.
     pub(super) fn progress_at_node(&mut self, connection: ConnectionId, attempt: usize) {
         let job = Some(InFlight::Job { attempt });
         if self.connections.get(&connection).is_some_and(|state| state.in_flight == job) {
-            let input = Input::Noted { link: connection.link };
+            let input = Input::Progressed { connection: connection.link };
             self.give_input(connection.node, connection.incarnation, input);
         }
     }
@@ -214,7 +226,7 @@
             return;
         }
         let ConnectionId { node, incarnation, link } = connection;
-        self.give_input(node, incarnation, Input::Probed { link, answered, report });
-        self.give_input(node, incarnation, Input::Freed { link, named: true });
+        self.give_input(node, incarnation, Input::Probed { connection: link, answered, report });
+        self.give_input(node, incarnation, Input::ConnectionReusable { connection: link, identified: true });
     }
 }
--- a/crates/world/src/world/discovery.rs
+++ b/crates/world/src/world/discovery.rs
@@ -106,7 +106,7 @@
         // A paused node hears nothing.
         let heard = arrives.max(self.nodes[node].paused_until);
         self.judge_hears_of(node, &endpoints, heard);
-        let input = Input::Listed { kind, endpoints };
+        let input = Input::ListReceived { kind, endpoints };
         self.schedule_at(arrives, Event::NodeInput { node, incarnation, input });
     }
 
@@ -126,7 +126,7 @@
             address: address_of(index),
             zone: format!("z{}", executor.zone),
             kind: self.scenario.executors[executor.spec].kind.clone(),
-            group: executor.group,
+            cell: executor.group,
             health,
             started,
             weight: 1.0,
@@ -160,7 +160,7 @@
         self.nodes[node].watch = DiscoveryWatch::On;
         self.judge_hears_of_missing(node, answered);
         self.judge_hears_of(node, &endpoints, answered);
-        let input = Input::Listed { kind: ListKind::Whole, endpoints };
+        let input = Input::ListReceived { kind: ListKind::Whole, endpoints };
         self.schedule_at(answered, Event::NodeInput { node, incarnation, input });
     }
 
@@ -175,7 +175,7 @@
 
     /// A node sees that its call or its watch has failed.
     pub(super) fn discovery_fails(&mut self, node: usize, incarnation: u32) {
-        let input = Input::Listed { kind: ListKind::Failed, endpoints: Vec::new() };
+        let input = Input::ListReceived { kind: ListKind::Failed, endpoints: Vec::new() };
         self.schedule_after(MESSAGE_DELAY, Event::NodeInput { node, incarnation, input });
     }
 }
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use linestack_core::{Answer, Client, Effect, Input, Link, Nanos, Phase};
+use linestack_core::{Answer, ClientId, ConnectionId as CoreConnectionId, Effect, Input, Nanos, Phase};
 
 use super::event::{ClientOutcome, Event};
 use super::fleet::executor_at;
@@ -22,18 +22,20 @@
 impl World<'_> {
     /// Carries out one effect of a node's process.
     pub(super) fn carry_out(&mut self, node: usize, incarnation: u32, effect: Effect) {
-        let id = |link: Link| ConnectionId { node, incarnation, link };
+        let id = |link: CoreConnectionId| ConnectionId { node, incarnation, link };
         match effect {
             Effect::Answer { client, answer, .. } => self.answer(node, incarnation, client, &answer),
             Effect::CloseClient { client } | Effect::DropClient { client } => self.close_client(node, client),
-            Effect::Open { link, address, .. } => self.open_connection(id(link), address),
-            Effect::Send { link, shipment, .. } => self.send_job(id(link), &shipment),
-            Effect::Probe { link } => self.send_probe(id(link)),
-            Effect::CloseLink { link } => self.close_connection(id(link)),
-            Effect::Watch => self.watch_discovery(node, incarnation),
-            Effect::Fault(what) => self.judge.breach(Rule::Invariant, self.now, what.into()),
+            Effect::OpenConnection { connection: link, address, .. } => {
+                self.open_connection(id(link), address)
+            }
+            Effect::Send { connection: link, request: shipment, .. } => self.send_job(id(link), &shipment),
+            Effect::Probe { connection: link } => self.send_probe(id(link)),
+            Effect::CloseConnection { connection: link } => self.close_connection(id(link)),
+            Effect::RequestList => self.watch_discovery(node, incarnation),
+            Effect::InvariantBroken(what) => self.judge.breach(Rule::Invariant, self.now, what.into()),
             Effect::Report(_) | Effect::Stage(_) | Effect::Refused { .. } => {}
-            Effect::Keep { keep, ticket } => {
+            Effect::Persist { record: keep, ticket } => {
                 let sync = millis(self.scenario.nodes.sync_ms);
                 self.schedule_after(sync, Event::RecordPersisted { node, incarnation, keep, ticket });
             }
@@ -42,7 +44,7 @@
     }
 
     /// A node answers a client, which ends the client's connection.
-    fn answer(&mut self, node: usize, incarnation: u32, client: Client, answer: &Answer) {
+    fn answer(&mut self, node: usize, incarnation: u32, client: ClientId, answer: &Answer) {
         let attempt = client as usize;
         let Some(state) = self.attempts.get_mut(attempt) else { return };
         state.answered = true;
@@ -53,13 +55,13 @@
         let state = &mut self.nodes[node];
         if state.incarnation == incarnation {
             state.inbox.push_back(Input::ClientPhase { client, phase: Phase::Idle });
-            state.inbox.push_back(Input::ClientGone { client });
+            state.inbox.push_back(Input::ClientDisconnected { client });
         }
     }
 
     fn count_answer(&mut self, attempt: usize, answer: &Answer) -> ClientOutcome {
         match answer {
-            Answer::Satisfied(_) => {
+            Answer::Completed(_) => {
                 self.outcome.satisfied += 1;
                 ClientOutcome::Satisfied
             }
@@ -68,7 +70,7 @@
                 self.outcome.dismissed_with_room += u64::from(self.has_room_for(attempt));
                 ClientOutcome::Dismissed(*retry_after)
             }
-            Answer::Aborted | Answer::Repeated => {
+            Answer::Aborted | Answer::DuplicateId => {
                 self.outcome.aborted += 1;
                 ClientOutcome::Aborted
             }
@@ -84,13 +86,13 @@
     }
 
     /// A node closes a client's connection; without an answer the client hears nothing more.
-    fn close_client(&mut self, node: usize, client: Client) {
+    fn close_client(&mut self, node: usize, client: ClientId) {
         let attempt = client as usize;
         if client < FIRST_FLOOD_CLIENT && !self.attempts[attempt].answered {
             let outcome = ClientOutcome::NoAnswer;
             self.schedule_after(CLOSE_SEEN_AFTER, Event::ResponseAtClient { attempt, outcome });
         }
-        self.nodes[node].inbox.push_back(Input::ClientGone { client });
+        self.nodes[node].inbox.push_back(Input::ClientDisconnected { client });
     }
 
     fn open_connection(&mut self, connection: ConnectionId, address: SocketAddr) {
--- a/crates/world/src/world/event.rs
+++ b/crates/world/src/world/event.rs
@@ -3,7 +3,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-use linestack_core::{Broken, Input, Nanos, Outcome as ExecutionOutcome, Ticket};
+use linestack_core::{Disconnect, Input, Nanos, Outcome as ExecutionOutcome, PersistTicket};
 use linestack_dispatch::types::{Health, Report};
 use linestack_recovery::Keep;
 
@@ -37,7 +37,7 @@
     /// The executor's acceptance of a connection reaches the node.
     ConnectedAtNode { connection: ConnectionId },
     /// The end of a connection reaches the node.
-    DisconnectedAtNode { connection: ConnectionId, broken: Option<Broken> },
+    DisconnectedAtNode { connection: ConnectionId, broken: Option<Disconnect> },
     /// The node's closing of a connection reaches the executor.
     ClosedAtExecutor { connection: ConnectionId },
     /// A job reaches the executor.
@@ -84,7 +84,7 @@
     /// A silent client of a flood connects to a node.
     FloodConnects { fault: usize, node: usize },
     /// A record that a node wanted persisted is on its disk.
-    RecordPersisted { node: usize, incarnation: u32, keep: Keep, ticket: Option<Ticket> },
+    RecordPersisted { node: usize, incarnation: u32, keep: Keep, ticket: Option<PersistTicket> },
     /// Whatever is long over is dropped, and whatever is overdue is found.
     Sweep,
 }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -71,7 +71,7 @@
                 settings.orders.connection_price = SWITCHED_CONNECTION_PRICE;
             }
             let incarnation = self.nodes[node].incarnation;
-            self.give_input(node, incarnation, Input::Terms { settings, version: 0 });
+            self.give_input(node, incarnation, Input::SettingsChanged { settings, version: 0 });
         }
     }
 
@@ -93,7 +93,7 @@
         let state = &self.nodes[node];
         let incarnation = state.incarnation;
         if state.machine.as_ref().is_some_and(|machine| !machine.crowded()) {
-            self.give_input(node, incarnation, Input::ClientUp { client });
+            self.give_input(node, incarnation, Input::ClientConnected { client });
         }
         let gap = seconds(1.0 / trouble.size.max(MIN_FLOOD_RATE));
         self.schedule_after(gap, Event::FloodConnects { fault, node });
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -29,7 +29,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use linestack_core::{Client, Effect, Nanos};
+use linestack_core::{ClientId, Effect, Nanos};
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -50,7 +50,7 @@
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
 /// Silent clients of floods are numbered from here on, out of the way of attempts.
-const FIRST_FLOOD_CLIENT: Client = 1 << 60;
+const FIRST_FLOOD_CLIENT: ClientId = 1 << 60;
 
 /// The world runs at most this long after the last client came, for what is still open.
 const GRACE_AFTER_SPAN: Nanos = 60 * SECOND;
@@ -86,7 +86,7 @@
     make_node: &'a dyn Fn(Seat) -> Box<dyn Machine>,
     /// An empty buffer for a node's effects, kept for its memory.
     effects: Vec<Effect>,
-    next_flood_client: Client,
+    next_flood_client: ClientId,
     /// Seconds of work of the submissions that were satisfied.
     useful_work: f64,
     /// Submissions that are neither satisfied nor given up by their clients.
--- a/crates/world/src/world/network.rs
+++ b/crates/world/src/world/network.rs
@@ -1,6 +1,6 @@
 //! The network: connections between nodes and executors, on which messages pass in order and with delay.
 
-use linestack_core::{Broken, Input, Nanos};
+use linestack_core::{Disconnect, Input, Nanos};
 use rand::Rng as _;
 
 use super::World;
@@ -106,7 +106,7 @@
     /// The node hears that a connection is established, unless it has closed it meanwhile.
     pub(super) fn connected_at_node(&mut self, connection: ConnectionId) {
         if self.connections.get(&connection).is_some_and(|state| !state.closed) {
-            let input = Input::LinkUp { link: connection.link };
+            let input = Input::ExecutorConnected { connection: connection.link };
             self.give_input(connection.node, connection.incarnation, input);
         }
     }
@@ -117,24 +117,24 @@
     }
 
     /// The node hears that a connection is down. `broken` tells how far a send got, where that is known.
-    pub(super) fn disconnected_at_node(&mut self, connection: ConnectionId, broken: Option<Broken>) {
+    pub(super) fn disconnected_at_node(&mut self, connection: ConnectionId, broken: Option<Disconnect>) {
         let Some(state) = self.connections.remove(&connection) else { return };
         if state.closed {
             return;
         }
         // What was in flight had been written: the last byte leaves a node when it is sent.
         let sent = state.in_flight.is_some();
-        let broken = broken.unwrap_or(Broken {
-            begun: sent,
-            written: sent,
-            answered: sent && state.acknowledged,
-            here: false,
-            spoilt: false,
+        let broken = broken.unwrap_or(Disconnect {
+            request_started: sent,
+            request_written: sent,
+            response_started: sent && state.acknowledged,
+            local_fault: false,
+            unexpected_data: false,
         });
-        if let (Some(InFlight::Job { attempt }), false) = (state.in_flight, broken.written) {
+        if let (Some(InFlight::Job { attempt }), false) = (state.in_flight, broken.request_written) {
             self.judge.never_ran(attempt, connection);
         }
-        let input = Input::LinkDown { link: connection.link, broken };
+        let input = Input::ExecutorDisconnected { connection: connection.link, disconnect: broken };
         self.give_input(connection.node, connection.incarnation, input);
     }
 
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use linestack_core::{Input, Link, Nanos, Remembered, Ticket};
+use linestack_core::{ConnectionId as CoreConnectionId, Input, Nanos, PersistTicket, StoredOutcomes};
 use linestack_dispatch::types::ListKind;
 use linestack_recovery::start::{Found, Start, Terms};
 use linestack_recovery::{Fates, Keep};
@@ -163,7 +163,7 @@
         let Some(machine) = &mut state.machine else { return };
         state.busy_until = self.now + state.cpu_per_input as Nanos;
         let incarnation = state.incarnation;
-        let lists_executors = matches!(input, Input::Listed { .. });
+        let lists_executors = matches!(input, Input::ListReceived { .. });
         if let Input::Submitted { client, .. } = &input {
             self.attempts[*client as usize].read_at = Some(self.now);
         }
@@ -216,7 +216,7 @@
             truth: Arc::clone(&self.truth),
         };
         self.nodes[node].machine = Some((self.make_node)(seat));
-        let input = Input::Listed { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
+        let input = Input::ListReceived { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
         self.give_input(node, self.nodes[node].incarnation, input);
         self.schedule_after(HEALTH_CHECK_AFTER_START, Event::HealthChecked { node });
     }
@@ -237,12 +237,12 @@
     }
 
     /// What a node's disk has of earlier incarnations.
-    fn remembered(&self, node: usize) -> Remembered {
+    fn remembered(&self, node: usize) -> StoredOutcomes {
         let persisted = &self.nodes[node].persisted;
         let mut fates = Fates::new(RECORDS_REMEMBERED_FOR, usize::MAX, usize::MAX);
         fates.restore(persisted.iter().cloned());
         let age = persisted.iter().map(|k| k.at + 1).max().unwrap_or(0);
-        Remembered { fates, age, now: self.now, by_stamp: true, doubtful: 0 }
+        StoredOutcomes { outcomes: fates, age, now: self.now, by_stamp: true, incomplete_until: 0 }
     }
 
     /// A record is on a node's disk. One that was under way when the node was killed is lost.
@@ -251,14 +251,14 @@
         node: usize,
         incarnation: u32,
         record: Keep,
-        ticket: Option<Ticket>,
+        ticket: Option<PersistTicket>,
     ) {
         if !self.nodes[node].runs(incarnation) {
             return;
         }
         self.nodes[node].persisted.push(record);
         if let Some(ticket) = ticket {
-            self.give_input(node, incarnation, Input::Kept { ticket, lasts: true });
+            self.give_input(node, incarnation, Input::Persisted { ticket, durable: true });
         }
     }
 
@@ -303,7 +303,7 @@
 
     fn close_connections_of(&mut self, node: usize, incarnation: u32) {
         let first = ConnectionId { node, incarnation, link: 0 };
-        let last = ConnectionId { node, incarnation, link: Link::MAX };
+        let last = ConnectionId { node, incarnation, link: CoreConnectionId::MAX };
         let ids: Vec<ConnectionId> = self.connections.range(first..=last).map(|(id, _)| *id).collect();
         for connection in ids {
             if let Some(state) = self.connections.get_mut(&connection) {
