--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -202,7 +202,7 @@
                         taken = heard.len(),
                         "heard from a peer"
                     );
-                    node.feed(Input::Heard { items: heard });
+                    node.feed(Input::PeerObservations { observations: heard });
                 }
                 Err(why) => tracing::warn!(teller = tale.sender, %why, "a peer's words are not taken"),
             }
