--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 use tracing::Level;
 
-use crate::cause::{START_PATIENCE, may_pass, persist};
+use crate::io_failure::{START_PATIENCE, may_pass, persist};
 use crate::net::discovery::List;
 
 #[derive(Debug, Error)]
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -20,7 +20,7 @@
 use super::store::{Fault, Store};
 use super::wire::{self, Body, Ear, Own, Pen, Who};
 use crate::net::Node;
-use crate::tries;
+use crate::start_attempts;
 
 /// Thousandths by which clocks may differ in rate, and how long a leave is taken to last before the first.
 const DRIFT: u64 = 10;
@@ -60,10 +60,10 @@
             other => other,
         };
         let mut store = open(&fleet.folder)?;
-        if tries::enter(&fleet.folder)? >= TRIES {
+        if start_attempts::enter(&fleet.folder)? >= TRIES {
             // It comes back as a new run that knows nothing: coordinators tell it all again.
             drop(store);
-            let aside = tries::set_aside(&fleet.folder, |name| name.ends_with(".redb"))?;
+            let aside = start_attempts::set_aside(&fleet.folder, |name| name.ends_with(".redb"))?;
             tracing::error!(aside = %aside.display(), "starts died reading what this member kept: set aside");
             store = open(&fleet.folder)?;
         }
@@ -76,7 +76,7 @@
             // What it had kept is asked for again; but it may be the second of its kind.
             Err(Fault::Copied) => Record::default(),
             Err(why) => {
-                tries::leave(&fleet.folder);
+                start_attempts::leave(&fleet.folder);
                 return Err(why);
             }
         };
@@ -98,7 +98,7 @@
     pub fn terms(&self, own: &Settings, seed: u64) -> Option<Settings> {
         let known = &self.record.active;
         let settings = settings(&known.text, own.orders.zone, seed).ok().filter(|_| known.version > 0);
-        tries::leave(&self.fleet.folder);
+        start_attempts::leave(&self.fleet.folder);
         let settings = settings?;
         own.restart_for(&settings).is_none().then_some(settings)
     }
--- a/crates/node/src/keep.rs
+++ b/crates/node/src/keep.rs
@@ -15,7 +15,7 @@
 use crate::fleet::store::{Identity, identity, same};
 use crate::net::Node;
 use crate::net::discovery::List;
-use crate::{begin, http, tries};
+use crate::{http, staged_start, start_attempts};
 
 /// Kinds of record: a one-shot's fate, the list of executors, when discovery was heard last, whose store it is, and
 /// that one before it was lost. But for fates there is one of each.
@@ -154,7 +154,7 @@
 
 impl Stamp {
     fn now() -> Vec<u8> {
-        let Kept { boot, at } = begin::stamp();
+        let Kept { boot, at } = staged_start::stamp();
         serde_json::to_vec(&Self { boot, at }).unwrap_or_default()
     }
 }
@@ -205,10 +205,10 @@
         let path = config.folder.clone();
         let folder = Folder::open(&path).map_err(|e| fault(&e.into()))?;
         let limits = || limits(config.remember_s * 1_000_000_000, config.budget_mb, config.sync);
-        let died = tries::enter(&path).map_err(|e| fault(&e.into()))?;
+        let died = start_attempts::enter(&path).map_err(|e| fault(&e.into()))?;
         let (mut store, mut fates) = if died >= TRIES {
             let whole = |name: &str| name != "lock" && name != "tries";
-            let aside = tries::set_aside(&path, whole).map_err(|e| fault(&e.into()))?;
+            let aside = start_attempts::set_aside(&path, whole).map_err(|e| fault(&e.into()))?;
             tracing::error!(aside = %aside.display(), "starts died reading the store: set aside, a new one is begun");
             let mut store =
                 Store::open(folder, limits(), true, crate::fleet::draw()).map_err(|e| fault(&e))?;
@@ -216,11 +216,12 @@
             (store, Vec::new())
         } else {
             let opened = Store::open(folder, limits(), false, 0);
-            let store = opened.inspect_err(|_| tries::leave(&path)).map_err(|e| fault(&e))?;
-            let fates = fates_of(&store).inspect_err(|_| tries::leave(&path)).map_err(|e| fault(&e))?;
+            let store = opened.inspect_err(|_| start_attempts::leave(&path)).map_err(|e| fault(&e))?;
+            let fates =
+                fates_of(&store).inspect_err(|_| start_attempts::leave(&path)).map_err(|e| fault(&e))?;
             (store, fates)
         };
-        tries::leave(&path);
+        start_attempts::leave(&path);
         let place_now = identity(&path.join("lock")).map_err(|e| fault(&e.into()))?;
         match only(&store, OWNER).map(|known| serde_json::from_slice::<Owner>(&known).ok()) {
             None => store.commit(&[owner_mark(node, place_now)], 0).map_err(|e| fault(&e))?,
@@ -252,7 +253,7 @@
     #[must_use]
     pub fn list(&self, within: u64) -> Option<(List, bool)> {
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
-        let age = self.heard.and_then(|kept| kept.age(&begin::stamp()));
+        let age = self.heard.and_then(|kept| kept.age(&staged_start::stamp()));
         tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
         Some((list, fresh(age, within)))
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,11 +1,11 @@
 //! A linestack node on sockets: the decisions of `linestack_dispatch` behind HTTP/1.1.
 
-pub mod begin;
-pub mod cause;
 pub mod config;
 pub mod fleet;
 pub mod http;
+pub mod io_failure;
 pub mod keep;
 pub mod net;
 pub mod peers;
-pub mod tries;
+pub mod staged_start;
+pub mod start_attempts;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 use clap::Parser;
-use linestack::begin;
-use linestack::cause::{START_PATIENCE, may_pass, persist};
 use linestack::config::{self, Config, FaultKind};
 use linestack::fleet;
 use linestack::fleet::config::Mode;
 use linestack::fleet::coordinate::Start as Begin;
 use linestack::fleet::session::Start;
 use linestack::fleet::trail::Trail;
+use linestack::io_failure::{START_PATIENCE, may_pass, persist};
 use linestack::keep::{self, Keeper};
 use linestack::net::{Node, Parts, clients, clock::Clock, spawn};
 use linestack::peers;
+use linestack::staged_start;
 use linestack_core::{Core, Input};
 use linestack_dispatch::types::{ListKind, Repeats};
 use linestack_history::What;
@@ -149,7 +149,8 @@
         }
     };
     let nodes = settings.orders.nodes;
-    let stages = variable("PROXY_START").map(|path| begin::config(Path::new(&path), nodes)).transpose();
+    let stages =
+        variable("PROXY_START").map(|path| staged_start::config(Path::new(&path), nodes)).transpose();
     let stages = match stages {
         Ok(stages) => stages,
         Err(why) => {
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use super::Node;
-use crate::cause::Cause;
+use crate::io_failure::Cause;
 
 const FIRST_PAUSE: Duration = Duration::from_millis(1);
 const LONGEST_PAUSE: Duration = Duration::from_millis(50);
