--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -8,27 +8,27 @@
 use thiserror::Error;
 use tracing::Level;
 
-use crate::io_failure::{START_PATIENCE, may_pass, persist};
+use crate::io_failure::{START_RETRY_TIMEOUT, is_transient, retry_transient};
 use crate::net::discovery::List;
 
 #[derive(Debug, Error)]
-#[error("{key}: {why}")]
-pub struct Fault {
+#[error("{key}: {reason}")]
+pub struct ConfigError {
     /// The variable or the key in the file that is at fault.
     pub key: String,
-    pub why: String,
-    pub kind: FaultKind,
+    pub reason: String,
+    pub kind: ConfigErrorKind,
 }
 
 /// What is to be done about a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FaultKind {
+pub enum ConfigErrorKind {
     /// What the key holds makes no sense, or can't be read.
-    Wrong,
+    Invalid,
     /// It is nowhere.
     Missing,
     /// The file can't be read now, for want of something on this machine.
-    Passing,
+    Transient,
 }
 
 const DISCOVERY: &str = "PROXY_DISCOVERY";
@@ -56,13 +56,13 @@
     }
 
     /// Goes on with the settings of a newer reading.
-    pub fn take_settings(&mut self, newer: &Self) {
+    pub fn apply_settings(&mut self, newer: &Self) {
         (self.settings, self.text) = (newer.settings.clone(), newer.text.clone());
     }
 
     /// The keys of a newer reading that differ and are read at the start only.
     #[must_use]
-    pub fn restart_for(&self, newer: &Self) -> Vec<&'static str> {
+    pub fn keys_requiring_restart(&self, newer: &Self) -> Vec<&'static str> {
         let differ = [
             ("name", self.name != newer.name),
             ("listen", self.listen != newer.listen),
@@ -116,46 +116,46 @@
 /// # Errors
 ///
 /// How many there are.
-pub fn descriptors() -> Result<(), String> {
+pub fn check_descriptors() -> Result<(), String> {
     let most = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let most = most.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX));
     // One is used by looking.
-    let open = persist(START_PATIENCE, || std::fs::read_dir("/proc/self/fd"));
+    let open = retry_transient(START_RETRY_TIMEOUT, || std::fs::read_dir("/proc/self/fd"));
     let open = open.map(|all| all.count().saturating_sub(1));
     match open {
         Ok(open) if most.saturating_sub(open) >= LEAST_SOCKETS => Ok(()),
         Ok(open) => Err(format!(
             "{open} of the {most} descriptors that the system allows are in use, and {LEAST_SOCKETS} are needed"
         )),
-        Err(why) => Err(why.to_string()),
+        Err(error) => Err(error.to_string()),
     }
 }
 
 /// How much is logged. It is read first, so that the rest can be logged.
-pub fn level(variable: impl Fn(&str) -> Option<String>) -> Result<Level, Fault> {
+pub fn log_level(variable: impl Fn(&str) -> Option<String>) -> Result<Level, ConfigError> {
     const KEY: &str = "PROXY_LOG";
     let Some(text) = variable(KEY) else { return Ok(Level::INFO) };
     text.parse().map_err(|_| {
-        let why = format!("{text:?} is not a level");
-        Fault { key: KEY.to_owned(), why, kind: FaultKind::Wrong }
+        let reason = format!("{text:?} is not a level");
+        ConfigError { key: KEY.to_owned(), reason, kind: ConfigErrorKind::Invalid }
     })
 }
 
 /// Reads it again while the node runs. The file's `discovery` wins over the variable of the start, which
 /// cannot have changed since; without one the present one stays.
-pub fn again(
+pub fn reread(
     present: &Config,
     variable: impl Fn(&str) -> Option<String>,
     file: impl Fn(&str) -> std::io::Result<String>,
-) -> Result<Config, Fault> {
+) -> Result<Config, ConfigError> {
     let newer = read(|key| if key == DISCOVERY { None } else { variable(key) }, &file);
     match newer {
-        Err(fault) if fault.key == DISCOVERY && fault.kind == FaultKind::Missing => {
+        Err(fault) if fault.key == DISCOVERY && fault.kind == ConfigErrorKind::Missing => {
             let present = present.discovery.to_string();
             read(|key| if key == DISCOVERY { Some(present.clone()) } else { variable(key) }, &file)
         }
         // The variable has no say here.
-        Err(fault) if fault.key == DISCOVERY => Err(Fault { key: "discovery".into(), ..fault }),
+        Err(fault) if fault.key == DISCOVERY => Err(ConfigError { key: "discovery".into(), ..fault }),
         other => other,
     }
 }
@@ -164,12 +164,16 @@
 pub fn read(
     variable: impl Fn(&str) -> Option<String>,
     file: impl Fn(&str) -> std::io::Result<String>,
-) -> Result<Config, Fault> {
-    let fault = |key: &str, why: String| Fault { key: key.to_owned(), why, kind: FaultKind::Wrong };
+) -> Result<Config, ConfigError> {
+    let fault = |key: &str, reason: String| ConfigError {
+        key: key.to_owned(),
+        reason,
+        kind: ConfigErrorKind::Invalid,
+    };
     let path = variable("PROXY_CONFIG").ok_or(fault("PROXY_CONFIG", "not set".into()))?;
     let text = file(&path).map_err(|e| {
-        let kind = if may_pass(&e) { FaultKind::Passing } else { FaultKind::Wrong };
-        Fault { kind, ..fault("PROXY_CONFIG", format!("{path}: {e}")) }
+        let kind = if is_transient(&e) { ConfigErrorKind::Transient } else { ConfigErrorKind::Invalid };
+        ConfigError { kind, ..fault("PROXY_CONFIG", format!("{path}: {e}")) }
     })?;
     let read = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(&text));
     let file: File = read.map_err(|e| match e.path().to_string().as_str() {
@@ -178,10 +182,10 @@
         key => fault(key, e.inner().to_string()),
     })?;
     let either = |key: &str, from_file: Option<String>| {
-        variable(key)
-            .or(from_file)
-            .filter(|v| !v.is_empty())
-            .ok_or(Fault { kind: FaultKind::Missing, ..fault(key, "not set, nor in the file".into()) })
+        variable(key).or(from_file).filter(|v| !v.is_empty()).ok_or(ConfigError {
+            kind: ConfigErrorKind::Missing,
+            ..fault(key, "not set, nor in the file".into())
+        })
     };
     let address = |key: &str, from_file| {
         let text: String = either(key, from_file)?;
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -60,10 +60,10 @@
             other => other,
         };
         let mut store = open(&fleet.folder)?;
-        if start_attempts::enter(&fleet.folder)? >= TRIES {
+        if start_attempts::record_attempt(&fleet.folder)? >= TRIES {
             // It comes back as a new run that knows nothing: coordinators tell it all again.
             drop(store);
-            let aside = start_attempts::set_aside(&fleet.folder, |name| name.ends_with(".redb"))?;
+            let aside = start_attempts::quarantine_files(&fleet.folder, |name| name.ends_with(".redb"))?;
             tracing::error!(aside = %aside.display(), "starts died reading what this member kept: set aside");
             store = open(&fleet.folder)?;
         }
@@ -76,7 +76,7 @@
             // What it had kept is asked for again; but it may be the second of its kind.
             Err(Fault::Copied) => Record::default(),
             Err(why) => {
-                start_attempts::leave(&fleet.folder);
+                start_attempts::clear_attempts(&fleet.folder);
                 return Err(why);
             }
         };
@@ -98,7 +98,7 @@
     pub fn terms(&self, own: &Settings, seed: u64) -> Option<Settings> {
         let known = &self.record.active;
         let settings = settings(&known.text, own.orders.zone, seed).ok().filter(|_| known.version > 0);
-        start_attempts::leave(&self.fleet.folder);
+        start_attempts::clear_attempts(&self.fleet.folder);
         let settings = settings?;
         own.restart_for(&settings).is_none().then_some(settings)
     }
@@ -257,12 +257,12 @@
                     let slept = super::slept();
                     let until = until.saturating_sub(slept);
                     // Told to the history first: what is taken by this leave must not come before it there.
-                    if let Some(trail) = &self.node.trail {
+                    if let Some(trail) = &self.node.audit_log {
                         trail.write(now, What::Leased { version, until: trail.machine(until) });
                     }
                     let until = if self.broken == Some(Broken::Unfenced) { u64::MAX } else { until };
-                    self.node.count_from(slept + READING);
-                    self.node.feed(CoreInput::Leave { until });
+                    self.node.end_lease_after_sleep(slept + READING);
+                    self.node.handle_input(CoreInput::Leave { until });
                 }
             }
             Out::Tell(told) => self.tell(told),
@@ -271,7 +271,7 @@
     }
 
     fn write(&self, now: u64, what: What) {
-        if let Some(trail) = &self.node.trail {
+        if let Some(trail) = &self.node.audit_log {
             trail.write(now, what);
         }
     }
@@ -327,7 +327,7 @@
         self.record = record;
         self.present = settings.clone();
         self.write(self.node.clock.now(), What::Active { version, digest });
-        self.node.feed(CoreInput::Terms { settings: Box::new(settings), version });
+        self.node.handle_input(CoreInput::Terms { settings: Box::new(settings), version });
         tracing::info!(version, digest, "policy taken over");
         Ok(())
     }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -6,21 +6,21 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The longest body, and the longest head.
-pub const BODY: usize = 64 * 1024;
-pub const HEAD: usize = 16 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const HEADERS: usize = 64;
 /// The longest line that gives a chunk's size.
 const CHUNK_LINE: usize = 1024;
 
 /// Why a request is turned down, or an answer is not understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct HttpError {
     pub status: u16,
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
-const fn fault(status: u16, why: &'static str) -> Fault {
-    Fault { status, why }
+const fn http_error(status: u16, reason: &'static str) -> HttpError {
+    HttpError { status, reason }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,21 +69,21 @@
 }
 
 impl Lengths {
-    fn take(&mut self, header: &httparse::Header<'_>) -> Result<(), Fault> {
+    fn take(&mut self, header: &httparse::Header<'_>) -> Result<(), HttpError> {
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = std::str::from_utf8(header.value)
                 .ok()
                 .filter(|v| !v.is_empty() && v.len() <= 15 && v.bytes().all(|b| b.is_ascii_digit()));
-            let length = digits.and_then(|d| d.parse().ok()).ok_or(fault(400, "bad Content-Length"))?;
+            let length = digits.and_then(|d| d.parse().ok()).ok_or(http_error(400, "bad Content-Length"))?;
             if self.chunked || self.length.replace(length).is_some() {
-                return Err(fault(400, "ambiguous length"));
+                return Err(http_error(400, "ambiguous length"));
             }
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !header.value.eq_ignore_ascii_case(b"chunked") {
-                return Err(fault(400, "unknown Transfer-Encoding"));
+                return Err(http_error(400, "unknown Transfer-Encoding"));
             }
             if self.length.is_some() || std::mem::replace(&mut self.chunked, true) {
-                return Err(fault(400, "ambiguous length"));
+                return Err(http_error(400, "ambiguous length"));
             }
         }
         Ok(())
@@ -95,17 +95,17 @@
 }
 
 /// Parses a client's head. `None` until it is whole.
-pub fn request(buffer: &[u8]) -> Result<Option<Request>, Fault> {
+pub fn parse_request(buffer: &[u8]) -> Result<Option<Request>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let length = match parsed.parse(buffer) {
-        Ok(httparse::Status::Complete(length)) if length <= HEAD => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= HEAD => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(fault(431, "head too large")),
-        Err(_) => return Err(fault(400, "malformed head")),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(http_error(431, "head too large")),
+        Err(_) => return Err(http_error(400, "malformed head")),
     };
     if parsed.version != Some(1) {
-        return Err(fault(505, "HTTP/1.1 only"));
+        return Err(http_error(505, "HTTP/1.1 only"));
     }
     let place = |part: &[u8]| {
         let from = part.as_ptr() as usize - buffer.as_ptr() as usize;
@@ -114,7 +114,7 @@
     // What another may read differently is not passed on: executors close on what they can't read, and take
     // whatever else waits on that connection with it.
     if !parsed.path.is_some_and(|p| p.starts_with('/') && p.bytes().all(|b| b.is_ascii_graphic())) {
-        return Err(fault(400, "bad path"));
+        return Err(http_error(400, "bad path"));
     }
     let mut head = Request {
         length,
@@ -144,14 +144,14 @@
             _ => continue,
         };
         if !header.value.iter().all(|b| b.is_ascii_graphic() || *b == b' ') {
-            return Err(fault(400, "a header that is no plain text"));
+            return Err(http_error(400, "a header that is no plain text"));
         }
         if slot.replace(place(header.value)).is_some() {
-            return Err(fault(400, "a header that may come once came twice"));
+            return Err(http_error(400, "a header that may come once came twice"));
         }
     }
-    if lengths.length.is_some_and(|l| l > BODY) {
-        return Err(fault(413, "body too large"));
+    if lengths.length.is_some_and(|l| l > MAX_BODY_BYTES) {
+        return Err(http_error(413, "body too large"));
     }
     head.framing =
         Some(if lengths.chunked { Framing::Chunked } else { Framing::Length(lengths.length.unwrap_or(0)) });
@@ -159,14 +159,14 @@
 }
 
 /// Parses an answer's head. `None` until it is whole.
-pub fn response(buffer: &[u8]) -> Result<Option<Response>, Fault> {
+pub fn parse_response(buffer: &[u8]) -> Result<Option<Response>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     let length = match parsed.parse(buffer) {
-        Ok(httparse::Status::Complete(length)) if length <= HEAD => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= HEAD => return Ok(None),
-        Ok(_) => return Err(fault(502, "head too large")),
-        Err(_) => return Err(fault(502, "malformed head")),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) => return Err(http_error(502, "head too large")),
+        Err(_) => return Err(http_error(502, "malformed head")),
     };
     let status = parsed.code.unwrap_or(0);
     let mut head = Response {
@@ -201,7 +201,7 @@
 
 /// Takes a body out of what was read, piece by piece.
 #[derive(Debug)]
-pub struct Body(Part);
+pub struct BodyDecoder(Part);
 
 #[derive(Debug)]
 enum Part {
@@ -213,7 +213,7 @@
     Trailer(usize),
 }
 
-impl Body {
+impl BodyDecoder {
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
@@ -224,8 +224,8 @@
     }
 
     /// Moves what has come from `input` to `output`. True once the body is whole.
-    pub fn take(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, Fault> {
-        const BAD: Fault = fault(400, "malformed chunk");
+    pub fn decode(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, HttpError> {
+        const BAD: HttpError = http_error(400, "malformed chunk");
         loop {
             match &mut self.0 {
                 Part::Left(0) => return Ok(true),
@@ -270,7 +270,7 @@
                     *seen += line.len();
                     if line.trim_ascii().is_empty() {
                         self.0 = Part::Left(0);
-                    } else if *seen > HEAD {
+                    } else if *seen > MAX_HEAD_BYTES {
                         return Err(BAD);
                     }
                 }
@@ -287,14 +287,14 @@
 
 /// A message on its way out: pieces that are written with one call where the socket takes them.
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct WriteQueue {
     pieces: Vec<Bytes>,
     at: usize,
     /// Bytes written.
     pub written: usize,
 }
 
-impl Out {
+impl WriteQueue {
     const GATHERED: usize = 16;
 
     pub fn push(&mut self, piece: impl Into<Bytes>) {
@@ -306,7 +306,7 @@
 
     /// Bytes that are not written yet.
     #[must_use]
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.pieces[self.at..].iter().map(Bytes::len).sum()
     }
 
@@ -352,13 +352,13 @@
     if input.is_empty() {
         return false;
     }
-    match request(input) {
+    match parse_request(input) {
         Ok(None) => false,
         Err(_) => true,
         Ok(Some(head)) => {
             let mut rest = BytesMut::from(&input[head.length..]);
-            let mut body = Body::new(head.framing.unwrap_or(Framing::Length(0)));
-            body.take(&mut rest, &mut BytesMut::new()).unwrap_or(true)
+            let mut body = BodyDecoder::new(head.framing.unwrap_or(Framing::Length(0)));
+            body.decode(&mut rest, &mut BytesMut::new()).unwrap_or(true)
         }
     }
 }
--- a/crates/node/src/io_failure.rs
+++ b/crates/node/src/io_failure.rs
@@ -6,12 +6,12 @@
 use rustix::io::Errno;
 
 /// For how long a start bears calls that fail for want of something on this machine. It has to be ready within 10 s.
-pub const START_PATIENCE: Duration = Duration::from_secs(5);
+pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 const AGAIN: Duration = Duration::from_millis(20);
 
 /// Where the cause of a failed call lies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum IoFailure {
     /// A resource of this machine or process, which may be had again in a moment.
     LocalResource,
     /// This machine knows no way there: at once its own trouble, for long the other's.
@@ -23,7 +23,7 @@
     Other,
 }
 
-impl Cause {
+impl IoFailure {
     /// That of this error.
     #[must_use]
     pub fn of(error: &io::Error) -> Self {
@@ -49,7 +49,7 @@
 /// Whether a call that opens something may succeed when it is made again a moment later. A process at its own limit of
 /// descriptors stays there while nothing else runs in it.
 #[must_use]
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     let passing = [Errno::AGAIN, Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
     Errno::from_io_error(error).is_some_and(|errno| passing.contains(&errno))
 }
@@ -59,11 +59,11 @@
 /// # Errors
 ///
 /// The last failure.
-pub fn persist<T>(patience: Duration, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient<T>(patience: Duration, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let begun = Instant::now();
     loop {
         match call() {
-            Err(error) if may_pass(&error) && begun.elapsed() < patience => std::thread::sleep(AGAIN),
+            Err(error) if is_transient(&error) && begun.elapsed() < patience => std::thread::sleep(AGAIN),
             done => return done,
         }
     }
--- a/crates/node/src/keep.rs
+++ b/crates/node/src/keep.rs
@@ -29,7 +29,7 @@
 /// Records that go in one commit, at most.
 const GROUP: usize = 512;
 /// A result that did not fit would fail the store.
-const _: () = assert!(http::HEAD + 2 * http::BODY < LARGEST);
+const _: () = assert!(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES < LARGEST);
 /// Of the memory, what fates may take.
 const MEMORY_PART: usize = 8;
 
@@ -154,7 +154,7 @@
 
 impl Stamp {
     fn now() -> Vec<u8> {
-        let Kept { boot, at } = staged_start::stamp();
+        let Kept { boot, at } = staged_start::boot_timestamp();
         serde_json::to_vec(&Self { boot, at }).unwrap_or_default()
     }
 }
@@ -205,10 +205,10 @@
         let path = config.folder.clone();
         let folder = Folder::open(&path).map_err(|e| fault(&e.into()))?;
         let limits = || limits(config.remember_s * 1_000_000_000, config.budget_mb, config.sync);
-        let died = start_attempts::enter(&path).map_err(|e| fault(&e.into()))?;
+        let died = start_attempts::record_attempt(&path).map_err(|e| fault(&e.into()))?;
         let (mut store, mut fates) = if died >= TRIES {
             let whole = |name: &str| name != "lock" && name != "tries";
-            let aside = start_attempts::set_aside(&path, whole).map_err(|e| fault(&e.into()))?;
+            let aside = start_attempts::quarantine_files(&path, whole).map_err(|e| fault(&e.into()))?;
             tracing::error!(aside = %aside.display(), "starts died reading the store: set aside, a new one is begun");
             let mut store =
                 Store::open(folder, limits(), true, crate::fleet::draw()).map_err(|e| fault(&e))?;
@@ -216,12 +216,14 @@
             (store, Vec::new())
         } else {
             let opened = Store::open(folder, limits(), false, 0);
-            let store = opened.inspect_err(|_| start_attempts::leave(&path)).map_err(|e| fault(&e))?;
-            let fates =
-                fates_of(&store).inspect_err(|_| start_attempts::leave(&path)).map_err(|e| fault(&e))?;
+            let store =
+                opened.inspect_err(|_| start_attempts::clear_attempts(&path)).map_err(|e| fault(&e))?;
+            let fates = fates_of(&store)
+                .inspect_err(|_| start_attempts::clear_attempts(&path))
+                .map_err(|e| fault(&e))?;
             (store, fates)
         };
-        start_attempts::leave(&path);
+        start_attempts::clear_attempts(&path);
         let place_now = identity(&path.join("lock")).map_err(|e| fault(&e.into()))?;
         match only(&store, OWNER).map(|known| serde_json::from_slice::<Owner>(&known).ok()) {
             None => store.commit(&[owner_mark(node, place_now)], 0).map_err(|e| fault(&e))?,
@@ -253,7 +255,7 @@
     #[must_use]
     pub fn list(&self, within: u64) -> Option<(List, bool)> {
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
-        let age = self.heard.and_then(|kept| kept.age(&staged_start::stamp()));
+        let age = self.heard.and_then(|kept| kept.age(&staged_start::boot_timestamp()));
         tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
         Some((list, fresh(age, within)))
     }
@@ -323,10 +325,10 @@
             if failure.as_mut().is_some_and(|failure| failure.may_be_over(&mut keeper.store, record.last)) {
                 tracing::info!("store takes records again");
                 failure = None;
-                node.feed(Input::StoreBack);
+                node.handle_input(Input::StoreBack);
             }
             let mut ops: Vec<Op> = group.iter().filter_map(|note| record.op(note)).collect();
-            if keeper.lost && failure.is_none() && node.sure() {
+            if keeper.lost && failure.is_none() && node.outcomes_complete() {
                 keeper.lost = false;
                 ops.push(Op::Remove { kind: LOST, key: b"lost".to_vec() });
             }
@@ -343,7 +345,7 @@
             for note in group {
                 match note {
                     Note::Fate(_, Some(ticket)) => {
-                        node.feed(Input::Kept { ticket, lasts: failure.is_none() });
+                        node.handle_input(Input::Kept { ticket, lasts: failure.is_none() });
                     }
                     Note::Fate(keep, None) => {
                         if let Some(failure) = &mut failure {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 use clap::Parser;
-use linestack::config::{self, Config, FaultKind};
+use linestack::config::{self, Config, ConfigErrorKind};
 use linestack::fleet;
 use linestack::fleet::config::Mode;
 use linestack::fleet::coordinate::Start as Begin;
 use linestack::fleet::session::Start;
 use linestack::fleet::trail::Trail;
-use linestack::io_failure::{START_PATIENCE, may_pass, persist};
+use linestack::io_failure::{START_RETRY_TIMEOUT, is_transient, retry_transient};
 use linestack::keep::{self, Keeper};
-use linestack::net::{Node, Parts, clients, clock::Clock, spawn};
+use linestack::net::{Node, NodeParts, clients, clock::Clock, spawn};
 use linestack::peers;
 use linestack::staged_start;
 use linestack_core::{Core, Input};
@@ -32,8 +32,8 @@
 /// Stacks that are kept for the next connection.
 const KEPT_STACKS: usize = 64;
 /// How long to wait for an address that is taken: 2 s in all.
-const LISTEN_TRIES: u32 = 40;
-const LISTEN_AGAIN: Duration = Duration::from_millis(50);
+const LISTEN_ATTEMPTS: u32 = 40;
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Log lines that wait to be written, at most.
 const LOG_LINES: usize = 4096;
 
@@ -89,7 +89,7 @@
     let writer = NonBlockingBuilder::default().buffered_lines_limit(LOG_LINES).lossy(true);
     let (writer, guard) = writer.finish(std::io::stderr());
     let variable = |key: &str| std::env::var(key).ok();
-    let level = config::level(variable);
+    let level = config::log_level(variable);
     let most = *level.as_ref().unwrap_or(&tracing::Level::INFO);
     tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_max_level(most).init();
     std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panicked")));
@@ -105,19 +105,19 @@
         drop(guard);
         return code;
     }
-    if let Err(fault) = config::descriptors() {
+    if let Err(fault) = config::check_descriptors() {
         tracing::error!(fault, "descriptors");
         return ExitCode::FAILURE;
     }
     // Taken over before anything is served, so that no signal finds them missing.
-    let mut signals = match persist(START_PATIENCE, || Signals::new([SIGTERM, SIGINT, SIGHUP])) {
+    let mut signals = match retry_transient(START_RETRY_TIMEOUT, || Signals::new([SIGTERM, SIGINT, SIGHUP])) {
         Ok(signals) => signals,
         Err(why) => {
             tracing::error!(%why, "signals");
             return ExitCode::FAILURE;
         }
     };
-    let file = |path: &str| persist(START_PATIENCE, || std::fs::read_to_string(path));
+    let file = |path: &str| retry_transient(START_RETRY_TIMEOUT, || std::fs::read_to_string(path));
     let mut config = match level.and_then(|_| config::read(variable, file)) {
         Ok(config) => config,
         Err(fault) => {
@@ -150,7 +150,7 @@
     };
     let nodes = settings.orders.nodes;
     let stages =
-        variable("PROXY_START").map(|path| staged_start::config(Path::new(&path), nodes)).transpose();
+        variable("PROXY_START").map(|path| staged_start::read_config(Path::new(&path), nodes)).transpose();
     let stages = match stages {
         Ok(stages) => stages,
         Err(why) => {
@@ -166,12 +166,12 @@
         }
     };
     let clock = Clock::start();
-    let trail =
+    let audit_log =
         fleet.as_ref().and_then(|(start, _)| start.fleet().history.as_ref().map(|path| (start, path)));
-    let trail = trail
+    let audit_log = audit_log
         .map(|(start, path)| Trail::open(path, &start.fleet().member, start.record.life.life, clock.now()));
-    let trail = match trail.transpose() {
-        Ok(trail) => trail,
+    let audit_log = match audit_log.transpose() {
+        Ok(audit_log) => audit_log,
         Err(why) => {
             tracing::error!(fault = %format!("fleet.history: {why}"), "fleet");
             return ExitCode::FAILURE;
@@ -200,7 +200,7 @@
         keeper.tell(&mut core, memory, clock.now(), settings.longest_cut_off);
     }
     let (keeper, writer) = keeper.map(Keeper::run).unzip();
-    let parts = Parts {
+    let parts = NodeParts {
         clock,
         names: settings.names.clone(),
         layout: settings.layout,
@@ -213,8 +213,8 @@
         discovery,
         index,
         memory,
-        trail,
-        keeper,
+        audit_log,
+        store_records: keeper,
         exit: Box::new(move || {
             let _ = done.send(());
         }),
@@ -234,14 +234,16 @@
         peers::ask(peers, name.clone(), Arc::clone(&node));
     }
     // Told even if there is none: it is what makes the node ask for the list.
-    node.feed(Input::Listed { kind: ListKind::Cached, endpoints });
-    let mut tries = 0..LISTEN_TRIES;
+    node.handle_input(Input::Listed { kind: ListKind::Cached, endpoints });
+    let mut tries = 0..LISTEN_ATTEMPTS;
     let listen = loop {
         match clients::accept(&node, listen) {
             Ok(address) => break address,
             // The one before it may not be quite gone, or this machine has nothing left for a moment.
-            Err(why) if (why.kind() == ErrorKind::AddrInUse || may_pass(&why)) && tries.next().is_some() => {
-                std::thread::sleep(LISTEN_AGAIN);
+            Err(why)
+                if (why.kind() == ErrorKind::AddrInUse || is_transient(&why)) && tries.next().is_some() =>
+            {
+                std::thread::sleep(LISTEN_RETRY_INTERVAL);
             }
             Err(why) => {
                 tracing::error!(%listen, %why, "listen");
@@ -250,7 +252,7 @@
         }
     };
     let timed = Arc::clone(&node);
-    spawn(move || timed.keep_time());
+    spawn(move || timed.run_timers());
     tracing::info!(name, %listen, %discovery, sockets, memory_mb, "started");
     untold(&config);
     let of_fleet = fleet.is_some();
@@ -263,7 +265,7 @@
             continue;
         }
         tracing::info!(signal, "stopping");
-        node.feed(Input::Stop);
+        node.handle_input(Input::Stop);
         // A second Ctrl-C ends it at once, as users expect; SIGTERM may come twice, to it and to its group.
         std::thread::spawn(move || {
             if signals.forever().any(|signal| signal == SIGINT) {
@@ -294,13 +296,13 @@
 fn begin(node: &Arc<Node>, start: &Start, active: u64, settings: &linestack_settings::Settings) {
     if active > 0 {
         let what = What::Active { version: active, digest: start.record.active.digest() };
-        if let Some(trail) = node.trail() {
-            trail.write(node.clock.now(), what);
+        if let Some(audit_log) = node.audit_log() {
+            audit_log.write(node.clock.now(), what);
         }
-        node.feed(Input::Terms { settings: Box::new(settings.clone()), version: active });
+        node.handle_input(Input::Terms { settings: Box::new(settings.clone()), version: active });
     }
     if start.fleet().mode == Mode::Strict {
-        node.feed(Input::Leave { until: 0 });
+        node.handle_input(Input::Leave { until: 0 });
     }
 }
 
@@ -330,9 +332,9 @@
 /// Reads the configuration again. A file with a fault changes nothing; what is right is taken over, as far as
 /// that can be done in a running node.
 fn reload(node: &Arc<Node>, present: &mut Config, of_fleet: bool, variable: impl Fn(&str) -> Option<String>) {
-    match config::again(present, variable, |path| std::fs::read_to_string(path)) {
+    match config::reread(present, variable, |path| std::fs::read_to_string(path)) {
         Ok(newer) => {
-            let mut keys = present.restart_for(&newer);
+            let mut keys = present.keys_requiring_restart(&newer);
             keys.retain(|key| !of_fleet || !key.starts_with("settings."));
             if let Some(key) = keys.iter().find(|key| key.starts_with("settings.")) {
                 // Half of a change would be neither the old terms nor the new ones.
@@ -345,8 +347,8 @@
                     "configuration read again: settings are the fleet's, and are not taken from here"
                 );
             } else if present.differs_in_settings(&newer) {
-                present.take_settings(&newer);
-                node.feed(Input::Terms { settings: Box::new(newer.settings.clone()), version: 0 });
+                present.apply_settings(&newer);
+                node.handle_input(Input::Terms { settings: Box::new(newer.settings.clone()), version: 0 });
                 tracing::info!("settings taken over; reports, shares, limits and answer times start afresh");
                 untold(&newer);
             }
@@ -355,9 +357,9 @@
             }
             tracing::info!(from = %present.discovery, discovery = %newer.discovery, "configuration read again");
             present.discovery = newer.discovery;
-            node.rediscover(newer.discovery);
+            node.change_discovery(newer.discovery);
         }
-        Err(fault) if fault.kind == FaultKind::Passing => {
+        Err(fault) if fault.kind == ConfigErrorKind::Transient => {
             tracing::warn!(%fault, "configuration can't be read now, and is tried again");
             read_again_soon();
         }
--- a/crates/node/src/net/arrivals.rs
+++ b/crates/node/src/net/arrivals.rs
@@ -20,12 +20,12 @@
 
 /// The arrival times of what was read and not consumed yet.
 #[derive(Debug, Default)]
-pub struct Arrivals {
+pub struct ArrivalTimes {
     marks: VecDeque<Mark>,
     received: u64,
 }
 
-impl Arrivals {
+impl ArrivalTimes {
     /// So many bytes were read now.
     pub fn read(&mut self, bytes: usize, now: Nanos) {
         if bytes == 0 {
@@ -41,7 +41,7 @@
     }
 
     /// When the last byte came of all but the last `unconsumed` of what was read.
-    pub fn of_consumed(&mut self, unconsumed: usize, now: Nanos) -> Nanos {
+    pub fn arrival_of_consumed(&mut self, unconsumed: usize, now: Nanos) -> Nanos {
         let consumed = self.received.saturating_sub(unconsumed as u64);
         while self.marks.front().is_some_and(|mark| mark.upto < consumed) {
             self.marks.pop_front();
--- a/crates/node/src/net/clients/answer.rs
+++ b/crates/node/src/net/clients/answer.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use linestack_core::Answer;
 
-use crate::http::Out;
+use crate::http::WriteQueue;
 
-pub(super) fn told(status: u16, text: &str, last: bool) -> Out {
-    let mut out = Out::default();
+pub(super) fn told(status: u16, text: &str, last: bool) -> WriteQueue {
+    let mut out = WriteQueue::default();
     let length = text.len();
     out.push(Bytes::from(format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", reason(status))));
     out.push(if last { LAST } else { b"" });
@@ -18,16 +18,16 @@
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 const LAST: &[u8] = b"Connection: close\r\n";
 
-pub(super) fn bare(status: u16, last: bool) -> Out {
-    let mut out = Out::default();
+pub(super) fn bare(status: u16, last: bool) -> WriteQueue {
+    let mut out = WriteQueue::default();
     out.push(Bytes::from(format!("HTTP/1.1 {status} {}\r\nContent-Length: 0\r\n", reason(status))));
     out.push(if last { LAST } else { b"" });
     out.push(&b"\r\n"[..]);
     out
 }
 
-pub(super) fn answered(answer: Answer, last: bool) -> Out {
-    let mut out = Out::default();
+pub(super) fn answered(answer: Answer, last: bool) -> WriteQueue {
+    let mut out = WriteQueue::default();
     let last = if last { LAST } else { b"" };
     match answer {
         Answer::Satisfied(result) => {
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -14,9 +14,9 @@
 use may::net::{TcpListener, TcpStream};
 use socket2::{Domain, Socket, Type};
 
-use super::arrivals::Arrivals;
-use super::{Mailbox, Node, TURN, spawn};
-use crate::http::{self, Fault, Out};
+use super::arrivals::ArrivalTimes;
+use super::{Mailbox, Node, YIELD_PAUSE, spawn};
+use crate::http::{self, HttpError, WriteQueue};
 use linestack_core::{Answer, Client, Input, Nanos, Phase};
 
 use answer::{CONTINUE, answered, bare};
@@ -32,7 +32,7 @@
 /// A newcomer that was waited for so long had not been there before.
 const AT_LEAST_WAITED: Nanos = NANOS_PER_MS / 2;
 /// Of the requests turned down one is logged in this time, however many come.
-pub(crate) const LOGGED_EVERY: u64 = 1_000 * NANOS_PER_MS;
+pub(crate) const REJECTION_LOG_INTERVAL: u64 = 1_000 * NANOS_PER_MS;
 
 pub(crate) enum Message {
     Answer { answer: Answer, last: bool },
@@ -69,15 +69,15 @@
                     if now - asked >= AT_LEAST_WAITED {
                         nobody_waited = now;
                     }
-                    at_once = if now - last < TURN.as_nanos() as u64 { at_once + 1 } else { 1 };
+                    at_once = if now - last < YIELD_PAUSE.as_nanos() as u64 { at_once + 1 } else { 1 };
                     last = now;
-                    let (client, mailbox) = node.enlist();
-                    node.feed(Input::ClientUp { client });
+                    let (client, mailbox) = node.register_client();
+                    node.handle_input(Input::ClientUp { client });
                     let served = Arc::clone(&node);
                     spawn(move || serve(&served, client, socket, nobody_waited, &mailbox));
                     if at_once >= AT_ONCE {
                         at_once = 0;
-                        node.alarm.sleep(TURN);
+                        node.alarm.sleep(YIELD_PAUSE);
                     }
                 }
                 // No descriptor left, or a client that was gone again: the others still wait.
@@ -105,7 +105,7 @@
         size: usize,
     },
     Answering {
-        out: Out,
+        out: WriteQueue,
         last: bool,
     },
     /// Answered for good; what still comes is read and dropped, lest a reset overtake the answer.
@@ -132,7 +132,7 @@
         match self {
             Self::Reading { body, .. } => body.len(),
             Self::Waiting { size, .. } => *size,
-            Self::Answering { out, .. } => out.left(),
+            Self::Answering { out, .. } => out.remaining(),
             Self::Lingering | Self::Closing => 0,
         }
     }
@@ -154,8 +154,8 @@
 
 impl Drop for Gone<'_> {
     fn drop(&mut self) {
-        self.node.forget_client(self.client);
-        self.node.feed(Input::ClientGone { client: self.client });
+        self.node.remove_client(self.client);
+        self.node.handle_input(Input::ClientGone { client: self.client });
     }
 }
 
@@ -173,9 +173,9 @@
     let mut state = State::reading();
     let mut close = false;
     let mut cut = false;
-    let mut go_ahead = Out::default();
-    let mut arrivals = Arrivals::default();
-    let mut holding = node.client_room.holding();
+    let mut go_ahead = WriteQueue::default();
+    let mut arrivals = ArrivalTimes::default();
+    let mut holding = node.client_memory.holding();
     loop {
         let mut over = false;
         while let Some(message) = mailbox.next() {
@@ -227,7 +227,7 @@
         // Many that bring much and never end would fill the memory, which ends the node.
         if !holding.set(input.len() + state.size()) && matches!(state, State::Reading { .. }) {
             input = BytesMut::new();
-            state = turned_down(node, client, Fault { status: 503, why: "no memory left" });
+            state = turned_down(node, client, HttpError { status: 503, reason: "no memory left" });
         }
         loop {
             match &mut state {
@@ -246,10 +246,10 @@
                     }
                     match next(node, &mut input, head, body) {
                         Ok(false) if over => {
-                            state = turned_down(node, client, Fault { status: 408, why: "too slow" });
+                            state = turned_down(node, client, HttpError { status: 408, reason: "too slow" });
                         }
                         Ok(false) => {
-                            node.feed(Input::ClientPhase { client, phase: Phase::Reading });
+                            node.handle_input(Input::ClientPhase { client, phase: Phase::Reading });
                             if let Some(incoming) = head
                                 && std::mem::take(&mut incoming.expects)
                                 && input.is_empty()
@@ -267,13 +267,14 @@
                                 Asked::Execution(mut intake, last) => {
                                     let size = body.len();
                                     let now = node.clock.now();
-                                    let waited = now.saturating_sub(arrivals.of_consumed(input.len(), now));
+                                    let waited =
+                                        now.saturating_sub(arrivals.arrival_of_consumed(input.len(), now));
                                     intake.patience = intake.patience.saturating_sub(waited);
                                     if let Some(shipment) = Arc::get_mut(&mut intake.shipment) {
                                         shipment.body = body.split().freeze();
                                     }
                                     state = State::Waiting { last, size };
-                                    node.feed(Input::Submitted { client, intake });
+                                    node.handle_input(Input::Submitted { client, intake });
                                 }
                                 Asked::Health(out, last) => state = State::Answering { out, last },
                             }
@@ -298,7 +299,7 @@
                             // What it asked for is not kept in memory while it asks for nothing.
                             input = BytesMut::new();
                         }
-                        node.feed(Input::ClientPhase { client, phase: Phase::Idle });
+                        node.handle_input(Input::ClientPhase { client, phase: Phase::Idle });
                     }
                 },
                 State::Lingering | State::Closing => break,
@@ -307,7 +308,7 @@
         // What was left in the socket makes no event; it is read once there is room for it, and not before
         // the others had their turn.
         if more && (input.len() <= KEPT || cut || state.beyond() != Beyond::Waits) {
-            node.alarm.sleep(TURN);
+            node.alarm.sleep(YIELD_PAUSE);
         } else {
             socket.wait_io();
         }
@@ -315,21 +316,25 @@
 }
 
 /// Writes an answer behind a go-ahead that may not be quite out. True once all is written.
-fn write_after(go_ahead: &mut Out, answer: &mut Out, socket: &mut impl io::Write) -> io::Result<bool> {
+fn write_after(
+    go_ahead: &mut WriteQueue,
+    answer: &mut WriteQueue,
+    socket: &mut impl io::Write,
+) -> io::Result<bool> {
     Ok(go_ahead.write(socket)? && answer.write(socket)?)
 }
 
 /// Nothing more is written to the client, which has a while to close too.
 fn leave(node: &Arc<Node>, client: Client, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
-    node.feed(Input::ClientPhase { client, phase: Phase::Leaving });
+    node.handle_input(Input::ClientPhase { client, phase: Phase::Leaving });
     Ok(())
 }
 
-fn turned_down(node: &Arc<Node>, client: Client, fault: Fault) -> State {
+fn turned_down(node: &Arc<Node>, client: Client, error: HttpError) -> State {
     if node.may_log() {
-        tracing::warn!(status = fault.status, why = fault.why, "request turned down");
+        tracing::warn!(status = error.status, why = error.reason, "request turned down");
     }
-    node.feed(Input::TurnedDown { client });
-    State::Answering { out: bare(fault.status, true), last: true }
+    node.handle_input(Input::TurnedDown { client });
+    State::Answering { out: bare(error.status, true), last: true }
 }
--- a/crates/node/src/net/clients/reading.rs
+++ b/crates/node/src/net/clients/reading.rs
@@ -8,7 +8,7 @@
 use crate::http;
 
 /// What may be read ahead.
-pub(super) const KEPT: usize = http::HEAD + http::BODY;
+pub(super) const KEPT: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
 /// What becomes of bytes beyond those that may be read ahead.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -9,7 +9,7 @@
 
 use super::NANOS_PER_MS;
 use super::answer::{bare, told};
-use crate::http::{self, Body, Fault, Framing, Out, Request};
+use crate::http::{self, BodyDecoder, Framing, HttpError, Request, WriteQueue};
 use crate::net::Node;
 
 /// The longest that a client may say it waits, whatever the settings name.
@@ -22,7 +22,7 @@
 pub(super) struct Incoming {
     pub(super) asked: Asked,
     pub(super) expects: bool,
-    body: Body,
+    body: BodyDecoder,
 }
 
 /// True once a request is whole. What its head already shows to make no sense is turned down before any of
@@ -32,11 +32,11 @@
     input: &mut BytesMut,
     head: &mut Option<Box<Incoming>>,
     body: &mut BytesMut,
-) -> Result<bool, Fault> {
+) -> Result<bool, HttpError> {
     if head.is_none() {
-        let Some(request) = http::request(input)? else { return Ok(false) };
+        let Some(request) = http::parse_request(input)? else { return Ok(false) };
         let text = input.split_to(request.length).freeze();
-        let body = Body::new(request.framing.unwrap_or(Framing::Length(0)));
+        let body = BodyDecoder::new(request.framing.unwrap_or(Framing::Length(0)));
         *head = Some(Box::new(Incoming {
             asked: requested(node, &request, &text)?,
             expects: request.expects,
@@ -44,26 +44,28 @@
         }));
     }
     let Some(incoming) = head else { return Ok(false) };
-    let whole = incoming.body.take(input, body)?;
-    if body.len() > http::BODY {
-        return Err(Fault { status: 413, why: "body too large" });
+    let whole = incoming.body.decode(input, body)?;
+    if body.len() > http::MAX_BODY_BYTES {
+        return Err(HttpError { status: 413, reason: "body too large" });
     }
     Ok(whole)
 }
 
 pub(super) enum Asked {
     Execution(Intake, bool),
-    Health(Out, bool),
+    Health(WriteQueue, bool),
 }
 
-fn requested(node: &Node, request: &Request, text: &Bytes) -> Result<Asked, Fault> {
+fn requested(node: &Node, request: &Request, text: &Bytes) -> Result<Asked, HttpError> {
     let last = request.close;
     match (&text[request.method.clone()], &text[request.path.clone()]) {
-        (b"GET", b"/healthz") if node.remembered(b"").is_some_and(|(takes, _)| !takes) && node.ready() => {
+        (b"GET", b"/healthz")
+            if node.stored_outcome(b"").is_some_and(|(takes, _)| !takes) && node.ready() =>
+        {
             Ok(Asked::Health(told(200, "the store has failed: one-shots are dismissed\n", last), last))
         }
-        (b"GET", path) if path.starts_with(SUBMISSIONS) && node.remembered(b"").is_some() => {
-            let fate = node.remembered(&path[SUBMISSIONS.len()..]).and_then(|(_, fate)| fate);
+        (b"GET", path) if path.starts_with(SUBMISSIONS) && node.stored_outcome(b"").is_some() => {
+            let fate = node.stored_outcome(&path[SUBMISSIONS.len()..]).and_then(|(_, fate)| fate);
             let out = match fate {
                 Some(fate) => told(200, &format!("{{\"fate\":\"{}\"}}\n", fate.word()), last),
                 None => told(404, "{\"fate\":\"not known\"}\n", last),
@@ -75,20 +77,20 @@
             let text = format!("starting: {}: {}\n", stage.word(), stage.why());
             Ok(Asked::Health(told(if node.ready() { 200 } else { 503 }, &text, last), last))
         }
-        (b"GET", b"/healthz") if !node.sure() && node.ready() => {
+        (b"GET", b"/healthz") if !node.outcomes_complete() && node.ready() => {
             let text = "an earlier store was lost: one-shots are aborted until what it sent is over\n";
             Ok(Asked::Health(told(200, text, last), last))
         }
         (b"GET", b"/healthz") => Ok(Asked::Health(bare(if node.ready() { 200 } else { 503 }, last), last)),
         (b"GET", _) => Ok(Asked::Health(bare(404, last), last)),
         (b"POST", _) => Ok(Asked::Execution(intake(node, request, text)?, last)),
-        _ => Err(Fault { status: 405, why: "POST only" }),
+        _ => Err(HttpError { status: 405, reason: "POST only" }),
     }
 }
 
 /// What a request asks for, if it may be executed at all. Its body is still to come.
-fn intake(node: &Node, request: &Request, text: &Bytes) -> Result<Intake, Fault> {
-    let bad = |why| Fault { status: 400, why };
+fn intake(node: &Node, request: &Request, text: &Bytes) -> Result<Intake, HttpError> {
+    let bad = |reason| HttpError { status: 400, reason };
     let part = |range: &Option<Range<usize>>| range.clone().map(|r| text.slice(r)).filter(|t| !t.is_empty());
     let place = |names: &[String], name: &Bytes| names.iter().position(|n| n.as_bytes() == &name[..]);
     let id = part(&request.id).ok_or(bad("no Req-Id"))?;
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use super::Node;
-use crate::io_failure::Cause;
+use crate::io_failure::IoFailure;
 
 const FIRST_PAUSE: Duration = Duration::from_millis(1);
 const LONGEST_PAUSE: Duration = Duration::from_millis(50);
@@ -78,18 +78,18 @@
             Ok(socket) => return Ok(socket),
             Err(error) => error,
         };
-        let cause = Cause::of(&error);
-        if cause == Cause::Other {
+        let cause = IoFailure::of(&error);
+        if cause == IoFailure::Other {
             return Err(ConnectError::Remote(error));
         }
-        if cause != Cause::Unreachable {
+        if cause != IoFailure::Unreachable {
             node.local_failures.fetch_add(1, Ordering::Relaxed);
         }
         let pause = backoff.next();
         if elapsed() + pause > within / 4 * 3 {
             return Err(match cause {
-                Cause::LocalRoute => ConnectError::NoRoute(error),
-                Cause::Unreachable => ConnectError::Remote(error),
+                IoFailure::LocalRoute => ConnectError::NoRoute(error),
+                IoFailure::Unreachable => ConnectError::Remote(error),
                 _ => ConnectError::Local(error),
             });
         }
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -13,7 +13,7 @@
 
 use super::connect::{ConnectError, connect};
 use super::list_stream::{self, ListStream, Message};
-use super::{Node, lock, object};
+use super::{Node, lock, parse_object};
 use crate::http;
 use linestack_core::{Endpoint, Input, ListClocks};
 
@@ -26,11 +26,11 @@
 /// For a call a little longer: that it was turned away after its wait is worth hearing.
 const CALL: Nanos = 3_250_000_000;
 /// For so long after a change of discovery a watch that fails is asked for again at once.
-pub(crate) const HURRY: Nanos = 4_000_000_000;
+pub(crate) const DISCOVERY_CHANGE_RETRY: Nanos = 4_000_000_000;
 const AGAIN: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum WatchError {
     #[error("no connection: {0}")]
     Connect(#[from] ConnectError),
     #[error("the watch broke: {0}")]
@@ -42,7 +42,7 @@
     #[error("the answer is not understood: {0}")]
     Head(&'static str),
     #[error("the watch brought no list: {0}")]
-    List(#[from] list_stream::Fault),
+    List(#[from] list_stream::ListStreamError),
     #[error("the watch ended")]
     Ended,
     #[error("another discovery has taken its place")]
@@ -130,9 +130,9 @@
 
     /// Reads a list's JSON object. An entry that makes no sense is left out, the others count.
     pub fn read(text: &[u8]) -> Result<Self, serde_json::Error> {
-        let raw: RawList = object(text)?;
+        let raw: RawList = parse_object(text)?;
         let endpoints = raw.endpoints.into_iter().filter_map(|entry| {
-            let read = object(entry.get().as_bytes()).ok().and_then(endpoint);
+            let read = parse_object(entry.get().as_bytes()).ok().and_then(endpoint);
             if read.is_none() {
                 tracing::warn!("an entry of the list makes no sense and is left out");
             }
@@ -182,7 +182,7 @@
         if hurry {
             tracing::warn!(%why, "new discovery does not answer yet");
             node.alarm.sleep(AGAIN);
-        } else if matches!(why, Fault::Connect(ConnectError::Local(_) | ConnectError::NoRoute(_))) {
+        } else if matches!(why, WatchError::Connect(ConnectError::Local(_) | ConnectError::NoRoute(_))) {
             // It costs discovery nothing, and says nothing of it: what it has to tell may be waiting.
             if node.may_log() {
                 tracing::warn!(%why, "discovery can't be asked from here");
@@ -190,9 +190,9 @@
             node.alarm.sleep(AGAIN);
         } else {
             // One that ended in the open has told all that it had.
-            let ended = heard > called && matches!(why, Fault::Ended | Fault::Broke(_));
+            let ended = heard > called && matches!(why, WatchError::Ended | WatchError::Broke(_));
             let lost = if ended { 0 } else { node.clock.now().saturating_sub(heard) };
-            if node.watch_ended(number, lost, matches!(why, Fault::Status(_))) {
+            if node.watch_ended(number, lost, matches!(why, WatchError::Status(_))) {
                 tracing::warn!(%why, "watch ended");
             }
             return;
@@ -201,23 +201,23 @@
 }
 
 /// Where to ask and for what, while this is still the watch that is wanted.
-fn wanted(node: &Node, number: u64) -> Result<(SocketAddr, Option<u64>), Fault> {
+fn wanted(node: &Node, number: u64) -> Result<(SocketAddr, Option<u64>), WatchError> {
     let watch = lock(&node.watch);
-    if watch.number == number { Ok((watch.discovery, watch.index)) } else { Err(Fault::Replaced) }
+    if watch.number == number { Ok((watch.discovery, watch.index)) } else { Err(WatchError::Replaced) }
 }
 
-fn follow(node: &Arc<Node>, number: u64, heard: &mut Nanos) -> Result<std::convert::Infallible, Fault> {
+fn follow(node: &Arc<Node>, number: u64, heard: &mut Nanos) -> Result<std::convert::Infallible, WatchError> {
     let (discovery, after) = wanted(node, number)?;
     let wanted_still = || wanted(node, number).is_ok();
     let mut socket = connect(node, discovery, CONNECT, number, wanted_still)?;
     let broke = |e: io::Error| match e.kind() {
-        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => Fault::Silent,
-        _ => Fault::Broke(e),
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => WatchError::Silent,
+        _ => WatchError::Broke(e),
     };
     {
         let mut watch = lock(&node.watch);
         if watch.number != number {
-            return Err(Fault::Replaced);
+            return Err(WatchError::Replaced);
         }
         // Without it the watch is dropped when it next says something.
         watch.socket = socket.inner().try_clone().ok();
@@ -227,7 +227,7 @@
     let ask = format!("GET /v1/servers?watch=1{version} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
     socket.write_all(ask.as_bytes()).map_err(broke)?;
     let (mut input, mut decoded) = (BytesMut::new(), BytesMut::new());
-    let mut body: Option<http::Body> = None;
+    let mut body: Option<http::BodyDecoder> = None;
     let mut lists = ListStream::default();
     let mut due = *heard + CALL;
     // Without a version to go on from, all that the first list names is all that there is.
@@ -244,26 +244,27 @@
         };
         wanted(node, number)?;
         if n == 0 {
-            return Err(Fault::Ended);
+            return Err(WatchError::Ended);
         }
         input.extend_from_slice(&piece[..n]);
         if body.is_some() {
-            node.heard(None);
+            node.discovery_heard(None);
         } else {
-            let Some(head) = http::response(&input).map_err(|f| Fault::Head(f.why))? else {
+            let Some(head) = http::parse_response(&input).map_err(|error| WatchError::Head(error.reason))?
+            else {
                 if node.clock.now() > due {
-                    return Err(Fault::Silent);
+                    return Err(WatchError::Silent);
                 }
                 continue;
             };
             if head.status != 200 {
-                return Err(Fault::Status(head.status));
+                return Err(WatchError::Status(head.status));
             }
             let _ = input.split_to(head.length);
-            body = Some(http::Body::new(head.framing));
+            body = Some(http::BodyDecoder::new(head.framing));
         }
         let Some(body) = &mut body else { continue };
-        let whole = body.take(&mut input, &mut decoded).map_err(|f| Fault::Head(f.why))?;
+        let whole = body.decode(&mut input, &mut decoded).map_err(|error| WatchError::Head(error.reason))?;
         lists.push(&decoded.split());
         while let Some(message) = lists.next_message()? {
             *heard = node.clock.now();
@@ -278,28 +279,28 @@
             }
         }
         if node.clock.now() > due {
-            return Err(Fault::Silent);
+            return Err(WatchError::Silent);
         }
         if whole {
-            return Err(Fault::Ended);
+            return Err(WatchError::Ended);
         }
     }
 }
 
 /// Hands the reducer a list, if this is still the watch that is wanted.
-fn take(node: &Arc<Node>, number: u64, list: List) -> Result<(), Fault> {
+fn take(node: &Arc<Node>, number: u64, list: List) -> Result<(), WatchError> {
     let (index, whole, entries) = (list.index, list.whole, list.endpoints.len());
     let known_until = {
         let mut watch = lock(&node.watch);
         if watch.number != number {
-            return Err(Fault::Replaced);
+            return Err(WatchError::Replaced);
         }
         watch.index = Some(index);
         watch.last_word
     };
     tracing::info!(index, whole, entries, "list");
-    node.feed(Input::ListClocks(ListClocks { known_until, wall_moved: node.clock.wall_moved() }));
-    node.feed(list.into());
-    node.heard(Some(index));
+    node.handle_input(Input::ListClocks(ListClocks { known_until, wall_moved: node.clock.wall_moved() }));
+    node.handle_input(list.into());
+    node.discovery_heard(Some(index));
     Ok(())
 }
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -16,14 +16,14 @@
 use serde_json::value::RawValue;
 
 use super::connect::{ConnectError, connect};
-use super::{Mailbox, Node, TURN, object};
-use crate::http::{self, Body, Out, Response};
+use super::{Mailbox, Node, YIELD_PAUSE, parse_object};
+use crate::http::{self, BodyDecoder, Response, WriteQueue};
 use linestack_core::{Broken, Input, Link, Shipment};
 
 /// The longest line or probe's answer.
-const LINE: usize = 2 * http::BODY;
+const LINE: usize = 2 * http::MAX_BODY_BYTES;
 /// What may wait to be parsed: a whole answer.
-const UNREAD: usize = http::HEAD + http::BODY;
+const UNREAD: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
 pub(crate) enum Message {
     Send { shipment: Arc<Shipment> },
@@ -41,10 +41,10 @@
     before: Option<Bytes>,
     /// The answer that is coming in is that second one.
     stale: bool,
-    out: Out,
+    out: WriteQueue,
     written: bool,
     head: Option<Response>,
-    body: Option<Body>,
+    body: Option<BodyDecoder>,
     text: BytesMut,
     /// The reducer has the outcome.
     told: bool,
@@ -66,9 +66,9 @@
 
 impl Drop for Down<'_> {
     fn drop(&mut self) {
-        self.node.forget_link(self.link);
+        self.node.remove_connection(self.link);
         if let Some(broken) = self.broken {
-            self.node.feed(Input::LinkDown { link: self.link, broken });
+            self.node.handle_input(Input::LinkDown { link: self.link, broken });
         }
     }
 }
@@ -83,7 +83,7 @@
     let worst = Broken { begun: true, written: true, answered: true, here: false, spoilt: false };
     let mut down = Down { node, link, broken: Some(worst) };
     // The reducer forgets a connection that it closes.
-    let wanted = || node.knows_link(link);
+    let wanted = || node.has_connection(link);
     let mut socket = match connect(node, address, Duration::from_nanos(limit), link, wanted) {
         Ok(socket) => socket,
         Err(why) => {
@@ -95,7 +95,7 @@
     };
     mailbox.wake(&socket);
     let _ = socket.set_nodelay(true);
-    node.feed(Input::LinkUp { link });
+    node.handle_input(Input::LinkUp { link });
     let mut exchange: Option<Exchange> = None;
     let (wanted, spoilt) = match converse(node, link, &mut socket, mailbox, &mut exchange) {
         End::Wanted => (true, false),
@@ -134,13 +134,13 @@
     exchange: &mut Option<Exchange>,
 ) -> End {
     let mut input = BytesMut::new();
-    let mut holding = node.link_room.holding();
+    let mut holding = node.executor_memory.holding();
     let mut before: Option<Bytes> = None;
     loop {
         while let Some(message) = mailbox.next() {
             let (shipment, out) = match message {
                 Message::Close => return End::Wanted,
-                Message::Send { shipment } => (Some(shipment), Out::default()),
+                Message::Send { shipment } => (Some(shipment), WriteQueue::default()),
                 Message::Probe => (None, probe(node)),
             };
             let id = shipment.as_ref().map(|shipment| shipment.id.clone());
@@ -172,7 +172,7 @@
             if current.out.written == 0
                 && let Some(shipment) = &current.shipment
             {
-                match node.begin(link) {
+                match node.begin_execution(link) {
                     Ok(left) => current.out = request(shipment, left),
                     Err(_) => {
                         before = exchange.take().and_then(|exchange| exchange.before);
@@ -188,7 +188,7 @@
         match current.take(node, link, &mut input, ended) {
             Step::More if ended => return End::Broke,
             // What was left in the socket makes no event; the others have their turn first.
-            Step::More if full => node.alarm.sleep(TURN),
+            Step::More if full => node.alarm.sleep(YIELD_PAUSE),
             Step::More => {
                 socket.wait_io();
             }
@@ -196,7 +196,7 @@
                 let named = current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
                 before = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
-                node.feed(Input::Freed { link, named });
+                node.handle_input(Input::Freed { link, named });
             }
             Step::Free | Step::Close => return End::Broke,
         }
@@ -226,11 +226,11 @@
     fn take(&mut self, node: &Arc<Node>, link: Link, input: &mut BytesMut, ended: bool) -> Step {
         if self.head.is_none() {
             loop {
-                match http::response(input) {
+                match http::parse_response(input) {
                     Ok(Some(head)) if head.status / 100 == 1 => drop(input.split_to(head.length)),
                     Ok(Some(head)) => {
                         let _ = input.split_to(head.length);
-                        self.body = Some(Body::new(head.framing));
+                        self.body = Some(BodyDecoder::new(head.framing));
                         self.head = Some(head);
                         break;
                     }
@@ -240,7 +240,7 @@
             }
         }
         let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Step::Close };
-        let Ok(whole) = body.take(input, &mut self.text) else { return Step::Close };
+        let Ok(whole) = body.decode(input, &mut self.text) else { return Step::Close };
         let whole = whole || (ended && body.ends_with_connection());
         let close = head.close;
         let fine = if self.id.is_none() {
@@ -276,7 +276,7 @@
         report: Option<Report>,
     ) {
         if !std::mem::replace(&mut self.told, true) {
-            node.feed(Input::Ended { link, outcome, result, report });
+            node.handle_input(Input::Ended { link, outcome, result, report });
         }
     }
 
@@ -294,7 +294,8 @@
 
     fn probed(&mut self, node: &Arc<Node>, link: Link, whole: bool) -> bool {
         let Some(head) = self.head.as_ref().filter(|_| whole) else { return self.text.len() <= LINE };
-        let line = self.text[..].split(|b| *b == b'\n').next().and_then(|line| object::<Line>(line).ok());
+        let line =
+            self.text[..].split(|b| *b == b'\n').next().and_then(|line| parse_object::<Line>(line).ok());
         if line.is_some_and(|line| self.before.as_deref() == Some(line.id.as_bytes())) {
             self.stale = true;
             return true;
@@ -309,7 +310,7 @@
             let body = std::str::from_utf8(&self.text).unwrap_or("");
             let report = json_report(node, body).or_else(|| text_report(node, body));
             let report = report.or_else(|| head.load.as_deref().and_then(|text| text_report(node, text)));
-            node.feed(Input::Probed { link, answered, report });
+            node.handle_input(Input::Probed { link, answered, report });
         }
         true
     }
@@ -325,7 +326,7 @@
             if line.trim_ascii().is_empty() || self.told {
                 continue;
             }
-            let Ok(line) = object::<Line>(&line) else { return false };
+            let Ok(line) = parse_object::<Line>(&line) else { return false };
             if Some(line.id.as_bytes()) != self.id.as_deref() {
                 self.stale = self.before.as_deref() == Some(line.id.as_bytes());
                 if self.stale {
@@ -343,7 +344,7 @@
                 "returned" => Outcome::Full,
                 "lost" => Outcome::Reset,
                 _ => {
-                    node.feed(Input::Noted { link });
+                    node.handle_input(Input::Noted { link });
                     continue;
                 }
             };
@@ -391,7 +392,7 @@
 /// The figures stay text until they are asked for: read as a tree, what is nested a hundred levels deep
 /// would fill the stack.
 fn json_report(node: &Node, load: &str) -> Option<Report> {
-    let load: BTreeMap<Cow<'_, str>, &RawValue> = object(load.as_bytes()).ok()?;
+    let load: BTreeMap<Cow<'_, str>, &RawValue> = parse_object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
         let name = node.names.figures.get(place)?;
         let figure = load.get(name.as_str()).or_else(|| load.get(plain(name)))?;
@@ -399,8 +400,8 @@
     })
 }
 
-fn request(shipment: &Shipment, wait: Nanos) -> Out {
-    let mut out = Out::default();
+fn request(shipment: &Shipment, wait: Nanos) -> WriteQueue {
+    let mut out = WriteQueue::default();
     let mut push = |piece: &Bytes| out.push(piece.clone());
     push(&shipment.method);
     push(&Bytes::from_static(b" "));
@@ -419,9 +420,9 @@
     out
 }
 
-fn probe(node: &Node) -> Out {
+fn probe(node: &Node) -> WriteQueue {
     let path = if node.names.figures.is_empty() { "/healthz" } else { "/load" };
-    let mut out = Out::default();
+    let mut out = WriteQueue::default();
     out.push(Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: executor\r\n\r\n")));
     out
 }
--- a/crates/node/src/net/list_stream.rs
+++ b/crates/node/src/net/list_stream.rs
@@ -16,19 +16,19 @@
 
 /// The longest list, in bytes from its first bracket to its last. 1,100 entries may take 3.8 KB each; one with a name of
 /// 1,024 characters, indented, takes 1.2 KB.
-pub const LONGEST_LIST: usize = 4 << 20;
+pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Why nothing more can be read from the watch.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum ListStreamError {
     #[error("not a list: {0}")]
     List(#[from] serde_json::Error),
     #[error("byte {0:#04x} where only an object may begin")]
-    NoObject(u8),
+    NotAnObject(u8),
     #[error("byte {0:#04x} within a string")]
     ControlCharacter(u8),
-    #[error("longer than {LONGEST_LIST} bytes")]
-    Long,
+    #[error("longer than {MAX_LIST_BYTES} bytes")]
+    TooLong,
 }
 
 /// What discovery says on a watch.
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// What came is no list. The watch is to be given up: where the next list begins nobody can tell.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Fault> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, ListStreamError> {
         if self.scanned == 0 && self.skip_whitespace() {
             return Ok(Some(Message::Heartbeat));
         }
@@ -81,23 +81,23 @@
     }
 
     /// The text of the object that begins where the whitespace ended, once it is whole.
-    fn next_object(&mut self) -> Result<Option<BytesMut>, Fault> {
+    fn next_object(&mut self) -> Result<Option<BytesMut>, ListStreamError> {
         match self.received.first() {
             None => return Ok(None),
             Some(b'{') => self.line_in_use = true,
-            Some(other) => return Err(Fault::NoObject(*other)),
+            Some(other) => return Err(ListStreamError::NotAnObject(*other)),
         }
         let end = self.object_end()?;
         let length = end.unwrap_or(self.received.len());
-        if length > LONGEST_LIST {
-            return Err(Fault::Long);
+        if length > MAX_LIST_BYTES {
+            return Err(ListStreamError::TooLong);
         }
         self.scanned = if end.is_some() { 0 } else { length };
         Ok(end.map(|end| self.received.split_to(end)))
     }
 
     /// Scans what was not scanned yet for the object's last bracket, and returns the place after it.
-    fn object_end(&mut self) -> Result<Option<usize>, Fault> {
+    fn object_end(&mut self) -> Result<Option<usize>, ListStreamError> {
         for (at, byte) in self.received.iter().enumerate().skip(self.scanned) {
             if self.object.ends_at(*byte)? {
                 return Ok(Some(at + 1));
@@ -119,7 +119,7 @@
 
 impl Nesting {
     /// Takes the next byte. True if it closes the outermost bracket.
-    fn ends_at(&mut self, byte: u8) -> Result<bool, Fault> {
+    fn ends_at(&mut self, byte: u8) -> Result<bool, ListStreamError> {
         if self.in_string {
             return self.string_byte(byte).map(|()| false);
         }
@@ -136,9 +136,9 @@
     }
 
     /// JSON has control characters escaped; one that is not tells that the string was cut short, mostly by a new line.
-    fn string_byte(&mut self, byte: u8) -> Result<(), Fault> {
+    fn string_byte(&mut self, byte: u8) -> Result<(), ListStreamError> {
         match byte {
-            ..0x20 => return Err(Fault::ControlCharacter(byte)),
+            ..0x20 => return Err(ListStreamError::ControlCharacter(byte)),
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
             b'"' => self.in_string = false,
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -34,7 +34,7 @@
 
 /// A pause for a connection that brings more than one message's worth at once. Giving way would not do: may
 /// looks at its sockets only when no coroutine can run.
-pub(crate) const TURN: Duration = Duration::from_millis(1);
+pub(crate) const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
 /// Connections that wait in a listener's queue to be accepted, where all of a fleet may come at once. The standard
 /// library asks the system for 128.
@@ -55,7 +55,7 @@
 }
 
 /// Reads a JSON object. An array would do for its fields in their order, and is not what anybody means.
-pub(crate) fn object<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, serde_json::Error> {
+pub(crate) fn parse_object<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, serde_json::Error> {
     if text.trim_ascii_start().first() != Some(&b'{') {
         return Err(serde::de::Error::custom("not an object"));
     }
@@ -93,9 +93,9 @@
 }
 
 /// Bytes that connections may hold in all beside what each has for itself.
-pub(crate) struct Room(AtomicIsize);
+pub(crate) struct MemoryBudget(AtomicIsize);
 
-impl Room {
+impl MemoryBudget {
     /// What each may hold without asking: it is reckoned with the connection.
     const FREE: usize = 4 * 1024;
 
@@ -103,22 +103,22 @@
         Self(AtomicIsize::new(isize::try_from(bytes).unwrap_or(isize::MAX)))
     }
 
-    pub(crate) fn holding(&self) -> Holding<'_> {
-        Holding { room: self, size: 0 }
+    pub(crate) fn holding(&self) -> MemoryReservation<'_> {
+        MemoryReservation { room: self, size: 0 }
     }
 }
 
 /// The part of the room that one connection has.
-pub(crate) struct Holding<'a> {
-    room: &'a Room,
+pub(crate) struct MemoryReservation<'a> {
+    room: &'a MemoryBudget,
     size: usize,
 }
 
-impl Holding<'_> {
+impl MemoryReservation<'_> {
     /// Notes how much is held now. False if that is more than before and there is no room for it. Buffers
     /// double as they grow, so up to twice the bytes in them are held.
     pub(crate) fn set(&mut self, bytes: usize) -> bool {
-        let size = 2 * bytes.saturating_sub(Room::FREE);
+        let size = 2 * bytes.saturating_sub(MemoryBudget::FREE);
         let more = size.cast_signed() - self.size.cast_signed();
         self.size = size;
         let left = self.room.0.fetch_sub(more, Ordering::Relaxed) - more;
@@ -126,13 +126,13 @@
     }
 }
 
-impl Drop for Holding<'_> {
+impl Drop for MemoryReservation<'_> {
     fn drop(&mut self) {
         self.set(0);
     }
 }
 
-struct Inner {
+struct NodeState {
     core: Core,
     effects: Vec<Effect>,
     links: HashMap<Link, Arc<Mailbox<executors::Message>>>,
@@ -141,16 +141,16 @@
 }
 
 pub struct Node {
-    inner: Mutex<Inner>,
+    inner: Mutex<NodeState>,
     pub clock: Clock,
     pub(crate) alarm: Alarm,
     pub names: Names,
     pub layout: ReportLayout,
     /// Whether stamped products' marks are asked for, by product.
     pub stamped: Vec<bool>,
-    pub(crate) watch: Mutex<Watch>,
-    pub(crate) trail: Option<Trail>,
-    keeper: Option<Sender<Note>>,
+    pub(crate) watch: Mutex<WatchState>,
+    pub(crate) audit_log: Option<Trail>,
+    store_records: Option<Sender<Note>>,
     /// A leave to take submissions is over once the machine has slept for longer than this in all; 0: there is no
     /// leave to end.
     awake: AtomicU64,
@@ -158,13 +158,13 @@
     /// Tries to connect that failed on this machine.
     pub(crate) local_failures: AtomicU64,
     /// For what clients send and are sent, and for what executors answer.
-    pub(crate) client_room: Room,
-    pub(crate) link_room: Room,
+    pub(crate) client_memory: MemoryBudget,
+    pub(crate) executor_memory: MemoryBudget,
     exit: Mutex<Option<Box<dyn FnOnce() + Send>>>,
 }
 
 /// Where the list comes from, and how far it is known.
-pub(crate) struct Watch {
+pub(crate) struct WatchState {
     pub(crate) discovery: SocketAddr,
     /// Counts the discoveries: a watch on an earlier one has nothing more to say.
     pub(crate) number: u64,
@@ -180,7 +180,7 @@
 }
 
 /// What a node is made of beside the reducer.
-pub struct Parts {
+pub struct NodeParts {
     pub clock: Clock,
     pub names: Names,
     pub layout: ReportLayout,
@@ -191,26 +191,37 @@
     /// Bytes that the program may have.
     pub memory: usize,
     /// Where a history of this node goes, if one is kept.
-    pub trail: Option<Trail>,
+    pub audit_log: Option<Trail>,
     /// Where what must last goes, if anything does.
-    pub keeper: Option<Sender<Note>>,
+    pub store_records: Option<Sender<Note>>,
     /// Called when the node has stopped and answered what it had taken.
     pub exit: Box<dyn FnOnce() + Send>,
 }
 
 impl Node {
     #[must_use]
-    pub fn new(core: Core, parts: Parts) -> Arc<Self> {
-        let Parts { clock, names, layout, stamped, discovery, index, memory, trail, keeper, exit } = parts;
+    pub fn new(core: Core, parts: NodeParts) -> Arc<Self> {
+        let NodeParts {
+            clock,
+            names,
+            layout,
+            stamped,
+            discovery,
+            index,
+            memory,
+            audit_log,
+            store_records,
+            exit,
+        } = parts;
         let (effects, links, clients) = (Vec::new(), HashMap::new(), HashMap::new());
         Arc::new(Self {
-            inner: Mutex::new(Inner { core, effects, links, clients, next_client: 0 }),
+            inner: Mutex::new(NodeState { core, effects, links, clients, next_client: 0 }),
             clock,
             alarm: Alarm::start(clock),
             names,
             layout,
             stamped,
-            watch: Mutex::new(Watch {
+            watch: Mutex::new(WatchState {
                 discovery,
                 number: 0,
                 index,
@@ -219,52 +230,52 @@
                 running: false,
                 socket: None,
             }),
-            trail,
-            keeper,
+            audit_log,
+            store_records,
             awake: AtomicU64::new(0),
             logged: Mutex::new(0),
             local_failures: AtomicU64::new(0),
-            client_room: Room::new(memory / 4),
-            link_room: Room::new(memory / 4),
+            client_memory: MemoryBudget::new(memory / 4),
+            executor_memory: MemoryBudget::new(memory / 4),
             exit: Mutex::new(Some(exit)),
         })
     }
 
     /// Hands the reducer an input and carries out what it asks for. Nothing in here waits: the lock is
     /// never held while a coroutine gives way.
-    pub fn feed(self: &Arc<Self>, input: Input) {
+    pub fn handle_input(self: &Arc<Self>, input: Input) {
         let awake = self.awake.load(Ordering::Relaxed);
         if awake > 0 && matches!(input, Input::Submitted { .. }) && slept() > awake {
             self.awake.store(0, Ordering::Relaxed);
-            self.feed(Input::Leave { until: 0 });
+            self.handle_input(Input::Leave { until: 0 });
         }
         let mut inner = lock(&self.inner);
         let inner = &mut *inner;
         let mut effects = std::mem::take(&mut inner.effects);
-        match &self.trail {
+        match &self.audit_log {
             None => inner.core.take(self.clock.now(), input, &mut effects),
-            Some(trail) => {
-                let (now, asked) = (self.clock.now(), trail.before(&input));
+            Some(audit_log) => {
+                let (now, asked) = (self.clock.now(), audit_log.before(&input));
                 let (version, taken) = (inner.core.version(), inner.core.taken());
                 inner.core.take(now, input, &mut effects);
-                trail.after(now, asked, (inner.core.taken() > taken).then_some(version), &effects);
+                audit_log.after(now, asked, (inner.core.taken() > taken).then_some(version), &effects);
             }
         }
         for effect in effects.drain(..) {
-            self.carry_out(inner, effect);
+            self.apply_effect(inner, effect);
         }
         inner.effects = effects;
         self.alarm.set(inner.core.next_due());
     }
 
     /// The first byte of what this connection carries is about to be written: how long its executor may be told to take.
-    pub(crate) fn begin(self: &Arc<Self>, link: Link) -> Result<Nanos, Refusal> {
+    pub(crate) fn begin_execution(self: &Arc<Self>, link: Link) -> Result<Nanos, Refusal> {
         let mut inner = lock(&self.inner);
         let inner = &mut *inner;
         let mut effects = std::mem::take(&mut inner.effects);
         let permission = inner.core.begin(self.clock.now(), link, &mut effects);
         for effect in effects.drain(..) {
-            self.carry_out(inner, effect);
+            self.apply_effect(inner, effect);
         }
         inner.effects = effects;
         self.alarm.set(inner.core.next_due());
@@ -272,14 +283,14 @@
     }
 
     /// Whether one-shots can be taken, and how one stands; none where nothing is remembered.
-    pub(crate) fn remembered(&self, key: &[u8]) -> Option<(bool, Option<Fate>)> {
-        self.keeper.as_ref()?;
+    pub(crate) fn stored_outcome(&self, key: &[u8]) -> Option<(bool, Option<Fate>)> {
+        self.store_records.as_ref()?;
         let inner = lock(&self.inner);
         Some((inner.core.remembers(), inner.core.fate(key).cloned()))
     }
 
     /// Whether all that may have run before is known.
-    pub(crate) fn sure(&self) -> bool {
+    pub(crate) fn outcomes_complete(&self) -> bool {
         lock(&self.inner).core.sure()
     }
 
@@ -289,12 +300,12 @@
     }
 
     /// What one that starts is told.
-    pub(crate) fn tale(&self) -> Vec<Item> {
+    pub(crate) fn peer_snapshot(&self) -> Vec<Item> {
         lock(&self.inner).core.tale(self.clock.now())
     }
 
     /// What may be gone by of what a peer told.
-    pub(crate) fn learn(
+    pub(crate) fn evaluate_peer_snapshot(
         &self,
         tale: &Tale,
         me: &str,
@@ -307,22 +318,22 @@
     }
 
     /// Discovery was heard; with a version of the list, it is another one from now on.
-    pub(crate) fn heard(&self, index: Option<u64>) {
-        let Some(keeper) = &self.keeper else { return };
+    pub(crate) fn discovery_heard(&self, index: Option<u64>) {
+        let Some(store_records) = &self.store_records else { return };
         if let Some(index) = index {
             let endpoints = lock(&self.inner).core.endpoints();
-            let _ = keeper.send(Note::List(discovery::List { index, whole: true, endpoints }));
+            let _ = store_records.send(Note::List(discovery::List { index, whole: true, endpoints }));
         }
-        let _ = keeper.send(Note::Heard);
+        let _ = store_records.send(Note::Heard);
     }
 
     /// Where its history goes, if one is kept.
-    pub fn trail(&self) -> Option<&Trail> {
-        self.trail.as_ref()
+    pub fn audit_log(&self) -> Option<&Trail> {
+        self.audit_log.as_ref()
     }
 
     /// From now on leave is over once the machine has slept for longer than this in all.
-    pub fn count_from(&self, slept: u64) {
+    pub fn end_lease_after_sleep(&self, slept: u64) {
         self.awake.store(slept.max(1), Ordering::Relaxed);
     }
 
@@ -334,7 +345,7 @@
     /// who decide what time the node has for others.
     pub(crate) fn may_log(&self) -> bool {
         let (now, mut last) = (self.clock.now(), lock(&self.logged));
-        let may = now.saturating_sub(*last) >= clients::LOGGED_EVERY;
+        let may = now.saturating_sub(*last) >= clients::REJECTION_LOG_INTERVAL;
         if may {
             *last = now;
         }
@@ -357,14 +368,14 @@
             present
         };
         if present {
-            self.feed(Input::Unheard { lost, busy });
+            self.handle_input(Input::Unheard { lost, busy });
         }
         present
     }
 
     /// From now on the list comes from another discovery. All that is known and in flight stays; the new
     /// list is asked for at once and taken as whole, for its versions may have nothing to do with the old.
-    pub fn rediscover(self: &Arc<Self>, discovery: SocketAddr) {
+    pub fn change_discovery(self: &Arc<Self>, discovery: SocketAddr) {
         let mut watch = lock(&self.watch);
         if watch.discovery == discovery {
             return;
@@ -373,14 +384,15 @@
             let _ = old.shutdown(std::net::Shutdown::Both);
         }
         let number = watch.number + 1;
-        let hurry = self.clock.now() + discovery::HURRY;
-        *watch = Watch { discovery, number, index: None, last_word: 0, hurry, running: true, socket: None };
+        let hurry = self.clock.now() + discovery::DISCOVERY_CHANGE_RETRY;
+        *watch =
+            WatchState { discovery, number, index: None, last_word: 0, hurry, running: true, socket: None };
         drop(watch);
         let node = Arc::clone(self);
         spawn(move || discovery::watch(&node, number));
     }
 
-    fn enlist(&self) -> (Client, Arc<Mailbox<clients::Message>>) {
+    fn register_client(&self) -> (Client, Arc<Mailbox<clients::Message>>) {
         let mut inner = lock(&self.inner);
         let client = inner.next_client;
         inner.next_client += 1;
@@ -389,20 +401,20 @@
         (client, mailbox)
     }
 
-    fn forget_client(&self, client: Client) {
+    fn remove_client(&self, client: Client) {
         lock(&self.inner).clients.remove(&client);
     }
 
     /// Whether the reducer still wants this connection.
-    pub(crate) fn knows_link(&self, link: Link) -> bool {
+    pub(crate) fn has_connection(&self, link: Link) -> bool {
         lock(&self.inner).links.contains_key(&link)
     }
 
-    fn forget_link(&self, link: Link) {
+    fn remove_connection(&self, link: Link) {
         lock(&self.inner).links.remove(&link);
     }
 
-    fn carry_out(self: &Arc<Self>, inner: &mut Inner, effect: Effect) {
+    fn apply_effect(self: &Arc<Self>, inner: &mut NodeState, effect: Effect) {
         let client = |client: Client, message: clients::Message| {
             if let Some(mailbox) = inner.clients.get(&client) {
                 mailbox.send(message);
@@ -439,15 +451,15 @@
                 }
             }
             Effect::Keep { keep, ticket } => {
-                if let Some(keeper) = &self.keeper {
-                    let _ = keeper.send(Note::Fate(keep, ticket));
+                if let Some(store_records) = &self.store_records {
+                    let _ = store_records.send(Note::Fate(keep, ticket));
                 }
             }
             Effect::Stage(stage) => {
                 tracing::info!(stage = stage.word(), waits_for = stage.why(), "start");
-                if let Some(trail) = &self.trail {
+                if let Some(audit_log) = &self.audit_log {
                     let stage = stage.word().to_owned();
-                    trail.write(self.clock.now(), What::Stage { stage });
+                    audit_log.write(self.clock.now(), What::Stage { stage });
                 }
             }
             Effect::Refused { id, refusal, occasion } => {
@@ -503,10 +515,10 @@
     }
 
     /// Rings the reducer's timers, for ever.
-    pub fn keep_time(self: &Arc<Self>) {
+    pub fn run_timers(self: &Arc<Self>) {
         loop {
             self.alarm.wait();
-            self.feed(Input::Tick);
+            self.handle_input(Input::Tick);
         }
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -152,7 +152,11 @@
                     && ask.fleet == fleet
                     && ask.node != name
                 {
-                    let _ = send(&mut socket, "tale", &Tale { form: FORM, teller: name, items: node.tale() });
+                    let _ = send(
+                        &mut socket,
+                        "tale",
+                        &Tale { form: FORM, teller: name, items: node.peer_snapshot() },
+                    );
                 }
                 gone.fetch_sub(1, Ordering::Relaxed);
             });
@@ -186,7 +190,7 @@
 fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &Tale, asked: u64) {
     while node.clock.now() < asked + config.young {
         if node.ready() {
-            match node.learn(tale, name, asked, config.young) {
+            match node.evaluate_peer_snapshot(tale, name, asked, config.young) {
                 Ok(heard) => {
                     tracing::info!(
                         teller = tale.teller,
@@ -194,7 +198,7 @@
                         taken = heard.len(),
                         "heard from a peer"
                     );
-                    node.feed(Input::Heard { items: heard });
+                    node.handle_input(Input::Heard { items: heard });
                 }
                 Err(why) => tracing::warn!(teller = tale.teller, %why, "a peer's words are not taken"),
             }
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// All that is wrong with it, each by its key.
-pub fn config(path: &Path, nodes: u32) -> Result<Config, String> {
+pub fn read_config(path: &Path, nodes: u32) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let File { start: t } = crate::fleet::config::table(path, &text)?;
     let mut faults = Vec::new();
@@ -102,7 +102,7 @@
 
 /// Now, by a clock that goes on over a restart of the process, and ends with the machine's run.
 #[must_use]
-pub fn stamp() -> Kept {
+pub fn boot_timestamp() -> Kept {
     let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
     let digits: String = boot.chars().filter(char::is_ascii_hexdigit).collect();
     Kept { boot: u128::from_str_radix(&digits, 16).unwrap_or(0), at: boottime() }
--- a/crates/node/src/start_attempts.rs
+++ b/crates/node/src/start_attempts.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// The system's.
-pub fn enter(folder: &Path) -> io::Result<u32> {
+pub fn record_attempt(folder: &Path) -> io::Result<u32> {
     let path = folder.join(FILE);
     let before = fs::read_to_string(&path).ok().and_then(|t| t.trim().parse().ok()).unwrap_or(0);
     let mut file = File::create(path)?;
@@ -22,7 +22,7 @@
 }
 
 /// What was read did no harm, or was refused in good order.
-pub fn leave(folder: &Path) {
+pub fn clear_attempts(folder: &Path) {
     let _ = fs::remove_file(folder.join(FILE));
 }
 
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// The system's.
-pub fn set_aside(folder: &Path, moves: impl Fn(&str) -> bool) -> io::Result<PathBuf> {
+pub fn quarantine_files(folder: &Path, moves: impl Fn(&str) -> bool) -> io::Result<PathBuf> {
     let free = (1..).map(|n| folder.join(format!("set-aside-{n}"))).find(|p| !p.exists());
     let aside = free.ok_or_else(|| io::Error::other("no name is left"))?;
     fs::create_dir(&aside)?;
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -18,7 +18,7 @@
     text.replace(change.0, change.1)
 }
 
-fn read(path: Option<&str>, listen: Option<&str>, text: &str) -> Result<config::Config, config::Fault> {
+fn read(path: Option<&str>, listen: Option<&str>, text: &str) -> Result<config::Config, config::ConfigError> {
     let variable = |key: &str| match key {
         "PROXY_CONFIG" => path.map(str::to_owned),
         "PROXY_LISTEN" => listen.map(str::to_owned),
@@ -36,7 +36,7 @@
 #[case(Some("debug"), Some("DEBUG"))]
 #[case(Some("loud"), None)]
 fn the_log_s_level_is_read(#[case] set: Option<&str>, #[case] level: Option<&str>) {
-    let found = config::level(|key| set.filter(|_| key == "PROXY_LOG").map(str::to_owned));
+    let found = config::log_level(|key| set.filter(|_| key == "PROXY_LOG").map(str::to_owned));
     assert_eq!(found.as_ref().ok().map(ToString::to_string).as_deref(), level);
     assert!(found.err().is_none_or(|fault| fault.key == "PROXY_LOG"));
 }
@@ -84,9 +84,12 @@
     };
     let present = config::read(variable, |_| Ok(file(("n0", "n0")))).unwrap();
     assert_eq!(present.discovery.port(), 3);
-    let newer = config::again(&present, variable, |_| Ok(file(change))).unwrap();
-    assert_eq!((newer.discovery.port(), present.restart_for(&newer).as_slice()), (discovery, keys));
-    let fault = config::again(&present, variable, |_| Ok(file(("127.0.0.1:2", "here")))).unwrap_err();
+    let newer = config::reread(&present, variable, |_| Ok(file(change))).unwrap();
+    assert_eq!(
+        (newer.discovery.port(), present.keys_requiring_restart(&newer).as_slice()),
+        (discovery, keys)
+    );
+    let fault = config::reread(&present, variable, |_| Ok(file(("127.0.0.1:2", "here")))).unwrap_err();
     assert_eq!(fault.key, "discovery");
 }
 
--- a/crates/node/tests/http.rs
+++ b/crates/node/tests/http.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 
 use bytes::BytesMut;
-use linestack::http::{self, Body, Framing, Out};
+use linestack::http::{self, BodyDecoder, Framing, WriteQueue};
 use rstest::rstest;
 
 const FINE: &str = "POST /api?a=1 HTTP/1.1\r\nHost: h\r\nReq-Id: 7\r\nReq-Extra: slots=2\r\n";
@@ -14,14 +14,14 @@
 #[case::chunked("Transfer-Encoding: Chunked\r\n", Framing::Chunked)]
 fn a_head_is_parsed_in_place(#[case] more: &str, #[case] framing: Framing) {
     let text = format!("{FINE}{more}\r\nrest");
-    let head = http::request(text.as_bytes()).unwrap().unwrap();
+    let head = http::parse_request(text.as_bytes()).unwrap().unwrap();
     assert_eq!(head.framing, Some(framing));
     assert_eq!(&text[head.method], "POST");
     assert_eq!(&text[head.path], "/api?a=1");
     assert_eq!(&text[head.id.unwrap()], "7");
     assert_eq!(&text[head.extra.unwrap()], "slots=2");
     assert_eq!(&text[head.length..], "rest");
-    assert!((0..text.len() - 4).all(|n| http::request(&text.as_bytes()[..n]).unwrap().is_none()));
+    assert!((0..text.len() - 4).all(|n| http::parse_request(&text.as_bytes()[..n]).unwrap().is_none()));
 }
 
 // A body that two readers could end in different places lets one request hide another.
@@ -40,17 +40,17 @@
 #[case::folded("X: a\r\n b\r\n", 400)]
 #[case::no_colon("nonsense\r\n", 400)]
 fn a_head_that_is_not_clear_is_turned_down(#[case] more: &str, #[case] status: u16) {
-    let fault = http::request(format!("{FINE}{more}\r\n").as_bytes()).unwrap_err();
+    let fault = http::parse_request(format!("{FINE}{more}\r\n").as_bytes()).unwrap_err();
     assert_eq!(fault.status, status);
 }
 
 #[rstest]
-#[case::endless("POST /api HTTP/1.1\r\nA: ".to_owned() + &"a".repeat(http::HEAD), 431)]
+#[case::endless("POST /api HTTP/1.1\r\nA: ".to_owned() + &"a".repeat(http::MAX_HEAD_BYTES), 431)]
 #[case::many_headers("POST /api HTTP/1.1\r\n".to_owned() + &"A: b\r\n".repeat(100) + "\r\n", 431)]
 #[case::old_version("POST /api HTTP/1.0\r\n\r\n".to_owned(), 505)]
 #[case::garbage("\x01\x02\x03\r\n\r\n".to_owned(), 400)]
 fn a_head_out_of_bounds_is_turned_down(#[case] text: String, #[case] status: u16) {
-    assert_eq!(http::request(text.as_bytes()).unwrap_err().status, status);
+    assert_eq!(http::parse_request(text.as_bytes()).unwrap_err().status, status);
 }
 
 #[rstest]
@@ -66,14 +66,14 @@
     #[case] wanted: Result<(&str, &str), u16>,
     #[values(1, 2, 3, 1000)] piece: usize,
 ) {
-    let (mut body, mut input, mut output) = (Body::new(framing), BytesMut::new(), BytesMut::new());
+    let (mut body, mut input, mut output) = (BodyDecoder::new(framing), BytesMut::new(), BytesMut::new());
     let mut found = Ok(false);
     let mut rest = text.as_bytes();
     while found == Ok(false) && !rest.is_empty() {
         let (now, later) = rest.split_at(piece.min(rest.len()));
         input.extend_from_slice(now);
         rest = later;
-        found = body.take(&mut input, &mut output);
+        found = body.decode(&mut input, &mut output);
     }
     input.extend_from_slice(rest);
     match wanted {
@@ -104,7 +104,7 @@
     #[case] declined: bool,
     #[case] close: bool,
 ) {
-    let head = http::response(format!("HTTP/1.1 {text}\r\n").as_bytes()).unwrap().unwrap();
+    let head = http::parse_response(format!("HTTP/1.1 {text}\r\n").as_bytes()).unwrap().unwrap();
     assert_eq!((head.status, head.framing, head.declined, head.close), (status, framing, declined, close));
 }
 
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_message_goes_out_whole_through_a_narrow_socket() {
-    let mut out = Out::default();
+    let mut out = WriteQueue::default();
     ["one ", "", "two ", "three"].into_iter().for_each(|piece| out.push(piece));
     let mut socket = Narrow { taken: Vec::new(), rest: false };
     let turns = (0..100).take_while(|_| !out.write(&mut socket).unwrap()).count();
--- a/crates/node/tests/list_stream.rs
+++ b/crates/node/tests/list_stream.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linestack::net::discovery::List;
-use linestack::net::list_stream::{Fault, LONGEST_LIST, ListStream, Message};
+use linestack::net::list_stream::{ListStream, ListStreamError, MAX_LIST_BYTES, Message};
 use rstest::rstest;
 
 /// Far more than anything here takes, and far less than scanning again what was scanned would.
@@ -30,7 +30,7 @@
 }
 
 /// All messages that come of these bytes in pieces of this size, and the fault that ended them.
-fn messages(bytes: &[u8], piece: usize) -> (Vec<Message>, Option<Fault>) {
+fn messages(bytes: &[u8], piece: usize) -> (Vec<Message>, Option<ListStreamError>) {
     let (mut stream, mut found) = (ListStream::default(), Vec::new());
     for piece in bytes.chunks(piece) {
         stream.push(piece);
@@ -111,12 +111,12 @@
 #[rstest]
 fn a_list_of_the_limit_is_read_and_one_of_a_byte_more_refused(#[values(0, 1)] beyond: usize) {
     let (head, tail) = ("{\n\"index\":9,", "\"endpoints\":[]}");
-    let blanks = LONGEST_LIST + beyond - head.len() - tail.len();
+    let blanks = MAX_LIST_BYTES + beyond - head.len() - tail.len();
     // What stands between lists counts for nothing.
-    let text = format!("{}{head}{}{tail}", " ".repeat(LONGEST_LIST + 2), " ".repeat(blanks));
+    let text = format!("{}{head}{}{tail}", " ".repeat(MAX_LIST_BYTES + 2), " ".repeat(blanks));
     let (found, fault) = messages(text.as_bytes(), 4_096);
     assert_eq!(indices(&found), [9][beyond..]);
-    assert_eq!(matches!(fault, Some(Fault::Long)), beyond == 1, "{fault:?}");
+    assert_eq!(matches!(fault, Some(ListStreamError::TooLong)), beyond == 1, "{fault:?}");
 }
 
 // Without an end nothing more than the limit and a piece is ever held.
@@ -133,8 +133,8 @@
             Err(fault) => break fault,
         }
     };
-    assert!(matches!(fault, Fault::Long), "{fault}");
-    assert!(came <= LONGEST_LIST + piece.len(), "{came}");
+    assert!(matches!(fault, ListStreamError::TooLong), "{fault}");
+    assert!(came <= MAX_LIST_BYTES + piece.len(), "{came}");
 }
 
 // The stack is a coroutine's: 8,192 words.
@@ -160,8 +160,8 @@
     let names: Vec<_> = (0..EXECUTORS).map(|i| format!("{i:0>1024}")).collect();
     let names: Vec<_> = names.iter().map(String::as_str).collect();
     let text = indented(&list(3, &names));
-    println!("{} bytes of {LONGEST_LIST}", text.len());
-    assert!(text.len() > EXECUTORS * 1_200 && text.len() < LONGEST_LIST * 2 / 5, "{}", text.len());
+    println!("{} bytes of {MAX_LIST_BYTES}", text.len());
+    assert!(text.len() > EXECUTORS * 1_200 && text.len() < MAX_LIST_BYTES * 2 / 5, "{}", text.len());
     let (found, fault) = messages(text.as_bytes(), 1_400);
     assert!(fault.is_none(), "{fault:?}");
     let [Message::List(list)] = &found[..] else { panic!("{} messages", found.len()) };
@@ -173,7 +173,7 @@
 #[test]
 fn a_large_list_that_drips_in_is_scanned_once() {
     let mut text = String::from("{\"index\":4,\"endpoints\":[\n");
-    while text.len() < LONGEST_LIST - 1_024 {
+    while text.len() < MAX_LIST_BYTES - 1_024 {
         let comma = if text.ends_with('}') { ",\n" } else { "" };
         write!(text, "{comma}{}", entry(&"n".repeat(400))).unwrap();
     }
