--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -20,7 +20,7 @@
 use super::store::{Fault, Store};
 use super::wire::{self, Body, Ear, Own, Pen, Who};
 use crate::net::Node;
-use crate::tries;
+use crate::start_attempts;
 
 /// Thousandths by which clocks may differ in rate, and how long a leave is taken to last before the first.
 const DRIFT: u64 = 10;
@@ -60,10 +60,10 @@
             other => other,
         };
         let mut store = open(&fleet.folder)?;
-        if tries::enter(&fleet.folder)? >= TRIES {
+        if start_attempts::record_attempt(&fleet.folder)? >= TRIES {
             // It comes back as a new run that knows nothing: coordinators tell it all again.
             drop(store);
-            let aside = tries::set_aside(&fleet.folder, |name| name.ends_with(".redb"))?;
+            let aside = start_attempts::quarantine_files(&fleet.folder, |name| name.ends_with(".redb"))?;
             tracing::error!(aside = %aside.display(), "starts died reading what this member kept: set aside");
             store = open(&fleet.folder)?;
         }
@@ -76,7 +76,7 @@
             // What it had kept is asked for again; but it may be the second of its kind.
             Err(Fault::Copied) => Record::default(),
             Err(why) => {
-                tries::leave(&fleet.folder);
+                start_attempts::clear_attempts(&fleet.folder);
                 return Err(why);
             }
         };
@@ -98,7 +98,7 @@
     pub fn terms(&self, own: &Settings, seed: u64) -> Option<Settings> {
         let known = &self.record.active;
         let settings = settings(&known.text, own.dispatch.zone, seed).ok().filter(|_| known.version > 0);
-        tries::leave(&self.fleet.folder);
+        start_attempts::clear_attempts(&self.fleet.folder);
         let settings = settings?;
         own.key_needing_restart(&settings).is_none().then_some(settings)
     }
@@ -264,13 +264,13 @@
                     let slept = super::slept();
                     let until = until.saturating_sub(slept);
                     // Told to the history first: what is taken by this leave must not come before it there.
-                    if let Some(trail) = &self.node.trail {
+                    if let Some(trail) = &self.node.audit_log {
                         trail.write(now, What::Leased { version, until: trail.machine(until) });
                     }
                     let until =
                         if self.broken == Some(InjectedFault::LeaseNeverEnds) { u64::MAX } else { until };
-                    self.node.count_from(slept + READING);
-                    self.node.feed(CoreInput::Lease { until });
+                    self.node.end_lease_after_sleep(slept + READING);
+                    self.node.handle_input(CoreInput::Lease { until });
                 }
             }
             Output::Notify(told) => self.tell(told),
@@ -279,7 +279,7 @@
     }
 
     fn write(&self, now: u64, what: What) {
-        if let Some(trail) = &self.node.trail {
+        if let Some(trail) = &self.node.audit_log {
             trail.write(now, what);
         }
     }
@@ -335,7 +335,7 @@
         self.record = record;
         self.present = settings.clone();
         self.write(self.node.clock.now(), What::Active { version, digest });
-        self.node.feed(CoreInput::SettingsChanged { settings: Box::new(settings), version });
+        self.node.handle_input(CoreInput::SettingsChanged { settings: Box::new(settings), version });
         tracing::info!(version, digest, "policy taken over");
         Ok(())
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -158,7 +158,7 @@
                         &PeerSnapshot {
                             format_version: FORMAT_VERSION,
                             sender: name,
-                            observations: node.tale(),
+                            observations: node.peer_snapshot(),
                         },
                     );
                 }
@@ -194,7 +194,7 @@
 fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &PeerSnapshot, asked: u64) {
     while node.clock.now() < asked + config.young {
         if node.ready() {
-            match node.learn(tale, name, asked, config.young) {
+            match node.evaluate_peer_snapshot(tale, name, asked, config.young) {
                 Ok(heard) => {
                     tracing::info!(
                         teller = tale.sender,
@@ -202,7 +202,7 @@
                         taken = heard.len(),
                         "heard from a peer"
                     );
-                    node.feed(Input::PeerObservations { observations: heard });
+                    node.handle_input(Input::PeerObservations { observations: heard });
                 }
                 Err(why) => tracing::warn!(teller = tale.sender, %why, "a peer's words are not taken"),
             }
