--- a/crates/node/src/fleet/coordinate/mod.rs
+++ b/crates/node/src/fleet/coordinate/mod.rs
@@ -24,11 +24,11 @@
 use signal_hook::iterator::Signals;
 use socket2::SockRef;
 
+use super::audit_log::Diary;
 use super::boottime;
 use super::config;
 use super::policy::check;
 use super::store::Fault;
-use super::trail::Diary;
 use super::wire::{Own, Who};
 use crate::net::BACKLOG;
 
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -8,8 +8,8 @@
 use linestack_accord::{Coordinator, Guest, Id, Input, Letter, Note, Out, Reply, Request};
 use linestack_history::What;
 
+use crate::fleet::audit_log::Diary;
 use crate::fleet::session::guest;
-use crate::fleet::trail::Diary;
 use crate::fleet::wire::{Body, Who};
 use crate::fleet::{boottime, monotonic};
 
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,13 +1,13 @@
 //! What a process does as part of a fleet: agreement on the policy, and leave to serve under it. Nothing of it is
 //! there in a node that was not told of a fleet: no listener, no thread, no allocation.
 
+pub mod audit_log;
 pub mod config;
 pub mod coordinate;
 pub mod operate;
 pub mod policy;
 pub mod session;
 pub mod store;
-pub mod trail;
 pub mod wire;
 
 use std::hash::{BuildHasher as _, RandomState};
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod config;
 pub mod fleet;
 pub mod http;
-pub mod keep;
 pub mod net;
 pub mod peers;
+pub mod persistence;
 pub mod tries;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -11,13 +11,13 @@
 use linestack::cause::{START_PATIENCE, may_pass, persist};
 use linestack::config::{self, Config, FaultKind};
 use linestack::fleet;
+use linestack::fleet::audit_log::Trail;
 use linestack::fleet::config::Mode;
 use linestack::fleet::coordinate::Start as Begin;
 use linestack::fleet::session::Start;
-use linestack::fleet::trail::Trail;
-use linestack::keep::{self, Keeper};
 use linestack::net::{Node, Parts, clients, clock::Clock, spawn};
 use linestack::peers;
+use linestack::persistence::{self, Keeper};
 use linestack_core::{Core, Input};
 use linestack_dispatch::types::{ListKind, Repeats};
 use linestack_history::What;
@@ -67,7 +67,7 @@
     /// Look after a node's store.
     Store {
         #[command(subcommand)]
-        command: keep::Command,
+        command: persistence::Command,
     },
 }
 
@@ -77,7 +77,7 @@
         return fleet::operate::run(arguments);
     }
     if let Some(Command::Store { command }) = &command {
-        return match keep::run(command) {
+        return match persistence::run(command) {
             Ok(()) => ExitCode::SUCCESS,
             Err(why) => {
                 eprintln!("linestack: {why}");
@@ -139,7 +139,8 @@
     let (done, finished) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
     let memory = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX);
-    let opened = |path: String| keep::config(Path::new(&path)).and_then(|config| Keeper::open(config, &name));
+    let opened =
+        |path: String| persistence::config(Path::new(&path)).and_then(|config| Keeper::open(config, &name));
     let keeper = variable("PROXY_STORE").map(opened);
     let mut keeper = match keeper.transpose() {
         Ok(keeper) => keeper,
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -23,9 +23,9 @@
 use may::net::TcpStream;
 use serde::Deserialize;
 
+use crate::fleet::audit_log::Trail;
 use crate::fleet::slept;
-use crate::fleet::trail::Trail;
-use crate::keep::Note;
+use crate::persistence::Note;
 use clock::{Alarm, Clock};
 use linestack_core::{Client, Core, Effect, Input, Link, Refusal};
 use linestack_peers::{Fault as Unheard, Heard, Item, Tale, learn};
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -167,5 +167,5 @@
     let deploy = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     linestack::fleet::config::fleet(&deploy.join("fleet.toml")).unwrap();
     linestack::fleet::config::coordinator(&deploy.join("coordinator.toml")).unwrap();
-    linestack::keep::config(&deploy.join("store.toml")).unwrap();
+    linestack::persistence::config(&deploy.join("store.toml")).unwrap();
 }
