--- a/crates/lab/src/scale/members.rs
+++ b/crates/lab/src/scale/members.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use linestack::fleet::boottime;
-use linestack::fleet::wire::{self, Body, Ear, Own, Pen, Who};
+use linestack::fleet::wire::{self, Body, FrameEncoder, FrameReader, Identity, SenderInfo};
 use linestack_accord::{Incarnation, Nanos, Reply, Request};
 use linestack_member::{Input, Member, Out};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -68,8 +68,8 @@
 
 struct Session {
     socket: TcpStream,
-    ear: Ear,
-    pen: Pen,
+    reader: FrameReader,
+    encoder: FrameEncoder,
 }
 
 /// One member's way through one change.
@@ -84,7 +84,7 @@
 }
 
 struct HollowMember {
-    own: Own,
+    own: SenderInfo,
     member: Member,
     session: Option<Session>,
     coordinator: usize,
@@ -141,19 +141,23 @@
 }
 
 impl Session {
-    fn open(to: SocketAddr, own: &Own) -> Result<Self, wire::Fault> {
-        let (socket, ear, pen) = wire::greet(to, own)?;
+    fn open(to: SocketAddr, own: &SenderInfo) -> Result<Self, wire::WireError> {
+        let (socket, reader, encoder) = wire::connect_session(to, own)?;
         socket.set_nonblocking(true)?;
-        Ok(Self { socket, ear, pen })
+        Ok(Self { socket, reader, encoder })
     }
 }
 
 impl HollowMember {
     fn new(number: usize, coordinators: usize, connect_at: Nanos) -> Self {
-        let life = incarnation(number);
+        let incarnation = incarnation(number);
         Self {
-            own: Own { fleet: FLEET.to_owned(), who: Who::Member(name(number)), life },
-            member: Member::new(life, DRIFT, SPAN, 0, None),
+            own: SenderInfo {
+                fleet: FLEET.to_owned(),
+                identity: Identity::Member(name(number)),
+                incarnation,
+            },
+            member: Member::new(incarnation, DRIFT, SPAN, 0, None),
             session: None,
             coordinator: number % coordinators,
             connect_at,
@@ -216,7 +220,7 @@
     fn send(&mut self, renew: linestack_accord::Renew) {
         let Some(session) = &mut self.session else { return };
         self.told = renew.active;
-        let bytes = session.pen.write(Body::Request(Request::Renew(renew)));
+        let bytes = session.encoder.encode(Body::Request(Request::Renew(renew)));
         let sent = bytes.is_ok_and(|bytes| {
             self.traffic.messages_out += 1;
             self.traffic.bytes_out += bytes.len() as u64;
@@ -232,9 +236,9 @@
         let mut refused = 0;
         loop {
             let Some(session) = &mut self.session else { return refused };
-            match session.ear.take() {
+            match session.reader.next_frame() {
                 Ok(Some(frame)) => refused += self.heard(frame, target),
-                Ok(None) => match session.ear.read(&mut session.socket) {
+                Ok(None) => match session.reader.read(&mut session.socket) {
                     Ok(true) => {}
                     Ok(false) => return refused,
                     Err(_) => self.session = None,
--- a/crates/lab/src/scale/operator.rs
+++ b/crates/lab/src/scale/operator.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use linestack::fleet::boottime;
-use linestack::fleet::wire::{self, Body, Ear, Own, Who};
+use linestack::fleet::wire::{self, Body, FrameReader, Identity, SenderInfo};
 use linestack_accord::{Ask, Incarnation, Nanos, Reply, Request};
 
 use super::coordinators::FLEET;
@@ -28,7 +28,11 @@
 ///
 /// It was turned down, or nobody answered.
 pub fn propose(coordinators: &[SocketAddr], base: u64, text: &str) -> io::Result<Put> {
-    let own = Own { fleet: FLEET.to_owned(), who: Who::Operator, life: Incarnation { home: 1, life: base } };
+    let own = SenderInfo {
+        fleet: FLEET.to_owned(),
+        identity: Identity::Operator,
+        incarnation: Incarnation { home: 1, life: base },
+    };
     let request = format!("to-{}", base + 1);
     let ask = Ask::Propose { request, base, text: text.to_owned(), all: false, give_up: None };
     let started = Instant::now();
@@ -36,12 +40,12 @@
         if started.elapsed() > PATIENCE {
             break;
         }
-        let Ok((mut socket, mut ear, mut pen)) = wire::greet(*to, &own) else { continue };
+        let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(*to, &own) else { continue };
         socket.set_read_timeout(Some(PATIENCE))?;
-        let bytes = pen.write(Body::Request(Request::Ask(ask.clone()))).map_err(io::Error::other)?;
+        let bytes = encoder.encode(Body::Request(Request::Ask(ask.clone()))).map_err(io::Error::other)?;
         let begin = boottime();
         socket.write_all(&bytes)?;
-        match answer(&mut socket, &mut ear)? {
+        match answer(&mut socket, &mut reader)? {
             Reply::Taken { .. } => return Ok(Put { begin, taken: boottime() }),
             Reply::Nobody => std::thread::sleep(AGAIN),
             other => return Err(io::Error::other(format!("the change was not put: {other:?}"))),
@@ -50,14 +54,14 @@
     Err(io::Error::other("no coordinator took the change"))
 }
 
-fn answer(socket: &mut TcpStream, ear: &mut Ear) -> io::Result<Reply> {
+fn answer(socket: &mut TcpStream, reader: &mut FrameReader) -> io::Result<Reply> {
     loop {
-        match ear.take().map_err(io::Error::other)? {
+        match reader.next_frame().map_err(io::Error::other)? {
             Some(frame) => match frame.body {
                 Body::Reply(reply) => return Ok(reply),
                 _ => return Err(io::Error::other("not what was due")),
             },
-            None if ear.read(socket).map_err(io::Error::other)? => {}
+            None if reader.read(socket).map_err(io::Error::other)? => {}
             None => return Err(io::Error::from(io::ErrorKind::TimedOut)),
         }
     }
--- a/crates/node/src/begin.rs
+++ b/crates/node/src/begin.rs
@@ -55,7 +55,7 @@
 /// All that is wrong with it, each by its key.
 pub fn config(path: &Path, nodes: u32) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let File { start: t } = crate::fleet::config::table(path, &text)?;
+    let File { start: t } = crate::fleet::config::parse_table(path, &text)?;
     let mut faults = Vec::new();
     let mut must = |fine: bool, key: &str, why: &str| {
         if !fine {
--- a/crates/node/src/fleet/audit_log.rs
+++ b/crates/node/src/fleet/audit_log.rs
@@ -14,13 +14,13 @@
 use crate::net::lock;
 
 /// Writes lines at once, each in one call: what follows from a line never comes before it.
-pub struct Diary {
+pub struct AuditWriter {
     file: Option<File>,
     by: String,
     life: u64,
 }
 
-impl Diary {
+impl AuditWriter {
     /// # Errors
     ///
     /// The file can't be written.
@@ -40,7 +40,7 @@
 }
 
 /// A node's history. Its coroutines must not wait for a disk.
-pub struct Trail {
+pub struct AuditLog {
     lines: Sender<(u64, What)>,
     /// What each client waits for.
     asked: Mutex<HashMap<Client, Bytes>>,
@@ -48,12 +48,12 @@
     offset: u64,
 }
 
-impl Trail {
+impl AuditLog {
     /// # Errors
     ///
     /// The file can't be written.
     pub fn open(path: &Path, by: &str, life: u64, now: u64) -> io::Result<Self> {
-        let mut diary = Diary::open(Some(path), by, life)?;
+        let mut diary = AuditWriter::open(Some(path), by, life)?;
         let (lines, told) = channel();
         std::thread::spawn(move || told.iter().for_each(|(at, what)| diary.write(at, what)));
         Ok(Self { lines, asked: Mutex::default(), offset: now - super::monotonic() })
@@ -65,12 +65,12 @@
     }
 
     /// A time of the node's clock on the machine's.
-    pub fn machine(&self, time: u64) -> u64 {
+    pub fn machine_time(&self, time: u64) -> u64 {
         time.saturating_sub(self.offset)
     }
 
     /// What is about to go into the reducer.
-    pub(crate) fn before(&self, input: &Input) -> Option<(Client, Bytes)> {
+    pub(crate) fn pending_submission(&self, input: &Input) -> Option<(Client, Bytes)> {
         match input {
             Input::Submitted { client, intake } => Some((*client, intake.shipment.id.clone())),
             _ => None,
@@ -78,7 +78,7 @@
     }
 
     /// What came of it. `taken` tells whether a submission was, and under which version.
-    pub(crate) fn after(
+    pub(crate) fn record_effects(
         &self,
         now: u64,
         asked: Option<(Client, Bytes)>,
--- a/crates/node/src/fleet/config.rs
+++ b/crates/node/src/fleet/config.rs
@@ -8,7 +8,7 @@
 
 /// What a node is told of its fleet.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetConfig {
     pub id: String,
     pub member: String,
     pub coordinators: Vec<SocketAddr>,
@@ -28,7 +28,7 @@
 
 /// What a coordinator is told.
 #[derive(Clone, Debug)]
-pub struct Coordinator {
+pub struct CoordinatorConfig {
     pub fleet: String,
     pub number: u8,
     pub listen: SocketAddr,
@@ -131,12 +131,12 @@
     }
 }
 
-fn text(path: &Path) -> Result<String, String> {
+fn read_text(path: &Path) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Reads a table, or tells where it is wrong: file, line and key.
-pub(crate) fn table<T: for<'a> Deserialize<'a>>(path: &Path, text: &str) -> Result<T, String> {
+pub(crate) fn parse_table<T: for<'a> Deserialize<'a>>(path: &Path, text: &str) -> Result<T, String> {
     let place = |e: &toml::de::Error| {
         let at = e.span().map_or(0, |s| s.start);
         let line = text[..at.min(text.len())].lines().count().max(1);
@@ -157,8 +157,8 @@
 /// # Errors
 ///
 /// All that is wrong with it, a line each.
-pub fn fleet(path: &Path) -> Result<Fleet, String> {
-    let FleetFile { fleet: t } = table(path, &text(path)?)?;
+pub fn read_fleet(path: &Path) -> Result<FleetConfig, String> {
+    let FleetFile { fleet: t } = parse_table(path, &read_text(path)?)?;
     let mut faults = Faults::default();
     faults.name("fleet.id", &t.id);
     faults.name("fleet.member", &t.member);
@@ -167,7 +167,7 @@
         t.coordinators.iter().filter_map(|c| faults.address("fleet.coordinators", c)).collect();
     faults.none(path)?;
     let FleetTable { id, member, folder, mode, history, .. } = t;
-    Ok(Fleet { id, member, coordinators, folder, mode, history })
+    Ok(FleetConfig { id, member, coordinators, folder, mode, history })
 }
 
 /// Reads a coordinator's file.
@@ -175,8 +175,8 @@
 /// # Errors
 ///
 /// All that is wrong with it, a line each.
-pub fn coordinator(path: &Path) -> Result<Coordinator, String> {
-    let CoordinatorFile { coordinator: t } = table(path, &text(path)?)?;
+pub fn read_coordinator(path: &Path) -> Result<CoordinatorConfig, String> {
+    let CoordinatorFile { coordinator: t } = parse_table(path, &read_text(path)?)?;
     let mut faults = Faults::default();
     faults.name("coordinator.fleet", &t.fleet);
     let count = t.peers.len();
@@ -201,5 +201,16 @@
     faults.none(path)?;
     let Some(listen) = listen else { return Err(format!("{}: coordinator.listen", path.display())) };
     let CoordinatorTable { fleet, number, folder, first_policy, lease_ms, hold_ms, drift, history, .. } = t;
-    Ok(Coordinator { fleet, number, listen, peers, folder, first_policy, lease_ms, hold_ms, drift, history })
+    Ok(CoordinatorConfig {
+        fleet,
+        number,
+        listen,
+        peers,
+        folder,
+        first_policy,
+        lease_ms,
+        hold_ms,
+        drift,
+        history,
+    })
 }
--- a/crates/node/src/fleet/coordinate/event.rs
+++ b/crates/node/src/fleet/coordinate/event.rs
@@ -4,7 +4,7 @@
 
 use linestack_accord::Incarnation;
 
-use crate::fleet::wire::{Body, Pen, Who};
+use crate::fleet::wire::{Body, FrameEncoder, Identity};
 
 /// A report about a connection, numbered in the order in which they were accepted.
 pub(super) enum Event {
@@ -22,11 +22,11 @@
 
 /// A session with a process that has connected.
 pub(super) struct Session {
-    pub(super) who: Who,
+    pub(super) identity: Identity,
     /// The run of the process.
-    pub(super) life: Incarnation,
+    pub(super) incarnation: Incarnation,
     /// Makes the frames that are sent.
-    pub(super) pen: Pen,
+    pub(super) encoder: FrameEncoder,
     /// Frames to be written. Once it is dropped, the connection is closed.
     pub(super) frames: SyncSender<Vec<u8>>,
 }
--- a/crates/node/src/fleet/coordinate/mod.rs
+++ b/crates/node/src/fleet/coordinate/mod.rs
@@ -24,12 +24,12 @@
 use signal_hook::iterator::Signals;
 use socket2::SockRef;
 
-use super::audit_log::Diary;
+use super::audit_log::AuditWriter;
 use super::boottime;
 use super::config;
-use super::policy::check;
-use super::store::Fault;
-use super::wire::{Own, Who};
+use super::policy::check_change;
+use super::store::StoreError;
+use super::wire::{Identity, SenderInfo};
 use crate::net::BACKLOG;
 
 use self::event::Event;
@@ -39,23 +39,23 @@
 
 /// How a coordinator starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartMode {
     /// From its store.
-    Again,
+    FromStore,
     /// Without a store, in a new fleet: the store is created from the first policy that the file names.
-    First,
+    NewFleet,
     /// Without a store, in place of a coordinator that has lost its own: the seat, as `fleet replace` told it.
     Replacement(u32),
     /// From its store, after most of the others were lost: write the file that they start from, and end. The file, and
     /// the coordinators whose stores are lost.
     Refound(PathBuf, Vec<Id>),
-    /// Without a store, from the file that [`Start::Refound`] wrote.
+    /// Without a store, from the file that [`StartMode::Refound`] wrote.
     Refounded(PathBuf),
 }
 
 /// Runs a coordinator until it is told to stop.
 #[must_use]
-pub fn run(path: &Path, how: Start) -> ExitCode {
+pub fn run(path: &Path, how: StartMode) -> ExitCode {
     match start(path, &how) {
         Ok(code) => code,
         Err(why) => {
@@ -67,19 +67,23 @@
     }
 }
 
-fn start(path: &Path, how: &Start) -> Result<ExitCode, String> {
-    let config = config::coordinator(path)?;
-    if let Start::Refound(file, lost) = how {
+fn start(path: &Path, how: &StartMode) -> Result<ExitCode, String> {
+    let config = config::read_coordinator(path)?;
+    if let StartMode::Refound(file, lost) = how {
         return refound::refound(&config, file, lost).map(|()| ExitCode::SUCCESS);
     }
     let (disk, record) = storage::open(&config, how).map_err(|why| storage_fault(path, &why))?;
     let me = config.number;
-    let own = Own { fleet: config.fleet.clone(), who: Who::Coordinator(me), life: disk.life };
+    let own = SenderInfo {
+        fleet: config.fleet.clone(),
+        identity: Identity::Coordinator(me),
+        incarnation: disk.incarnation,
+    };
     let listener = TcpListener::bind(config.listen)
         .and_then(|listener| SockRef::from(&listener).listen(BACKLOG).map(|()| listener))
         .map_err(|e| format!("{}: coordinator.listen: {}: {e}", path.display(), config.listen))?;
     let listen = listener.local_addr().map_err(|e| e.to_string())?;
-    let audit_log = Diary::open(config.history.as_deref(), &format!("c{me}"), disk.life.life)
+    let audit_log = AuditWriter::open(config.history.as_deref(), &format!("c{me}"), disk.incarnation.life)
         .map_err(|e| format!("{}: coordinator.history: {e}", path.display()))?;
     let (events, incoming) = channel();
     watch_signals(events.clone())?;
@@ -93,13 +97,13 @@
 }
 
 /// What to tell an operator whose coordinator can't start from its store.
-fn storage_fault(path: &Path, why: &Fault) -> String {
+fn storage_fault(path: &Path, why: &StoreError) -> String {
     let remedy = match why {
-        Fault::Missing => {
+        StoreError::Missing => {
             "; in a new fleet it is made by --first; one that has lost its store wants `linestack fleet replace`"
         }
-        Fault::There => "; start it without --first",
-        Fault::Copied => "; it must not vote: what it promised since the copy was made is forgotten",
+        StoreError::AlreadyExists => "; start it without --first",
+        StoreError::Copied => "; it must not vote: what it promised since the copy was made is forgotten",
         _ => "",
     };
     format!("{}: coordinator.folder: {why}{remedy}", path.display())
@@ -112,20 +116,20 @@
     Ok(())
 }
 
-fn terms(config: &config::Coordinator) -> Terms {
+fn terms(config: &config::CoordinatorConfig) -> Terms {
     Terms {
         me: config.number,
         count: u8::try_from(config.peers.len()).unwrap_or(u8::MAX),
         hold: config.hold_ms * NANOS_PER_MILLISECOND,
         lease: config.lease_ms * NANOS_PER_MILLISECOND,
         drift: config.drift,
-        check,
-        broken: super::fault().as_deref().and_then(injected_fault),
+        check: check_change,
+        broken: super::injected_fault().as_deref().and_then(accord_fault),
     }
 }
 
 /// The deliberate fault of this name, in a build for tests.
-fn injected_fault(name: &str) -> Option<Broken> {
+fn accord_fault(name: &str) -> Option<Broken> {
     match name {
         "forgets" => Some(Broken::Forgets),
         "majority" => Some(Broken::Majority),
--- a/crates/node/src/fleet/coordinate/peers.rs
+++ b/crates/node/src/fleet/coordinate/peers.rs
@@ -8,7 +8,7 @@
 
 use linestack_accord::Letter;
 
-use crate::fleet::wire::{self, Body, Own, Pen};
+use crate::fleet::wire::{self, Body, FrameEncoder, SenderInfo};
 
 /// Messages that wait for another coordinator: all members may ask at once, and each question is passed on in one.
 const QUEUED_MESSAGES: usize = 1024;
@@ -20,17 +20,17 @@
 
 /// Starts the thread that sends to another coordinator. Messages that can't be sent are dropped: the protocol repeats
 /// them for as long as they matter.
-pub(super) fn connect(to: SocketAddr, own: Own) -> SyncSender<Letter> {
+pub(super) fn connect(to: SocketAddr, own: SenderInfo) -> SyncSender<Letter> {
     let (letters, queue) = sync_channel::<Letter>(QUEUED_MESSAGES);
     thread::spawn(move || {
         loop {
-            let Ok((socket, _, pen)) = wire::greet(to, &own) else {
+            let Ok((socket, _, encoder)) = wire::connect_session(to, &own) else {
                 thread::sleep(RECONNECT_PAUSE);
                 // What was queued meanwhile is outdated.
                 while queue.try_recv().is_ok() {}
                 continue;
             };
-            if send_all(socket, pen, &queue).is_err() {
+            if send_all(socket, encoder, &queue).is_err() {
                 return;
             }
         }
@@ -39,10 +39,14 @@
 }
 
 /// Sends what is queued until the connection ends.
-fn send_all(mut socket: TcpStream, mut pen: Pen, queue: &Receiver<Letter>) -> Result<(), Stopped> {
+fn send_all(
+    mut socket: TcpStream,
+    mut encoder: FrameEncoder,
+    queue: &Receiver<Letter>,
+) -> Result<(), Stopped> {
     loop {
         let letter = queue.recv().map_err(|_| Stopped)?;
-        let Ok(bytes) = pen.write(Body::Letter(letter)) else { continue };
+        let Ok(bytes) = encoder.encode(Body::Envelope(letter)) else { continue };
         if is_closed(&socket) || socket.write_all(&bytes).is_err() {
             return Ok(());
         }
--- a/crates/node/src/fleet/coordinate/refound.rs
+++ b/crates/node/src/fleet/coordinate/refound.rs
@@ -8,10 +8,10 @@
 use linestack_accord::{Ballot, Id, Incarnation, Keep as _, Policy, Record, State};
 
 use crate::fleet::config;
-use crate::fleet::draw;
-use crate::fleet::wire::{self, Own, Who};
+use crate::fleet::random_u64;
+use crate::fleet::wire::{self, Identity, SenderInfo};
 
-use super::Start;
+use super::StartMode;
 use super::storage::{self, Foundation};
 
 /// How many versions, revisions and rounds are skipped: more than can have been used since the store that is left was
@@ -19,10 +19,10 @@
 const SKIPPED: u32 = 1_000_000;
 
 /// Makes the store of this coordinator the beginning of the fleet, and writes the file for the others.
-pub(super) fn refound(config: &config::Coordinator, file: &Path, lost: &[Id]) -> Result<(), String> {
+pub(super) fn refound(config: &config::CoordinatorConfig, file: &Path, lost: &[Id]) -> Result<(), String> {
     check_majority_lost(config, lost).map_err(option_fault)?;
     check_all_stopped(config).map_err(option_fault)?;
-    let (mut disk, record) = storage::open(config, &Start::Again).map_err(|e| e.to_string())?;
+    let (mut disk, record) = storage::open(config, &StartMode::FromStore).map_err(|e| e.to_string())?;
     if record.learning {
         return Err(option_fault("this one was never told what is agreed".into()));
     }
@@ -49,7 +49,7 @@
 }
 
 /// Fails unless the coordinators that are left are no majority: a majority replaces the lost ones one by one.
-fn check_majority_lost(config: &config::Coordinator, lost: &[Id]) -> Result<(), String> {
+fn check_majority_lost(config: &config::CoordinatorConfig, lost: &[Id]) -> Result<(), String> {
     let count = config.peers.len();
     let mut lost = lost.to_vec();
     lost.sort_unstable();
@@ -67,12 +67,12 @@
 }
 
 /// Fails if another coordinator answers.
-fn check_all_stopped(config: &config::Coordinator) -> Result<(), String> {
-    let life = Incarnation { home: draw(), life: 1 };
-    let own = Own { fleet: config.fleet.clone(), who: Who::Operator, life };
+fn check_all_stopped(config: &config::CoordinatorConfig) -> Result<(), String> {
+    let incarnation = Incarnation { home: random_u64(), life: 1 };
+    let own = SenderInfo { fleet: config.fleet.clone(), identity: Identity::Operator, incarnation };
     for (id, to) in config.peers.iter().enumerate() {
         if let Some(to) = to
-            && wire::greet(*to, &own).is_ok()
+            && wire::connect_session(*to, &own).is_ok()
         {
             return Err(format!("coordinator {id} answers at {to}: stop all of them first"));
         }
@@ -81,7 +81,7 @@
 }
 
 /// The record that the fleet goes on from: nothing that was promised, accepted or decided since can be higher.
-fn founding_record(config: &config::Coordinator, record: Record) -> Record {
+fn founding_record(config: &config::CoordinatorConfig, record: Record) -> Record {
     let me = config.number;
     let round = record.promised.round.max(record.accepted.round) + SKIPPED;
     let ballot = Ballot { round, by: me };
@@ -96,7 +96,7 @@
     }
 }
 
-fn founding_state(config: &config::Coordinator, state: State) -> State {
+fn founding_state(config: &config::CoordinatorConfig, state: State) -> State {
     let State { policy, last, members, ended, mut seats, rev, .. } = state;
     for id in (0..config.peers.len()).filter_map(|id| Id::try_from(id).ok()) {
         // A coordinator that still has an earlier store has no vote.
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -8,9 +8,9 @@
 use linestack_accord::{Coordinator, Guest, Id, Input, Letter, Note, Out, Reply, Request};
 use linestack_history::What;
 
-use crate::fleet::audit_log::Diary;
-use crate::fleet::session::guest;
-use crate::fleet::wire::{Body, Who};
+use crate::fleet::audit_log::AuditWriter;
+use crate::fleet::session::client_session;
+use crate::fleet::wire::{Body, Identity};
 use crate::fleet::{boottime, monotonic};
 
 use super::event::{Event, Session};
@@ -25,7 +25,7 @@
 pub(super) struct Server {
     coordinator: Coordinator,
     disk: Disk,
-    audit_log: Diary,
+    audit_log: AuditWriter,
     /// The queues of messages to the other coordinators, by their ids.
     peers: Vec<Option<SyncSender<Letter>>>,
     /// The open sessions, by their connections.
@@ -54,7 +54,7 @@
     pub(super) fn new(
         coordinator: Coordinator,
         disk: Disk,
-        audit_log: Diary,
+        audit_log: AuditWriter,
         peers: Vec<Option<SyncSender<Letter>>>,
     ) -> Self {
         Self {
@@ -143,8 +143,10 @@
     fn receive(&mut self, connection: u64, body: Body) -> Option<Input> {
         self.counts.frames += 1;
         let session = self.sessions.get(&connection)?;
-        match (&session.who, body) {
-            (Who::Coordinator(from), Body::Letter(letter)) => Some(Input::Letter { from: *from, letter }),
+        match (&session.identity, body) {
+            (Identity::Coordinator(from), Body::Envelope(letter)) => {
+                Some(Input::Letter { from: *from, letter })
+            }
             (_, Body::Request(request)) => self.receive_request(connection, request),
             _ => {
                 self.refuse_session(connection, "order");
@@ -157,19 +159,19 @@
         let session = self.sessions.get(&connection)?;
         // A session speaks for the run of the process that began it, and for no other.
         if let Request::Renew(renew) = &request
-            && renew.incarnation != session.life
+            && renew.incarnation != session.incarnation
         {
             self.refuse_session(connection, "name");
             return None;
         }
-        let guest = guest(&session.who, connection)?;
+        let guest = client_session(&session.identity, connection)?;
         self.routes.insert(guest.clone(), connection);
         Some(Input::Guest { guest, request })
     }
 
     fn close(&mut self, connection: u64) {
         let Some(session) = self.sessions.remove(&connection) else { return };
-        let Some(guest) = guest(&session.who, connection) else { return };
+        let Some(guest) = client_session(&session.identity, connection) else { return };
         if self.routes.get(&guest) == Some(&connection) {
             self.routes.remove(&guest);
         }
@@ -229,7 +231,7 @@
     fn reply(&mut self, guest: &Guest, reply: Reply) {
         let Some(connection) = self.routes.get(guest).copied() else { return };
         let Some(session) = self.sessions.get_mut(&connection) else { return };
-        let frame = session.pen.write(Body::Reply(reply));
+        let frame = session.encoder.encode(Body::Reply(reply));
         let is_queued = frame.is_ok_and(|bytes| session.frames.try_send(bytes).is_ok());
         if !is_queued {
             self.sessions.remove(&connection);
--- a/crates/node/src/fleet/coordinate/sessions.rs
+++ b/crates/node/src/fleet/coordinate/sessions.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::fleet::wire::{self, Body, Ear, Own};
+use crate::fleet::wire::{self, Body, FrameReader, SenderInfo};
 
 use super::event::{Event, Session};
 
@@ -26,7 +26,7 @@
 const WRITER_STACK: usize = 128 * 1024;
 
 /// Accepts connections from loopback and from these addresses, and serves each by threads of its own.
-pub(super) fn accept(listener: &TcpListener, own: &Own, allowed: &[IpAddr], events: &Sender<Event>) {
+pub(super) fn accept(listener: &TcpListener, own: &SenderInfo, allowed: &[IpAddr], events: &Sender<Event>) {
     let open = Arc::new(AtomicUsize::new(0));
     let mut connection = 0;
     for socket in listener.incoming() {
@@ -64,9 +64,9 @@
 }
 
 /// Reads a session to its end, and reports what comes.
-fn serve(connection: u64, mut socket: TcpStream, own: &Own, events: &Sender<Event>) {
-    let refuse = |fault: &wire::Fault| drop(events.send(Event::Refused { why: fault.why() }));
-    let (who, life, mut ear, pen) = match wire::welcome(&mut socket, own) {
+fn serve(connection: u64, mut socket: TcpStream, own: &SenderInfo, events: &Sender<Event>) {
+    let refuse = |fault: &wire::WireError| drop(events.send(Event::Refused { why: fault.reason() }));
+    let (identity, incarnation, mut reader, encoder) = match wire::accept_session(&mut socket, own) {
         Ok(greeted) => greeted,
         Err(why) => return refuse(&why),
     };
@@ -74,11 +74,11 @@
     if socket.set_read_timeout(Some(IDLE_TIMEOUT)).is_err() {
         return;
     }
-    let session = Session { who, life, pen, frames };
+    let session = Session { identity, incarnation, encoder, frames };
     let _ = events.send(Event::Opened { connection, session });
     let received = |body| drop(events.send(Event::Received { connection, body }));
-    let why = read_frames(&mut ear, &mut socket, received);
-    if !matches!(why, wire::Fault::Closed | wire::Fault::Io(_)) {
+    let why = read_frames(&mut reader, &mut socket, received);
+    if !matches!(why, wire::WireError::Closed | wire::WireError::Io(_)) {
         refuse(&why);
     }
     let _ = socket.shutdown(Shutdown::Both);
@@ -86,13 +86,13 @@
 }
 
 /// Reads frames until the session ends, and returns why it does.
-fn read_frames(ear: &mut Ear, socket: &mut TcpStream, received: impl Fn(Body)) -> wire::Fault {
+fn read_frames(reader: &mut FrameReader, socket: &mut TcpStream, received: impl Fn(Body)) -> wire::WireError {
     loop {
-        match ear.take() {
+        match reader.next_frame() {
             Ok(Some(frame)) => received(frame.body),
-            Ok(None) => match ear.read(socket) {
+            Ok(None) => match reader.read(socket) {
                 Ok(true) => {}
-                Ok(false) => return wire::Fault::Closed,
+                Ok(false) => return wire::WireError::Closed,
                 Err(why) => return why,
             },
             Err(why) => return why,
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -27,15 +27,15 @@
 }
 
 /// What two readings of clocks may lie apart: far less than the drift that every leave allows for.
-const TOGETHER: u64 = 200_000;
+const MAX_READING_GAP: u64 = 200_000;
 
-/// For how long the machine has slept since it was started, within [`TOGETHER`].
+/// For how long the machine has slept since it was started, within [`MAX_READING_GAP`].
 #[must_use]
-pub fn slept() -> u64 {
+pub fn time_suspended() -> u64 {
     loop {
         let (before, boot, after) = (monotonic(), boottime(), monotonic());
         // A process that was stopped between two readings would take the stop for less sleep, and a leave for longer.
-        if after - before <= TOGETHER {
+        if after - before <= MAX_READING_GAP {
             return boot.saturating_sub(after);
         }
     }
@@ -43,7 +43,7 @@
 
 /// Drawn anew in each process.
 #[must_use]
-pub fn draw() -> u64 {
+pub fn random_u64() -> u64 {
     // Keyed by the system's randomness.
     let seed = RandomState::new().hash_one(monotonic());
     fastrand::Rng::with_seed(seed).u64(1..)
@@ -52,6 +52,6 @@
 /// A fault or a known mistake that this process was started with, for the tests that must notice it. There is none
 /// in a build for service.
 #[must_use]
-pub fn fault() -> Option<String> {
+pub fn injected_fault() -> Option<String> {
     if cfg!(feature = "faults") { std::env::var("LINESTACK_FAULT").ok() } else { None }
 }
--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -11,8 +11,8 @@
 use linestack_accord::{Ask, End, Ended, Incarnation, Reply, Request, Status};
 use serde_json::json;
 
-use super::draw;
-use super::wire::{self, Body, Own, Who};
+use super::random_u64;
+use super::wire::{self, Body, Identity, SenderInfo};
 
 /// How long one coordinator is waited for.
 const PATIENCE: Duration = Duration::from_secs(2);
@@ -89,19 +89,21 @@
 
 impl Arguments {
     fn ask(&self, at: &mut usize, ask: &Ask) -> Heard {
-        let life = Incarnation { home: draw(), life: 1 };
-        let own = Own { fleet: self.fleet.clone(), who: Who::Operator, life };
+        let incarnation = Incarnation { home: random_u64(), life: 1 };
+        let own = SenderInfo { fleet: self.fleet.clone(), identity: Identity::Operator, incarnation };
         let to = self.coordinators[*at % self.coordinators.len()];
-        let Ok((mut socket, mut ear, mut pen)) = wire::greet(to, &own) else {
+        let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(to, &own) else {
             *at += 1;
             return Heard::Nobody;
         };
-        let Ok(bytes) = pen.write(Body::Request(Request::Ask(ask.clone()))) else { return Heard::Nobody };
+        let Ok(bytes) = encoder.encode(Body::Request(Request::Ask(ask.clone()))) else {
+            return Heard::Nobody;
+        };
         let begin = Instant::now();
         let sent = socket.set_read_timeout(Some(PATIENCE)).and_then(|()| socket.write_all(&bytes));
         if sent.is_ok() {
             while begin.elapsed() < PATIENCE {
-                match ear.take() {
+                match reader.next_frame() {
                     Ok(Some(frame)) => match frame.body {
                         Body::Reply(Reply::Nobody) => {
                             *at += 1;
@@ -110,7 +112,7 @@
                         Body::Reply(reply) => return Heard::Reply(reply),
                         _ => break,
                     },
-                    Ok(None) => match ear.read(&mut socket) {
+                    Ok(None) => match reader.read(&mut socket) {
                         Ok(_) => {}
                         Err(_) => break,
                     },
@@ -250,7 +252,7 @@
                 USAGE
             }
             Ok(text) => {
-                let request = request.clone().unwrap_or_else(|| format!("{:x}", draw()));
+                let request = request.clone().unwrap_or_else(|| format!("{:x}", random_u64()));
                 let give_up = give_up_ms.map(|ms| ms.saturating_mul(1_000_000));
                 let ask = Ask::Propose { request: request.clone(), base: *base, text, all: *all, give_up };
                 a.propose(&ask, &request)
--- a/crates/node/src/fleet/policy.rs
+++ b/crates/node/src/fleet/policy.rs
@@ -8,7 +8,7 @@
 /// # Errors
 ///
 /// The first fault, by its key.
-pub fn settings(text: &str, zone: u16, seed: u64) -> Result<Settings, String> {
+pub fn settings_for_zone(text: &str, zone: u16, seed: u64) -> Result<Settings, String> {
     let mut value: Value = serde_json::from_str(text).map_err(|e| format!("policy: {e}"))?;
     let Some(table) = value.as_object_mut() else { return Err("policy: not an object".into()) };
     if table.contains_key("az") {
@@ -29,10 +29,10 @@
 /// # Errors
 ///
 /// One line for each fault.
-pub fn check(present: &str, newer: &str) -> Result<(), Vec<String>> {
-    let newer = settings(newer, 0, 0).map_err(|e| vec![e])?;
+pub fn check_change(present: &str, newer: &str) -> Result<(), Vec<String>> {
+    let newer = settings_for_zone(newer, 0, 0).map_err(|e| vec![e])?;
     // What holds was checked when it came.
-    let Ok(present) = settings(present, 0, 0) else { return Ok(()) };
+    let Ok(present) = settings_for_zone(present, 0, 0) else { return Ok(()) };
     match present.restart_for(&newer) {
         None => Ok(()),
         Some(key) => Err(vec![format!("{key}: wants new processes, and can't change in running ones")]),
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -15,10 +15,10 @@
 use linestack_settings::Settings;
 use serde::{Deserialize, Serialize};
 
-use super::config::{Fleet, Mode};
-use super::policy::settings;
-use super::store::{Fault, Store};
-use super::wire::{self, Body, Ear, Own, Pen, Who};
+use super::config::{FleetConfig, Mode};
+use super::policy::settings_for_zone;
+use super::store::{RecordStore, StoreError};
+use super::wire::{self, Body, FrameEncoder, FrameReader, Identity, SenderInfo};
 use crate::net::Node;
 use crate::tries;
 
@@ -34,29 +34,30 @@
 
 /// What a member must not forget.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Record {
-    pub life: Incarnation,
+pub struct MemberRecord {
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     pub active: Policy,
     pub staged: Option<Policy>,
 }
 
 /// What a node of a fleet begins with.
-pub struct Start {
-    fleet: Fleet,
-    store: Store,
-    pub record: Record,
+pub struct FleetMember {
+    fleet: FleetConfig,
+    store: RecordStore,
+    pub record: MemberRecord,
 }
 
-impl Start {
+impl FleetMember {
     /// Opens the node's store, and counts this run in it.
     ///
     /// # Errors
     ///
     /// It is another's, damaged, or can't be written.
-    pub fn open(fleet: Fleet) -> Result<Self, Fault> {
+    pub fn open(fleet: FleetConfig) -> Result<Self, StoreError> {
         let owner = format!("member {} of {}", fleet.member, fleet.id);
-        let open = |folder: &Path| match Store::open(folder, &owner, false) {
-            Err(Fault::Missing) => Store::open(folder, &owner, true),
+        let open = |folder: &Path| match RecordStore::open(folder, &owner, false) {
+            Err(StoreError::Missing) => RecordStore::open(folder, &owner, true),
             other => other,
         };
         let mut store = open(&fleet.folder)?;
@@ -68,36 +69,37 @@
             store = open(&fleet.folder)?;
         }
         let loaded = store.load();
-        if super::fault().as_deref() == Some("dies-loading") && matches!(loaded, Ok(Some(_))) {
+        if super::injected_fault().as_deref() == Some("dies-loading") && matches!(loaded, Ok(Some(_))) {
             std::process::abort();
         }
-        let mut record: Record = match loaded {
+        let mut record: MemberRecord = match loaded {
             Ok(record) => record.unwrap_or_default(),
             // What it had kept is asked for again; but it may be the second of its kind.
-            Err(Fault::Copied) => Record::default(),
+            Err(StoreError::Copied) => MemberRecord::default(),
             Err(why) => {
                 tries::leave(&fleet.folder);
                 return Err(why);
             }
         };
-        if record.life.home == 0 {
-            record.life = Incarnation { home: super::draw(), life: 0 };
+        if record.incarnation.home == 0 {
+            record.incarnation = Incarnation { home: super::random_u64(), life: 0 };
         }
-        record.life.life += 1;
-        store.keep(&record)?;
+        record.incarnation.life += 1;
+        store.save(&record)?;
         Ok(Self { fleet, store, record })
     }
 
     #[must_use]
-    pub fn fleet(&self) -> &Fleet {
+    pub fn config(&self) -> &FleetConfig {
         &self.fleet
     }
 
     /// The terms that it went by last, if it can still go by them.
     #[must_use]
-    pub fn terms(&self, own: &Settings, seed: u64) -> Option<Settings> {
+    pub fn last_settings(&self, own: &Settings, seed: u64) -> Option<Settings> {
         let known = &self.record.active;
-        let settings = settings(&known.text, own.orders.zone, seed).ok().filter(|_| known.version > 0);
+        let settings =
+            settings_for_zone(&known.text, own.orders.zone, seed).ok().filter(|_| known.version > 0);
         tries::leave(&self.fleet.folder);
         let settings = settings?;
         own.restart_for(&settings).is_none().then_some(settings)
@@ -106,15 +108,19 @@
     /// Runs the session for as long as the program does.
     pub fn run(self, node: Arc<Node>, present: Settings, seed: u64, active: u64, bounds: Option<Terms>) {
         let Self { fleet, store, record } = self;
-        let broken = super::fault().and_then(|f| match f.as_str() {
+        let broken = super::injected_fault().and_then(|f| match f.as_str() {
             "early" => Some(Broken::Early),
             "from-receipt" => Some(Broken::FromReceipt),
             "unfenced" => Some(Broken::Unfenced),
             _ => None,
         });
         let staged = record.staged.clone();
-        let member = Member::new(record.life, DRIFT, SPAN, active, staged).broken(broken);
-        let own = Own { fleet: fleet.id.clone(), who: Who::Member(fleet.member.clone()), life: record.life };
+        let member = Member::new(record.incarnation, DRIFT, SPAN, active, staged).broken(broken);
+        let own = SenderInfo {
+            fleet: fleet.id.clone(),
+            identity: Identity::Member(fleet.member.clone()),
+            incarnation: record.incarnation,
+        };
         let session =
             Session { node, fleet, store, record, member, present, seed, own, told: None, broken, bounds };
         std::thread::spawn(move || session.run());
@@ -123,13 +129,13 @@
 
 struct Session {
     node: Arc<Node>,
-    fleet: Fleet,
-    store: Store,
-    record: Record,
+    fleet: FleetConfig,
+    store: RecordStore,
+    record: MemberRecord,
     member: Member,
     present: Settings,
     seed: u64,
-    own: Own,
+    own: SenderInfo,
     told: Option<(Told, Instant)>,
     broken: Option<Broken>,
     /// What the fleet's coordinators bear, where that is bounded.
@@ -143,14 +149,14 @@
     /// The member's clock: the node's, and it goes on while the machine sleeps. By the node's alone a leave would
     /// outlast a sleep, and coordinators would take the member's clock for a slow one ever after.
     fn now(&self) -> u64 {
-        self.node.clock.now() + super::slept()
+        self.node.clock.now() + super::time_suspended()
     }
 
     fn run(mut self) {
         let mut at = self.seed as usize % self.fleet.coordinators.len();
         let mut quiet = Instant::now() - QUIET;
         // Others may have started in the same instant.
-        let mut chance = fastrand::Rng::with_seed(self.seed ^ super::draw());
+        let mut chance = fastrand::Rng::with_seed(self.seed ^ super::random_u64());
         let mut turn = |terms: &Option<Terms>, again: Duration| {
             let wait = terms.map_or(0, |terms| session_after(&terms, chance.f64()));
             std::thread::sleep(again.max(Duration::from_nanos(wait)));
@@ -158,9 +164,9 @@
         turn(&self.bounds, Duration::ZERO);
         loop {
             let to = self.fleet.coordinators[at];
-            match wire::greet(to, &self.own) {
-                Ok((socket, ear, pen)) => {
-                    let why = self.converse(socket, ear, pen);
+            match wire::connect_session(to, &self.own) {
+                Ok((socket, reader, encoder)) => {
+                    let why = self.converse(socket, reader, encoder);
                     tracing::info!(coordinator = %to, why, "session ended");
                 }
                 Err(why) if quiet.elapsed() >= QUIET => {
@@ -177,13 +183,18 @@
     }
 
     /// Returns why it is over.
-    fn converse(&mut self, mut socket: TcpStream, mut ear: Ear, mut pen: Pen) -> String {
+    fn converse(
+        &mut self,
+        mut socket: TcpStream,
+        mut reader: FrameReader,
+        mut encoder: FrameEncoder,
+    ) -> String {
         let mut outs = Vec::new();
         self.member.take(self.now(), Input::Up, &mut outs);
         loop {
             let mut at = 0;
             while at < outs.len() {
-                match self.carry_out(outs[at].clone(), &mut socket, &mut pen) {
+                match self.carry_out(outs[at].clone(), &mut socket, &mut encoder) {
                     Ok(None) => {}
                     Ok(Some(input)) => self.member.take(self.now(), input, &mut outs),
                     Err(why) => return why,
@@ -191,7 +202,7 @@
                 at += 1;
             }
             outs.clear();
-            match ear.take() {
+            match reader.next_frame() {
                 Ok(Some(frame)) => {
                     if let Body::Reply(reply) = frame.body {
                         self.member.take(self.now(), Input::Reply(reply), &mut outs);
@@ -211,7 +222,7 @@
             if let Err(why) = socket.set_read_timeout(Some(wait)) {
                 return why.to_string();
             }
-            if let Err(why) = ear.read(&mut socket) {
+            if let Err(why) = reader.read(&mut socket) {
                 return why.to_string();
             }
             self.member.take(self.now(), Input::Tick, &mut outs);
@@ -222,12 +233,13 @@
         &mut self,
         out: Out,
         socket: &mut TcpStream,
-        pen: &mut Pen,
+        encoder: &mut FrameEncoder,
     ) -> Result<Option<Input>, String> {
         let now = self.node.clock.now();
         match out {
             Out::Send(renew) => {
-                let bytes = pen.write(Body::Request(Request::Renew(renew))).map_err(|e| e.to_string())?;
+                let bytes =
+                    encoder.encode(Body::Request(Request::Renew(renew))).map_err(|e| e.to_string())?;
                 socket.write_all(&bytes).map_err(|e| e.to_string())?;
             }
             Out::Elsewhere => return Err("no answer in time".into()),
@@ -254,14 +266,14 @@
             Out::Serve { version, until } => {
                 if self.fleet.mode == Mode::Strict {
                     // On the node's clock it lasts for as long as the machine does not sleep again.
-                    let slept = super::slept();
-                    let until = until.saturating_sub(slept);
+                    let suspended = super::time_suspended();
+                    let until = until.saturating_sub(suspended);
                     // Told to the history first: what is taken by this leave must not come before it there.
                     if let Some(trail) = &self.node.trail {
-                        trail.write(now, What::Leased { version, until: trail.machine(until) });
+                        trail.write(now, What::Leased { version, until: trail.machine_time(until) });
                     }
                     let until = if self.broken == Some(Broken::Unfenced) { u64::MAX } else { until };
-                    self.node.count_from(slept + READING);
+                    self.node.count_from(suspended + READING);
                     self.node.feed(CoreInput::Leave { until });
                 }
             }
@@ -301,7 +313,7 @@
     }
 
     fn read(&self, policy: &Policy) -> Result<Settings, String> {
-        let settings = settings(&policy.text, self.present.orders.zone, self.seed)?;
+        let settings = settings_for_zone(&policy.text, self.present.orders.zone, self.seed)?;
         match self.present.restart_for(&settings) {
             None => Ok(settings),
             Some(key) => Err(key.to_owned()),
@@ -311,8 +323,8 @@
     fn stage(&mut self, policy: Policy) -> Result<(), String> {
         self.read(&policy)?;
         let (version, digest) = (policy.version, policy.digest());
-        let record = Record { staged: Some(policy), ..self.record.clone() };
-        self.store.keep(&record).map_err(|e| format!("store: {e}"))?;
+        let record = MemberRecord { staged: Some(policy), ..self.record.clone() };
+        self.store.save(&record).map_err(|e| format!("store: {e}"))?;
         self.record = record;
         self.write(self.node.clock.now(), What::Staged { version, digest });
         Ok(())
@@ -322,8 +334,8 @@
         let settings = self.read(&policy)?;
         let (version, digest) = (policy.version, policy.digest());
         let staged = self.record.staged.clone().filter(|s| s.version > version);
-        let record = Record { active: policy, staged, ..self.record.clone() };
-        self.store.keep(&record).map_err(|e| format!("store: {e}"))?;
+        let record = MemberRecord { active: policy, staged, ..self.record.clone() };
+        self.store.save(&record).map_err(|e| format!("store: {e}"))?;
         self.record = record;
         self.present = settings.clone();
         self.write(self.node.clock.now(), What::Active { version, digest });
@@ -335,10 +347,10 @@
 
 /// Who asks, to the coordinators.
 #[must_use]
-pub fn guest(who: &Who, connection: u64) -> Option<Guest> {
-    match who {
-        Who::Member(name) => Some(Guest::Member(name.clone())),
-        Who::Operator => Some(Guest::Operator(connection)),
-        Who::Coordinator(_) => None,
+pub fn client_session(identity: &Identity, connection: u64) -> Option<Guest> {
+    match identity {
+        Identity::Member(name) => Some(Guest::Member(name.clone())),
+        Identity::Operator => Some(Guest::Operator(connection)),
+        Identity::Coordinator(_) => None,
     }
 }
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -18,28 +18,28 @@
 const FILE: &str = "state.redb";
 
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum StoreError {
     #[error("another process holds this folder")]
-    Held,
+    Locked,
     #[error("there is no store here")]
     Missing,
     #[error("there is a store here already")]
-    There,
+    AlreadyExists,
     #[error(
         "the file is not the one that was written here: it was copied or restored, and may be older than what it promised"
     )]
     Copied,
     #[error("of form {0}, and this reads {VERSION}")]
-    Form(u32),
+    FormatVersion(u32),
     #[error("of {0}, not of this process")]
-    Owner(String),
+    WrongOwner(String),
     #[error("not understood: {0}")]
     Damaged(String),
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-impl From<redb::Error> for Fault {
+impl From<redb::Error> for StoreError {
     fn from(why: redb::Error) -> Self {
         match why {
             redb::Error::Io(why) => Self::Io(why),
@@ -49,16 +49,16 @@
 }
 
 /// Which file it is: its device, its number there, and when it was made. Numbers are given out again.
-pub(crate) type Identity = (u64, u64, u64);
+pub(crate) type FileIdentity = (u64, u64, u64);
 
 /// Whether both are one file. Where it is told when a file was made its number and that say so alone: a machine that was
 /// started again may have given the device another number.
 #[must_use]
-pub fn same(one: &Identity, other: &Identity) -> bool {
+pub fn same_file(one: &FileIdentity, other: &FileIdentity) -> bool {
     (one.1, one.2) == (other.1, other.2) && (one.2 > 0 || one.0 == other.0)
 }
 
-pub(crate) fn identity(path: &Path) -> io::Result<Identity> {
+pub(crate) fn file_identity(path: &Path) -> io::Result<FileIdentity> {
     let meta = fs::metadata(path)?;
     let made = meta.created().ok().and_then(|at| at.duration_since(std::time::UNIX_EPOCH).ok());
     Ok((meta.dev(), meta.ino(), made.map_or(0, |at| at.as_nanos() as u64)))
@@ -70,7 +70,7 @@
     form: u32,
     owner: String,
     /// The file that this was written into. A copy is another.
-    file: Identity,
+    file: FileIdentity,
     record: T,
 }
 
@@ -79,10 +79,10 @@
     form: u32,
 }
 
-pub struct Store {
+pub struct RecordStore {
     database: Database,
     owner: String,
-    file: Identity,
+    file: FileIdentity,
     /// Held for as long as the process runs.
     _lock: File,
     /// Writes until the one that fails, in tests.
@@ -91,27 +91,27 @@
 
 /// Of a test's fault such as `disk-full-after=3`.
 fn fails_after() -> Option<u32> {
-    super::fault()?.strip_prefix("disk-full-after=")?.parse().ok()
+    super::injected_fault()?.strip_prefix("disk-full-after=")?.parse().ok()
 }
 
-impl Store {
+impl RecordStore {
     /// Opens what is there, or makes it where `new`. `owner` tells whose it is.
     ///
     /// # Errors
     ///
     /// It can't be had, or is not what it should be.
-    pub fn open(folder: &Path, owner: &str, new: bool) -> Result<Self, Fault> {
+    pub fn open(folder: &Path, owner: &str, new: bool) -> Result<Self, StoreError> {
         fs::create_dir_all(folder)?;
         let lock = File::create(folder.join("lock"))?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(Fault::Held),
+            Err(TryLockError::WouldBlock) => return Err(StoreError::Locked),
             Err(TryLockError::Error(why)) => return Err(why.into()),
         }
         let path = folder.join(FILE);
         match (path.exists(), new) {
-            (false, false) => return Err(Fault::Missing),
-            (true, true) => return Err(Fault::There),
+            (false, false) => return Err(StoreError::Missing),
+            (true, true) => return Err(StoreError::AlreadyExists),
             _ => {}
         }
         let database = Database::create(&path).map_err(redb::Error::from)?;
@@ -119,7 +119,7 @@
             // The folder's entry must last as long as the file.
             File::open(folder)?.sync_all()?;
         }
-        let file = identity(&path)?;
+        let file = file_identity(&path)?;
         let owner = owner.to_owned();
         Ok(Self { database, owner, file, _lock: lock, left: fails_after() })
     }
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// It is another's, a copy, of another form, or damaged.
-    pub fn load<T: DeserializeOwned>(&self) -> Result<Option<T>, Fault> {
+    pub fn load<T: DeserializeOwned>(&self) -> Result<Option<T>, StoreError> {
         let read = self.database.begin_read().map_err(redb::Error::from)?;
         let table = match read.open_table(TABLE) {
             Ok(table) => table,
@@ -137,17 +137,17 @@
             Err(why) => return Err(redb::Error::from(why).into()),
         };
         let Some(bytes) = table.get(RECORD).map_err(redb::Error::from)? else { return Ok(None) };
-        let damaged = |e: serde_json::Error| Fault::Damaged(e.to_string());
+        let damaged = |e: serde_json::Error| StoreError::Damaged(e.to_string());
         let Form { form } = serde_json::from_slice(bytes.value()).map_err(damaged)?;
         if form != VERSION {
-            return Err(Fault::Form(form));
+            return Err(StoreError::FormatVersion(form));
         }
         let kept: Kept<T> = serde_json::from_slice(bytes.value()).map_err(damaged)?;
         if kept.owner != self.owner {
-            return Err(Fault::Owner(kept.owner));
+            return Err(StoreError::WrongOwner(kept.owner));
         }
-        if !same(&kept.file, &self.file) {
-            return Err(Fault::Copied);
+        if !same_file(&kept.file, &self.file) {
+            return Err(StoreError::Copied);
         }
         Ok(Some(kept.record))
     }
@@ -157,7 +157,7 @@
     /// # Errors
     ///
     /// Whether it is kept is not known; nothing may be built on either.
-    pub fn keep<T: Serialize>(&mut self, record: &T) -> Result<(), Fault> {
+    pub fn save<T: Serialize>(&mut self, record: &T) -> Result<(), StoreError> {
         if let Some(left) = &mut self.left {
             if *left == 0 {
                 return Err(io::Error::from(io::ErrorKind::StorageFull).into());
@@ -165,7 +165,7 @@
             *left -= 1;
         }
         let kept = Kept { form: VERSION, owner: self.owner.clone(), file: self.file, record };
-        let bytes = serde_json::to_vec(&kept).map_err(|e| Fault::Damaged(e.to_string()))?;
+        let bytes = serde_json::to_vec(&kept).map_err(|e| StoreError::Damaged(e.to_string()))?;
         let write = self.database.begin_write().map_err(redb::Error::from)?;
         write
             .open_table(TABLE)
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -12,15 +12,15 @@
 use thiserror::Error;
 
 /// Connecting, and writing a frame, take no longer.
-pub const CONNECT: Duration = Duration::from_millis(500);
-pub const WRITE: Duration = Duration::from_millis(1000);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+pub const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// From connecting to having said who it is.
-pub const GREETING: Duration = Duration::from_millis(1500);
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Who a process says that it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Who {
+pub enum Identity {
     Member(String),
     Coordinator(u8),
     Operator,
@@ -29,8 +29,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Frame {
     pub fleet: String,
-    pub from: Who,
-    pub life: Incarnation,
+    pub from: Identity,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Given by the one that was connected to; 0 before that.
     pub session: u64,
     /// Counts the frames of the sender in this session, from 1.
@@ -44,7 +45,8 @@
     /// Brings a number of the sender's choice, which the welcome brings back.
     Hello(u64),
     Welcome(u64),
-    Letter(Letter),
+    #[serde(rename = "letter")]
+    Envelope(Letter),
     Request(Request),
     Reply(Reply),
 }
@@ -56,7 +58,7 @@
             Self::Welcome(_) => "welcome",
             Self::Request(_) => "request",
             Self::Reply(_) => "reply",
-            Self::Letter(letter) => match letter.peer {
+            Self::Envelope(letter) => match letter.peer {
                 Peer::Prepare { .. } => "prepare",
                 Peer::Promise { .. } => "promise",
                 Peer::Accept { .. } => "accept",
@@ -72,7 +74,7 @@
 }
 
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum WireError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
@@ -80,23 +82,23 @@
     #[error("a body that is not understood: {0}")]
     Body(#[from] serde_json::Error),
     #[error("of fleet {0:?}")]
-    Fleet(String),
+    WrongFleet(String),
     #[error("of another session")]
-    Session,
+    WrongSession,
     #[error("a frame that came before")]
-    Repeated,
+    Replayed,
     #[error("from somebody else than who began the session")]
-    Name,
+    WrongSender,
     #[error("not what was due")]
-    Order,
+    Unexpected,
     #[error("closed")]
     Closed,
 }
 
-impl Fault {
+impl WireError {
     /// For counting.
     #[must_use]
-    pub fn why(&self) -> &'static str {
+    pub fn reason(&self) -> &'static str {
         match self {
             Self::Io(_) => "io",
             Self::Frame(linestack_frames::Fault::Magic) => "no frame",
@@ -104,11 +106,11 @@
             Self::Frame(linestack_frames::Fault::Oversized(_)) => "oversized",
             Self::Frame(linestack_frames::Fault::Checksum) => "checksum",
             Self::Body(_) => "body",
-            Self::Fleet(_) => "fleet",
-            Self::Session => "session",
-            Self::Repeated => "repeated",
-            Self::Name => "name",
-            Self::Order => "order",
+            Self::WrongFleet(_) => "fleet",
+            Self::WrongSession => "session",
+            Self::Replayed => "repeated",
+            Self::WrongSender => "name",
+            Self::Unexpected => "order",
             Self::Closed => "closed",
         }
     }
@@ -116,50 +118,51 @@
 
 /// What a process says of itself in all that it sends.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct SenderInfo {
     pub fleet: String,
-    pub who: Who,
-    pub life: Incarnation,
+    pub identity: Identity,
+    pub incarnation: Incarnation,
 }
 
 /// What one end sends in a session.
 #[derive(Clone, Debug)]
-pub struct Pen {
-    own: Own,
+pub struct FrameEncoder {
+    own: SenderInfo,
     session: u64,
     number: u64,
 }
 
-impl Pen {
+impl FrameEncoder {
     #[must_use]
-    pub fn new(own: Own, session: u64) -> Self {
+    pub fn new(own: SenderInfo, session: u64) -> Self {
         Self { own, session, number: 0 }
     }
 
     /// # Errors
     ///
     /// It is too large for a frame.
-    pub fn write(&mut self, body: Body) -> Result<Vec<u8>, Fault> {
+    pub fn encode(&mut self, body: Body) -> Result<Vec<u8>, WireError> {
         self.number += 1;
         let kind = kind(body.kind()).unwrap_or_default();
-        let Own { fleet, who, life } = self.own.clone();
-        let frame = Frame { fleet, from: who, life, session: self.session, number: self.number, body };
+        let SenderInfo { fleet, identity, incarnation } = self.own.clone();
+        let frame =
+            Frame { fleet, from: identity, incarnation, session: self.session, number: self.number, body };
         Ok(encode(kind, &serde_json::to_vec(&frame)?)?)
     }
 }
 
 /// What one end takes in a session.
 #[derive(Debug)]
-pub struct Ear {
+pub struct FrameReader {
     fleet: String,
     /// From the first frame on nobody else speaks in it.
-    from: Option<Who>,
+    from: Option<Identity>,
     session: Option<u64>,
     number: u64,
     reader: Reader,
 }
 
-impl Ear {
+impl FrameReader {
     /// `session` is known to whoever was connected to, and is learned by the other.
     #[must_use]
     pub fn new(fleet: &str, session: Option<u64>) -> Self {
@@ -171,10 +174,10 @@
     /// # Errors
     ///
     /// The connection is to be closed.
-    pub fn read(&mut self, socket: &mut TcpStream) -> Result<bool, Fault> {
+    pub fn read(&mut self, socket: &mut TcpStream) -> Result<bool, WireError> {
         let mut piece = [0; 16 * 1024];
         match socket.read(&mut piece) {
-            Ok(0) => Err(Fault::Closed),
+            Ok(0) => Err(WireError::Closed),
             Ok(length) => {
                 self.reader.push(&piece[..length]);
                 Ok(true)
@@ -190,29 +193,29 @@
     /// # Errors
     ///
     /// The connection is to be closed.
-    pub fn take(&mut self) -> Result<Option<Frame>, Fault> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, WireError> {
         let Some(raw) = self.reader.take()? else { return Ok(None) };
         let frame: Frame = serde_json::from_slice(&raw.body)?;
         if frame.fleet != self.fleet {
-            return Err(Fault::Fleet(frame.fleet));
+            return Err(WireError::WrongFleet(frame.fleet));
         }
         if kind(frame.body.kind()) != Some(raw.kind) {
-            return Err(Fault::Order);
+            return Err(WireError::Unexpected);
         }
         // A greeting has no session yet.
         let greets = matches!(frame.body, Body::Hello(_));
         match self.session {
-            Some(session) if !greets && frame.session != session => return Err(Fault::Session),
+            Some(session) if !greets && frame.session != session => return Err(WireError::WrongSession),
             None if matches!(frame.body, Body::Welcome(_)) => self.session = Some(frame.session),
-            None if !greets => return Err(Fault::Session),
+            None if !greets => return Err(WireError::WrongSession),
             _ => {}
         }
         if frame.number <= self.number || (greets && frame.number != 1) {
-            return Err(Fault::Repeated);
+            return Err(WireError::Replayed);
         }
         self.number = frame.number;
         if *self.from.get_or_insert(frame.from.clone()) != frame.from {
-            return Err(Fault::Name);
+            return Err(WireError::WrongSender);
         }
         Ok(Some(frame))
     }
@@ -223,34 +226,37 @@
     }
 }
 
-/// Connects, says who it is, and waits to be welcome. What is to be sent later goes by the pen.
+/// Connects, says who it is, and waits to be welcome. What is to be sent later goes by the encoder.
 ///
 /// # Errors
 ///
 /// Nobody is there, or it is not a process of this fleet.
-pub fn greet(to: SocketAddr, own: &Own) -> Result<(TcpStream, Ear, Pen), Fault> {
-    let mut socket = TcpStream::connect_timeout(&to, CONNECT)?;
+pub fn connect_session(
+    to: SocketAddr,
+    own: &SenderInfo,
+) -> Result<(TcpStream, FrameReader, FrameEncoder), WireError> {
+    let mut socket = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT)?;
     socket.set_nodelay(true)?;
-    socket.set_write_timeout(Some(WRITE))?;
-    socket.set_read_timeout(Some(GREETING))?;
-    let number = super::draw();
-    let mut pen = Pen::new(own.clone(), 0);
-    socket.write_all(&pen.write(Body::Hello(number))?)?;
-    let mut ear = Ear::new(&own.fleet, None);
-    let welcome = loop {
-        if let Some(frame) = ear.take()? {
+    socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
+    socket.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
+    let number = super::random_u64();
+    let mut encoder = FrameEncoder::new(own.clone(), 0);
+    socket.write_all(&encoder.encode(Body::Hello(number))?)?;
+    let mut reader = FrameReader::new(&own.fleet, None);
+    let accept_session = loop {
+        if let Some(frame) = reader.next_frame()? {
             break frame;
         }
-        if !ear.read(&mut socket)? {
+        if !reader.read(&mut socket)? {
             return Err(io::Error::from(io::ErrorKind::TimedOut).into());
         }
     };
-    match welcome.body {
+    match accept_session.body {
         Body::Welcome(back) if back == number => {
-            pen.session = ear.session();
-            Ok((socket, ear, pen))
+            encoder.session = reader.session();
+            Ok((socket, reader, encoder))
         }
-        _ => Err(Fault::Order),
+        _ => Err(WireError::Unexpected),
     }
 }
 
@@ -259,24 +265,27 @@
 /// # Errors
 ///
 /// It is not a process of this fleet, or takes too long.
-pub fn welcome(socket: &mut TcpStream, own: &Own) -> Result<(Who, Incarnation, Ear, Pen), Fault> {
+pub fn accept_session(
+    socket: &mut TcpStream,
+    own: &SenderInfo,
+) -> Result<(Identity, Incarnation, FrameReader, FrameEncoder), WireError> {
     socket.set_nodelay(true)?;
-    socket.set_write_timeout(Some(WRITE))?;
-    socket.set_read_timeout(Some(GREETING))?;
-    let session = super::draw();
-    let mut ear = Ear::new(&own.fleet, Some(session));
+    socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
+    socket.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
+    let session = super::random_u64();
+    let mut reader = FrameReader::new(&own.fleet, Some(session));
     let begin = std::time::Instant::now();
     let hello = loop {
-        if let Some(frame) = ear.take()? {
+        if let Some(frame) = reader.next_frame()? {
             break frame;
         }
         // A byte now and then buys no time.
-        if !ear.read(socket)? || begin.elapsed() > GREETING {
+        if !reader.read(socket)? || begin.elapsed() > HANDSHAKE_TIMEOUT {
             return Err(io::Error::from(io::ErrorKind::TimedOut).into());
         }
     };
-    let Body::Hello(number) = hello.body else { return Err(Fault::Order) };
-    let mut pen = Pen::new(own.clone(), session);
-    socket.write_all(&pen.write(Body::Welcome(number))?)?;
-    Ok((hello.from, hello.life, ear, pen))
+    let Body::Hello(number) = hello.body else { return Err(WireError::Unexpected) };
+    let mut encoder = FrameEncoder::new(own.clone(), session);
+    socket.write_all(&encoder.encode(Body::Welcome(number))?)?;
+    Ok((hello.from, hello.incarnation, reader, encoder))
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -11,13 +11,13 @@
 use linestack::cause::{START_PATIENCE, may_pass, persist};
 use linestack::config::{self, Config, FaultKind};
 use linestack::fleet;
-use linestack::fleet::audit_log::Trail;
+use linestack::fleet::audit_log::AuditLog;
 use linestack::fleet::config::Mode;
-use linestack::fleet::coordinate::Start as Begin;
-use linestack::fleet::session::Start;
+use linestack::fleet::coordinate::StartMode;
+use linestack::fleet::session::FleetMember;
 use linestack::net::{Node, Parts, clients, clock::Clock, spawn};
 use linestack::peers;
-use linestack::persistence::{self, Keeper};
+use linestack::persistence::{self, NodeStore};
 use linestack_core::{Core, Input};
 use linestack_dispatch::types::{ListKind, Repeats};
 use linestack_history::What;
@@ -95,11 +95,11 @@
     std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panicked")));
     if let Some(Command::Coordinate { file, first, replacement, refound, lost, refounded }) = &command {
         let how = match (replacement, refound, refounded) {
-            (Some(seat), ..) => Begin::Replacement(*seat),
-            (_, Some(out), _) => Begin::Refound(out.clone(), lost.clone()),
-            (.., Some(from)) => Begin::Refounded(from.clone()),
-            _ if *first => Begin::First,
-            _ => Begin::Again,
+            (Some(seat), ..) => StartMode::Replacement(*seat),
+            (_, Some(out), _) => StartMode::Refound(out.clone(), lost.clone()),
+            (.., Some(from)) => StartMode::Refounded(from.clone()),
+            _ if *first => StartMode::NewFleet,
+            _ => StartMode::FromStore,
         };
         let code = fleet::coordinate::run(file, how);
         drop(guard);
@@ -139,8 +139,9 @@
     let (done, finished) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
     let memory = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX);
-    let opened =
-        |path: String| persistence::config(Path::new(&path)).and_then(|config| Keeper::open(config, &name));
+    let opened = |path: String| {
+        persistence::read_config(Path::new(&path)).and_then(|config| NodeStore::open(config, &name))
+    };
     let keeper = variable("PROXY_STORE").map(opened);
     let mut keeper = match keeper.transpose() {
         Ok(keeper) => keeper,
@@ -158,7 +159,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let peers = match variable("PROXY_PEERS").map(|path| peers::config(Path::new(&path))).transpose() {
+    let peers = match variable("PROXY_PEERS").map(|path| peers::read_config(Path::new(&path))).transpose() {
         Ok(peers) => peers,
         Err(why) => {
             why.lines().for_each(|fault| tracing::error!(fault, "peers"));
@@ -167,9 +168,10 @@
     };
     let clock = Clock::start();
     let trail =
-        fleet.as_ref().and_then(|(start, _)| start.fleet().history.as_ref().map(|path| (start, path)));
-    let trail = trail
-        .map(|(start, path)| Trail::open(path, &start.fleet().member, start.record.life.life, clock.now()));
+        fleet.as_ref().and_then(|(start, _)| start.config().history.as_ref().map(|path| (start, path)));
+    let trail = trail.map(|(start, path)| {
+        AuditLog::open(path, &start.config().member, start.record.incarnation.life, clock.now())
+    });
     let trail = match trail.transpose() {
         Ok(trail) => trail,
         Err(why) => {
@@ -188,8 +190,8 @@
         }
         // Of no age that is known: it waits for discovery's word, or for discovery's silence.
         let old = known.take_if(|_| !fresh).map_or_else(Vec::new, |list| list.endpoints);
-        let proved = !fleet.as_ref().is_some_and(|(start, _)| start.fleet().mode == Mode::Strict);
-        let mut chance = fastrand::Rng::with_seed(config.seed ^ fleet::draw());
+        let proved = !fleet.as_ref().is_some_and(|(start, _)| start.config().mode == Mode::Strict);
+        let mut chance = fastrand::Rng::with_seed(config.seed ^ fleet::random_u64());
         let found = Found { proved, fresh, old: !old.is_empty() };
         let start = Starting::new(stages.terms, found, [chance.f64(), chance.f64()], clock.now());
         core.start_by(clock.now(), start, old);
@@ -197,9 +199,9 @@
     let index = known.as_ref().map(|known| known.index).filter(|_| !whole);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
     if let Some(keeper) = &mut keeper {
-        keeper.tell(&mut core, memory, clock.now(), settings.longest_cut_off);
+        keeper.restore_into(&mut core, memory, clock.now(), settings.longest_cut_off);
     }
-    let (keeper, writer) = keeper.map(Keeper::run).unzip();
+    let (keeper, writer) = keeper.map(NodeStore::into_writer).unzip();
     let parts = Parts {
         clock,
         names: settings.names.clone(),
@@ -231,7 +233,7 @@
             tracing::error!(fault = %format!("peers.listen: {why}"), "peers");
             return ExitCode::FAILURE;
         }
-        peers::ask(peers, name.clone(), Arc::clone(&node));
+        peers::query(peers, name.clone(), Arc::clone(&node));
     }
     // Told even if there is none: it is what makes the node ask for the list.
     node.feed(Input::Listed { kind: ListKind::Cached, endpoints });
@@ -279,10 +281,10 @@
 }
 
 /// Reads the fleet's file, and goes on by the terms that this node went by last. Returns their version.
-fn join(path: &str, config: &mut Config) -> Result<(Start, u64), String> {
-    let fleet = fleet::config::fleet(Path::new(path))?;
-    let start = Start::open(fleet).map_err(|why| format!("{path}: fleet.folder: {why}"))?;
-    let kept = start.terms(&config.settings, config.seed);
+fn join(path: &str, config: &mut Config) -> Result<(FleetMember, u64), String> {
+    let fleet = fleet::config::read_fleet(Path::new(path))?;
+    let start = FleetMember::open(fleet).map_err(|why| format!("{path}: fleet.folder: {why}"))?;
+    let kept = start.last_settings(&config.settings, config.seed);
     let active = if kept.is_some() { start.record.active.version } else { 0 };
     if let Some(settings) = kept {
         config.settings = settings;
@@ -291,7 +293,7 @@
 }
 
 /// What a node of a fleet is told before it serves.
-fn begin(node: &Arc<Node>, start: &Start, active: u64, settings: &linestack_settings::Settings) {
+fn begin(node: &Arc<Node>, start: &FleetMember, active: u64, settings: &linestack_settings::Settings) {
     if active > 0 {
         let what = What::Active { version: active, digest: start.record.active.digest() };
         if let Some(trail) = node.trail() {
@@ -299,7 +301,7 @@
         }
         node.feed(Input::Terms { settings: Box::new(settings.clone()), version: active });
     }
-    if start.fleet().mode == Mode::Strict {
+    if start.config().mode == Mode::Strict {
         node.feed(Input::Leave { until: 0 });
     }
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -23,9 +23,9 @@
 use may::net::TcpStream;
 use serde::Deserialize;
 
-use crate::fleet::audit_log::Trail;
-use crate::fleet::slept;
-use crate::persistence::Note;
+use crate::fleet::audit_log::AuditLog;
+use crate::fleet::time_suspended;
+use crate::persistence::StoreRecord;
 use clock::{Alarm, Clock};
 use linestack_core::{Client, Core, Effect, Input, Link, Refusal};
 use linestack_peers::{Fault as Unheard, Heard, Item, Tale, learn};
@@ -149,8 +149,8 @@
     /// Whether stamped products' marks are asked for, by product.
     pub stamped: Vec<bool>,
     pub(crate) watch: Mutex<Watch>,
-    pub(crate) trail: Option<Trail>,
-    keeper: Option<Sender<Note>>,
+    pub(crate) trail: Option<AuditLog>,
+    keeper: Option<Sender<StoreRecord>>,
     /// A leave to take submissions is over once the machine has slept for longer than this in all; 0: there is no
     /// leave to end.
     awake: AtomicU64,
@@ -191,9 +191,9 @@
     /// Bytes that the program may have.
     pub memory: usize,
     /// Where a history of this node goes, if one is kept.
-    pub trail: Option<Trail>,
+    pub trail: Option<AuditLog>,
     /// Where what must last goes, if anything does.
-    pub keeper: Option<Sender<Note>>,
+    pub keeper: Option<Sender<StoreRecord>>,
     /// Called when the node has stopped and answered what it had taken.
     pub exit: Box<dyn FnOnce() + Send>,
 }
@@ -234,7 +234,7 @@
     /// never held while a coroutine gives way.
     pub fn feed(self: &Arc<Self>, input: Input) {
         let awake = self.awake.load(Ordering::Relaxed);
-        if awake > 0 && matches!(input, Input::Submitted { .. }) && slept() > awake {
+        if awake > 0 && matches!(input, Input::Submitted { .. }) && time_suspended() > awake {
             self.awake.store(0, Ordering::Relaxed);
             self.feed(Input::Leave { until: 0 });
         }
@@ -244,10 +244,10 @@
         match &self.trail {
             None => inner.core.take(self.clock.now(), input, &mut effects),
             Some(trail) => {
-                let (now, asked) = (self.clock.now(), trail.before(&input));
+                let (now, asked) = (self.clock.now(), trail.pending_submission(&input));
                 let (version, taken) = (inner.core.version(), inner.core.taken());
                 inner.core.take(now, input, &mut effects);
-                trail.after(now, asked, (inner.core.taken() > taken).then_some(version), &effects);
+                trail.record_effects(now, asked, (inner.core.taken() > taken).then_some(version), &effects);
             }
         }
         for effect in effects.drain(..) {
@@ -311,13 +311,13 @@
         let Some(keeper) = &self.keeper else { return };
         if let Some(index) = index {
             let endpoints = lock(&self.inner).core.endpoints();
-            let _ = keeper.send(Note::List(discovery::List { index, whole: true, endpoints }));
+            let _ = keeper.send(StoreRecord::List(discovery::List { index, whole: true, endpoints }));
         }
-        let _ = keeper.send(Note::Heard);
+        let _ = keeper.send(StoreRecord::ListConfirmed);
     }
 
     /// Where its history goes, if one is kept.
-    pub fn trail(&self) -> Option<&Trail> {
+    pub fn trail(&self) -> Option<&AuditLog> {
         self.trail.as_ref()
     }
 
@@ -440,7 +440,7 @@
             }
             Effect::Keep { keep, ticket } => {
                 if let Some(keeper) = &self.keeper {
-                    let _ = keeper.send(Note::Fate(keep, ticket));
+                    let _ = keeper.send(StoreRecord::Outcome(keep, ticket));
                 }
             }
             Effect::Stage(stage) => {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -32,8 +32,8 @@
 pub struct Config {
     pub fleet: String,
     pub listen: Option<SocketAddr>,
-    pub ask: Vec<SocketAddr>,
-    pub young: u64,
+    pub addresses: Vec<SocketAddr>,
+    pub max_age: u64,
 }
 
 #[derive(Deserialize)]
@@ -62,9 +62,9 @@
 /// # Errors
 ///
 /// What is wrong with it, by its key.
-pub fn config(path: &Path) -> Result<Config, String> {
+pub fn read_config(path: &Path) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let File { peers: t } = crate::fleet::config::table(path, &text)?;
+    let File { peers: t } = crate::fleet::config::parse_table(path, &text)?;
     let mut faults = Vec::new();
     let mut must = |fine: bool, key: &str, why: &str| {
         if !fine {
@@ -75,7 +75,7 @@
     must(t.ask.len() <= MOST_PEERS, "ask", "1,024 at most");
     must((10..=10_000).contains(&t.young_ms), "young-ms", "from 10 to 10,000");
     if faults.is_empty() {
-        Ok(Config { fleet: t.fleet, listen: t.listen, ask: t.ask, young: t.young_ms * 1_000_000 })
+        Ok(Config { fleet: t.fleet, listen: t.listen, addresses: t.ask, max_age: t.young_ms * 1_000_000 })
     } else {
         Err(faults.join("\n"))
     }
@@ -126,7 +126,7 @@
     let listener = TcpListener::bind(listen)?;
     SockRef::from(&listener).listen(BACKLOG)?;
     tracing::info!(peers_at = %listener.local_addr()?, "peers");
-    let known: Vec<_> = config.ask.iter().map(SocketAddr::ip).collect();
+    let known: Vec<_> = config.addresses.iter().map(SocketAddr::ip).collect();
     let (fleet, name, node) = (config.fleet.clone(), name.to_owned(), Arc::clone(node));
     let open = Arc::new(AtomicUsize::new(0));
     std::thread::spawn(move || {
@@ -162,10 +162,10 @@
 }
 
 /// Asks peers, one after the other in an order by chance, until one has told.
-pub fn ask(config: Config, name: String, node: Arc<Node>) {
+pub fn query(config: Config, name: String, node: Arc<Node>) {
     std::thread::spawn(move || {
-        let mut order = config.ask.clone();
-        fastrand::Rng::with_seed(crate::fleet::draw()).shuffle(&mut order);
+        let mut order = config.addresses.clone();
+        fastrand::Rng::with_seed(crate::fleet::random_u64()).shuffle(&mut order);
         for peer in order.into_iter().take(TRIES) {
             let asked = node.clock.now();
             let told = TcpStream::connect_timeout(&peer, PATIENCE).and_then(|mut socket| {
@@ -184,9 +184,9 @@
 
 /// Takes what may be taken, as soon as there is a list to hold it against.
 fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &Tale, asked: u64) {
-    while node.clock.now() < asked + config.young {
+    while node.clock.now() < asked + config.max_age {
         if node.ready() {
-            match node.learn(tale, name, asked, config.young) {
+            match node.learn(tale, name, asked, config.max_age) {
                 Ok(heard) => {
                     tracing::info!(
                         teller = tale.teller,
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -12,7 +12,7 @@
 use linestack_store::{Damage, Fault, Folder, LARGEST, Limits, Op, Store, repair};
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::store::{Identity, identity, same};
+use crate::fleet::store::{FileIdentity, file_identity, same_file};
 use crate::net::Node;
 use crate::net::discovery::List;
 use crate::{begin, http, tries};
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SameBy {
+pub enum DedupKey {
     ReqId,
     IdempotencyKey,
 }
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     pub folder: PathBuf,
-    pub same_by: SameBy,
+    pub dedup_key: DedupKey,
     pub remember_s: u64,
     pub budget_mb: u64,
     pub sync: Sync,
@@ -78,7 +78,8 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Table {
     folder: PathBuf,
-    same_by: SameBy,
+    #[serde(rename = "same-by")]
+    dedup_key: DedupKey,
     #[serde(default = "remember_s")]
     remember_s: u64,
     #[serde(default = "budget_mb")]
@@ -110,18 +111,18 @@
 /// # Errors
 ///
 /// What is wrong with it, by its key.
-pub fn config(path: &Path) -> Result<Config, String> {
+pub fn read_config(path: &Path) -> Result<Config, String> {
     let fault = |why: String| format!("{}: {why}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
-    let File { store: t } = crate::fleet::config::table(path, &text)?;
+    let File { store: t } = crate::fleet::config::parse_table(path, &text)?;
     if !(10..=1_000_000).contains(&t.remember_s) {
         return Err(fault("store.remember-s: from 10 to 1,000,000".into()));
     }
     if !(16..=1_000_000).contains(&t.budget_mb) {
         return Err(fault("store.budget-mb: from 16 to 1,000,000".into()));
     }
-    let Table { folder, same_by, remember_s, budget_mb, sync, when_failed } = t;
-    Ok(Config { folder, same_by, remember_s, budget_mb, sync, when_failed })
+    let Table { folder, dedup_key, remember_s, budget_mb, sync, when_failed } = t;
+    Ok(Config { folder, dedup_key, remember_s, budget_mb, sync, when_failed })
 }
 
 fn limits(span: Age, budget_mb: u64, sync: Sync) -> Limits {
@@ -130,19 +131,19 @@
 }
 
 /// What is to be kept.
-pub enum Note {
-    Fate(Keep, Option<Ticket>),
+pub enum StoreRecord {
+    Outcome(Keep, Option<Ticket>),
     /// The list as it stands now.
     List(List),
     /// Discovery was heard, and the list stands.
-    Heard,
+    ListConfirmed,
 }
 
 /// Whose store it is, and which folder it was made in: a copy is another.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
     node: String,
-    place: Identity,
+    place: FileIdentity,
 }
 
 /// When something was kept.
@@ -159,7 +160,7 @@
     }
 }
 
-pub struct Keeper {
+pub struct NodeStore {
     store: Store<Folder>,
     config: Config,
     age: Age,
@@ -175,7 +176,7 @@
     Op::Put { kind: LOST, key: b"lost".to_vec(), value: Vec::new(), at: 0 }
 }
 
-fn owner_mark(node: &str, place: Identity) -> Op {
+fn owner_mark(node: &str, place: FileIdentity) -> Op {
     let value = serde_json::to_vec(&Owner { node: node.to_owned(), place }).unwrap_or_default();
     Op::Put { kind: OWNER, key: b"owner".to_vec(), value, at: 0 }
 }
@@ -186,7 +187,7 @@
     store.get(kind, &entry.key).ok().flatten()
 }
 
-impl Keeper {
+impl NodeStore {
     /// Opens the store, and reads what it holds.
     ///
     /// # Errors
@@ -211,7 +212,7 @@
             let aside = tries::set_aside(&path, whole).map_err(|e| fault(&e.into()))?;
             tracing::error!(aside = %aside.display(), "starts died reading the store: set aside, a new one is begun");
             let mut store =
-                Store::open(folder, limits(), true, crate::fleet::draw()).map_err(|e| fault(&e))?;
+                Store::open(folder, limits(), true, crate::fleet::random_u64()).map_err(|e| fault(&e))?;
             store.commit(&[lost_mark()], 0).map_err(|e| fault(&e))?;
             (store, Vec::new())
         } else {
@@ -221,10 +222,10 @@
             (store, fates)
         };
         tries::leave(&path);
-        let place_now = identity(&path.join("lock")).map_err(|e| fault(&e.into()))?;
+        let place_now = file_identity(&path.join("lock")).map_err(|e| fault(&e.into()))?;
         match only(&store, OWNER).map(|known| serde_json::from_slice::<Owner>(&known).ok()) {
             None => store.commit(&[owner_mark(node, place_now)], 0).map_err(|e| fault(&e))?,
-            Some(Some(o)) if o.node == node && same(&o.place, &place_now) => {}
+            Some(Some(o)) if o.node == node && same_file(&o.place, &place_now) => {}
             Some(known) => {
                 let whose = match known {
                     Some(o) if o.node == node => {
@@ -258,13 +259,13 @@
     }
 
     /// What the reducer is to know of it. `memory` is what the program may have, in bytes.
-    pub fn tell(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
+    pub fn restore_into(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
         let span = self.config.remember_s * 1_000_000_000;
         let mut fates = Fates::new(span, usize::MAX, memory / MEMORY_PART);
         fates.restore(std::mem::take(&mut self.fates));
         fates.forget(self.age);
         tracing::info!(known = fates.len(), folder = %self.config.folder.display(), "store read");
-        let by_stamp = self.config.same_by == SameBy::IdempotencyKey;
+        let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
         // Whoever waits for what the one before had taken notices at once, and asks again within its own cut-off.
         let doubtful = if self.lost { now + longest_cut_off + LOST_SLACK } else { 0 };
         if self.lost {
@@ -274,15 +275,15 @@
     }
 
     /// Runs the thread that writes, and returns where to send what is to be written.
-    pub fn run(self) -> (Sender<Note>, Writer) {
+    pub fn into_writer(self) -> (Sender<StoreRecord>, StoreWriter) {
         let (to, from) = channel();
-        (to, Writer { keeper: self, from })
+        (to, StoreWriter { keeper: self, from })
     }
 }
 
-pub struct Writer {
-    keeper: Keeper,
-    from: Receiver<Note>,
+pub struct StoreWriter {
+    keeper: NodeStore,
+    from: Receiver<StoreRecord>,
 }
 
 /// Beyond the longest cut-off, for clients and networks.
@@ -292,7 +293,8 @@
 
 /// The fates that are kept.
 fn fates_of(store: &Store<Folder>) -> Result<Vec<Keep>, Fault> {
-    let poisoned = crate::fleet::fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
+    let poisoned =
+        crate::fleet::injected_fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
     let mut fates = Vec::new();
     store.each(|entry, value| {
         if poisoned.as_ref().is_some_and(|key| entry.kind == FATE && entry.key.starts_with(key.as_bytes())) {
@@ -307,7 +309,7 @@
     Ok(fates)
 }
 
-impl Writer {
+impl StoreWriter {
     /// Writes for as long as the program runs; nothing in a coroutine waits for it.
     pub fn start(self, node: Arc<Node>) {
         std::thread::spawn(move || self.work(&node));
@@ -341,15 +343,15 @@
             }
             for note in group {
                 match note {
-                    Note::Fate(_, Some(ticket)) => {
+                    StoreRecord::Outcome(_, Some(ticket)) => {
                         node.feed(Input::Kept { ticket, lasts: failure.is_none() });
                     }
-                    Note::Fate(keep, None) => {
+                    StoreRecord::Outcome(keep, None) => {
                         if let Some(failure) = &mut failure {
                             failure.owe(&keep);
                         }
                     }
-                    Note::List(_) | Note::Heard => {}
+                    StoreRecord::List(_) | StoreRecord::ListConfirmed => {}
                 }
             }
         }
@@ -358,7 +360,7 @@
 
 /// All that came while the group before was at the disk goes together. While the store has failed it may be empty: then it
 /// is time to look whether the disk is back. None once nobody is left who writes.
-fn next_group(from: &Receiver<Note>, failure: Option<&Failure>) -> Option<Vec<Note>> {
+fn next_group(from: &Receiver<StoreRecord>, failure: Option<&Failure>) -> Option<Vec<StoreRecord>> {
     let first = match failure {
         None => from.recv().ok()?,
         Some(failure) => match from.recv_timeout(failure.pause) {
@@ -383,13 +385,13 @@
 }
 
 impl Record {
-    fn op(&mut self, note: &Note) -> Option<Op> {
+    fn op(&mut self, note: &StoreRecord) -> Option<Op> {
         match note {
-            Note::Fate(keep, _) => {
+            StoreRecord::Outcome(keep, _) => {
                 self.last = self.last.max(keep.at);
                 Some(put(FATE, &keep.key, keep.fate.to_bytes(), keep.at))
             }
-            Note::List(list) => {
+            StoreRecord::List(list) => {
                 let text = list.write();
                 if text.len() + 64 < LARGEST {
                     return Some(put(LIST, b"list", text, self.last));
@@ -397,8 +399,8 @@
                 tracing::warn!(bytes = text.len(), "the list is too long to be kept");
                 None
             }
-            Note::Heard if self.stamped.is_some_and(|at| at.elapsed() < STAMPED) => None,
-            Note::Heard => {
+            StoreRecord::ListConfirmed if self.stamped.is_some_and(|at| at.elapsed() < STAMPED) => None,
+            StoreRecord::ListConfirmed => {
                 self.stamped = Some(Instant::now());
                 Some(put(HEARD, b"heard", Stamp::now(), self.last))
             }
@@ -475,7 +477,7 @@
 /// What went wrong, for people.
 pub fn run(command: &Command) -> Result<(), String> {
     let any = || limits(u64::MAX, 1 << 20, Sync::Group);
-    let seed = crate::fleet::draw();
+    let seed = crate::fleet::random_u64();
     let folder = |path: &Path| Folder::open(path).map_err(|e| format!("{}: {e}", path.display()));
     let told = |path: &Path, e: &Fault| format!("{}: {e}", path.display());
     match command {
--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -249,9 +249,9 @@
     let file = folder.path().join("peers.toml");
     let ask = vec!["\"127.0.0.1:1\""; count].join(",");
     std::fs::write(&file, format!("[peers]\nfleet = \"f\"\nask = [{ask}]\n")).unwrap();
-    let read = linestack::peers::config(&file);
+    let read = linestack::peers::read_config(&file);
     assert_eq!(
-        read.as_ref().map(|c| c.ask.len()).map_err(|e| e.contains("peers.ask")),
+        read.as_ref().map(|c| c.addresses.len()).map_err(|e| e.contains("peers.ask")),
         if fine { Ok(count) } else { Err(true) }
     );
 }
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -144,7 +144,7 @@
     let id = if keys.contains(&"fleet.id") { "a b" } else { "f" };
     let folder = if lines.contains("folder") { "" } else { "folder = \"x\"\n" };
     let (_held, path) = written(&format!("[fleet]\nid = \"{id}\"\nmember = \"n0\"\n{folder}{lines}\n"));
-    let why = linestack::fleet::config::fleet(&path).unwrap_err();
+    let why = linestack::fleet::config::read_fleet(&path).unwrap_err();
     assert!(keys.iter().all(|key| why.contains(key)), "{why}");
 }
 
@@ -157,7 +157,7 @@
     let peers = "peers = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]";
     let text = "[coordinator]\nfleet = \"f\"\nlisten = \"127.0.0.1:0\"\nfolder = \"x\"\nfirst-policy = \"y\"";
     let (_held, path) = written(&format!("{text}\n{peers}\n{lines}\n"));
-    let why = linestack::fleet::config::coordinator(&path).unwrap_err();
+    let why = linestack::fleet::config::read_coordinator(&path).unwrap_err();
     assert!(keys.iter().all(|key| why.contains(key)), "{why}");
 }
 
@@ -165,7 +165,7 @@
 #[test]
 fn shipped_files_are_read() {
     let deploy = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    linestack::fleet::config::fleet(&deploy.join("fleet.toml")).unwrap();
-    linestack::fleet::config::coordinator(&deploy.join("coordinator.toml")).unwrap();
-    linestack::persistence::config(&deploy.join("store.toml")).unwrap();
+    linestack::fleet::config::read_fleet(&deploy.join("fleet.toml")).unwrap();
+    linestack::fleet::config::read_coordinator(&deploy.join("coordinator.toml")).unwrap();
+    linestack::persistence::read_config(&deploy.join("store.toml")).unwrap();
 }
--- a/crates/node/tests/coordinator.rs
+++ b/crates/node/tests/coordinator.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use linestack::fleet::wire::{self, Body, Own, Pen, Who};
+use linestack::fleet::wire::{self, Body, FrameEncoder, Identity, SenderInfo};
 use linestack_accord::{Ask, Ballot, Incarnation, Letter, Peer, Renew, Reply, Request};
 use linestack_rig::process::Process;
 use linestack_rig::stand::Fleet;
@@ -41,12 +41,12 @@
     Stand { log: process.log(), _process: process, address, _folder: folder }
 }
 
-fn own(fleet: &str, who: Who) -> Own {
-    Own { fleet: fleet.into(), who, life: Incarnation { home: 7, life: 1 } }
+fn own(fleet: &str, identity: Identity) -> SenderInfo {
+    SenderInfo { fleet: fleet.into(), identity, incarnation: Incarnation { home: 7, life: 1 } }
 }
 
-fn member() -> Own {
-    own("f", Who::Member("n0".into()))
+fn member() -> SenderInfo {
+    own("f", Identity::Member("n0".into()))
 }
 
 fn renew(life: u64) -> Body {
@@ -74,15 +74,17 @@
 
 /// Whether it answers those who mean it well.
 fn serves(address: SocketAddr) -> bool {
-    let Ok((mut socket, mut ear, mut pen)) = wire::greet(address, &own("f", Who::Operator)) else {
+    let Ok((mut socket, mut reader, mut encoder)) =
+        wire::connect_session(address, &own("f", Identity::Operator))
+    else {
         return false;
     };
-    socket.write_all(&pen.write(Body::Request(Request::Ask(Ask::Status))).unwrap()).unwrap();
+    socket.write_all(&encoder.encode(Body::Request(Request::Ask(Ask::Status))).unwrap()).unwrap();
     loop {
-        match ear.take() {
+        match reader.next_frame() {
             Ok(Some(frame)) => return matches!(frame.body, Body::Reply(Reply::Status(_) | Reply::Nobody)),
             Ok(None) => {
-                if ear.read(&mut socket).is_err() {
+                if reader.read(&mut socket).is_err() {
                     return false;
                 }
             }
@@ -91,8 +93,8 @@
     }
 }
 
-fn hello(own: Own) -> Vec<u8> {
-    Pen::new(own, 0).write(Body::Hello(5)).unwrap()
+fn hello(own: SenderInfo) -> Vec<u8> {
+    FrameEncoder::new(own, 0).encode(Body::Hello(5)).unwrap()
 }
 
 fn with(at: usize, byte: u8) -> Vec<u8> {
@@ -107,9 +109,9 @@
 #[case::wire_version(with(3, 9), "wire version")]
 #[case::oversized(with(11, 255), "oversized")]
 #[case::checksum(with(30, 0), "checksum")]
-#[case::another_fleet(hello(own("g", Who::Member("n0".into()))), "fleet")]
+#[case::another_fleet(hello(own("g", Identity::Member("n0".into()))), "fleet")]
 #[case::cut(hello(member())[..20].to_vec(), "io")]
-#[case::not_a_greeting(Pen::new(member(), 0).write(renew(1)).unwrap(), "session")]
+#[case::not_a_greeting(FrameEncoder::new(member(), 0).encode(renew(1)).unwrap(), "session")]
 #[case::nothing(Vec::new(), "io")]
 fn strangers(#[case] bytes: Vec<u8>, #[case] why: &str) {
     let stand = start();
@@ -137,39 +139,39 @@
 type Trick = fn(SocketAddr) -> TcpStream;
 
 fn replayed(address: SocketAddr) -> TcpStream {
-    let (_, _, mut pen) = wire::greet(address, &member()).unwrap();
-    let recorded = pen.write(renew(1)).unwrap();
-    let (mut socket, ..) = wire::greet(address, &member()).unwrap();
+    let (_, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
+    let recorded = encoder.encode(renew(1)).unwrap();
+    let (mut socket, ..) = wire::connect_session(address, &member()).unwrap();
     socket.write_all(&recorded).unwrap();
     socket
 }
 
 fn repeated(address: SocketAddr) -> TcpStream {
-    let (mut socket, _, mut pen) = wire::greet(address, &member()).unwrap();
-    let bytes = pen.write(renew(1)).unwrap();
+    let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
+    let bytes = encoder.encode(renew(1)).unwrap();
     socket.write_all(&[&bytes[..], &bytes].concat()).unwrap();
     socket
 }
 
 fn another_run(address: SocketAddr) -> TcpStream {
-    let (mut socket, _, mut pen) = wire::greet(address, &member()).unwrap();
-    socket.write_all(&pen.write(renew(2)).unwrap()).unwrap();
+    let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
+    socket.write_all(&encoder.encode(renew(2)).unwrap()).unwrap();
     socket
 }
 
 fn another_name(address: SocketAddr) -> TcpStream {
-    let (mut socket, ear, _) = wire::greet(address, &member()).unwrap();
-    let mut pen = Pen::new(own("f", Who::Member("n1".into())), ear.session());
-    pen.write(renew(1)).unwrap();
-    socket.write_all(&pen.write(renew(1)).unwrap()).unwrap();
+    let (mut socket, reader, _) = wire::connect_session(address, &member()).unwrap();
+    let mut encoder = FrameEncoder::new(own("f", Identity::Member("n1".into())), reader.session());
+    encoder.encode(renew(1)).unwrap();
+    socket.write_all(&encoder.encode(renew(1)).unwrap()).unwrap();
     socket
 }
 
 fn a_letter(address: SocketAddr) -> TcpStream {
-    let (mut socket, _, mut pen) = wire::greet(address, &member()).unwrap();
+    let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
     let peer = Peer::Prepare { ballot: Ballot { round: 1_000_000, by: 0 } };
     let letter = Letter { mark: 0, seen: u64::MAX, of: 0, seat: 0, peer };
-    socket.write_all(&pen.write(Body::Letter(letter)).unwrap()).unwrap();
+    socket.write_all(&encoder.encode(Body::Envelope(letter)).unwrap()).unwrap();
     socket
 }
 
