--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -401,7 +401,8 @@
         (self.connect_timeout, self.may_probe) = (orders.connect_timeout, orders.may_probe);
         self.may_duplicate = orders.may_duplicate;
         self.come_back = orders.retry_after;
-        (self.idle, self.last_span, self.longest_wait) = spans(orders.idle_timeout, settings.longest_deadline);
+        (self.idle, self.last_span, self.longest_wait) =
+            spans(orders.idle_timeout, settings.longest_deadline);
         self.kept = self.kept.min(self.idle);
         self.products = orders.products;
     }
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -66,7 +66,9 @@
     pub(crate) fn seen_at_start(&mut self, worker: Worker, outcome: Outcome) {
         let Some(Starting { start, .. }) = &mut self.start else { return };
         match outcome {
-            Outcome::Completed | Outcome::Error | Outcome::InvalidSubmission => start.executor_answered(worker),
+            Outcome::Completed | Outcome::Error | Outcome::InvalidSubmission => {
+                start.executor_answered(worker)
+            }
             Outcome::Overloaded | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                 start.execution_rejected()
             }
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -308,7 +308,10 @@
         watch.last_word
     };
     tracing::info!(index, whole, entries, "list");
-    node.handle_input(Input::ListClocks(ListClocks { known_until, wall_clock_shift: node.clock.wall_moved() }));
+    node.handle_input(Input::ListClocks(ListClocks {
+        known_until,
+        wall_clock_shift: node.clock.wall_moved(),
+    }));
     node.handle_input(list.into());
     node.discovery_heard(Some(index));
     Ok(())
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -23,9 +23,9 @@
 use may::net::TcpStream;
 use serde::Deserialize;
 
-use crate::fleet::slept;
-use crate::fleet::trail::Trail;
-use crate::keep::Note;
+use crate::fleet::audit_log::AuditLog;
+use crate::fleet::time_suspended;
+use crate::persistence::StoreRecord;
 use clock::{Alarm, Clock};
 use linestack_core::{ClientId, ConnectionId, Core, Effect, Input, Refusal};
 use linestack_peers::{ExecutorObservation, Observation, PeerSnapshot, SnapshotError, usable_observations};
@@ -149,8 +149,8 @@
     /// Whether stamped products' marks are asked for, by product.
     pub stamped: Vec<bool>,
     pub(crate) watch: Mutex<WatchState>,
-    pub(crate) audit_log: Option<Trail>,
-    store_records: Option<Sender<Note>>,
+    pub(crate) audit_log: Option<AuditLog>,
+    store_records: Option<Sender<StoreRecord>>,
     /// A leave to take submissions is over once the machine has slept for longer than this in all; 0: there is no
     /// leave to end.
     awake: AtomicU64,
@@ -191,9 +191,9 @@
     /// Bytes that the program may have.
     pub memory: usize,
     /// Where a history of this node goes, if one is kept.
-    pub audit_log: Option<Trail>,
+    pub audit_log: Option<AuditLog>,
     /// Where what must last goes, if anything does.
-    pub store_records: Option<Sender<Note>>,
+    pub store_records: Option<Sender<StoreRecord>>,
     /// Called when the node has stopped and answered what it had taken.
     pub exit: Box<dyn FnOnce() + Send>,
 }
@@ -245,7 +245,7 @@
     /// never held while a coroutine gives way.
     pub fn handle_input(self: &Arc<Self>, input: Input) {
         let awake = self.awake.load(Ordering::Relaxed);
-        if awake > 0 && matches!(input, Input::Submitted { .. }) && slept() > awake {
+        if awake > 0 && matches!(input, Input::Submitted { .. }) && time_suspended() > awake {
             self.awake.store(0, Ordering::Relaxed);
             self.handle_input(Input::Lease { until: 0 });
         }
@@ -255,10 +255,10 @@
         match &self.audit_log {
             None => inner.core.handle(self.clock.now(), input, &mut effects),
             Some(audit_log) => {
-                let (now, asked) = (self.clock.now(), audit_log.before(&input));
+                let (now, asked) = (self.clock.now(), audit_log.pending_submission(&input));
                 let (version, taken) = (inner.core.settings_version(), inner.core.submissions_accepted());
                 inner.core.handle(now, input, &mut effects);
-                audit_log.after(
+                audit_log.record_effects(
                     now,
                     asked,
                     (inner.core.submissions_accepted() > taken).then_some(version),
@@ -327,13 +327,13 @@
         let Some(store_records) = &self.store_records else { return };
         if let Some(index) = index {
             let endpoints = lock(&self.inner).core.endpoints();
-            let _ = store_records.send(Note::List(discovery::List { index, whole: true, endpoints }));
+            let _ = store_records.send(StoreRecord::List(discovery::List { index, whole: true, endpoints }));
         }
-        let _ = store_records.send(Note::Heard);
+        let _ = store_records.send(StoreRecord::ListConfirmed);
     }
 
     /// Where its history goes, if one is kept.
-    pub fn audit_log(&self) -> Option<&Trail> {
+    pub fn audit_log(&self) -> Option<&AuditLog> {
         self.audit_log.as_ref()
     }
 
@@ -459,7 +459,7 @@
             }
             Effect::Persist { record: keep, ticket } => {
                 if let Some(store_records) = &self.store_records {
-                    let _ = store_records.send(Note::Fate(keep, ticket));
+                    let _ = store_records.send(StoreRecord::Outcome(keep, ticket));
                 }
             }
             Effect::Stage(stage) => {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -428,7 +428,8 @@
         slow_start_duration: nanos_from_millis(rules.cold_ms),
         overload_factor: rules.fall_multiple,
         overload_window: nanos_from_millis(rules.fall_ms),
-        list_refresh_limit: some(nanos_from_millis(rules.must_ask_in_ms)).filter(|_| info.discovery == "on_request"),
+        list_refresh_limit: some(nanos_from_millis(rules.must_ask_in_ms))
+            .filter(|_| info.discovery == "on_request"),
         progress_interval: some(nanos_from_millis(family.progress_ms)),
         reports_start: family.tells_start,
         weights_are_sizes: matches!(info.weights.as_str(), "nominal" | "rough"),
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -66,7 +66,9 @@
                         Outgoing::CloseIdleConnections { executor: self.executors[*worker as usize] }
                     }
                     Action::Subscribe => Outgoing::Subscribe,
-                    Action::SetTimer { at, timer_id: token } => Outgoing::SetTimer { at: *at, timer_id: *token },
+                    Action::SetTimer { at, timer_id: token } => {
+                        Outgoing::SetTimer { at: *at, timer_id: *token }
+                    }
                     Action::Forget { submission } => {
                         self.submissions.remove(&call(submission));
                         self.free.push(*submission);
@@ -112,7 +114,9 @@
             Incoming::Streaming { call, execution } => {
                 Event::Streaming { submission: known(call)?, execution }
             }
-            Incoming::Progressed { call, execution } => Event::Progressed { submission: known(call)?, execution },
+            Incoming::Progressed { call, execution } => {
+                Event::Progressed { submission: known(call)?, execution }
+            }
             Incoming::Ended { call, execution, executor, outcome, closed, took, figures } => {
                 Event::Ended(Ending {
                     submission: known(call)?,
@@ -129,7 +133,7 @@
                 answered,
                 report: self.layout.report(|place| figures.get(place)),
             },
-            Incoming::TimerFired { timer_id } => Event::TimerFired { timer_id: token: timer_id },
+            Incoming::TimerFired { timer_id } => Event::TimerFired { timer_id },
         })
     }
 }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -109,7 +109,12 @@
 }
 
 /// Gives a new node what it starts with.
-fn started(mut core: Core, now: Nanos, start: Option<StagedStart>, remembered: Option<StoredOutcomes>) -> Core {
+fn started(
+    mut core: Core,
+    now: Nanos,
+    start: Option<StagedStart>,
+    remembered: Option<StoredOutcomes>,
+) -> Core {
     if let Some(start) = start {
         core.start_in_stages(now, start, Vec::new());
     }
