--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,6 +1,6 @@
-//! What is known of one-shots after a restart. A submission goes by a key that its client keeps when it asks again.
-//! "It may have run" is on the disk before the first byte of an execution leaves; everything that is said later only
-//! makes it more certain. What is not known is new.
+//! What is known of one-shot submissions after a restart. A submission is identified by a key that its client keeps when
+//! it retries. Before the first byte of an execution is sent, the record that the submission may have run is durable;
+//! every later record only makes its outcome more certain. A submission without a record is new.
 
 pub mod start;
 
@@ -8,22 +8,23 @@
 
 use bytes::Bytes;
 
-/// Nanoseconds in which nodes on this store ran, all runs together: time that passes while none runs does not make
-/// anything forgotten, and no clock of day can.
+/// A time in nanoseconds, counted only while a node runs on this store, over all its runs. Downtime does not make records
+/// expire, and the wall clock has no influence.
 pub type StoreTime = u64;
 
-/// How a submission stands.
+/// The outcome of a submission, as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredOutcome {
-    /// It was sent, or is about to be, and nobody knows more.
+    /// An execution was sent, or is about to be, and its result is unknown.
     MayHaveRun,
-    /// No execution of it was ever begun: asking again is harmless.
+    /// No execution was started, so that a retry is harmless.
     NeverSent,
+    /// An execution completed with this result.
     Completed(Bytes),
 }
 
 impl StoredOutcome {
-    /// As it is kept.
+    /// Encodes the outcome for the store.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         match self {
@@ -33,7 +34,8 @@
         }
     }
 
-    /// None for what this version does not know: it must not be taken for anything.
+    /// Decodes a stored outcome. Returns none for an encoding that this version does not know; the caller must not assume
+    /// any particular outcome then.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         match bytes.split_first()? {
@@ -44,7 +46,7 @@
         }
     }
 
-    /// For people.
+    /// Returns the name of the outcome, as it is shown to operators and clients.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -55,58 +57,67 @@
     }
 }
 
-/// Something to be kept, under its key.
+/// A record for the store: the outcome of one submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutcomeRecord {
     pub key: Bytes,
     pub outcome: StoredOutcome,
+    /// When the outcome was recorded.
     pub at: StoreTime,
 }
 
-/// The fates that a node knows, within bounds.
+/// The outcomes that a node remembers, bounded in time, number and memory.
 #[derive(Debug)]
 pub struct OutcomeTable {
     known: HashMap<Bytes, (StoredOutcome, StoreTime)>,
-    /// Oldest first; one that was told again since is passed over.
+    /// The keys in the order in which outcomes were recorded, the oldest first. An entry that was superseded by a later
+    /// one for the same key is skipped when it expires.
     order: VecDeque<(StoreTime, Bytes)>,
-    /// For how long a outcome is kept: no client asks again later.
-    span: StoreTime,
-    most: usize,
-    /// Bytes of results and keys.
-    held: usize,
-    most_bytes: usize,
+    /// How long an outcome is remembered; clients do not retry later than that.
+    retention: StoreTime,
+    max_entries: usize,
+    /// The bytes of all keys and results.
+    used_bytes: usize,
+    max_bytes: usize,
 }
 
 impl OutcomeTable {
-    /// Remembers each for `span`, `most` of them and `most_bytes` in all.
+    /// Creates a table that remembers each outcome for `retention`, and is full at `max_entries` or `max_bytes`.
     #[must_use]
-    pub fn new(span: StoreTime, most: usize, most_bytes: usize) -> Self {
-        Self { known: HashMap::new(), order: VecDeque::new(), span, most, held: 0, most_bytes }
+    pub fn new(retention: StoreTime, max_entries: usize, max_bytes: usize) -> Self {
+        Self {
+            known: HashMap::new(),
+            order: VecDeque::new(),
+            retention,
+            max_entries,
+            used_bytes: 0,
+            max_bytes,
+        }
     }
 
-    /// Takes in what was kept, the oldest first.
-    pub fn restore(&mut self, kept: impl IntoIterator<Item = OutcomeRecord>) {
-        let mut kept: Vec<OutcomeRecord> = kept.into_iter().collect();
-        kept.sort_by_key(|k| k.at);
-        kept.into_iter().for_each(|k| self.set(k));
+    /// Loads stored records, in any order.
+    pub fn restore(&mut self, records: impl IntoIterator<Item = OutcomeRecord>) {
+        let mut records: Vec<OutcomeRecord> = records.into_iter().collect();
+        records.sort_by_key(|r| r.at);
+        records.into_iter().for_each(|r| self.set(r));
     }
 
-    fn set(&mut self, keep: OutcomeRecord) {
-        let OutcomeRecord { key, outcome, at } = keep;
+    fn set(&mut self, record: OutcomeRecord) {
+        let OutcomeRecord { key, outcome, at } = record;
         let size = |outcome: &StoredOutcome| {
             key.len() + if let StoredOutcome::Completed(r) = outcome { r.len() } else { 0 }
         };
-        self.held += size(&outcome);
+        self.used_bytes += size(&outcome);
         self.order.push_back((at, key.clone()));
         if let Some((before, _)) = self.known.insert(key.clone(), (outcome, at)) {
-            self.held = self.held.saturating_sub(size(&before));
+            self.used_bytes = self.used_bytes.saturating_sub(size(&before));
         }
     }
 
-    /// Forgets what nobody asks for any more.
+    /// Drops the outcomes that are past their retention time.
     pub fn expire(&mut self, now: StoreTime) {
         while let Some((at, _)) = self.order.front() {
-            if at.saturating_add(self.span) >= now {
+            if at.saturating_add(self.retention) >= now {
                 return;
             }
             let Some((at, key)) = self.order.pop_front() else { return };
@@ -114,17 +125,19 @@
                 && let Some((outcome, _)) = self.known.remove(&key)
             {
                 let result = if let StoredOutcome::Completed(r) = outcome { r.len() } else { 0 };
-                self.held = self.held.saturating_sub(key.len() + result);
+                self.used_bytes = self.used_bytes.saturating_sub(key.len() + result);
             }
         }
     }
 
-    /// Whether there is no room for another: forgetting one that may have run would be worse than turning one away.
+    /// Returns whether there is no room for another submission, which must then be rejected: to forget one that may have
+    /// run would be worse.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        self.known.len() >= self.most || self.held >= self.most_bytes
+        self.known.len() >= self.max_entries || self.used_bytes >= self.max_bytes
     }
 
+    /// Returns the outcome recorded for a key.
     #[must_use]
     pub fn outcome(&self, key: &[u8]) -> Option<&StoredOutcome> {
         self.known.get(key).map(|(outcome, _)| outcome)
@@ -140,24 +153,26 @@
         self.known.is_empty()
     }
 
-    /// An execution is about to be sent. What is returned is to be durable before its first byte leaves.
+    /// Records that an execution is about to be sent. The returned record must be durable before the first byte of the
+    /// execution is sent.
     pub fn record_sending(&mut self, key: &Bytes, now: StoreTime) -> OutcomeRecord {
-        self.tell(key, StoredOutcome::MayHaveRun, now)
+        self.record(key, StoredOutcome::MayHaveRun, now)
     }
 
-    /// How it ended, where something was kept of it.
+    /// Records the outcome of a submission and returns the record to be stored, or none if nothing was recorded of the
+    /// submission before.
     pub fn record_outcome(
         &mut self,
         key: &Bytes,
         outcome: StoredOutcome,
         now: StoreTime,
     ) -> Option<OutcomeRecord> {
-        self.known.contains_key(key).then(|| self.tell(key, outcome, now))
+        self.known.contains_key(key).then(|| self.record(key, outcome, now))
     }
 
-    fn tell(&mut self, key: &Bytes, outcome: StoredOutcome, at: StoreTime) -> OutcomeRecord {
-        let keep = OutcomeRecord { key: key.clone(), outcome, at };
-        self.set(keep.clone());
-        keep
+    fn record(&mut self, key: &Bytes, outcome: StoredOutcome, at: StoreTime) -> OutcomeRecord {
+        let record = OutcomeRecord { key: key.clone(), outcome, at };
+        self.set(record.clone());
+        record
     }
 }
--- a/crates/recovery/tests/start.rs
+++ b/crates/recovery/tests/start.rs
@@ -1,4 +1,4 @@
-//! The stages of a start, and what a node keeps to in them.
+//! The stages of a start and their limits.
 
 use linestack_recovery::start::{
     BootTimestamp, Nanos, Stage, StagedStart, StartConditions, StartLimits, is_fresh, session_delay,
@@ -8,7 +8,7 @@
 
 const MS: Nanos = 1_000_000;
 
-fn terms(nodes: u32, per_s: f64) -> StartLimits {
+fn limits(nodes: u32, per_s: f64) -> StartLimits {
     StartLimits {
         nodes,
         connects_per_s: per_s,
@@ -20,120 +20,120 @@
     }
 }
 
-fn stages(start: &mut StagedStart, now: Nanos) -> Stage {
+/// Advances as far as possible and returns the stage reached.
+fn advance(start: &mut StagedStart, now: Nanos) -> Stage {
     while start.advance(now).is_some() {}
     start.stage()
 }
 
-// What is there when it begins, what comes, and where it is after so long.
+const CONFIRMED: StartConditions =
+    StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: false };
+const WITH_OLD_LIST: StartConditions = StartConditions { has_old_list: true, ..CONFIRMED };
+
+// The conditions at the start, the list received (from discovery or not), and the stage reached after some time.
 #[rstest]
-#[case::nothing_is_proved(StartConditions { list_is_fresh: true, has_old_list: true, ..StartConditions::default() }, None, 600_000, Stage::Version)]
-#[case::no_list_at_all(StartConditions { settings_confirmed: true, ..StartConditions::default() }, None, 600_000, Stage::List)]
-#[case::an_old_list_waits(StartConditions { settings_confirmed: true, has_old_list: true, ..StartConditions::default() }, None, 2999, Stage::List)]
-#[case::an_old_list_is_gone_by(StartConditions { settings_confirmed: true, has_old_list: true, ..StartConditions::default() }, None, 3000, Stage::Known)]
-#[case::told(StartConditions { settings_confirmed: true, ..StartConditions::default() }, Some(true), 0, Stage::Known)]
-#[case::kept_and_young(StartConditions { settings_confirmed: true, list_is_fresh: true, ..StartConditions::default() }, Some(false), 0, Stage::Known)]
-#[case::kept_and_not_young(StartConditions { settings_confirmed: true, ..StartConditions::default() }, Some(false), 0, Stage::List)]
-fn where_it_is(
-    #[case] found: StartConditions,
+#[case::settings_not_confirmed(StartConditions { settings_confirmed: false, list_is_fresh: true, has_old_list: true }, None, 600_000, Stage::Version)]
+#[case::no_list_at_all(CONFIRMED, None, 600_000, Stage::List)]
+#[case::old_list_before_the_timeout(WITH_OLD_LIST, None, 2999, Stage::List)]
+#[case::old_list_after_the_timeout(WITH_OLD_LIST, None, 3000, Stage::Known)]
+#[case::list_from_discovery(CONFIRMED, Some(true), 0, Stage::Known)]
+#[case::fresh_stored_list(StartConditions { list_is_fresh: true, ..CONFIRMED }, Some(false), 0, Stage::Known)]
+#[case::stored_list_not_fresh(CONFIRMED, Some(false), 0, Stage::List)]
+fn stage_reached(
+    #[case] conditions: StartConditions,
     #[case] list: Option<bool>,
     #[case] after_ms: u64,
     #[case] stage: Stage,
 ) {
-    let mut start = StagedStart::new(terms(10, 0.0), found, [0.0; 2], 7);
-    stages(&mut start, 7);
-    list.iter().for_each(|told| start.list_received(*told, 4));
-    assert_eq!(stages(&mut start, 7 + after_ms * MS), stage);
+    let mut start = StagedStart::new(limits(10, 0.0), conditions, [0.0; 2], 7);
+    advance(&mut start, 7);
+    list.iter().for_each(|from_discovery| start.list_received(*from_discovery, 4));
+    assert_eq!(advance(&mut start, 7 + after_ms * MS), stage);
     assert_eq!(start.admits(7 + after_ms * MS, 0), stage.serves());
 }
 
+/// A start that received a list with four ready executors.
 fn serving(per_s: f64) -> StagedStart {
-    let mut start = StagedStart::new(
-        terms(10, per_s),
-        StartConditions { settings_confirmed: true, ..StartConditions::default() },
-        [0.0; 2],
-        0,
-    );
+    let mut start = StagedStart::new(limits(10, per_s), CONFIRMED, [0.0; 2], 0);
     start.list_received(true, 4);
-    stages(&mut start, 0);
+    advance(&mut start, 0);
     start
 }
 
-// What executors answer lets it go on; without that, time does, and either way it ends.
+// The start goes on when executors answer, or else when time has passed, so that it ends in any case.
 #[test]
-fn evidence_or_time() {
+fn a_stage_ends_by_evidence_or_by_timeout() {
     let mut start = serving(0.0);
     start.executor_answered(1);
-    assert_eq!(stages(&mut start, MS), Stage::Known);
+    assert_eq!(advance(&mut start, MS), Stage::Known);
     start.executor_answered(2);
-    assert_eq!(stages(&mut start, 2 * MS), Stage::Share);
-    assert_eq!(stages(&mut start, 501 * MS), Stage::Share);
-    assert_eq!(stages(&mut start, 502 * MS), Stage::Full);
+    assert_eq!(advance(&mut start, 2 * MS), Stage::Share);
+    assert_eq!(advance(&mut start, 501 * MS), Stage::Share);
+    assert_eq!(advance(&mut start, 502 * MS), Stage::Full);
     let mut start = serving(0.0);
-    assert_eq!(stages(&mut start, 1999 * MS), Stage::Known);
-    assert_eq!(stages(&mut start, 2000 * MS), Stage::Share);
-    assert_eq!(stages(&mut start, 2500 * MS), Stage::Full);
+    assert_eq!(advance(&mut start, 1999 * MS), Stage::Known);
+    assert_eq!(advance(&mut start, 2000 * MS), Stage::Share);
+    assert_eq!(advance(&mut start, 2500 * MS), Stage::Full);
 }
 
 #[test]
-fn admission_rises_with_answers_alone() {
+fn only_answers_raise_the_limit() {
     let mut start = serving(0.0);
     assert!(start.admits(0, 3) && !start.admits(0, 4) && !start.admits(1900 * MS, 4));
     (0..6).for_each(|_| start.executor_answered(1));
-    // One executor that answers is no evidence for others.
+    // The answers of one executor are no evidence for the others.
     assert!(start.admits(0, 7) && !start.admits(0, 8));
     start.executor_answered(2);
     assert!(start.admits(0, 10) && !start.admits(0, 11));
     start.execution_rejected();
     assert!(start.admits(0, 4) && !start.admits(0, 6));
-    // While more is asked than it may take, the share is not taken.
-    assert_eq!(stages(&mut start, 0), Stage::Share);
+    // The stage goes on while submissions are rejected.
+    assert_eq!(advance(&mut start, 0), Stage::Share);
     for at in (0..4000).step_by(100) {
-        assert!(!start.admits(at * MS, 999) && stages(&mut start, at * MS) == Stage::Share, "{at}");
+        assert!(!start.admits(at * MS, 999) && advance(&mut start, at * MS) == Stage::Share, "{at}");
     }
-    assert_eq!(stages(&mut start, 4000 * MS), Stage::Full);
+    assert_eq!(advance(&mut start, 4000 * MS), Stage::Full);
     assert!(start.admits(4000 * MS, 999));
 }
 
-// A kept thing's age is what one clock tells, or nothing.
+// An age is known only if both timestamps are of the same boot and in order.
 #[rstest]
-#[case::same_run(3, 5, Some(2))]
-#[case::other_run(9, 5, None)]
-#[case::behind(3, 1, None)]
-fn ages(#[case] boot: u128, #[case] at: Nanos, #[case] age: Option<Nanos>) {
+#[case::same_boot(3, 5, Some(2))]
+#[case::other_boot(9, 5, None)]
+#[case::earlier(3, 1, None)]
+fn age_of_a_timestamp(#[case] boot: u128, #[case] at: Nanos, #[case] age: Option<Nanos>) {
     assert_eq!(BootTimestamp { boot: 3, at: 3 }.age(&BootTimestamp { boot, at }), age);
     assert_eq!(BootTimestamp { boot: 0, at: 3 }.age(&BootTimestamp { boot: 0, at }), None);
     assert!(!is_fresh(None, Nanos::MAX) && !is_fresh(Some(5), 5) && is_fresh(Some(4), 5));
 }
 
 proptest! {
-    // However many start, and whenever, all of them together keep to the fleet's rate, but for one each at first; that of
-    // connections doubles each half second.
+    // However many nodes start at once, together they keep to the fleet's rate, except for the first event of each. The
+    // rate of connections doubles every half second.
     #[test]
-    fn a_budget_holds_for_the_fleet(
+    fn nodes_together_keep_to_the_rate_of_the_fleet(
         nodes in 1u32..60,
         per_s in 1.0f64..500.0,
-        drawn in proptest::collection::vec(0.0f64..1.0, 60),
-        wants in 1usize..30,
+        randoms in proptest::collection::vec(0.0f64..1.0, 60),
+        connections in 1usize..30,
     ) {
-        let terms = terms(nodes, per_s);
+        let limits = limits(nodes, per_s);
         let mut at: Vec<Nanos> = Vec::new();
-        for drawn in drawn.iter().take(nodes as usize) {
-            let found = StartConditions { settings_confirmed: true, ..StartConditions::default() };
-            let mut start = StagedStart::new(terms, found, [*drawn; 2], 0);
-            at.extend((0..wants).map(|_| start.schedule_connect(0)));
-            let call = start.schedule_list_request(0);
-            prop_assert!(call <= (f64::from(nodes) / per_s * 1e9) as Nanos);
-            prop_assert_eq!(start.schedule_list_request(call), call);
+        for random in randoms.iter().take(nodes as usize) {
+            let mut start = StagedStart::new(limits, CONFIRMED, [*random; 2], 0);
+            at.extend((0..connections).map(|_| start.schedule_connect(0)));
+            let list_at = start.schedule_list_request(0);
+            prop_assert!(list_at <= (f64::from(nodes) / per_s * 1e9) as Nanos);
+            prop_assert_eq!(start.schedule_list_request(list_at), list_at);
         }
         at.sort_unstable();
-        // Each node's ramp begins with its first, in the first gap.
-        let gap = (f64::from(nodes) / per_s * 1e9) as Nanos;
+        // The ramp of each node begins with its first connection, which comes within the first interval.
+        let interval = (f64::from(nodes) / per_s * 1e9) as Nanos;
         for (i, from) in at.iter().enumerate() {
             let within = at[i..].iter().take_while(|t| **t < from + 500 * MS).count() as f64;
-            let doubled = 2.0_f64.powi(((from + 500 * MS + gap) / (500 * MS)).min(60) as i32);
+            let doubled = 2.0_f64.powi(((from + 500 * MS + interval) / (500 * MS)).min(60) as i32);
             prop_assert!(within <= per_s / 2.0 * doubled + f64::from(nodes) + 1.0, "{within} from {from}");
         }
-        prop_assert!(session_delay(&terms, drawn[0]) <= (f64::from(nodes) / per_s * 1e9) as Nanos);
+        prop_assert!(session_delay(&limits, randoms[0]) <= (f64::from(nodes) / per_s * 1e9) as Nanos);
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,36 +1,41 @@
-//! The settings: JSON with the simulator wire's names, read into the standing orders. The simulator sends
-//! them at the start of an instance; a node on sockets finds the same object in its configuration.
+//! Reads the settings, a JSON object with the key names of the simulator's wire, into the configuration of a dispatcher.
+//! The simulator sends the object at the start of an instance; a node on sockets has it in its configuration file.
 
 use linestack_dispatch::types::{Group, Nanos, Product, Repeats, Report, StandingOrders};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
-/// What a node is started with.
+/// The settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The configuration of the dispatcher.
     pub dispatch: StandingOrders,
+    /// Where the figures of a load report are found.
     pub layout: ReportLayout,
     pub names: Names,
-    /// The longest that a client of any product waits.
+    /// The longest deadline of any product.
     pub longest_deadline: Nanos,
-    /// Nodes may send each other messages. This one sends none, and takes none.
+    /// Whether nodes may send each other messages. This program sends none and ignores those it receives.
     pub may_message_peers: bool,
 }
 
 impl Settings {
-    /// The first key that a running node can't take over, since what it holds is known by places in these lists,
-    /// or was promised by these terms.
+    /// Returns the first key whose change a running node can't apply without a restart, or none. The node's state refers
+    /// to the names of the settings by index, and open promises to clients depend on the products' repeat policies.
     #[must_use]
     pub fn key_needing_restart(&self, newer: &Self) -> Option<&'static str> {
         let (names, others) = (&self.names, &newer.names);
-        let promised = |s: &Self| s.dispatch.products.iter().map(|p| p.repeats).collect::<Vec<_>>();
+        let repeat_policies = |s: &Self| s.dispatch.products.iter().map(|p| p.repeats).collect::<Vec<_>>();
         let differ = [
-            ("settings.products", names.products != others.products || promised(self) != promised(newer)),
+            (
+                "settings.products",
+                names.products != others.products || repeat_policies(self) != repeat_policies(newer),
+            ),
             ("settings.tenants", names.tenants != others.tenants),
             ("settings.kinds", names.kinds != others.kinds),
             ("settings.zones", names.zones != others.zones),
             ("settings.report", names.report_fields != others.report_fields || self.layout != newer.layout),
-            // Its own place, and the way the list is followed.
+            // The node's own zone, and how the list is obtained.
             ("settings.az", self.dispatch.zone != newer.dispatch.zone),
             ("settings.discovery", self.dispatch.ask_within.is_some() != newer.dispatch.ask_within.is_some()),
         ];
@@ -38,18 +43,18 @@
     }
 }
 
-/// What the settings name; everywhere else the place in these lists stands for the name.
+/// The names in the settings. Everywhere else the index in these lists stands for the name.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub products: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
-    /// The figures of a load report.
+    /// The names of the figures in a load report.
     pub report_fields: Vec<String>,
 }
 
-/// Where in a load report each figure stands.
+/// The index of each figure in a load report, where the report has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportLayout {
     pub free_slots: Option<usize>,
@@ -59,10 +64,11 @@
 }
 
 impl ReportLayout {
-    /// The report that these figures make, if one came. What makes no sense is left out.
+    /// Builds a report from its figures, or returns none if there is no usable one. Negative figures and those that are
+    /// not finite are dropped.
     #[must_use]
     pub fn report(&self, figure: impl Fn(usize) -> Option<f32>) -> Option<Report> {
-        let get = |place: Option<usize>| figure(place?).filter(|f| f.is_finite() && *f >= 0.0);
+        let get = |index: Option<usize>| figure(index?).filter(|f| f.is_finite() && *f >= 0.0);
         let report = Report {
             free_slots: get(self.free_slots),
             free_memory: get(self.free_memory),
@@ -75,25 +81,25 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Info {
+struct RawSettings {
     az: u16,
     balancers: u32,
     deductions: Deductions,
     discovery: String,
-    #[serde(deserialize_with = "part")]
+    #[serde(deserialize_with = "fraction")]
     excess_payoff: f64,
     family_info: FamilyInfo,
     invariants: Invariants,
     kinds: Vec<String>,
     limits: Limits,
-    products: Vec<Class>,
+    products: Vec<RawProduct>,
     report: Reports,
     tenants: Vec<Tenant>,
     weights: String,
     zones: Vec<String>,
 }
 
-impl Default for Info {
+impl Default for RawSettings {
     fn default() -> Self {
         Self {
             az: 0,
@@ -114,59 +120,60 @@
     }
 }
 
-/// Points of the result for each, as parts of the whole.
+/// The points deducted from the result for each event, as fractions of the whole result.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Deductions {
-    #[serde(deserialize_with = "part")]
+    #[serde(deserialize_with = "fraction")]
     probe: f64,
-    #[serde(deserialize_with = "part")]
+    #[serde(deserialize_with = "fraction")]
     cross_zone: f64,
-    #[serde(deserialize_with = "part")]
+    #[serde(deserialize_with = "fraction")]
     handshake: f64,
 }
 
-/// A number within these limits, or a fault that names them: what is refused at the door needs no care inside.
-fn within<'de, D: Deserializer<'de>>(from: D, least: f64, most: f64) -> Result<f64, D::Error> {
-    let figure = f64::deserialize(from)?;
-    let holds = (least..=most).contains(&figure);
-    if holds { Ok(figure) } else { Err(D::Error::custom(format!("{figure} is not from {least} to {most}"))) }
+/// Reads a number and checks its range, so that the rest of the program need not guard against extreme values.
+fn number_in_range<'de, D: Deserializer<'de>>(from: D, min: f64, max: f64) -> Result<f64, D::Error> {
+    let number = f64::deserialize(from)?;
+    let valid = (min..=max).contains(&number);
+    if valid { Ok(number) } else { Err(D::Error::custom(format!("{number} is not from {min} to {max}"))) }
 }
 
-/// A price or a share.
-fn part<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    within(from, 0.0, 1.0)
+/// Reads a cost or a share.
+fn fraction<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    number_in_range(from, 0.0, 1.0)
 }
 
-/// Milliseconds, a year at most.
-fn span<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    within(from, 0.0, 366.0 * 86_400_000.0)
+/// Reads a duration in milliseconds, of a year at most.
+fn duration_ms<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    number_in_range(from, 0.0, 366.0 * 86_400_000.0)
 }
 
-/// Multiples of the running time.
-fn stretches<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<f64>, D::Error> {
+/// Reads a list of multiples of the running time.
+fn factors<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<f64>, D::Error> {
     let all = Vec::<f64>::deserialize(from)?;
-    let odd = all.iter().find(|s| !(0.0..=1e12).contains(*s));
-    odd.map_or(Ok(all.clone()), |s| Err(D::Error::custom(format!("{s} is not from 0 to 1e12"))))
+    let invalid = all.iter().find(|s| !(0.0..=1e12).contains(*s));
+    invalid.map_or(Ok(all.clone()), |s| Err(D::Error::custom(format!("{s} is not from 0 to 1e12"))))
 }
 
-fn stretch<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
-    amount(from).map(Some)
+/// Reads a multiple of the running time.
+fn factor<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
+    non_negative(from).map(Some)
 }
 
-/// A rate, a payoff or a multiple.
-fn amount<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    within(from, 0.0, 1e12)
+/// Reads a rate, a payoff or a multiple.
+fn non_negative<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    number_in_range(from, 0.0, 1e12)
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct FamilyInfo {
     class_kind: Vec<i32>,
-    #[serde(deserialize_with = "stretches")]
+    #[serde(deserialize_with = "factors")]
     class_stretch: Vec<f64>,
     memory_unit: Option<String>,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     progress_ms: f64,
     report_x0: String,
     report_x1: String,
@@ -176,19 +183,19 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Invariants {
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     answer_slack_ms: f64,
-    #[serde(deserialize_with = "part")]
+    #[serde(deserialize_with = "fraction")]
     cold_from: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     cold_ms: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     drain_grace_ms: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     fall_ms: f64,
-    #[serde(deserialize_with = "amount")]
+    #[serde(deserialize_with = "non_negative")]
     fall_multiple: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     must_ask_in_ms: f64,
 }
 
@@ -210,12 +217,12 @@
 #[serde(rename_all = "camelCase", default)]
 struct Limits {
     cancel: bool,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     conn_idle_ms: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     connect_timeout_ms: f64,
     max_executions: u16,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     max_retry_after_ms: f64,
     may_duplicate: bool,
     may_probe: bool,
@@ -241,27 +248,27 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Class {
-    #[serde(deserialize_with = "span")]
+struct RawProduct {
+    #[serde(deserialize_with = "duration_ms")]
     agreed_time_ms: f64,
-    #[serde(deserialize_with = "stretch")]
+    #[serde(deserialize_with = "factor")]
     aim_stretch: Option<f64>,
-    bound_to: Option<Places>,
-    #[serde(deserialize_with = "span")]
+    bound_to: Option<Selection>,
+    #[serde(deserialize_with = "duration_ms")]
     cut_off_ms: f64,
     dedup_scope: String,
     effect: String,
-    #[serde(deserialize_with = "part")]
+    #[serde(deserialize_with = "fraction")]
     late_payoff: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration_ms")]
     memory_span_ms: f64,
     name: String,
-    #[serde(deserialize_with = "amount")]
+    #[serde(deserialize_with = "non_negative")]
     payoff: f64,
-    stays_in: Option<Places>,
+    stays_in: Option<Selection>,
 }
 
-impl Default for Class {
+impl Default for RawProduct {
     fn default() -> Self {
         Self {
             agreed_time_ms: 0.0,
@@ -269,7 +276,7 @@
             bound_to: None,
             cut_off_ms: 0.0,
             dedup_scope: String::new(),
-            // Without a word on repeats, none may be made.
+            // A product that states no effect must not be repeated.
             effect: "side_effect".into(),
             late_payoff: 0.0,
             memory_span_ms: 0.0,
@@ -280,40 +287,41 @@
     }
 }
 
-/// Zones or kinds: the place in the list of their names, as on the simulator's wire, or a name.
+/// A zone or a kind, either by its index in the list of names, as on the simulator's wire, or by its name.
 #[derive(Deserialize, PartialEq)]
 #[serde(untagged)]
-enum Place {
+enum IndexOrName {
     Index(u16),
     Name(String),
 }
 
-/// Those that are open to a product. With none it could go nowhere, which nobody means; and of one named twice
-/// it is not clear what was meant.
+/// The zones or kinds whose executors may run a product. An empty list would leave no executor, and a duplicate is
+/// ambiguous, so both are rejected as mistakes.
 #[derive(Deserialize)]
-#[serde(try_from = "Vec<Place>")]
-struct Places(Vec<Place>);
+#[serde(try_from = "Vec<IndexOrName>")]
+struct Selection(Vec<IndexOrName>);
 
-impl TryFrom<Vec<Place>> for Places {
+impl TryFrom<Vec<IndexOrName>> for Selection {
     type Error = &'static str;
 
-    fn try_from(places: Vec<Place>) -> Result<Self, Self::Error> {
-        if places.is_empty() {
-            return Err("an empty list: one place at least, or leave the key out");
+    fn try_from(items: Vec<IndexOrName>) -> Result<Self, Self::Error> {
+        if items.is_empty() {
+            return Err("the list is empty: give at least one entry, or leave the key out");
         }
-        if (1..places.len()).any(|i| places[..i].contains(&places[i])) {
-            return Err("a place is named twice");
+        if (1..items.len()).any(|i| items[..i].contains(&items[i])) {
+            return Err("an entry is given twice");
         }
-        Ok(Self(places))
+        Ok(Self(items))
     }
 }
 
-impl Places {
-    /// As indices. A name that is not known yet may come with the list, and gets its place now.
+impl Selection {
+    /// Returns the indices, sorted. A name that the settings do not list is appended to `names`, since the list of
+    /// executors may still bring it.
     fn resolve(&self, names: &mut Vec<String>) -> Vec<u16> {
-        let index = |place: &Place| match place {
-            Place::Index(index) => *index,
-            Place::Name(name) => {
+        let index = |item: &IndexOrName| match item {
+            IndexOrName::Index(index) => *index,
+            IndexOrName::Name(name) => {
                 let known = names.iter().position(|n| n == name).unwrap_or_else(|| {
                     names.push(name.clone());
                     names.len() - 1
@@ -339,85 +347,91 @@
 #[serde(rename_all = "camelCase", default)]
 struct Tenant {
     name: String,
-    #[serde(deserialize_with = "amount")]
+    #[serde(deserialize_with = "non_negative")]
     quota_per_s: f64,
 }
 
-/// Nanoseconds of a span in milliseconds; what is negative or not a number gives 0.
+/// Converts milliseconds to nanoseconds; negative durations and NaN give 0.
 #[must_use]
 pub fn nanos_from_millis(millis: f64) -> Nanos {
     (millis * 1e6).round() as Nanos
 }
 
-/// Where in the settings something makes no sense, and why.
+/// The key at which the settings are invalid, and the reason.
 pub type SettingsError = serde_path_to_error::Error<serde_json::Error>;
 
-/// Reads the settings object. `seed` is the source of this node's chance.
+/// Reads the settings object. `seed` is the seed of the dispatcher's random numbers.
+///
+/// # Errors
+///
+/// The text is not valid JSON, or a value is of the wrong type or out of range.
 pub fn read(text: &[u8], seed: u64) -> Result<Settings, SettingsError> {
-    let mut info: Info = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))?;
-    let family = &info.family_info;
-    let (zones, kinds) = (&mut info.zones, &mut info.kinds);
-    let mut open = |i: usize, class: &Class| {
-        let one = family.class_kind.get(i).and_then(|k| u16::try_from(*k).ok());
-        let bound = class.bound_to.as_ref().map(|p| p.resolve(kinds));
-        // Both must hold where both are given.
-        let kinds = match (one, bound) {
-            (Some(one), Some(bound)) => Some(bound.into_iter().filter(|k| *k == one).collect()),
-            (one, bound) => bound.or(one.map(|k| vec![k])),
+    let mut raw: RawSettings =
+        serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))?;
+    let family = &raw.family_info;
+    let (zones, kinds) = (&mut raw.zones, &mut raw.kinds);
+    let mut allowed = |i: usize, product: &RawProduct| {
+        let family_kind = family.class_kind.get(i).and_then(|k| u16::try_from(*k).ok());
+        let bound = product.bound_to.as_ref().map(|p| p.resolve(kinds));
+        // If both are given, both must hold.
+        let kinds = match (family_kind, bound) {
+            (Some(kind), Some(bound)) => Some(bound.into_iter().filter(|k| *k == kind).collect()),
+            (kind, bound) => bound.or(kind.map(|k| vec![k])),
         };
-        (kinds, class.stays_in.as_ref().map(|p| p.resolve(zones)))
+        (kinds, product.stays_in.as_ref().map(|p| p.resolve(zones)))
     };
-    let open: Vec<_> = info.products.iter().enumerate().map(|(i, class)| open(i, class)).collect();
-    type Open = (Option<Vec<u16>>, Option<Vec<u16>>);
-    let product = |((i, class), (kinds, zones)): ((usize, &Class), Open)| Product {
-        repeats: match class.effect.as_str() {
+    let allowed: Vec<_> = raw.products.iter().enumerate().map(|(i, p)| allowed(i, p)).collect();
+    type Allowed = (Option<Vec<u16>>, Option<Vec<u16>>);
+    let product = |((i, raw_product), (kinds, zones)): ((usize, &RawProduct), Allowed)| Product {
+        repeats: match raw_product.effect.as_str() {
             "pure" => Repeats::Harmless,
             "token" => Repeats::Stamped {
-                group: match class.dedup_scope.as_str() {
+                group: match raw_product.dedup_scope.as_str() {
                     "all" => Group::All,
                     "zone" => Group::Zone,
                     _ => Group::Cell,
                 },
-                memory: nanos_from_millis(class.memory_span_ms),
+                memory: nanos_from_millis(raw_product.memory_span_ms),
             },
             _ => Repeats::OneShot,
         },
-        agreed: nanos_from_millis(class.agreed_time_ms),
-        stretch: class.aim_stretch.or(family.class_stretch.get(i).copied()).unwrap_or(0.0),
-        payoff: class.payoff,
-        late_payoff: class.late_payoff,
+        agreed: nanos_from_millis(raw_product.agreed_time_ms),
+        stretch: raw_product.aim_stretch.or(family.class_stretch.get(i).copied()).unwrap_or(0.0),
+        payoff: raw_product.payoff,
+        late_payoff: raw_product.late_payoff,
         kinds,
         zones,
     };
-    let field = |name: &str| info.report.fields.iter().position(|f| f == name);
-    let extra = |word: &str| {
+    let field = |name: &str| raw.report.fields.iter().position(|f| f == name);
+    // The meaning of the fields x0 and x1 depends on the family, which describes it in words.
+    let extra_field = |word: &str| {
         let x0 = field("x0").filter(|_| family.report_x0.contains(word));
         x0.or_else(|| field("x1").filter(|_| family.report_x1.contains(word)))
     };
     let layout = ReportLayout {
-        free_slots: extra("slot"),
-        free_memory: extra("memory"),
+        free_slots: extra_field("slot"),
+        free_memory: extra_field("memory"),
         queued_jobs: field("backlog"),
         active_jobs: field("outstanding"),
     };
-    let (limits, rules) = (&info.limits, &info.invariants);
-    let some = |span: Nanos| (span > 0).then_some(span);
+    let (limits, rules) = (&raw.limits, &raw.invariants);
+    let unless_zero = |duration: Nanos| (duration > 0).then_some(duration);
     let dispatch = StandingOrders {
         seed,
-        nodes: info.balancers.max(1),
-        zone: info.az,
-        products: info.products.iter().enumerate().zip(open).map(product).collect(),
-        quotas: info.tenants.iter().map(|t| t.quota_per_s.max(0.0)).collect(),
-        excess_payoff: info.excess_payoff,
-        probe_price: info.deductions.probe,
-        crossing_price: info.deductions.cross_zone,
-        connection_price: info.deductions.handshake,
+        nodes: raw.balancers.max(1),
+        zone: raw.az,
+        products: raw.products.iter().enumerate().zip(allowed).map(product).collect(),
+        quotas: raw.tenants.iter().map(|t| t.quota_per_s.max(0.0)).collect(),
+        excess_payoff: raw.excess_payoff,
+        probe_price: raw.deductions.probe,
+        crossing_price: raw.deductions.cross_zone,
+        connection_price: raw.deductions.handshake,
         max_executions: limits.max_executions,
         may_duplicate: limits.may_duplicate,
         may_probe: limits.may_probe,
         may_cancel: limits.cancel,
-        come_back: some(nanos_from_millis(limits.max_retry_after_ms)).filter(|_| limits.retry_after),
-        // Pulses are a part of it.
+        come_back: unless_zero(nanos_from_millis(limits.max_retry_after_ms)).filter(|_| limits.retry_after),
+        // The dispatcher sets its timer to fractions of this time, so it must not be too short.
         connect_timeout: nanos_from_millis(limits.connect_timeout_ms.max(5.0)),
         idle: nanos_from_millis(limits.conn_idle_ms),
         answer_slack: nanos_from_millis(rules.answer_slack_ms),
@@ -425,20 +439,21 @@
         cold_for: nanos_from_millis(rules.cold_ms),
         fall_multiple: rules.fall_multiple,
         fall_window: nanos_from_millis(rules.fall_ms),
-        ask_within: some(nanos_from_millis(rules.must_ask_in_ms)).filter(|_| info.discovery == "on_request"),
-        progress_every: some(nanos_from_millis(family.progress_ms)),
+        ask_within: unless_zero(nanos_from_millis(rules.must_ask_in_ms))
+            .filter(|_| raw.discovery == "on_request"),
+        progress_every: unless_zero(nanos_from_millis(family.progress_ms)),
         tells_start: family.tells_start,
-        listed_sizes: matches!(info.weights.as_str(), "nominal" | "rough"),
+        listed_sizes: matches!(raw.weights.as_str(), "nominal" | "rough"),
         counts_memory: family.memory_unit.as_ref().is_some_and(|unit| !unit.is_empty()),
     };
-    let longest_deadline = nanos_from_millis(info.products.iter().map(|p| p.cut_off_ms).fold(0.0, f64::max));
-    let may_message_peers = info.limits.may_tell;
+    let longest_deadline = nanos_from_millis(raw.products.iter().map(|p| p.cut_off_ms).fold(0.0, f64::max));
+    let may_message_peers = raw.limits.may_tell;
     let names = Names {
-        products: info.products.into_iter().map(|p| p.name).collect(),
-        tenants: info.tenants.into_iter().map(|t| t.name).collect(),
-        kinds: info.kinds,
-        zones: info.zones,
-        report_fields: info.report.fields,
+        products: raw.products.into_iter().map(|p| p.name).collect(),
+        tenants: raw.tenants.into_iter().map(|t| t.name).collect(),
+        kinds: raw.kinds,
+        zones: raw.zones,
+        report_fields: raw.report.fields,
     };
     Ok(Settings { dispatch, layout, names, longest_deadline, may_message_peers })
 }
