--- a/crates/frames/src/lib.rs
+++ b/crates/frames/src/lib.rs
@@ -1,38 +1,44 @@
-//! Frames between processes of a fleet. A frame is
+//! Frames between the processes of a fleet. A frame consists of
 //!
 //! | bytes | |
 //! | --- | --- |
-//! | 4 | `LSF` and the version of the wire |
-//! | 1 | kind of the message, for whoever only passes it on |
-//! | 3 | nothing, 0 |
-//! | 4 | length of the body, little end first, [`MAX_BODY_LENGTH`] at most |
+//! | 4 | `LSF` and the version of the protocol |
+//! | 1 | the kind of the message, so that it can be forwarded without decoding the body |
+//! | 3 | reserved, 0 |
+//! | 4 | the length of the body, little-endian, [`MAX_BODY_LENGTH`] at most |
 //! | 4 | CRC-32 of the kind and the body |
-//! | ... | body |
+//! | ... | the body |
 //!
-//! A reader holds no more than one frame and what came with its end. What is not a frame ends the connection:
-//! after one fault nothing on it can be trusted.
+//! A reader buffers at most one frame and the bytes received together with its end. After an invalid frame the
+//! connection must be closed, since nothing after it can be trusted.
 
 use thiserror::Error;
 
-/// The version of the wire that this program speaks.
+/// The version of the protocol that this program supports.
 pub const VERSION: u8 = 1;
-/// Bytes before the body.
+/// The length of the header before the body, in bytes.
 pub const HEADER_LENGTH: usize = 16;
-/// The longest body, in bytes.
+/// The greatest length of a body, in bytes.
 pub const MAX_BODY_LENGTH: usize = 1 << 20;
 
+/// The bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    #[error("no frame")]
+    /// The magic number or the reserved bytes are wrong.
+    #[error("not a frame")]
     Magic,
-    #[error("wire version {0}, and this speaks {VERSION}")]
+    /// The frame is of another version of the protocol.
+    #[error("unsupported wire version {0}; this program supports {VERSION}")]
     Version(u8),
-    #[error("a body of {0} bytes, {MAX_BODY_LENGTH} at most")]
+    /// The body is longer than [`MAX_BODY_LENGTH`].
+    #[error("a body of {0} bytes is longer than {MAX_BODY_LENGTH}")]
     Oversized(u32),
+    /// The kind or the body was altered.
     #[error("wrong checksum")]
     Checksum,
 }
 
+/// A decoded frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     pub kind: u8,
@@ -46,11 +52,11 @@
     hasher.finalize()
 }
 
-/// The bytes of a frame.
+/// Encodes a frame.
 ///
 /// # Errors
 ///
-/// [`FrameError::Oversized`].
+/// [`FrameError::Oversized`] for a body that is too long.
 pub fn encode(kind: u8, body: &[u8]) -> Result<Vec<u8>, FrameError> {
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
     if body.len() > MAX_BODY_LENGTH {
@@ -64,68 +70,70 @@
     Ok(bytes)
 }
 
-/// Puts frames together from what a connection brings.
+/// Assembles frames from the bytes of a connection.
 #[derive(Debug, Default)]
 pub struct Reader {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Reader {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes held that make no whole frame yet.
+    /// Returns the received bytes that were not returned as frames yet.
     #[must_use]
     pub fn buffered(&self) -> &[u8] {
-        &self.held
+        &self.buffer
     }
 
-    /// The next whole frame, if there is one.
+    /// Returns the next complete frame, if there is one.
     ///
     /// # Errors
     ///
-    /// What came is no frame. The connection is to be closed.
+    /// The bytes are not a valid frame. The connection must be closed.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
-        let h = &self.held;
-        // Told as soon as it shows, not once a length that makes no sense has come in.
-        if !b"LSF".starts_with(&h[..h.len().min(3)]) {
+        let buffer = &self.buffer;
+        // Checked as soon as the bytes arrive, rather than after waiting for a body of a meaningless length.
+        if !b"LSF".starts_with(&buffer[..buffer.len().min(3)]) {
             return Err(FrameError::Magic);
         }
-        if let Some(version) = h.get(3).filter(|v| **v != VERSION) {
+        if let Some(version) = buffer.get(3).filter(|v| **v != VERSION) {
             return Err(FrameError::Version(*version));
         }
-        if h.len() < HEADER_LENGTH {
+        if buffer.len() < HEADER_LENGTH {
             return Ok(None);
         }
-        if h[5..8] != [0; 3] {
+        if buffer[5..8] != [0; 3] {
             return Err(FrameError::Magic);
         }
-        let word = |at: usize| u32::from_le_bytes([h[at], h[at + 1], h[at + 2], h[at + 3]]);
-        let length = word(8);
+        let number =
+            |at: usize| u32::from_le_bytes([buffer[at], buffer[at + 1], buffer[at + 2], buffer[at + 3]]);
+        let length = number(8);
         if length as usize > MAX_BODY_LENGTH {
             return Err(FrameError::Oversized(length));
         }
         let end = HEADER_LENGTH + length as usize;
-        if h.len() < end {
+        if buffer.len() < end {
             return Ok(None);
         }
-        let (kind, body) = (h[4], h[HEADER_LENGTH..end].to_vec());
-        if checksum(kind, &body) != word(12) {
+        let (kind, body) = (buffer[4], buffer[HEADER_LENGTH..end].to_vec());
+        if checksum(kind, &body) != number(12) {
             return Err(FrameError::Checksum);
         }
-        self.held.drain(..end);
+        self.buffer.drain(..end);
         Ok(Some(Frame { kind, body }))
     }
 }
 
-/// The kinds of messages, each at the place of its number, for those that name them: plans and logs.
+/// The names of the message kinds, each at the index of its number, for plans and logs.
 pub const KINDS: [&str; 15] = [
     "hello", "welcome", "prepare", "promise", "accept", "accepted", "beat", "beaten", "behind", "relay",
     "back", "request", "reply", "ask", "tale",
 ];
 
-/// The number of a kind.
+/// Returns the number of a kind.
 #[must_use]
 pub fn kind_number(name: &str) -> Option<u8> {
     KINDS.iter().position(|k| *k == name).and_then(|at| u8::try_from(at).ok())
--- a/crates/frames/tests/frames.rs
+++ b/crates/frames/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames come out as they went in however they are cut, and what is no frame is refused.
+//! Frames are read as they were written, however the bytes are split, and invalid frames are rejected.
 
 use linestack_frames::{Frame, FrameError, HEADER_LENGTH, MAX_BODY_LENGTH, Reader, VERSION, encode};
 use proptest::prelude::*;
@@ -6,14 +6,14 @@
 
 proptest! {
     #[test]
-    fn whole_however_they_are_cut(
+    fn frames_are_whole_however_the_bytes_are_split(
         frames in prop::collection::vec((any::<u8>(), prop::collection::vec(any::<u8>(), 0..200)), 1..6),
         step in 1_usize..64,
     ) {
         let bytes: Vec<u8> = frames.iter().flat_map(|(k, b)| encode(*k, b).unwrap()).collect();
         let (mut reader, mut seen) = (Reader::default(), Vec::new());
-        for piece in bytes.chunks(step) {
-            reader.push(piece);
+        for chunk in bytes.chunks(step) {
+            reader.push(chunk);
             while let Some(Frame { kind, body }) = reader.next_frame().unwrap() {
                 seen.push((kind, body));
             }
@@ -21,9 +21,9 @@
         prop_assert_eq!(seen, frames);
     }
 
-    // Whatever bit is turned, the frame does not come out as another.
+    // Whichever bit is flipped, the frame is not read as a valid one.
     #[test]
-    fn no_bit_is_free(body in prop::collection::vec(any::<u8>(), 0..64), bit in any::<prop::sample::Index>()) {
+    fn every_flipped_bit_is_detected(body in prop::collection::vec(any::<u8>(), 0..64), bit in any::<prop::sample::Index>()) {
         let mut bytes = encode(3, &body).unwrap();
         let bit = bit.index(bytes.len() * 8);
         bytes[bit / 8] ^= 1 << (bit % 8);
@@ -43,18 +43,18 @@
 #[rstest]
 #[case::magic(0, b'H', FrameError::Magic)]
 #[case::version(3, VERSION + 1, FrameError::Version(VERSION + 1))]
-#[case::spare(6, 1, FrameError::Magic)]
+#[case::reserved(6, 1, FrameError::Magic)]
 #[case::oversized(11, 1, FrameError::Oversized(0x0100_0002))]
 #[case::checksum(HEADER_LENGTH, 9, FrameError::Checksum)]
-fn refused(#[case] at: usize, #[case] byte: u8, #[case] fault: FrameError) {
+fn invalid_headers_are_rejected(#[case] at: usize, #[case] byte: u8, #[case] error: FrameError) {
     let mut bytes = encode(1, b"ab").unwrap();
     bytes[at] = byte;
     let mut reader = Reader::default();
     reader.push(&bytes);
-    assert_eq!(reader.next_frame(), Err(fault));
+    assert_eq!(reader.next_frame(), Err(error));
 }
 
 #[test]
-fn none_too_large_is_made() {
+fn an_oversized_body_is_not_encoded() {
     assert!(encode(1, &vec![0; MAX_BODY_LENGTH + 1]).is_err());
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -76,20 +76,20 @@
     /// The stage of the node's start, as shown to operators.
     start_stage: String,
     /// When the lease ends.
-    until: Nanos,
+    lease_end: Nanos,
     /// The duration of the last lease.
-    span: Nanos,
+    lease_duration: Nanos,
     /// When the last request was sent.
-    asked: Nanos,
+    requested_at: Nanos,
     /// Whether the last request was answered.
     answered: bool,
-    /// When the newest lease was requested.
-    granted: Nanos,
+    /// The time of the request that the newest grant answers.
+    granted_request: Nanos,
     connected: bool,
     /// When the next request is due, or when the answer to the last one counts as lost.
     next: Nanos,
     /// A lease for a policy that is being activated: its version and its end.
-    waiting: Option<(u64, Nanos)>,
+    pending_lease: Option<(u64, Nanos)>,
     injected_fault: Option<InjectedFault>,
 }
 
@@ -98,12 +98,12 @@
 
 impl Member {
     /// Creates a member with the stored active version `active` and the stored change `staged`, which may not serve yet.
-    /// `span` is the assumed duration of a lease until the first one arrives; the waiting times follow from it.
+    /// `lease_duration` is the assumed duration of a lease until the first one arrives; the waiting times follow from it.
     #[must_use]
     pub fn new(
         incarnation: Incarnation,
         drift: u64,
-        span: Nanos,
+        lease_duration: Nanos,
         active: u64,
         staged: Option<Policy>,
     ) -> Self {
@@ -115,14 +115,14 @@
             staging: None,
             declined: None,
             start_stage: String::new(),
-            until: 0,
-            span,
-            asked: 0,
+            lease_end: 0,
+            lease_duration,
+            requested_at: 0,
             answered: true,
-            granted: 0,
+            granted_request: 0,
             connected: false,
             next: 0,
-            waiting: None,
+            pending_lease: None,
             injected_fault: None,
         }
     }
@@ -149,7 +149,8 @@
     /// Returns whether the member may serve at this time.
     #[must_use]
     pub fn may_serve(&self, now: Nanos) -> bool {
-        now < self.until || (self.until > 0 && self.injected_fault == Some(InjectedFault::LeaseNeverEnds))
+        now < self.lease_end
+            || (self.lease_end > 0 && self.injected_fault == Some(InjectedFault::LeaseNeverEnds))
     }
 
     /// Sets the stage of the node's start that is reported to operators.
@@ -194,14 +195,14 @@
                 }
             }
             Input::Activated { version, result } => {
-                let waiting = self.waiting.take_if(|(v, _)| *v == version);
+                let pending_lease = self.pending_lease.take_if(|(v, _)| *v == version);
                 match result {
                     Ok(()) => {
                         self.active = version;
                         if self.staged.as_ref().is_some_and(|s| s.version <= version) {
                             self.staged = None;
                         }
-                        if let Some((_, until)) = waiting {
+                        if let Some((_, until)) = pending_lease {
                             self.serve(until, outputs);
                         }
                         if self.answered {
@@ -211,7 +212,7 @@
                     }
                     Err(key) => {
                         // The member may not serve under its active version, and can't apply the decided one.
-                        self.until = 0;
+                        self.lease_end = 0;
                         self.declined = Some((version, key.clone()));
                         outputs.push(Output::Serve { version: self.active, until: 0 });
                         outputs.push(Output::Notify(Notice::CannotActivate { version, key }));
@@ -222,9 +223,9 @@
     }
 
     fn request_lease(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
-        (self.asked, self.answered) = (now, false);
+        (self.requested_at, self.answered) = (now, false);
         // A missing answer is noticed while enough of the lease is left to try another coordinator.
-        self.next = now + (self.span / 6).max(1);
+        self.next = now + (self.lease_duration / 6).max(1);
         let (active, declined) = (self.active, self.declined.clone());
         let staged = self.staged.as_ref().map_or(0, |s| s.version);
         let (incarnation, stage) = (self.incarnation, self.start_stage.clone());
@@ -232,8 +233,8 @@
     }
 
     fn serve(&mut self, until: Nanos, outputs: &mut Vec<Output>) {
-        self.until = self.until.max(until);
-        outputs.push(Output::Serve { version: self.active, until: self.until });
+        self.lease_end = self.lease_end.max(until);
+        outputs.push(Output::Serve { version: self.active, until: self.lease_end });
     }
 
     fn handle_reply(&mut self, now: Nanos, reply: Reply, outputs: &mut Vec<Output>) {
@@ -244,10 +245,11 @@
                 // There is no leader. The next one may be reachable through this coordinator, too, so another
                 // connection is not tried at once.
                 self.answered = true;
-                self.next = now + (self.span / 12).max(1);
+                self.next = now + (self.lease_duration / 12).max(1);
             }
             Reply::Refused(reason) => {
-                (self.answered, self.next) = (true, now + REFUSED_RETRY_DELAY.min(self.span).max(1));
+                (self.answered, self.next) =
+                    (true, now + REFUSED_RETRY_DELAY.min(self.lease_duration).max(1));
                 outputs.push(Output::Notify(Notice::Refused(reason)));
             }
             _ => {}
@@ -257,15 +259,18 @@
     fn handle_grant(&mut self, now: Nanos, grant: Grant, outputs: &mut Vec<Output>) {
         let Grant { incarnation, at, span, version, policy, change } = grant;
         // A grant for another incarnation, or for a request already answered by a newer grant, is out of date.
-        if incarnation != self.incarnation || at > now || at <= self.granted && self.granted > 0 {
+        if incarnation != self.incarnation
+            || at > now
+            || at <= self.granted_request && self.granted_request > 0
+        {
             return;
         }
-        self.granted = at;
-        if at == self.asked {
+        self.granted_request = at;
+        if at == self.requested_at {
             self.answered = true;
             self.next = now.max(at + (span / 3).max(1));
         }
-        self.span = span;
+        self.lease_duration = span;
         if version < self.active {
             let notice = Notice::CoordinatorsBehind { own: self.active, theirs: version };
             outputs.push(Output::Notify(notice));
@@ -275,14 +280,14 @@
         let until = from + (span - span / 1000 * self.drift);
         if version == self.active {
             self.serve(until, outputs);
-        } else if self.waiting.is_none_or(|(v, _)| v != version) {
+        } else if self.pending_lease.is_none_or(|(v, _)| v != version) {
             let stored = self.staged.clone().filter(|s| s.version == version);
             if let Some(policy) = policy.filter(|p| p.version == version).or(stored) {
-                self.waiting = Some((version, until));
+                self.pending_lease = Some((version, until));
                 outputs.push(Output::Activate(policy));
             }
         } else {
-            self.waiting = Some((version, until));
+            self.pending_lease = Some((version, until));
         }
         let declined = self.declined.as_ref().map(|(v, _)| *v);
         if let Some(change) = change
@@ -293,7 +298,7 @@
                 .all(|s| s.as_ref().is_none_or(|s| s.version != change.version))
         {
             if self.injected_fault == Some(InjectedFault::ActivateUndecided) {
-                self.waiting = Some((change.version, until));
+                self.pending_lease = Some((change.version, until));
                 outputs.push(Output::Activate(change.clone()));
             }
             self.staging = Some(change.clone());
--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -1,126 +1,133 @@
-//! A member alone: what it says, and until when it may serve.
+//! A member on its own: what it requests and reports, and until when it may serve.
 
 use linestack_accord::{Grant, Incarnation, Policy, Reply};
 use linestack_member::{Input, Member, Notice, Output};
 use rstest::rstest;
 
-const SPAN: u64 = 3_000;
+const LEASE_DURATION: u64 = 3_000;
 
-struct Stand {
+struct Fixture {
     member: Member,
-    outs: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
 fn policy(version: u64) -> Policy {
     Policy { version, text: format!("p{version}") }
 }
 
-impl Stand {
+impl Fixture {
     fn new(active: u64) -> Self {
         let incarnation = Incarnation { home: 1, life: 2 };
-        Self { member: Member::new(incarnation, 10, SPAN, active, None), outs: Vec::new() }
+        Self { member: Member::new(incarnation, 10, LEASE_DURATION, active, None), outputs: Vec::new() }
     }
 
-    fn take(&mut self, now: u64, input: Input) -> &[Output] {
-        self.outs.clear();
-        self.member.handle(now, input, &mut self.outs);
-        &self.outs
+    fn handle(&mut self, now: u64, input: Input) -> &[Output] {
+        self.outputs.clear();
+        self.member.handle(now, input, &mut self.outputs);
+        &self.outputs
     }
 
     fn grant(at: u64, version: u64, with: Option<u64>, change: Option<u64>) -> Grant {
         let incarnation = Incarnation { home: 1, life: 2 };
-        Grant { incarnation, at, span: SPAN, version, policy: with.map(policy), change: change.map(policy) }
+        Grant {
+            incarnation,
+            at,
+            span: LEASE_DURATION,
+            version,
+            policy: with.map(policy),
+            change: change.map(policy),
+        }
     }
 
     fn granted(&mut self, now: u64, grant: Grant) -> &[Output] {
-        self.take(now, Input::Reply(Reply::Grant(grant)))
+        self.handle(now, Input::Reply(Reply::Grant(grant)))
     }
 }
 
-// A leave counts from when it was asked for, less the drift, however late it comes.
+// A lease counts from its request, less the drift, however late the grant arrives.
 #[rstest]
 #[case::at_once(1_001)]
 #[case::late(2_500)]
-fn counted_from_the_asking(#[case] comes: u64) {
-    let mut stand = Stand::new(1);
-    stand.take(1_000, Input::SessionOpened);
-    let until = 1_000 + SPAN - SPAN / 1000 * 10;
+fn a_lease_counts_from_its_request(#[case] received: u64) {
+    let mut fixture = Fixture::new(1);
+    fixture.handle(1_000, Input::SessionOpened);
+    let until = 1_000 + LEASE_DURATION - LEASE_DURATION / 1000 * 10;
     assert_eq!(
-        stand.granted(comes, Stand::grant(1_000, 1, None, None)),
+        fixture.granted(received, Fixture::grant(1_000, 1, None, None)),
         [Output::Serve { version: 1, until }]
     );
-    assert!(stand.member.may_serve(until - 1) && !stand.member.may_serve(until));
+    assert!(fixture.member.may_serve(until - 1) && !fixture.member.may_serve(until));
 }
 
 #[rstest]
-#[case::anothers(Grant { incarnation: Incarnation { home: 1, life: 1 }, ..Stand::grant(1_000, 1, None, None) })]
-#[case::from_the_future(Stand::grant(5_000, 1, None, None))]
-#[case::without_the_text(Stand::grant(1_000, 2, None, None))]
-fn no_leave_by(#[case] grant: Grant) {
-    let mut stand = Stand::new(1);
-    stand.take(1_000, Input::SessionOpened);
-    stand.granted(1_100, grant);
-    assert!(!stand.member.may_serve(1_100));
+#[case::for_another_incarnation(Grant { incarnation: Incarnation { home: 1, life: 1 }, ..Fixture::grant(1_000, 1, None, None) })]
+#[case::from_the_future(Fixture::grant(5_000, 1, None, None))]
+#[case::version_without_its_text(Fixture::grant(1_000, 2, None, None))]
+fn an_unusable_grant_gives_no_lease(#[case] grant: Grant) {
+    let mut fixture = Fixture::new(1);
+    fixture.handle(1_000, Input::SessionOpened);
+    fixture.granted(1_100, grant);
+    assert!(!fixture.member.may_serve(1_100));
 }
 
 #[test]
-fn the_same_answer_twice_says_nothing_new() {
-    let mut stand = Stand::new(1);
-    stand.take(1_000, Input::SessionOpened);
-    stand.granted(1_100, Stand::grant(1_000, 1, None, None));
-    assert_eq!(stand.granted(1_200, Stand::grant(1_000, 1, None, None)), []);
+fn a_repeated_grant_is_ignored() {
+    let mut fixture = Fixture::new(1);
+    fixture.handle(1_000, Input::SessionOpened);
+    fixture.granted(1_100, Fixture::grant(1_000, 1, None, None));
+    assert_eq!(fixture.granted(1_200, Fixture::grant(1_000, 1, None, None)), []);
 }
 
-// A change is said to be kept only once it is, and is gone by only once it is decided.
+// A change is reported as stored only once it is durable, and is activated only once it is decided.
 #[test]
-fn kept_before_it_is_said_and_decided_before_it_is_gone_by() {
-    let mut stand = Stand::new(1);
-    stand.take(1_000, Input::SessionOpened);
-    let outs = stand.granted(1_100, Stand::grant(1_000, 1, None, Some(2))).to_vec();
-    assert!(outs.contains(&Output::Stage(policy(2))));
-    let staged = |outs: &[Output]| {
-        outs.iter().find_map(|o| if let Output::Send(r) = o { Some(r.staged) } else { None })
+fn a_change_is_durable_before_it_is_reported_and_decided_before_it_is_active() {
+    let mut fixture = Fixture::new(1);
+    fixture.handle(1_000, Input::SessionOpened);
+    let outputs = fixture.granted(1_100, Fixture::grant(1_000, 1, None, Some(2))).to_vec();
+    assert!(outputs.contains(&Output::Stage(policy(2))));
+    let staged = |outputs: &[Output]| {
+        outputs.iter().find_map(|o| if let Output::Send(r) = o { Some(r.staged) } else { None })
     };
-    assert_eq!(staged(stand.take(1_200, Input::Reply(Reply::Nudge))), Some(0));
-    let kept = Input::Staged { version: 2, result: Ok(()) };
-    assert_eq!(staged(stand.take(1_300, kept)), Some(2));
-    assert_eq!(stand.member.active(), 1);
-    // The text is its own by now.
-    let outs = stand.granted(1_400, Stand::grant(1_300, 2, None, None)).to_vec();
-    assert_eq!(outs, [Output::Activate(policy(2))]);
-    let until = 1_300 + SPAN - SPAN / 1000 * 10;
+    assert_eq!(staged(fixture.handle(1_200, Input::Reply(Reply::Nudge))), Some(0));
+    let stored = Input::Staged { version: 2, result: Ok(()) };
+    assert_eq!(staged(fixture.handle(1_300, stored)), Some(2));
+    assert_eq!(fixture.member.active(), 1);
+    // The grant need not carry the text: the member has stored it.
+    let outputs = fixture.granted(1_400, Fixture::grant(1_300, 2, None, None)).to_vec();
+    assert_eq!(outputs, [Output::Activate(policy(2))]);
+    let until = 1_300 + LEASE_DURATION - LEASE_DURATION / 1000 * 10;
     let active = Input::Activated { version: 2, result: Ok(()) };
-    assert_eq!(stand.take(1_450, active), [Output::Serve { version: 2, until }]);
+    assert_eq!(fixture.handle(1_450, active), [Output::Serve { version: 2, until }]);
 }
 
 #[test]
-fn what_it_can_not_go_by_it_does_not_serve() {
-    let mut stand = Stand::new(1);
-    stand.take(1_000, Input::SessionOpened);
-    stand.granted(1_100, Stand::grant(1_000, 1, None, None));
-    stand.take(1_200, Input::Reply(Reply::Nudge));
-    stand.granted(1_300, Stand::grant(1_200, 2, Some(2), None));
-    let outs =
-        stand.take(1_310, Input::Activated { version: 2, result: Err("settings.kinds".into()) }).to_vec();
-    assert!(outs.contains(&Output::Serve { version: 1, until: 0 }) && !stand.member.may_serve(1_310));
+fn a_member_that_can_not_activate_the_decided_version_does_not_serve() {
+    let mut fixture = Fixture::new(1);
+    fixture.handle(1_000, Input::SessionOpened);
+    fixture.granted(1_100, Fixture::grant(1_000, 1, None, None));
+    fixture.handle(1_200, Input::Reply(Reply::Nudge));
+    fixture.granted(1_300, Fixture::grant(1_200, 2, Some(2), None));
+    let outputs =
+        fixture.handle(1_310, Input::Activated { version: 2, result: Err("settings.kinds".into()) }).to_vec();
+    assert!(outputs.contains(&Output::Serve { version: 1, until: 0 }) && !fixture.member.may_serve(1_310));
 }
 
 #[test]
-fn coordinators_that_have_lost_what_was_decided_give_no_leave() {
-    let mut stand = Stand::new(3);
-    stand.take(1_000, Input::SessionOpened);
-    let outs = stand.granted(1_100, Stand::grant(1_000, 2, Some(2), None)).to_vec();
-    assert_eq!(outs, [Output::Notify(Notice::CoordinatorsBehind { own: 3, theirs: 2 })]);
-    assert!(!stand.member.may_serve(1_100));
+fn coordinators_that_lost_a_decided_version_give_no_lease() {
+    let mut fixture = Fixture::new(3);
+    fixture.handle(1_000, Input::SessionOpened);
+    let outputs = fixture.granted(1_100, Fixture::grant(1_000, 2, Some(2), None)).to_vec();
+    assert_eq!(outputs, [Output::Notify(Notice::CoordinatorsBehind { own: 3, theirs: 2 })]);
+    assert!(!fixture.member.may_serve(1_100));
 }
 
-// One that does not answer is left for another.
+// After a coordinator did not answer in time, another one is tried.
 #[test]
-fn no_answer_means_elsewhere() {
-    let mut stand = Stand::new(1);
-    stand.take(1_000, Input::SessionOpened);
-    let due = stand.member.next_due();
-    assert_eq!(stand.take(due - 1, Input::Tick), []);
-    assert_eq!(stand.take(due, Input::Tick), [Output::TryAnotherCoordinator]);
-    assert_eq!(stand.member.next_due(), u64::MAX);
+fn a_missing_answer_leads_to_another_coordinator() {
+    let mut fixture = Fixture::new(1);
+    fixture.handle(1_000, Input::SessionOpened);
+    let due = fixture.member.next_due();
+    assert_eq!(fixture.handle(due - 1, Input::Tick), []);
+    assert_eq!(fixture.handle(due, Input::Tick), [Output::TryAnotherCoordinator]);
+    assert_eq!(fixture.member.next_due(), u64::MAX);
 }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a dispatcher and the maps between the wire's ids and its small indices.
+//! One simulated node: a dispatcher, and the maps between the ids of the wire and the dispatcher's small indices.
 
 use std::collections::HashMap;
 
@@ -7,24 +7,31 @@
 use linestack_settings::{ReportLayout, Settings};
 use linestack_simwire::{Incoming, ListEntry, Outgoing, Reply};
 
+/// The state of one instance.
 pub struct Instance {
     node: u16,
     dispatcher: Dispatcher,
     layout: ReportLayout,
+    /// The index of the submission for each call on the wire.
     submissions: HashMap<u64, u32>,
+    /// The call on the wire for each index of a submission.
     calls: Vec<u64>,
+    /// Indices of submissions that are free again.
     free: Vec<u32>,
+    /// The index of the worker for each executor on the wire.
     workers: HashMap<u32, u32>,
+    /// The executor on the wire for each index of a worker.
     executors: Vec<u32>,
     listings: Vec<Listing>,
 }
 
 impl Instance {
-    pub fn new(node: u16, start: Settings) -> Self {
+    /// Starts an instance with these settings.
+    pub fn new(node: u16, settings: Settings) -> Self {
         Self {
             node,
-            dispatcher: Dispatcher::new(start.dispatch),
-            layout: start.layout,
+            dispatcher: Dispatcher::new(settings.dispatch),
+            layout: settings.layout,
             submissions: HashMap::new(),
             calls: Vec::new(),
             free: Vec::new(),
@@ -34,11 +41,11 @@
         }
     }
 
-    /// Hands one event to the dispatcher and adds its orders to the reply. Events about submissions
-    /// or workers that this instance does not know, or knows no more, are dropped.
-    pub fn take(&mut self, clock: Nanos, event: Incoming, reply: &mut Reply) {
+    /// Passes an event to the dispatcher and adds the resulting actions to the reply. Events about submissions or workers
+    /// that this instance does not know, or does not know any longer, are dropped.
+    pub fn handle(&mut self, clock: Nanos, event: Incoming, reply: &mut Reply) {
         if let Some(event) = self.translate(event) {
-            // The listings are lent to the event and taken back after it.
+            // The event borrows the entries, so they are moved out of `self` until the event is handled.
             let listings = std::mem::take(&mut self.listings);
             let event = match event {
                 Event::Listed { kind, .. } => Event::Listed { kind, entries: &listings },
@@ -119,13 +126,13 @@
                     outcome,
                     closed,
                     took,
-                    report: self.layout.report(|place| figures.get(place)),
+                    report: self.layout.report(|index| figures.get(index)),
                 })
             }
             Incoming::Probed { executor, answered, figures } => Event::Probed {
                 worker: *self.workers.get(&executor)?,
                 answered,
-                report: self.layout.report(|place| figures.get(place)),
+                report: self.layout.report(|index| figures.get(index)),
             },
             Incoming::TimerFired { timer_id } => Event::Rang { token: timer_id },
         })
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts one dispatcher for each instance on the simulator's wire, over standard input and output.
+//! Hosts a dispatcher for each instance of the simulator. The simulator's protocol runs over standard input and output.
 
 mod instance;
 
@@ -12,8 +12,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("linestack-simhost: {why}");
+        Err(error) => {
+            eprintln!("linestack-simhost: {error}");
             ExitCode::FAILURE
         }
     }
@@ -27,16 +27,16 @@
     while batch.read(&mut input)? {
         for event in batch.events() {
             let (node, event) = event?;
-            let place = usize::from(node);
-            if place >= instances.len() {
-                instances.resize_with(place + 1, || None);
+            let index = usize::from(node);
+            if index >= instances.len() {
+                instances.resize_with(index + 1, || None);
             }
             match event {
-                Incoming::Start(start) => instances[place] = Some(Instance::new(node, *start)),
-                Incoming::Killed => instances[place] = None,
+                Incoming::Start(settings) => instances[index] = Some(Instance::new(node, *settings)),
+                Incoming::Killed => instances[index] = None,
                 event => {
-                    if let Some(instance) = &mut instances[place] {
-                        instance.take(batch.clock, event, &mut reply);
+                    if let Some(instance) = &mut instances[index] {
+                        instance.handle(batch.clock, event, &mut reply);
                     }
                 }
             }
--- a/crates/simhost/tests/input.rs
+++ b/crates/simhost/tests/input.rs
@@ -1,10 +1,10 @@
-//! The program on input that ends well and badly.
+//! The program, given input that ends regularly or within a batch.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 #[test]
-fn good_batches_are_answered_and_a_bad_one_ends_in_one_plain_line() {
+fn valid_batches_are_answered_and_an_invalid_one_ends_with_one_line_of_error() {
     let empty = |batch: u8| [&[0; 8][..], &[0; 11], &[batch]].concat();
     for (input, replies, good) in [
         (Vec::new(), 0, true),
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -1,6 +1,8 @@
-//! The simulator's wire: batches of events in, replies out.
+//! The binary protocol of the simulator: batches of events come in, replies with actions go out. Numbers are big-endian.
 //!
-//! Ids stay as the wire gives them here; the host maps them to linestack's small indices.
+//! A batch has a header, event records of a fixed length and a tail, to which records refer by offset and length. A reply
+//! has a header and action records of a fixed length. Ids are passed on as the wire has them, also `call`, the
+//! simulator's id of a submission; the host maps them to linestack's small indices.
 
 use std::io::{self, Read, Write};
 
@@ -8,11 +10,16 @@
 use linestack_settings::{Settings, nanos_from_millis};
 use thiserror::Error;
 
-const HEADER: usize = 20;
-const EVENT: usize = 56;
-const ACTION: usize = 24;
-const ENTRY: usize = 23;
+/// The length of a batch's header, in bytes.
+const BATCH_HEADER_LENGTH: usize = 20;
+/// The length of an event record, in bytes.
+const EVENT_LENGTH: usize = 56;
+/// The length of an action record, in bytes.
+const ACTION_LENGTH: usize = 24;
+/// The length of a list entry in the tail, in bytes.
+const LIST_ENTRY_LENGTH: usize = 23;
 
+/// The input is not valid.
 #[derive(Debug, Error)]
 pub enum WireError {
     #[error("the frame after batch {after} is cut short: {found} of {wanted} bytes")]
@@ -25,13 +32,13 @@
     OutsideTail { batch: u32, record: u32, offset: u32, length: u64, tail: usize },
     #[error("batch {batch}: the start text is not usable: {error}")]
     Settings { batch: u32, error: linestack_settings::SettingsError },
-    #[error("batch {batch}: record {record} has the unknown {what} {value}")]
-    UnknownValue { batch: u32, record: u32, what: &'static str, value: u8 },
+    #[error("batch {batch}: record {record} has the unknown {field} {value}")]
+    UnknownValue { batch: u32, record: u32, field: &'static str, value: u8 },
     #[error("after batch {after}: {error}")]
     Io { after: u32, error: io::Error },
 }
 
-/// A line of a list, with the wire's own id.
+/// An entry of a list of executors, with the executor's id on the wire.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListEntry {
     pub executor: u32,
@@ -40,20 +47,23 @@
     pub zone: u16,
     pub cell: u16,
     pub started: Nanos,
-    /// What the list calls scale; 0 where it makes no sense.
+    /// The entry's `scale` on the wire; 0 if that is negative or not finite.
     pub weight: f32,
 }
 
-/// Up to four figures of a load report, in the order of the site's fields.
+/// Up to four figures of a load report, in the order of the report fields in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportFigures {
     count: u8,
     values: [f32; 4],
 }
 
+/// An event from the simulator.
 #[derive(Debug)]
 pub enum Incoming {
+    /// The instance starts with these settings.
     Start(Box<Settings>),
+    /// The instance was killed; its state is dropped.
     Killed,
     ListReceived {
         kind: ListKind,
@@ -63,13 +73,16 @@
         call: u64,
         job: Job,
     },
+    /// The client left, or was answered by others.
     ClientLeft {
         call: u64,
     },
+    /// The answer has begun; the deadline does not apply any longer.
     Streaming {
         call: u64,
         execution: u16,
     },
+    /// The job has started or made progress.
     Progressed {
         call: u64,
         execution: u16,
@@ -85,28 +98,51 @@
     },
     Probed {
         executor: u32,
+        /// None if the executor rejected the probe because it gets too many.
         answered: Option<bool>,
         figures: ReportFigures,
     },
     TimerFired {
         timer_id: u64,
     },
-    /// A message from another node; nothing here acts on one.
+    /// A message from another node. It is not handled.
     PeerMessage,
 }
 
+/// An action for the simulator.
 #[derive(Clone, Copy, Debug)]
 pub enum Outgoing {
-    Cancel { call: u64, execution: u16 },
-    SetTimer { at: Nanos, timer_id: u64 },
-    Probe { executor: u32 },
-    Abort { call: u64 },
-    Execute { call: u64, timeout: Nanos, executor: u32 },
-    CloseIdleConnections { executor: u32 },
+    Cancel {
+        call: u64,
+        execution: u16,
+    },
+    SetTimer {
+        at: Nanos,
+        timer_id: u64,
+    },
+    Probe {
+        executor: u32,
+    },
+    Abort {
+        call: u64,
+    },
+    Execute {
+        call: u64,
+        timeout: Nanos,
+        executor: u32,
+    },
+    CloseIdleConnections {
+        executor: u32,
+    },
+    /// Request the changes of the list from now on.
     Subscribe,
-    Dismiss { call: u64, retry_after: Nanos },
+    Dismiss {
+        call: u64,
+        retry_after: Nanos,
+    },
 }
 
+/// A batch of events at one time of the simulator's clock.
 #[derive(Default)]
 pub struct Batch {
     pub clock: Nanos,
@@ -116,7 +152,11 @@
 }
 
 impl Batch {
-    /// Reads the next batch in place of this one. False at a clean end of the input.
+    /// Replaces this batch by the next one of the input. Returns false at the regular end of the input.
+    ///
+    /// # Errors
+    ///
+    /// The input fails or ends within a batch, or the lengths in the header contradict each other.
     pub fn read(&mut self, input: &mut impl Read) -> Result<bool, WireError> {
         let after = self.number;
         let mut fill = |body: &mut Vec<u8>, wanted: usize| {
@@ -128,17 +168,17 @@
                 .map_err(|error| WireError::Io { after, error })?;
             Ok(found)
         };
-        let found = fill(&mut self.body, HEADER)?;
+        let found = fill(&mut self.body, BATCH_HEADER_LENGTH)?;
         if found == 0 {
             return Ok(false);
         }
-        if found < HEADER {
-            return Err(WireError::Truncated { after, found, wanted: HEADER });
+        if found < BATCH_HEADER_LENGTH {
+            return Err(WireError::Truncated { after, found, wanted: BATCH_HEADER_LENGTH });
         }
         let header = Fields(&self.body);
         let (clock, length, records, number) = (header.f64(0), header.u32(8), header.u32(12), header.u32(16));
         (self.clock, self.records, self.number) = (nanos_from_millis(clock), records, number);
-        if u64::from(records) * EVENT as u64 > u64::from(length) {
+        if u64::from(records) * EVENT_LENGTH as u64 > u64::from(length) {
             return Err(WireError::RecordsTooLong { batch: number, records, length });
         }
         let found = fill(&mut self.body, length as usize)?;
@@ -148,14 +188,14 @@
         Ok(true)
     }
 
-    /// The events with the numbers of the instances that they are for.
+    /// Decodes the events. Each comes with the number of the instance that it is for.
     pub fn events(&self) -> impl Iterator<Item = Result<(u16, Incoming), WireError>> {
         (0..self.records).map(|record| self.event(record))
     }
 
     fn event(&self, record: u32) -> Result<(u16, Incoming), WireError> {
-        let f = Fields(&self.body[record as usize * EVENT..][..EVENT]);
-        let value = |what, value| WireError::UnknownValue { batch: self.number, record, what, value };
+        let f = Fields(&self.body[record as usize * EVENT_LENGTH..][..EVENT_LENGTH]);
+        let unknown = |field, value| WireError::UnknownValue { batch: self.number, record, field, value };
         let event = match f.u8(0) {
             1 => Incoming::Submitted {
                 call: f.u64(3),
@@ -163,8 +203,8 @@
                     product: f.u8(11),
                     tenant: f.u16(12),
                     cut_off: nanos_from_millis(f.f64(22)),
-                    slots: positive(f.f32(38)).filter(|s| *s > 0.0).unwrap_or(1.0).into(),
-                    memory: positive(f.f32(42)).unwrap_or(0.0).into(),
+                    slots: non_negative(f.f32(38)).filter(|s| *s > 0.0).unwrap_or(1.0).into(),
+                    memory: non_negative(f.f32(42)).unwrap_or(0.0).into(),
                 },
             },
             2 => Incoming::Probed {
@@ -193,16 +233,16 @@
                     1 => ListKind::Whole,
                     2 => ListKind::Cached,
                     3 => ListKind::Failed,
-                    other => return Err(value("kind of list", other)),
+                    other => return Err(unknown("kind of list", other)),
                 };
-                let bytes = self.tail(record, f.u32(8), u64::from(f.u32(12)) * ENTRY as u64)?;
-                let entries = bytes.chunks_exact(ENTRY).map(|entry| {
+                let bytes = self.tail(record, f.u32(8), u64::from(f.u32(12)) * LIST_ENTRY_LENGTH as u64)?;
+                let entries = bytes.chunks_exact(LIST_ENTRY_LENGTH).map(|entry| {
                     let e = Fields(entry);
                     let health = match e.u8(6) {
                         1 => Health::Draining,
                         2 => Health::Ready,
                         3 => Health::Gone,
-                        other => return Err(value("health", other)),
+                        other => return Err(unknown("health", other)),
                     };
                     Ok(ListEntry {
                         executor: e.u32(15),
@@ -211,7 +251,7 @@
                         zone: e.u16(21),
                         cell: e.u16(19),
                         started: nanos_from_millis(e.f64(7)),
-                        weight: positive(e.f32(0)).unwrap_or(0.0),
+                        weight: non_negative(e.f32(0)).unwrap_or(0.0),
                     })
                 });
                 Incoming::ListReceived { kind, entries: entries.collect::<Result<_, _>>()? }
@@ -235,7 +275,7 @@
     }
 
     fn tail(&self, record: u32, offset: u32, length: u64) -> Result<&[u8], WireError> {
-        let tail = &self.body[self.records as usize * EVENT..];
+        let tail = &self.body[self.records as usize * EVENT_LENGTH..];
         let (from, to) = (u64::from(offset), u64::from(offset) + length);
         if length == 0 {
             return Ok(&[]);
@@ -253,7 +293,7 @@
     }
 }
 
-/// The reply to one batch; it is written whole or not at all.
+/// The reply to one batch: the actions of all instances, collected before they are written.
 #[derive(Default)]
 pub struct Reply {
     records: u32,
@@ -261,8 +301,9 @@
 }
 
 impl Reply {
+    /// Adds an action of an instance.
     pub fn push(&mut self, node: u16, action: Outgoing) {
-        let mut record = [0; ACTION];
+        let mut record = [0; ACTION_LENGTH];
         record[1..3].copy_from_slice(&node.to_be_bytes());
         let mut put = |at: usize, bytes: &[u8]| record[at..at + bytes.len()].copy_from_slice(bytes);
         let code = match action {
@@ -309,7 +350,11 @@
         self.body.extend_from_slice(&record);
     }
 
-    /// Writes the reply to the batch of this number and empties it for the next.
+    /// Writes the reply to the batch with this number and clears it for the next one.
+    ///
+    /// # Errors
+    ///
+    /// The output fails.
     pub fn write(&mut self, batch: u32, output: &mut impl Write) -> io::Result<()> {
         output.write_all(&self.records.to_be_bytes())?;
         output.write_all(&(self.body.len() as u32).to_be_bytes())?;
@@ -322,6 +367,7 @@
     }
 }
 
+/// Reads big-endian numbers at byte offsets of a record.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
@@ -359,14 +405,16 @@
 }
 
 impl ReportFigures {
+    /// Returns the figure at this index, if the report has it.
     #[must_use]
-    pub fn get(&self, place: usize) -> Option<f32> {
-        self.values.get(place).filter(|_| place < usize::from(self.count)).copied()
+    pub fn get(&self, index: usize) -> Option<f32> {
+        self.values.get(index).filter(|_| index < usize::from(self.count)).copied()
     }
 }
 
-fn outcome(reason: u16) -> Outcome {
-    match reason {
+/// Returns the outcome for a status of the wire.
+fn outcome(status: u16) -> Outcome {
+    match status {
         200 => Outcome::Satisfied,
         429 => Outcome::Full,
         408 => Outcome::TimedOut,
@@ -374,13 +422,13 @@
         520 => Outcome::Reset,
         444 => Outcome::Cancelled,
         409 => Outcome::NotSent,
-        // What is not known may have run.
+        // After an unknown status the execution may have run.
         _ => Outcome::Error,
     }
 }
 
-fn positive(figure: f32) -> Option<f32> {
-    (figure.is_finite() && figure >= 0.0).then_some(figure)
+fn non_negative(number: f32) -> Option<f32> {
+    (number.is_finite() && number >= 0.0).then_some(number)
 }
 
 fn millis(nanos: Nanos) -> f64 {
--- a/crates/simwire/tests/frames.rs
+++ b/crates/simwire/tests/frames.rs
@@ -1,10 +1,10 @@
-//! Frames and start texts, good and bad.
+//! Valid and invalid frames, and the settings in a start event.
 
 use linestack_dispatch::types::{Group, Health, ListKind, Outcome, Repeats};
 use linestack_simwire::{Batch, Incoming, Outgoing, Reply, WireError};
 use rstest::rstest;
 
-/// A batch of one event with these bytes after its code, and a tail.
+/// Encodes a batch of one event with these bytes after its code, and a tail.
 fn frame(code: u8, fields: &[u8], tail: &[u8]) -> Vec<u8> {
     let mut record = vec![code];
     record.extend_from_slice(fields);
@@ -23,13 +23,13 @@
     batch.events().next().expect("one event")
 }
 
-fn begin(text: &str) -> Vec<u8> {
+fn start(text: &str) -> Vec<u8> {
     let fields = [&[0; 10][..], &0u32.to_be_bytes(), &(text.len() as u32).to_be_bytes()].concat();
     frame(7, &fields, text.as_bytes())
 }
 
 #[test]
-fn an_ending_keeps_its_figures_and_drops_those_that_make_no_sense() {
+fn an_ended_event_carries_its_figures_and_the_report_drops_invalid_ones() {
     let mut fields = vec![0, 3];
     fields.extend(5u64.to_be_bytes());
     fields.extend([0, 2, 0x01, 0xad, 0, 0, 0, 0, 1]);
@@ -45,13 +45,13 @@
     assert_eq!(outcome, Outcome::Full);
     let text =
         r#"{"report":{"fields":["x0","backlog","outstanding"]},"familyInfo":{"reportX0":"free slots"}}"#;
-    let Incoming::Start(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
-    let report = start.layout.report(|place| figures.get(place)).unwrap();
+    let Incoming::Start(settings) = decoded(&start(text)).unwrap().1 else { panic!() };
+    let report = settings.layout.report(|index| figures.get(index)).unwrap();
     assert_eq!((report.free_slots, report.waiting, report.in_hand), (Some(2.0), None, None));
 }
 
 #[test]
-fn a_list_entry_keeps_its_place() {
+fn the_fields_of_a_list_entry_are_decoded() {
     let entry = [&[0; 4][..], &[0, 1, 1], &2.0f64.to_be_bytes(), &[0, 0, 0, 8, 0, 4, 0, 2]].concat();
     let fields = [&[0, 3, 1, 0, 0, 0, 9][..], &0u32.to_be_bytes(), &1u32.to_be_bytes()].concat();
     let (_, event) = decoded(&frame(6, &fields, &entry)).unwrap();
@@ -62,20 +62,20 @@
 }
 
 #[rstest]
-#[case::nothing_said("{}", 0, None, None)]
+#[case::empty("{}", 0, None, None)]
 #[case::unknown_keys(r#"{"later":[1],"limits":{"other":{}}}"#, 0, None, None)]
-#[case::asked_list(r#"{"discovery":"on_request"}"#, 0, None, Some(10_000_000_000))]
-#[case::come_back(r#"{"limits":{"retryAfter":true,"maxRetryAfterMs":2}}"#, 0, Some(2_000_000), None)]
-#[case::not_heeded(r#"{"limits":{"retryAfter":false,"maxRetryAfterMs":2}}"#, 0, None, None)]
+#[case::list_on_request(r#"{"discovery":"on_request"}"#, 0, None, Some(10_000_000_000))]
+#[case::retry_after(r#"{"limits":{"retryAfter":true,"maxRetryAfterMs":2}}"#, 0, Some(2_000_000), None)]
+#[case::retry_after_not_supported(r#"{"limits":{"retryAfter":false,"maxRetryAfterMs":2}}"#, 0, None, None)]
 #[case::tenants(r#"{"tenants":[{"quotaPerS":2.0},{}]}"#, 2, None, None)]
-fn what_a_site_leaves_out_is_filled_in(
+fn missing_settings_get_defaults(
     #[case] text: &str,
     #[case] tenants: usize,
     #[case] come_back: Option<u64>,
     #[case] ask_within: Option<u64>,
 ) {
-    let Incoming::Start(start) = decoded(&begin(text)).unwrap().1 else { panic!() };
-    let o = start.dispatch;
+    let Incoming::Start(settings) = decoded(&start(text)).unwrap().1 else { panic!() };
+    let o = settings.dispatch;
     assert_eq!((o.quotas.len(), o.come_back, o.ask_within), (tenants, come_back, ask_within));
     assert!(!o.may_probe && !o.may_duplicate && o.max_executions == 1);
 }
@@ -87,24 +87,24 @@
     Repeats::Stamped { group: Group::Zone, memory: 3_000_000 }
 )]
 #[case::one_shot(r#""effect":"side_effect""#, Repeats::OneShot)]
-#[case::never_heard_of(r#""effect":"other""#, Repeats::OneShot)]
-fn products_say_what_a_repeat_does(#[case] fields: &str, #[case] repeats: Repeats) {
+#[case::unknown_effect(r#""effect":"other""#, Repeats::OneShot)]
+fn the_effect_of_a_product_gives_its_repeat_policy(#[case] fields: &str, #[case] repeats: Repeats) {
     let text = format!(r#"{{"products":[{{{fields}}}]}}"#);
-    let Incoming::Start(start) = decoded(&begin(&text)).unwrap().1 else { panic!() };
-    assert_eq!(start.dispatch.products[0].repeats, repeats);
+    let Incoming::Start(settings) = decoded(&start(&text)).unwrap().1 else { panic!() };
+    assert_eq!(settings.dispatch.products[0].repeats, repeats);
 }
 
 #[rstest]
 #[case::unknown_code(frame(99, &[], &[]), "unknown event code 99")]
 #[case::unknown_list(frame(6, &[0, 0, 9], &[]), "unknown kind of list 9")]
 #[case::outside_the_tail(frame(7, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 4, 0, 0, 0, 9], b"{}"), "outside the tail")]
-#[case::not_json(begin("{]"), "start text")]
+#[case::not_json(start("{]"), "start text")]
 #[case::cut_short(frame(10, &[], &[])[..50].to_vec(), "cut short: 30 of 56")]
 #[case::cut_header(vec![0; 5], "cut short: 5 of 20")]
 #[case::wrong_length([&[0; 11][..], &[9, 0, 0, 0, 1], &[0; 13]].concat(), "do not fit in 9 bytes")]
-fn a_bad_frame_is_said_plainly(#[case] frame: Vec<u8>, #[case] said: &str) {
-    let fault = decoded(&frame).unwrap_err().to_string();
-    assert!(fault.contains(said) && !fault.contains('\n'), "{fault}");
+fn the_error_for_an_invalid_frame_is_one_clear_line(#[case] frame: Vec<u8>, #[case] expected: &str) {
+    let error = decoded(&frame).unwrap_err().to_string();
+    assert!(error.contains(expected) && !error.contains('\n'), "{error}");
 }
 
 #[test]
