--- a/crates/frames/src/lib.rs
+++ b/crates/frames/src/lib.rs
@@ -41,6 +41,7 @@
 /// A decoded frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
+    /// The number of the message's kind, as in [`KINDS`].
     pub kind: u8,
     pub body: Vec<u8>,
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -12,6 +12,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
+/// A duration, or a time on the local clock, in nanoseconds.
 pub type Nanos = u64;
 /// The version of the snapshot format.
 pub const FORMAT_VERSION: u8 = 1;
--- a/crates/recovery/src/start.rs
+++ b/crates/recovery/src/start.rs
@@ -4,6 +4,7 @@
 
 use std::collections::BTreeSet;
 
+/// A duration, or a time on the local clock, in nanoseconds.
 pub type Nanos = u64;
 const NANOS_PER_SECOND: f64 = 1e9;
 
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -46,6 +46,7 @@
     pub kind: u16,
     pub zone: u16,
     pub cell: u16,
+    /// The time of the last start.
     pub started: Nanos,
     /// The entry's `scale` on the wire; 0 if that is negative or not finite.
     pub weight: f32,
@@ -145,7 +146,9 @@
 /// A batch of events at one time of the simulator's clock.
 #[derive(Default)]
 pub struct Batch {
+    /// The simulator's time.
     pub clock: Nanos,
+    /// The number of the batch, which its reply repeats.
     pub number: u32,
     records: u32,
     body: Vec<u8>,
