--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,7 +25,8 @@
     #[must_use]
     pub fn key_needing_restart(&self, newer: &Self) -> Option<&'static str> {
         let (names, others) = (&self.names, &newer.names);
-        let repeat_policies = |s: &Self| s.dispatch.products.iter().map(|p| p.repeat_policy).collect::<Vec<_>>();
+        let repeat_policies =
+            |s: &Self| s.dispatch.products.iter().map(|p| p.repeat_policy).collect::<Vec<_>>();
         let differ = [
             (
                 "settings.products",
@@ -399,7 +400,10 @@
             _ => RepeatPolicy::OneShot,
         },
         latency_target: nanos_from_millis(raw_product.agreed_time_ms),
-        latency_target_factor: raw_product.aim_stretch.or(family.class_stretch.get(i).copied()).unwrap_or(0.0),
+        latency_target_factor: raw_product
+            .aim_stretch
+            .or(family.class_stretch.get(i).copied())
+            .unwrap_or(0.0),
         payoff: raw_product.payoff,
         late_payoff: raw_product.late_payoff,
         allowed_kinds: kinds,
