--- a/crates/core/tests/started.rs
+++ b/crates/core/tests/started.rs
@@ -57,7 +57,7 @@
     #[case] known_until: Nanos,
     #[case] wanted: Nanos,
 ) {
-    let clocks = ListClocks { known_until, wall_clock_shift: wall_clock_shift };
+    let clocks = ListClocks { known_until, wall_clock_shift };
     assert_eq!(taken_for(&mut fresh(), NOW, told, clocks), wanted);
 }
 
