--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -1,14 +1,19 @@
-//! All decisions of a node. Make one [`Dispatcher`] from the standing orders, hand it whatever happens
-//! through [`Dispatcher::decide`] in the order in which it happened, and carry out the returned orders
-//! in theirs. The interface is `types.rs`. Nothing here reads a clock or shares anything.
+//! All decisions of a node. The caller makes one [`Dispatcher`], passes every event to [`Dispatcher::decide`]
+//! in the order in which it happens, and carries out the returned actions in their order. The interface is in
+//! `types.rs`. Nothing here reads a clock or shares state.
 //!
-//! The ordinary path is the design's: a random worker below threshold, else a random ready one. Beside it:
-//! 1. executor health: set aside on failure or silence, back after answered probes;
-//! 2. overdue executions: a copy elsewhere where the product bears a repeat, or the same by way of a cancel;
-//! 3. cold budget: by chance, so that all nodes together stay below what a worker just started bears;
-//! 4. limits: in flight by shortest over present answer time, and no late queue;
-//! 5. fairness: room is kept from what a tenant sends beyond its share, and from what pays less;
-//! 6. following the list, refreshing reports by probes as far as their price bears, idle connections let go.
+//! A submission normally goes to a random worker below threshold, else to a random ready one. In addition:
+//! 1. Worker health: a worker is ejected after a failure or silence and returns after answered probes.
+//! 2. Overdue executions: a copy is sent to another worker if the product allows a repeat; or the execution
+//!    is cancelled first, and the submission is sent on.
+//! 3. Slow start: cold workers are drawn with a probability that keeps the jobs of all nodes together below
+//!    what a worker bears just after its start.
+//! 4. Admission: the slots in flight are limited by the ratio of the shortest to the present answer time, and
+//!    no queue is joined that would make answers late.
+//! 5. Fairness: part of the capacity is reserved against submissions beyond a tenant's share, and against
+//!    products that pay less.
+//! 6. Upkeep: the list is followed, reports are refreshed by probes as far as their cost allows, and idle
+//!    connections are closed.
 
 use std::borrow::Cow;
 
@@ -17,638 +22,777 @@
     Submission, Worker, WorkerEntry,
 };
 use crate::worker_stats::{
-    AnswerTime, Choice, Desk, Draw, Fleet, Flow, Held, MODEST, Out, Tenant, at, longest, median, usual, whole,
+    AnswerTime, Choice, DEFAULT_THRESHOLD, Fleet, InFlight, RankedDraw, SubmissionState, TenantStats,
+    TrafficStats, WorkerState, entry_at, mean_answer_time, rounded, slowest_answer_time, weighted_median,
 };
 
-const THRESHOLD_FLOOR: f64 = 2.0;
-const RUN: u32 = 4; // Served jobs in a row after which a kind's threshold regains a slot.
-const MAX_STRIKES: u32 = 6; // How often set-asides in a row may double the probes asked for.
-const PROBE_SPEND: f64 = 0.015; // Points of the result that refreshing reports may cost.
-const RESERVE: f64 = 0.2; // The part of the workers kept for the products that pay best.
-const SLOW: f64 = 1.1; // A worker that takes so many times the mean for the same jobs is drawn after others,
-const CRAWLS: f64 = 2.0; // and one that takes so many times, after those that cost a crossing too.
-const REMEMBERED: f64 = 2.0; // Answer times after which a report tells nothing,
-const FRESH: f64 = 0.25; // and in which it is fresh where not all are known.
-const MOST_OWED: f64 = 8.0; // Probes that may be owed.
-const PROMPT: f64 = 0.25; // The part of the jobs that must start at once for one that waits to move.
-const BLIND: f64 = 0.5; // Drawn without knowing, room is found only by chance.
-const LEAST: f64 = 0.1; // The room below which any may be turned away.
-const STRANGER_DRAWS: usize = 16;
-const ENOUGH: f64 = 64.0; // Submissions over which tenants' shares are judged at least.
-const CROWD: f64 = 4.0; // So many nodes for each of its slots are a crowd to a worker,
-const IDLE_BEARS: f64 = 2.0; // and so many answer times one of them may keep an idle connection to it.
+/// The least threshold of a kind of worker, in slots.
+const MIN_THRESHOLD: f64 = 2.0;
+/// The completed jobs after which a kind's threshold regains a slot.
+const COMPLETIONS_PER_SLOT: u32 = 4;
+/// How often repeated failures may double the probes needed or the time until the next try.
+const MAX_DOUBLINGS: u32 = 6;
+/// The points of the result that refreshing reports may cost.
+const REFRESH_COST_LIMIT: f64 = 0.015;
+/// The part of the workers reserved for the products that pay best.
+const RESERVED_SHARE: f64 = 0.2;
+/// A worker that takes this multiple of the mean time for the same jobs is drawn after others of its zone.
+const SLOW_RATIO: f64 = 1.1;
+/// A worker that takes this multiple is drawn even after workers in other zones.
+const VERY_SLOW_RATIO: f64 = 2.0;
+/// The age, in answer times, from which a report is worthless.
+const REPORT_LIFETIME: f64 = 2.0;
+/// The age, in answer times, up to which a report is fresh, where not all workers are known.
+const FRESH_REPORT_AGE: f64 = 0.25;
+/// The debt of probes up to which ejected workers are still probed.
+const MAX_PROBE_DEBT: f64 = 8.0;
+/// The part of the jobs that must start at once before a waiting job is moved.
+const MIN_PROMPT_SHARE: f64 = 0.25;
+/// The probability that an unknown worker has room. It is drawn blindly, so room is found only by chance.
+const UNKNOWN_ROOM: f64 = 0.5;
+/// The share of workers with room below which any submission may be dismissed.
+const MIN_ROOM: f64 = 0.1;
+/// The number of random draws that look for an unknown worker.
+const UNKNOWN_WORKER_DRAWS: usize = 16;
+/// The least number of submissions over which tenants' shares are measured.
+const SHARE_SAMPLE: f64 = 64.0;
+/// The number of nodes per slot of a worker from which idle connections burden the worker.
+const CROWDED_NODES_PER_SLOT: f64 = 4.0;
+/// The number of answer times for which a node may keep an idle connection to such a worker.
+const CROWDED_IDLE_ANSWERS: f64 = 2.0;
 
+/// Decides for one node; see the module's documentation.
 pub struct Dispatcher {
-    pub(crate) terms: DispatchConfig,
-    pub(crate) chance: fastrand::Rng,
+    pub(crate) config: DispatchConfig,
+    pub(crate) rng: fastrand::Rng,
     pub(crate) now: Nanos,
     pub(crate) fleet: Fleet,
-    pub(crate) held: Vec<Held>,
-    tenants: Vec<Tenant>,
-    answers: Vec<AnswerTime>,
-    pub(crate) flow: Flow,
-    pub(crate) next_pulse: Nanos,
+    pub(crate) submissions: Vec<SubmissionState>,
+    tenants: Vec<TenantStats>,
+    answer_times: Vec<AnswerTime>,
+    pub(crate) traffic: TrafficStats,
+    pub(crate) next_tick: Nanos,
+    /// When to request the list.
     pub(crate) subscribe_at: Nanos,
-    /// Calls for the list that failed, in a row.
-    pub(crate) unheard: u32,
-    /// The best payoff, and the points that reports may cost: starts tell at once what reports tell late.
-    best: f64,
-    spend: f64,
-    todo: Vec<Action>,
+    /// Requests for the list that failed in a row.
+    pub(crate) failed_list_requests: u32,
+    best_payoff: f64,
+    /// The points that refreshing reports may cost. Where starts are reported, less is spent: a start shows
+    /// at once what a report shows late.
+    refresh_cost_limit: f64,
+    actions: Vec<Action>,
 }
 
 impl Dispatcher {
     #[must_use]
-    pub fn new(terms: DispatchConfig) -> Self {
+    pub fn new(config: DispatchConfig) -> Self {
         Self {
-            chance: fastrand::Rng::with_seed(terms.seed),
+            rng: fastrand::Rng::with_seed(config.seed),
             now: 0,
             fleet: Fleet::default(),
-            held: Vec::new(),
-            tenants: vec![Tenant::default(); terms.quotas.len()],
-            answers: terms.products.iter().map(|p| AnswerTime::expected(p.latency_target)).collect(),
-            flow: Flow::new(terms.idle_timeout, terms.products.len()),
-            next_pulse: 0,
+            submissions: Vec::new(),
+            tenants: vec![TenantStats::default(); config.quotas.len()],
+            answer_times: config.products.iter().map(|p| AnswerTime::expected(p.latency_target)).collect(),
+            traffic: TrafficStats::new(config.idle_timeout, config.products.len()),
+            next_tick: 0,
             subscribe_at: Nanos::MAX,
-            unheard: 0,
-            best: terms.products.iter().map(|p| p.payoff).fold(f64::MIN_POSITIVE, f64::max),
-            spend: if terms.reports_start { PROBE_SPEND / 10.0 } else { PROBE_SPEND },
-            todo: Vec::new(),
-            terms,
+            failed_list_requests: 0,
+            best_payoff: config.products.iter().map(|p| p.payoff).fold(f64::MIN_POSITIVE, f64::max),
+            refresh_cost_limit: if config.reports_start {
+                REFRESH_COST_LIMIT / 10.0
+            } else {
+                REFRESH_COST_LIMIT
+            },
+            actions: Vec::new(),
+            config,
         }
     }
 
-    /// Takes one thing that happened, returns what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Action] {
-        self.todo.clear();
+        self.actions.clear();
         if self.now == 0 {
-            // Until arrivals were seen, this node's part of all shares is what it expects.
-            let expected = self.terms.quotas.iter().sum::<f64>() / f64::from(self.terms.nodes);
-            self.flow.expect(now, expected.max(1.0) / 1e9);
-            self.fleet.turn = self.chance.usize(..);
+            // Until arrivals have been seen, this node expects its part of all tenants' quotas.
+            let expected = self.config.quotas.iter().sum::<f64>() / f64::from(self.config.nodes);
+            self.traffic.assume_rate(now, expected.max(1.0) / 1e9);
+            self.fleet.probe_cursor = self.rng.usize(..);
         }
         self.now = self.now.max(now);
-        if self.now >= self.next_pulse {
-            self.pulse();
+        if self.now >= self.next_tick {
+            self.tick();
         }
         match event {
-            Event::ListReceived { kind, entries } => self.listed(kind, entries),
+            Event::ListReceived { kind, entries } => self.list_received(kind, entries),
             Event::Submitted { submission, job } => {
-                at(&mut self.held, submission).take(job);
+                entry_at(&mut self.submissions, submission).reset(job);
                 self.submitted(submission);
             }
             Event::ClientLeft { submission } => self.close(submission),
             Event::Streaming { submission, .. } => {
-                self.held.get_mut(submission as usize).into_iter().for_each(|h| h.streaming = true);
+                self.submissions.get_mut(submission as usize).into_iter().for_each(|s| s.streaming = true);
             }
             Event::Progressed { submission, execution } => {
-                let held = self.held.get(submission as usize);
-                let worker = held.and_then(|h| h.tried.get(usize::from(execution))).copied();
-                if let Some((waited, idled)) =
-                    worker.and_then(|w| self.fleet[w].noted(submission, execution, self.now))
+                let state = self.submissions.get(submission as usize);
+                let worker = state.and_then(|s| s.tried.get(usize::from(execution))).copied();
+                if let Some((waited, connection_idle_time)) =
+                    worker.and_then(|w| self.fleet[w].record_progress(submission, execution, self.now))
                 {
-                    let at_once = waited <= self.terms.connect_timeout / 5;
-                    self.flow.started(at_once, idled);
+                    let at_once = waited <= self.config.connect_timeout / 5;
+                    self.traffic.record_start(at_once, connection_idle_time);
                 }
             }
             Event::Ended(ending) => {
-                self.ended(&ending);
-                self.flow.proved(self.fleet.report(ending.worker, ending.report, self.now), self.now);
-                self.let_go(ending.worker);
-                self.settle(ending.submission);
+                self.execution_ended(&ending);
+                self.traffic.record_report_age(
+                    self.fleet.apply_report(ending.worker, ending.report, self.now),
+                    self.now,
+                );
+                self.close_rarely_used_connections(ending.worker);
+                self.retry_or_finish(ending.submission);
                 self.forget(ending.submission);
             }
             Event::Probed { worker, answered, report } => {
-                if let Some(desk) = self.fleet.get_mut(worker) {
-                    desk.probed = None;
+                if let Some(state) = self.fleet.get_mut(worker) {
+                    state.probe_sent_at = None;
                     match answered {
-                        Some(true) => self.come_closer(worker),
+                        Some(true) => self.probe_answered(worker),
                         Some(false) => {
-                            (desk.aside, desk.died) = (desk.aside.max(1), desk.suspected);
-                            desk.unanswered += 1;
+                            (state.probes_to_return, state.process_lost) =
+                                (state.probes_to_return.max(1), state.loss_suspected);
+                            state.unanswered_probes += 1;
                         }
                         None => {}
                     }
-                    self.flow.proved(self.fleet.report(worker, report, self.now), self.now);
-                    self.fleet.surveyed(report, self.now);
-                    self.let_go(worker);
+                    self.traffic
+                        .record_report_age(self.fleet.apply_report(worker, report, self.now), self.now);
+                    self.fleet.record_probe_report(report, self.now);
+                    self.close_rarely_used_connections(worker);
                 }
             }
-            // Back at once, it would be sent as much as a warm one before the list tells of its start.
-            Event::ProcessLost { worker } => self.fleet.get_mut(worker).into_iter().for_each(|desk| {
-                (desk.aside, desk.suspected, desk.died) = (desk.aside.max(1), true, true);
+            // If it returned at once, it would get as many jobs as a warm worker before the list shows its
+            // start.
+            Event::ProcessLost { worker } => self.fleet.get_mut(worker).into_iter().for_each(|state| {
+                (state.probes_to_return, state.loss_suspected, state.process_lost) =
+                    (state.probes_to_return.max(1), true, true);
             }),
             Event::Retired { worker } => self.fleet.retire(worker),
-            Event::TimerFired { .. } => {} // The pulse was seen to above; a stale timer calls for nothing.
+            // A due tick has been handled above, and an outdated timer has no effect.
+            Event::TimerFired { .. } => {}
         }
-        &self.todo
+        &self.actions
     }
 
-    /// Many nodes would fill a worker with idle connections, and it pays for each: one is kept only if it is
-    /// likely to be used before it closes by itself, and where nodes are a crowd, within two answer times.
-    fn let_go(&mut self, worker: Worker) {
-        let Some(desk) = self.fleet.desks.get(worker as usize).filter(|d| d.out.is_empty()) else { return };
-        let many = f64::from(self.terms.nodes) > CROWD * self.fleet.mean_slots(desk);
-        let kept = if many { IDLE_BEARS * longest(&self.answers) } else { self.terms.idle_timeout as f64 };
-        let seldom = self.flow.arrivals.read(self.now) * kept < self.fleet.ready.len() as f64;
-        // Where a new one is priced, what is kept is used first.
-        if seldom && self.terms.connection_cost <= 0.0 {
-            self.todo.push(Action::CloseIdleConnections { worker });
+    /// Closes idle connections that are unlikely to be used before they close by themselves. With many nodes
+    /// they would fill a worker's connection table, and each costs the worker; so with many nodes per slot,
+    /// one must be likely to be used even within two answer times.
+    fn close_rarely_used_connections(&mut self, worker: Worker) {
+        let Some(state) = self.fleet.workers.get(worker as usize).filter(|s| s.in_flight.is_empty()) else {
+            return;
+        };
+        let crowded = f64::from(self.config.nodes) > CROWDED_NODES_PER_SLOT * self.fleet.mean_slots(state);
+        let lifetime = if crowded {
+            CROWDED_IDLE_ANSWERS * slowest_answer_time(&self.answer_times)
+        } else {
+            self.config.idle_timeout as f64
+        };
+        let rarely_used = self.traffic.arrivals.read(self.now) * lifetime < self.fleet.ready.len() as f64;
+        // If new connections have a cost, idle ones are kept and used first.
+        if rarely_used && self.config.connection_cost <= 0.0 {
+            self.actions.push(Action::CloseIdleConnections { worker });
         }
     }
 
-    fn listed(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
-        if let (Some(within), ListKind::Failed | ListKind::Cached) = (self.terms.list_refresh_limit, kind) {
-            // A list not asked for would count as told of drains that were never heard of; but what all nodes
-            // ask together, or again at once, fails together, and a herd of calls keeps the changes from all.
-            self.unheard = if kind == ListKind::Failed { (self.unheard + 1).min(MAX_STRIKES) } else { 0 };
-            let each = (self.terms.connect_timeout / 4) << self.unheard;
-            let spread = each.saturating_mul(self.terms.nodes.into());
-            let wait = if kind == ListKind::Failed { within / 10 } else { 0 };
-            self.subscribe_at = self.now + wait + self.chance.u64(..spread.clamp(1, within / 2 + 1));
-            self.pulse_at(self.subscribe_at);
+    fn list_received(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
+        if let (Some(limit), ListKind::Failed | ListKind::Cached) = (self.config.list_refresh_limit, kind) {
+            // A node that does not request the list in time is treated as if it knew of drains that it never
+            // received. But requests that all nodes make together, or repeat at once, fail together, and such
+            // a surge delays the changes for all nodes.
+            self.failed_list_requests =
+                if kind == ListKind::Failed { (self.failed_list_requests + 1).min(MAX_DOUBLINGS) } else { 0 };
+            let per_node = (self.config.connect_timeout / 4) << self.failed_list_requests;
+            let spread = per_node.saturating_mul(self.config.nodes.into());
+            let wait = if kind == ListKind::Failed { limit / 10 } else { 0 };
+            self.subscribe_at = self.now + wait + self.rng.u64(..spread.clamp(1, limit / 2 + 1));
+            self.schedule_tick(self.subscribe_at);
         } else {
-            self.unheard = 0;
+            self.failed_list_requests = 0;
         }
         if matches!(kind, ListKind::Whole | ListKind::Cached) {
-            self.fleet.all_gone();
+            self.fleet.mark_all_gone();
         }
-        let threshold = self.fleet.mean_threshold().unwrap_or(MODEST);
-        for &listing in entries {
-            self.fleet.meet(listing.kind, threshold);
-            if self.fleet.follow(listing, self.terms.weights_are_sizes) {
-                self.fleet[listing.worker].restarted();
+        let threshold = self.fleet.mean_threshold().unwrap_or(DEFAULT_THRESHOLD);
+        for &entry in entries {
+            self.fleet.add_kind(entry.kind, threshold);
+            if self.fleet.apply_entry(entry, self.config.weights_are_sizes) {
+                self.fleet[entry.worker].reset_after_restart();
             }
         }
-        self.fleet.take_stock(self.now, self.terms.slow_start_duration);
+        self.fleet.summarize(self.now, self.config.slow_start_duration);
     }
 
     fn submitted(&mut self, submission: Submission) {
-        let held = &self.held[submission as usize];
-        let job = held.job;
-        self.flow.pass(self.now, job);
-        if usize::from(job.product) >= self.terms.products.len() {
+        let state = &self.submissions[submission as usize];
+        let job = state.job;
+        self.traffic.record_submission(self.now, job);
+        if usize::from(job.product) >= self.config.products.len() {
             return self.finish(submission, false);
         }
-        let excess = self.beyond_share(usize::from(job.tenant));
+        let excess = self.excess_over_share(usize::from(job.tenant));
         let choice = self.choose(submission);
-        let behind = 1.0 - self.terms.products[usize::from(job.product)].payoff / self.best;
-        let reserve = (excess / 3.0).max(RESERVE * behind);
-        let (ready, open) = (self.fleet.ready.len().max(1) as f64, choice.open as f64);
-        let limit = (self.flow.limit * self.fleet.room() / ready).max(1.0) * open;
-        let full = choice.members == 0 && choice.mean * open + job.slots > limit;
-        // While hardly any job starts at once all would come late: some are turned away, by chance.
-        let least = if self.terms.reports_start { LEAST * self.chance.f64() } else { 0.0 };
-        if choice.room < reserve.max(least) || full {
+        let payoff_gap = 1.0 - self.config.products[usize::from(job.product)].payoff / self.best_payoff;
+        let reserved = (excess / 3.0).max(RESERVED_SHARE * payoff_gap);
+        let (ready, allowed) = (self.fleet.ready.len().max(1) as f64, choice.allowed as f64);
+        let limit = (self.traffic.load_limit * self.fleet.capacity() / ready).max(1.0) * allowed;
+        let full = choice.below_threshold == 0 && choice.mean_own_slots * allowed + job.slots > limit;
+        // While hardly any job starts at once, all answers would be late, so a random part is dismissed.
+        let min_room = if self.config.reports_start { MIN_ROOM * self.rng.f64() } else { 0.0 };
+        if choice.room < reserved.max(min_room) || full {
             return self.finish(submission, excess > 0.0);
         }
         self.execute(submission, &choice);
     }
 
-    /// How far a tenant sends past its share here, up to twice it. This node's part of all traffic is not
-    /// told: it is taken from the median tenant, lest one that sends far too much widens its own share.
-    fn beyond_share(&mut self, tenant: usize) -> f64 {
-        if tenant >= self.tenants.len() || self.terms.excess_payoff >= 1.0 {
+    /// Returns how far a tenant exceeds its share at this node, as a part of the share, at most 1. This
+    /// node's part of all traffic is unknown and estimated from the median tenant, so that a tenant that
+    /// sends far too much does not raise its own share.
+    fn excess_over_share(&mut self, tenant: usize) -> f64 {
+        if tenant >= self.tenants.len() || self.config.excess_payoff >= 1.0 {
             return 0.0;
         }
         let now = self.now;
-        let span = f64::max(2e9, ENOUGH / self.flow.arrivals.read(now));
+        let span = f64::max(2e9, SHARE_SAMPLE / self.traffic.arrivals.read(now));
         self.tenants[tenant].sent.add(now, span, 1.0);
-        let (quotas, sent) = (&self.terms.quotas, &self.tenants);
-        let part = median(quotas, |t| sent[t].sent.read(now, span) / quotas[t].max(f64::MIN_POSITIVE));
-        let part = part.max(span / 1e9 / f64::from(self.terms.nodes));
+        let (quotas, tenants) = (&self.config.quotas, &self.tenants);
+        let part =
+            weighted_median(quotas, |t| tenants[t].sent.read(now, span) / quotas[t].max(f64::MIN_POSITIVE));
+        let part = part.max(span / 1e9 / f64::from(self.config.nodes));
         let (share, sent) = (part * quotas[tenant], self.tenants[tenant].sent.read(now, span));
-        // Where a node sees few of a tenant, chance alone brings more than its share now and then.
-        if self.tenants[tenant].within.read(now, span) < share || sent < share + share.sqrt() {
-            self.tenants[tenant].within.add(now, span, 1.0);
+        // If a node gets few submissions of a tenant, they exceed its share now and then by chance alone.
+        if self.tenants[tenant].within_share.read(now, span) < share || sent < share + share.sqrt() {
+            self.tenants[tenant].within_share.add(now, span, 1.0);
             return 0.0;
         }
         (sent / share - 1.0).clamp(0.0, 1.0)
     }
 
-    /// The design: a random member of the set below threshold, else a random ready worker.
+    /// Chooses a random worker below threshold, else a random ready one.
     fn choose(&mut self, submission: Submission) -> Choice {
-        let (held, fleet) = (&self.held[submission as usize], &self.fleet);
-        let product = &self.terms.products[usize::from(held.job.product)];
-        let open = fleet.open(product);
-        let own = if product.is_restricted() { fleet.own_slots(product) } else { self.flow.in_flight };
-        let mean = own / open.max(1) as f64;
-        // Where many are not known at all, what was heard of long ago is neither free nor full.
-        let sparse = fleet.watched.len() < fleet.ready.len();
-        let fresh = FRESH * longest(&self.answers) + self.flow.lag(self.now) as f64;
-        let stale = |d: &Desk| d.reported.is_none_or(|r| (self.now - r) as f64 > fresh);
-        let linked = |d: &Desk| self.terms.connection_cost > 0.0 && d.is_linked(self.now, self.flow.kept);
-        let near = |d: &Desk| self.terms.zone_crossing_cost <= 0.0 || d.listing.zone == self.terms.zone;
-        let terms = self.answers.iter().zip(&self.terms.products);
-        let waits = terms
-            .map(|(a, p)| p.latency_target as f64 + (p.latency_target_factor - 1.0).max(0.0) * a.shortest);
-        let bears = waits.fold(f64::INFINITY, f64::min) / usual(&self.answers);
-        let [mut members, mut others, mut aside]: [Draw; 3] = Default::default();
-        let (mut known, mut roomy, mut strangers, mut chance) = (0, 0, open, self.chance.clone());
-        for &worker in &fleet.watched {
-            let desk = &fleet[worker];
-            if !product.allows(&desk.listing) {
+        let (state, fleet) = (&self.submissions[submission as usize], &self.fleet);
+        let product = &self.config.products[usize::from(state.job.product)];
+        let allowed = fleet.ready_for(product);
+        let own_slots =
+            if product.is_restricted() { fleet.own_slots(product) } else { self.traffic.slots_in_flight };
+        let mean_own_slots = own_slots / allowed.max(1) as f64;
+        // If not all workers are known, an old report shows a worker as neither free nor full.
+        let sparse = fleet.tracked.len() < fleet.ready.len();
+        let max_fresh_age = FRESH_REPORT_AGE * slowest_answer_time(&self.answer_times)
+            + self.traffic.report_delay(self.now) as f64;
+        let stale = |w: &WorkerState| w.reported_at.is_none_or(|r| (self.now - r) as f64 > max_fresh_age);
+        let connected = |w: &WorkerState| {
+            self.config.connection_cost > 0.0 && w.has_idle_connection(self.now, self.traffic.idle_lifetime)
+        };
+        let same_zone =
+            |w: &WorkerState| self.config.zone_crossing_cost <= 0.0 || w.entry.zone == self.config.zone;
+        let products = self.answer_times.iter().zip(&self.config.products);
+        let latency_targets = products.map(|(answer, p)| {
+            p.latency_target as f64 + (p.latency_target_factor - 1.0).max(0.0) * answer.shortest
+        });
+        let max_wait = latency_targets.fold(f64::INFINITY, f64::min) / mean_answer_time(&self.answer_times);
+        let [mut below, mut others, mut ejected]: [RankedDraw; 3] = Default::default();
+        let (mut available, mut with_room, mut unknown, mut rng) = (0, 0, allowed, self.rng.clone());
+        for &worker in &fleet.tracked {
+            let candidate = &fleet[worker];
+            if !product.allows(&candidate.entry) {
                 continue;
             }
-            strangers -= usize::from(desk.listing.health == Health::Ready);
-            if held.tried.contains(&worker) || !self.allowed(held, worker) {
+            unknown -= usize::from(candidate.entry.health == Health::Ready);
+            if state.tried.contains(&worker) || !self.may_execute(state, worker) {
                 continue;
             }
-            let (fit, warm) = (self.fit(desk), self.slow_start(desk).is_none());
-            known += usize::from(fit);
-            // What is linked costs nothing new to try, and a job that does not start there moves.
-            let good = linked(desk) && desk.out.is_empty();
-            let below = fit && (good && stale(desk) || self.below_threshold(desk, held, mean));
-            // One that lost its process is cold when it is back, though the list does not tell yet.
-            aside.offer_if(warm && !fit && !desk.died, worker, 0, &mut chance);
-            // A crossing costs less than an answer that comes late for sure.
-            let pace = desk.pace(self.now, self.terms.slow_start_duration);
-            let crawls = u8::from(pace > CRAWLS);
-            others.offer_if(fit && warm && self.in_time(desk, bears), worker, crawls, &mut chance);
-            if below && warm {
-                roomy += 1;
-                let (far, slow) = (u8::from(!near(desk)), u8::from(pace > SLOW));
-                let new = u8::from(self.terms.connection_cost > 0.0 && !linked(desk));
-                let rank = 8 * crawls + 4 * far + 2 * new + slow;
-                members.offer_if(!sparse || !stale(desk) || good, worker, rank, &mut chance);
+            let (is_available, warm) =
+                (self.is_available(candidate), self.slow_start_probability(candidate).is_none());
+            available += usize::from(is_available);
+            // Trying an idle connection costs nothing, and a job that does not start there is moved.
+            let free_try = connected(candidate) && candidate.in_flight.is_empty();
+            let is_below = is_available
+                && (free_try && stale(candidate) || self.below_threshold(candidate, state, mean_own_slots));
+            // A worker that lost its process is cold when it is back, even if the list does not show it yet.
+            ejected.offer_if(warm && !is_available && !candidate.process_lost, worker, 0, &mut rng);
+            // Crossing to another zone costs less than an answer that is certain to be late.
+            let ratio = candidate.answer_time_ratio(self.now, self.config.slow_start_duration);
+            let very_slow = u8::from(ratio > VERY_SLOW_RATIO);
+            others.offer_if(
+                is_available && warm && self.answers_in_time(candidate, max_wait),
+                worker,
+                very_slow,
+                &mut rng,
+            );
+            if is_below && warm {
+                with_room += 1;
+                let (crosses, slow) = (u8::from(!same_zone(candidate)), u8::from(ratio > SLOW_RATIO));
+                let new_connection = u8::from(self.config.connection_cost > 0.0 && !connected(candidate));
+                let rank = 8 * very_slow + 4 * crosses + 2 * new_connection + slow;
+                below.offer_if(!sparse || !stale(candidate) || free_try, worker, rank, &mut rng);
             }
         }
-        // With most workers set aside, the few left must not collapse under everybody's work.
-        let left = known + strangers;
-        if left < aside.offered && chance.usize(..left + aside.offered) >= left {
-            others.pick = aside.pick;
-        }
-        // Of few that a repeat may go to, hardly one would come up among all.
-        let few = held.anchor.is_some() && product.repeat_policy.limits_retries();
-        let group = || fleet.ready.iter().copied().filter(|w| self.allowed(held, *w)).collect::<Vec<_>>();
-        let ready = &*if few { Cow::Owned(group()) } else { Cow::Borrowed(&fleet.ready) };
-        let strangers = strangers.min(ready.len());
-        let mut stranger = None;
-        for _ in 0..if members.pick.is_some() || strangers == 0 { 0 } else { STRANGER_DRAWS } {
-            let worker = ready[chance.usize(..ready.len())];
-            let (desk, tried) = (&fleet[worker], held.tried.contains(&worker));
-            let unknown =
-                desk.out.is_empty() && stale(desk) && self.fit(desk) && self.slow_start(desk).is_none();
-            // Of what is not known the expected room is the chance to be drawn.
-            if unknown && !tried && self.allowed(held, worker) && chance.f64() < fleet.size(desk) {
-                stranger = Some(worker);
-                if near(desk) {
+        // If most workers are ejected, the few that are left must not collapse under the whole load.
+        let left = available + unknown;
+        if left < ejected.offered && rng.usize(..left + ejected.offered) >= left {
+            others.pick = ejected.pick;
+        }
+        // If a retry may go to only a few workers, draws among all workers would hardly find one of them.
+        let restricted = state.first_possible_run.is_some() && product.repeat_policy.limits_retries();
+        let permitted =
+            || fleet.ready.iter().copied().filter(|w| self.may_execute(state, *w)).collect::<Vec<_>>();
+        let ready = &*if restricted { Cow::Owned(permitted()) } else { Cow::Borrowed(&fleet.ready) };
+        let unknown = unknown.min(ready.len());
+        let mut unknown_pick = None;
+        for _ in 0..if below.pick.is_some() || unknown == 0 { 0 } else { UNKNOWN_WORKER_DRAWS } {
+            let worker = ready[rng.usize(..ready.len())];
+            let (candidate, tried) = (&fleet[worker], state.tried.contains(&worker));
+            let is_unknown = candidate.in_flight.is_empty()
+                && stale(candidate)
+                && self.is_available(candidate)
+                && self.slow_start_probability(candidate).is_none();
+            // An unknown worker's room is taken to be proportional to its size, and so is its probability.
+            if is_unknown
+                && !tried
+                && self.may_execute(state, worker)
+                && rng.f64() < fleet.relative_size(candidate)
+            {
+                unknown_pick = Some(worker);
+                if same_zone(candidate) {
                     break;
                 }
             }
         }
-        let mut pick = members.pick.or(stranger).or(others.pick);
-        // A cold one is drawn by its own part and no more, and by first executions alone: when all others are
-        // full, each submission asks again and again, and what is left would get the part of all.
-        let mut left_over = chance.f64();
-        for &worker in fleet.young.iter().filter(|_| held.executions == 0) {
-            let desk = &fleet[worker];
-            let Some(bears) = self.slow_start(desk) else { continue };
-            let empty =
-                if stale(desk) { desk.out.is_empty() } else { self.below_threshold(desk, held, mean) };
-            let wanted = self.fit(desk) && (near(desk) || members.pick.is_none());
-            let alike = (members.offered + strangers).max(1) as f64;
-            let share = bears.min(fleet.size(desk) / fleet.mean_size / alike);
-            left_over -= if empty && wanted && self.allowed(held, worker) { share } else { 0.0 };
-            if left_over < 0.0 {
+        let mut pick = below.pick.or(unknown_pick).or(others.pick);
+        // A cold worker is drawn with its own probability and for first executions only. When all other
+        // workers are full, each submission chooses again and again, and the cold one would get the retries
+        // of all.
+        let mut remaining = rng.f64();
+        for &worker in fleet.cold.iter().filter(|_| state.executions == 0) {
+            let candidate = &fleet[worker];
+            let Some(probability) = self.slow_start_probability(candidate) else { continue };
+            let empty = if stale(candidate) {
+                candidate.in_flight.is_empty()
+            } else {
+                self.below_threshold(candidate, state, mean_own_slots)
+            };
+            let wanted = self.is_available(candidate) && (same_zone(candidate) || below.pick.is_none());
+            let equals = (below.offered + unknown).max(1) as f64;
+            let share = probability.min(fleet.relative_size(candidate) / fleet.mean_size / equals);
+            remaining -= if empty && wanted && self.may_execute(state, worker) { share } else { 0.0 };
+            if remaining < 0.0 {
                 pick = Some(worker);
                 break;
             }
         }
-        // Those known just now are largely those that hold our jobs or turned some away.
-        let more = strangers as f64;
-        let likely = if self.terms.reports_start { BLIND * self.flow.prompt } else { fleet.roomy(self.now) };
-        let room = (roomy as f64 + more * likely) / (known as f64 + more).max(1.0);
-        let members = members.offered + usize::from(pick.is_some() && pick != others.pick);
-        self.chance = chance;
-        Choice { room, members, pick, open, mean }
+        // The workers known now are mostly those that hold jobs of this node or refused some, so they do not
+        // stand for the unknown ones, whose part with room is estimated separately.
+        let more = unknown as f64;
+        let room_share = if self.config.reports_start {
+            UNKNOWN_ROOM * self.traffic.prompt_share
+        } else {
+            fleet.share_with_room(self.now)
+        };
+        let room = (with_room as f64 + more * room_share) / (available as f64 + more).max(1.0);
+        let below_threshold = below.offered + usize::from(pick.is_some() && pick != others.pick);
+        self.rng = rng;
+        Choice { room, below_threshold, pick, allowed, mean_own_slots }
     }
 
-    fn below_threshold(&self, desk: &Desk, held: &Held, mean: f64) -> bool {
-        let (job, own) = (&held.job, desk.own_slots);
-        let threshold = self.fleet.kind(desk).map_or(0.0, |k| k.threshold);
-        let waits = self.terms.reports_start && desk.out.iter().any(|o| o.waits);
-        if own + job.slots > threshold || own > mean + job.slots || waits {
+    fn below_threshold(
+        &self,
+        worker: &WorkerState,
+        submission: &SubmissionState,
+        mean_own_slots: f64,
+    ) -> bool {
+        let (job, own) = (&submission.job, worker.own_slots);
+        let threshold = self.fleet.kind(worker).map_or(0.0, |k| k.threshold);
+        let has_unstarted = self.config.reports_start && worker.in_flight.iter().any(|e| e.unstarted);
+        if own + job.slots > threshold || own > mean_own_slots + job.slots || has_unstarted {
             return false;
         }
-        // Reports older than the jobs they count say nothing of now; what we hold there ourselves does.
-        if self.flow.lag(self.now) as f64 > longest(&self.answers) {
-            return own <= mean;
-        }
-        // Before its first report one job is the feeler; where answers come and never a report, none will.
-        if desk.reported.is_none() {
-            return desk.out.is_empty() || (!self.fleet.told && self.answers.iter().any(|a| a.seen > 0.0));
-        }
-        // A late report misses what was sent before it came, and what we hold is never free.
-        let (free, waiting) = (desk.report.free_slots.map(whole), desk.report.queued_jobs.map_or(0.0, whole));
-        let since = desk.since(self.flow.lag(self.now), |o| o.slots);
-        if free.is_some_and(|f| (f - waiting - since).min(desk.slots - own) < job.slots) {
+        // Reports older than the jobs that they count say nothing of the present load; this node's own slots
+        // do.
+        if self.traffic.report_delay(self.now) as f64 > slowest_answer_time(&self.answer_times) {
+            return own <= mean_own_slots;
+        }
+        // Before a worker's first report, a single job tests it. If answers arrive and no worker has ever
+        // reported, no report will come, and the threshold alone decides.
+        if worker.reported_at.is_none() {
+            return worker.in_flight.is_empty()
+                || (!self.fleet.any_reported && self.answer_times.iter().any(|a| a.samples > 0.0));
+        }
+        // A delayed report misses the jobs sent before it arrived, and slots held by this node are never
+        // free.
+        let (free, queued) =
+            (worker.report.free_slots.map(rounded), worker.report.queued_jobs.map_or(0.0, rounded));
+        let since = worker.sent_since_report(self.traffic.report_delay(self.now), |e| e.slots);
+        if free.is_some_and(|f| (f - queued - since).min(worker.known_slots - own) < job.slots) {
             return false;
         }
-        // What is larger than a worker's memory may look can only run alone.
-        let left = desk.memory_left(self.flow.lag(self.now), self.flow.memory_per_slot);
-        !self.terms.counts_memory || left >= job.memory || free.is_some_and(|f| f >= desk.slots)
+        // A job that needs more memory than a worker seems to have can only run alone.
+        let left = worker.memory_left(self.traffic.report_delay(self.now), self.traffic.memory_per_slot);
+        !self.config.counts_memory || left >= job.memory || free.is_some_and(|f| f >= worker.known_slots)
     }
 
-    /// Whether the jobs ahead there leave the least agreed time: else queues would fill until every answer is
-    /// late, or the most patient product would fill them until the others get nothing.
-    fn in_time(&self, desk: &Desk, bears: f64) -> bool {
-        let since = desk.since(self.flow.lag(self.now), |o| o.slots);
-        let (free, waiting) = (desk.report.free_slots, desk.report.queued_jobs);
-        let ahead = waiting.map_or(0.0, whole) + since - free.map_or(0.0, whole);
-        ahead / desk.slots.max(1.0) <= bears
+    /// Returns whether a job sent there would wait for at most `max_wait` answer times, the least latency
+    /// target of all products. Otherwise queues would fill until every answer is late, or the product with
+    /// the longest target would fill them until the others get nothing.
+    fn answers_in_time(&self, worker: &WorkerState, max_wait: f64) -> bool {
+        let since = worker.sent_since_report(self.traffic.report_delay(self.now), |e| e.slots);
+        let (free, queued) = (worker.report.free_slots, worker.report.queued_jobs);
+        let ahead = queued.map_or(0.0, rounded) + since - free.map_or(0.0, rounded);
+        ahead / worker.known_slots.max(1.0) <= max_wait
     }
 
-    /// Gets work: ready, not set aside, and no probe unanswered for too long.
-    fn fit(&self, desk: &Desk) -> bool {
-        let silent = desk.probed.is_some_and(|p| self.now - p > self.terms.connect_timeout / 4);
-        desk.listing.health == Health::Ready && desk.aside == 0 && !silent
+    /// Returns whether it gets work: it is ready, not ejected, and no probe is overdue.
+    fn is_available(&self, worker: &WorkerState) -> bool {
+        let probe_overdue =
+            worker.probe_sent_at.is_some_and(|p| self.now - p > self.config.connect_timeout / 4);
+        worker.entry.health == Health::Ready && worker.probes_to_return == 0 && !probe_overdue
     }
 
-    /// The rules on executions; asked again by `execute`, the only place that orders one.
-    fn allowed(&self, held: &Held, worker: Worker) -> bool {
-        let desk = &self.fleet[worker];
-        let product = &self.terms.products[usize::from(held.job.product)];
-        let over = !held.open || held.streaming || held.executions >= self.terms.max_executions;
-        let late = self.now + self.terms.deadline_margin >= held.job.deadline;
-        let closed = !product.allows(&desk.listing);
-        if over || late || closed || desk.listing.health != Health::Ready {
+    /// Returns whether the rules on executions permit one. `execute`, the only place that orders executions,
+    /// checks this again.
+    fn may_execute(&self, submission: &SubmissionState, worker: Worker) -> bool {
+        let state = &self.fleet[worker];
+        let product = &self.config.products[usize::from(submission.job.product)];
+        let over =
+            !submission.open || submission.streaming || submission.executions >= self.config.max_executions;
+        let late = self.now + self.config.deadline_margin >= submission.job.deadline;
+        let forbidden = !product.allows(&state.entry);
+        if over || late || forbidden || state.entry.health != Health::Ready {
             return false;
         }
-        match (held.anchor, product.repeat_policy) {
+        match (submission.first_possible_run, product.repeat_policy) {
             (None, _) | (_, RepeatPolicy::Idempotent) => true,
             (Some(_), RepeatPolicy::OneShot) => false,
-            (Some((first, sent)), RepeatPolicy::Stamped { scope: group, dedup_window: memory }) => {
-                // A copy must reach them while they remember, connecting included.
-                let same = group.covers(&self.fleet[first].listing, &desk.listing);
-                same && self.now + self.terms.connect_timeout < sent + memory
+            (Some((first, sent_at)), RepeatPolicy::Stamped { scope, dedup_window }) => {
+                // The repeat must arrive, connecting included, while the workers still remember the first.
+                let covered = scope.covers(&self.fleet[first].entry, &state.entry);
+                covered && self.now + self.config.connect_timeout < sent_at + dedup_window
             }
         }
     }
 
-    /// The jobs that a cold worker may be sent from here for each submission. All nodes hear of its start at
-    /// once: the part of each is spent by chance, and their mean kept far below what it bears in a window.
-    fn slow_start(&self, desk: &Desk) -> Option<f64> {
-        let age = self.now.saturating_sub(desk.listing.started);
-        if desk.listing.started == 0 || age >= self.terms.slow_start_duration {
+    /// Returns the probability with which a submission may go from here to a cold worker, or `None` if it is
+    /// warm. All nodes learn of its start at once, so each sends its part at random, and the expected sum of
+    /// all nodes stays far below what the worker bears in a window.
+    fn slow_start_probability(&self, worker: &WorkerState) -> Option<f64> {
+        let age = self.now.saturating_sub(worker.entry.started);
+        if worker.entry.started == 0 || age >= self.config.slow_start_duration {
             return None;
         }
-        let warmth = age as f64 / self.terms.slow_start_duration as f64;
-        let present = self.terms.cold_capacity_share + (1.0 - self.terms.cold_capacity_share) * warmth;
-        let window = self.terms.overload_window as f64;
-        let bears = self.terms.overload_factor * present * self.fleet.mean_slots(desk) * window;
-        let jobs = bears / self.flow.work(&self.answers);
-        // The mean that stays below it with three deviations of chance.
-        let mean = ((jobs + 2.25).sqrt() - 1.5).powi(2);
-        Some(mean / f64::from(self.terms.nodes) / (self.flow.rush(self.now) * window))
+        let warmth = age as f64 / self.config.slow_start_duration as f64;
+        let capacity_share =
+            self.config.cold_capacity_share + (1.0 - self.config.cold_capacity_share) * warmth;
+        let window = self.config.overload_window as f64;
+        let max_work = self.config.overload_factor * capacity_share * self.fleet.mean_slots(worker) * window;
+        let max_jobs = max_work / self.traffic.mean_work(&self.answer_times);
+        // The mean from which three standard deviations of a random sum stay below the maximum.
+        let mean = ((max_jobs + 2.25).sqrt() - 1.5).powi(2);
+        Some(mean / f64::from(self.config.nodes) / (self.traffic.burst_rate(self.now) * window))
     }
 
-    /// The only place that orders an execution; with none to order and none out, the submission is over.
+    /// Sends the submission to the chosen worker; without one, and with no execution in flight, gives the
+    /// final answer. This is the only place that orders an execution.
     fn execute(&mut self, submission: Submission, choice: &Choice) {
-        let held = &self.held[submission as usize];
-        let second = held.out > 0 && !self.terms.may_duplicate;
-        let Some(worker) = choice.pick.filter(|w| !second && self.allowed(held, *w)) else {
+        let state = &self.submissions[submission as usize];
+        let forbidden_copy = state.in_flight > 0 && !self.config.may_duplicate;
+        let Some(worker) = choice.pick.filter(|w| !forbidden_copy && self.may_execute(state, *w)) else {
             return self.finish(submission, false);
         };
-        let (now, held) = (self.now, &mut self.held[submission as usize]);
-        let usual = self.answers[usize::from(held.job.product)].mean;
-        self.flow.in_flight += held.job.slots;
-        let mut out = held.send(submission, worker, now, self.terms.reports_start, usual);
-        let desk = self.fleet.watch(worker);
-        // One that stood idle for too long may have been dropped unseen, and a job sent on it is lost.
-        match desk.linked.take().map(|since| now - since) {
-            Some(idled) if (idled as f64) < self.flow.kept => out.idled = idled,
-            Some(_) => self.todo.push(Action::CloseIdleConnections { worker }),
+        let (now, state) = (self.now, &mut self.submissions[submission as usize]);
+        let expected_duration = self.answer_times[usize::from(state.job.product)].mean;
+        self.traffic.slots_in_flight += state.job.slots;
+        let mut execution = state.send(submission, worker, now, self.config.reports_start, expected_duration);
+        let worker_state = self.fleet.track(worker);
+        // The other end may have silently dropped a connection that was idle for too long, and a job sent on
+        // it would be lost.
+        match worker_state.idle_since.take().map(|since| now - since) {
+            Some(idle_time) if (idle_time as f64) < self.traffic.idle_lifetime => {
+                execution.connection_idle_time = idle_time
+            }
+            Some(_) => self.actions.push(Action::CloseIdleConnections { worker }),
             None => {}
         }
-        desk.send(out);
-        let timeout = held.job.deadline - now - self.terms.deadline_margin / 2;
-        self.todo.push(Action::Execute { submission, worker, timeout });
-        self.pulse_at(now + self.terms.connect_timeout / 5);
+        worker_state.send(execution);
+        let timeout = state.job.deadline - now - self.config.deadline_margin / 2;
+        self.actions.push(Action::Execute { submission, worker, timeout });
+        self.schedule_tick(now + self.config.connect_timeout / 5);
     }
 
-    /// The only place that gives a final answer: dismissed where a retry is harmless, else aborted.
-    fn finish(&mut self, submission: Submission, excess: bool) {
-        let held = &self.held[submission as usize];
-        if !held.open || held.out > 0 {
+    /// Gives the final answer: a dismissal if a retry is harmless, else an abort. This is the only place that
+    /// gives one.
+    fn finish(&mut self, submission: Submission, over_share: bool) {
+        let state = &self.submissions[submission as usize];
+        if !state.open || state.in_flight > 0 {
             return;
         }
-        let repeats = self.terms.products.get(usize::from(held.job.product)).map(|p| p.repeat_policy);
-        let free = matches!(
-            repeats,
+        let policy = self.config.products.get(usize::from(state.job.product)).map(|p| p.repeat_policy);
+        let harmless = matches!(
+            policy,
             Some(RepeatPolicy::Idempotent | RepeatPolicy::Stamped { scope: DedupScope::All, .. })
         );
-        if free || held.anchor.is_none() {
-            let come_back = self.terms.retry_after.map(|most| if excess { most } else { most / 8 });
-            self.todo.push(Action::Dismiss { submission, retry_after: come_back });
+        if harmless || state.first_possible_run.is_none() {
+            let retry_after = self.config.retry_after.map(|max| if over_share { max } else { max / 8 });
+            self.actions.push(Action::Dismiss { submission, retry_after });
         } else {
-            self.todo.push(Action::Abort { submission });
+            self.actions.push(Action::Abort { submission });
         }
         self.close(submission);
     }
 
-    /// Nothing more is owed, and what is still out is in vain.
+    /// Closes a submission that needs no further answer and cancels its executions in flight.
     fn close(&mut self, submission: Submission) {
-        let Some(held) = self.held.get_mut(submission as usize).filter(|h| h.open) else { return };
-        held.open = false;
-        if self.terms.may_cancel && held.out > 0 {
-            let out = self.fleet.out(submission, &held.tried);
-            self.todo.extend(out.map(|execution| Action::Cancel { submission, execution }));
+        let Some(state) = self.submissions.get_mut(submission as usize).filter(|s| s.open) else { return };
+        state.open = false;
+        if self.config.may_cancel && state.in_flight > 0 {
+            let in_flight = self.fleet.in_flight(submission, &state.tried);
+            self.actions.extend(in_flight.map(|execution| Action::Cancel { submission, execution }));
         }
         self.forget(submission);
     }
 
     fn forget(&mut self, submission: Submission) {
-        let held = self.held.get_mut(submission as usize).filter(|h| !h.open && h.out == 0);
-        if held.is_some_and(|h| std::mem::take(&mut h.known)) {
-            self.todo.push(Action::Forget { submission });
+        let state = self.submissions.get_mut(submission as usize).filter(|s| !s.open && s.in_flight == 0);
+        if state.is_some_and(|s| std::mem::take(&mut s.known)) {
+            self.actions.push(Action::Forget { submission });
         }
     }
 
-    fn ended(&mut self, ending: &Ending) {
+    fn execution_ended(&mut self, ending: &Ending) {
         let (now, outcome) = (self.now, ending.outcome);
-        let Some(desk) = self.fleet.desks.get_mut(ending.worker as usize) else { return };
-        let Some(held) = self.held.get_mut(ending.submission as usize) else { return };
-        let Some(out) = desk.end(ending.submission, ending.execution) else { return };
-        held.ended(!outcome.never_ran());
-        self.flow.in_flight = (self.flow.in_flight - out.slots).max(0.0);
-        let (product, took) = (usize::from(held.job.product), ending.took as f64);
-        let harmless = self.terms.products[product].repeat_policy == RepeatPolicy::Idempotent;
-        let kind = self.fleet.kinds.get_mut(usize::from(desk.listing.kind));
+        let Some(worker) = self.fleet.workers.get_mut(ending.worker as usize) else { return };
+        let Some(state) = self.submissions.get_mut(ending.submission as usize) else { return };
+        let Some(execution) = worker.end(ending.submission, ending.execution) else { return };
+        state.execution_ended(!outcome.never_ran());
+        self.traffic.slots_in_flight = (self.traffic.slots_in_flight - execution.slots).max(0.0);
+        let (product, took) = (usize::from(state.job.product), ending.took as f64);
+        let idempotent = self.config.products[product].repeat_policy == RepeatPolicy::Idempotent;
+        let kind = self.fleet.kinds.get_mut(usize::from(worker.entry.kind));
         let Some(Some(kind)) = kind else { return };
         match outcome {
             Outcome::Completed => {
-                (desk.heard, desk.served, desk.linked) = (now, desk.served + 1, Some(now));
-                desk.paced(now, self.terms.slow_start_duration, took / self.answers[product].mean);
-                desk.strikes -= u32::from(desk.strikes > 0 && desk.served % (2 * RUN) == 0);
-                kind.run += 1;
-                if kind.run >= RUN {
-                    // Never past its start: what its workers have, for fewer would leave large ones idle.
-                    (kind.run, kind.threshold) = (0, (kind.threshold + 1.0).min(kind.start()));
+                (worker.last_progress, worker.completed_jobs, worker.idle_since) =
+                    (now, worker.completed_jobs + 1, Some(now));
+                worker.record_answer_time_ratio(
+                    now,
+                    self.config.slow_start_duration,
+                    took / self.answer_times[product].mean,
+                );
+                worker.recent_ejections -= u32::from(
+                    worker.recent_ejections > 0 && worker.completed_jobs % (2 * COMPLETIONS_PER_SLOT) == 0,
+                );
+                kind.completed_jobs += 1;
+                if kind.completed_jobs >= COMPLETIONS_PER_SLOT {
+                    // The threshold never exceeds its initial value, which follows the slots of the kind's
+                    // workers: a lower cap would leave large workers idle.
+                    (kind.completed_jobs, kind.threshold) =
+                        (0, (kind.threshold + 1.0).min(kind.initial_threshold()));
                 }
             }
             Outcome::Overloaded => {
-                desk.heard = now;
-                if desk.listing.health == Health::Ready {
-                    (kind.run, kind.threshold) = (0, (kind.threshold - out.slots).max(THRESHOLD_FLOOR));
+                worker.last_progress = now;
+                if worker.entry.health == Health::Ready {
+                    (kind.completed_jobs, kind.threshold) =
+                        (0, (kind.threshold - execution.slots).max(MIN_THRESHOLD));
                 }
             }
-            // It looks empty and would draw all the work; but where a repeat makes good, it still does some.
-            Outcome::Error if harmless => desk.aside = desk.aside.max(1),
-            Outcome::Error => set_aside(desk, false),
-            Outcome::InvalidSubmission => held.executions = self.terms.max_executions,
-            // Dropped unseen while it stood idle, it says nothing of the worker.
-            Outcome::Reset if out.idled > 0 && out.waits && ending.took < self.terms.connect_timeout / 5 => {
-                self.flow.started(false, out.idled);
+            // A failing worker looks empty and would attract all jobs, so it is ejected. But if a retry makes
+            // up for the error, the ejection is short: the worker still completes some jobs.
+            Outcome::Error if idempotent => worker.probes_to_return = worker.probes_to_return.max(1),
+            Outcome::Error => eject(worker, false),
+            Outcome::InvalidSubmission => state.executions = self.config.max_executions,
+            // The connection was silently dropped while it was idle, which says nothing of the worker.
+            Outcome::Reset
+                if execution.connection_idle_time > 0
+                    && execution.unstarted
+                    && ending.took < self.config.connect_timeout / 5 =>
+            {
+                self.traffic.record_start(false, execution.connection_idle_time);
             }
-            Outcome::Reset | Outcome::ConnectFailed => set_aside(desk, true),
-            Outcome::TimedOut if desk.heard <= out.sent => set_aside(desk, false),
+            Outcome::Reset | Outcome::ConnectFailed => eject(worker, true),
+            Outcome::TimedOut if worker.last_progress <= execution.sent_at => eject(worker, false),
             Outcome::TimedOut | Outcome::StaleConnection | Outcome::Cancelled | Outcome::NotSent => {}
         }
         if ending.closed {
             self.close(ending.submission);
         }
         if outcome == Outcome::Completed {
-            self.answers[product].add(took);
-            self.flow.stretch += (took / self.answers[product].shortest - self.flow.stretch) / 32.0;
-            let most = self.fleet.room();
-            let limit = self.flow.limit.min(1.0) * most;
-            let wanted = limit * (1.5 / self.flow.stretch).clamp(0.5, 1.0) + limit.sqrt();
-            self.flow.limit = (limit + (wanted - limit) / 16.0) / most.max(1.0);
+            self.answer_times[product].add(took);
+            self.traffic.answer_time_ratio +=
+                (took / self.answer_times[product].shortest - self.traffic.answer_time_ratio) / 32.0;
+            let capacity = self.fleet.capacity();
+            let limit = self.traffic.load_limit.min(1.0) * capacity;
+            let wanted = limit * (1.5 / self.traffic.answer_time_ratio).clamp(0.5, 1.0) + limit.sqrt();
+            self.traffic.load_limit = (limit + (wanted - limit) / 16.0) / capacity.max(1.0);
         }
     }
 
-    /// A further execution if there is a point, else the final answer.
-    fn settle(&mut self, submission: Submission) {
-        if !self.held.get(submission as usize).is_some_and(|h| h.open && h.out == 0) {
+    /// Orders a further execution if one is possible, else gives the final answer.
+    fn retry_or_finish(&mut self, submission: Submission) {
+        if !self.submissions.get(submission as usize).is_some_and(|s| s.open && s.in_flight == 0) {
             return;
         }
         let choice = self.choose(submission);
         self.execute(submission, &choice);
     }
 
-    fn pulse_at(&mut self, at: Nanos) {
-        if at < self.next_pulse {
-            self.next_pulse = at;
-            self.todo.push(Action::SetTimer { at, timer_id: 0 });
+    fn schedule_tick(&mut self, at: Nanos) {
+        if at < self.next_tick {
+            self.next_tick = at;
+            self.actions.push(Action::SetTimer { at, timer_id: 0 });
         }
     }
 
-    fn pulse(&mut self) {
-        self.next_pulse = Nanos::MAX;
+    /// Does the periodic work: requests the list, ejects silent workers, sends probes, and moves overdue
+    /// jobs.
+    fn tick(&mut self) {
+        self.next_tick = Nanos::MAX;
         if self.now >= self.subscribe_at {
             self.subscribe_at = Nanos::MAX;
-            self.todo.push(Action::Subscribe);
-        }
-        let (now, period, took) = (self.now, self.terms.connect_timeout / 5, longest(&self.answers));
-        let silence = 2.0 * (self.terms.progress_interval.unwrap_or(0) as f64 + took) + period as f64;
-        let remembered = REMEMBERED * took + self.flow.lag(self.now) as f64;
-        // Asked less often where a probe is dear: no job costs more of them than refreshing may.
-        let dear = took * self.terms.probe_cost / self.spend;
-        let unheard = (2 * self.terms.connect_timeout).max(dear as Nanos);
-        let owed = -self.flow.probes.0;
+            self.actions.push(Action::Subscribe);
+        }
+        let (now, period, answer_time) =
+            (self.now, self.config.connect_timeout / 5, slowest_answer_time(&self.answer_times));
+        let max_silence =
+            2.0 * (self.config.progress_interval.unwrap_or(0) as f64 + answer_time) + period as f64;
+        let report_lifetime = REPORT_LIFETIME * answer_time + self.traffic.report_delay(self.now) as f64;
+        // If probes are expensive, busy workers are probed less often: the probes for one job must not cost
+        // more than refreshing reports may.
+        let affordable_interval = answer_time * self.config.probe_cost / self.refresh_cost_limit;
+        let max_unprobed = (2 * self.config.connect_timeout).max(affordable_interval as Nanos);
+        let probe_debt = -self.traffic.probe_budget.0;
         let (mut known, mut full, mut next) = (0.0, 0.5, self.subscribe_at);
-        for i in (0..self.fleet.watched.len()).rev() {
-            let worker = self.fleet.watched[i];
-            let desk = &mut self.fleet[worker];
-            let busy = !desk.out.is_empty();
-            if busy && (now - desk.heard) as f64 > silence {
-                desk.heard = now;
-                set_aside(desk, false);
+        for i in (0..self.fleet.tracked.len()).rev() {
+            let worker = self.fleet.tracked[i];
+            let state = &mut self.fleet[worker];
+            let busy = !state.in_flight.is_empty();
+            if busy && (now - state.last_progress) as f64 > max_silence {
+                state.last_progress = now;
+                eject(state, false);
             }
-            // A hung worker is only found by asking: what holds jobs of ours is not left unasked for long.
-            let unasked = busy && desk.aside == 0 && desk.reported.is_none_or(|r| now - r > unheard);
-            if desk.listing.health == Health::Gone {
-                desk.aside = 0;
-            } else if !self.terms.may_probe {
-                self.come_closer(worker);
-            } else if desk.probed.is_none() && (unasked || (desk.wants(now) && owed < MOST_OWED)) {
-                // All nodes ask what is down, each at its own moments and ever more seldom.
-                let wait = period << desk.unanswered.min(MAX_STRIKES);
-                (desk.probed, desk.ask_at) = (Some(now), now + wait / 2 + self.chance.u64(..=wait));
-                self.flow.probes.0 -= f64::from(u8::from(!unasked));
-                self.todo.push(Action::Probe { worker });
+            // Only a probe finds a hung worker, so one that holds jobs of this node must not go long without.
+            let overdue = busy
+                && state.probes_to_return == 0
+                && state.reported_at.is_none_or(|r| now - r > max_unprobed);
+            if state.entry.health == Health::Gone {
+                state.probes_to_return = 0;
+            } else if !self.config.may_probe {
+                self.probe_answered(worker);
+            } else if state.probe_sent_at.is_none()
+                && (overdue || (state.is_due_for_probe(now) && probe_debt < MAX_PROBE_DEBT))
+            {
+                // All nodes probe a worker that is down, so the interval is random and doubles each time.
+                let wait = period << state.unanswered_probes.min(MAX_DOUBLINGS);
+                (state.probe_sent_at, state.next_probe_at) =
+                    (Some(now), now + wait / 2 + self.rng.u64(..=wait));
+                self.traffic.probe_budget.0 -= f64::from(u8::from(!overdue));
+                self.actions.push(Action::Probe { worker });
             }
-            for j in 0..self.fleet[worker].out.len() {
-                self.rescue(worker, j);
+            for j in 0..self.fleet[worker].in_flight.len() {
+                self.move_overdue_job(worker, j);
             }
-            let desk = &mut self.fleet[worker];
-            let told = desk.reported.is_some_and(|r| ((now - r) as f64) < remembered);
-            let counts = f64::from(u8::from(told && desk.listing.health == Health::Ready));
+            let state = &mut self.fleet[worker];
+            let reported = state.reported_at.is_some_and(|r| ((now - r) as f64) < report_lifetime);
+            let counts = f64::from(u8::from(reported && state.entry.health == Health::Ready));
             known += counts;
-            full += counts * f64::from(desk.report.free_slots.is_none_or(|f| f < 1.0));
-            if !desk.out.is_empty() || desk.aside > 0 || desk.probed.is_some() {
+            full += counts * f64::from(state.report.free_slots.is_none_or(|f| f < 1.0));
+            if !state.in_flight.is_empty() || state.probes_to_return > 0 || state.probe_sent_at.is_some() {
                 next = next.min(now + period);
-            } else if !(told || self.terms.connection_cost > 0.0 && desk.is_linked(now, self.flow.kept)) {
-                desk.watched = false;
-                self.fleet.watched.swap_remove(i);
+            } else if !(reported
+                || self.config.connection_cost > 0.0
+                    && state.has_idle_connection(now, self.traffic.idle_lifetime))
+            {
+                state.tracked = false;
+                self.fleet.tracked.swap_remove(i);
             }
         }
-        let wait = if self.terms.may_probe { self.refresh(full / f64::max(known, 1.0)) } else { f64::MAX };
-        self.pulse_at(next.min(now + wait.min(64e9) as Nanos).max(now + period));
+        let wait =
+            if self.config.may_probe { self.refresh_reports(full / f64::max(known, 1.0)) } else { f64::MAX };
+        self.schedule_tick(next.min(now + wait.min(64e9) as Nanos).max(now + period));
     }
 
-    /// Probes workers in turn, in proportion to how many look full. Returns when the next is due.
-    fn refresh(&mut self, full: f64) -> f64 {
+    /// Probes workers in turn, at a rate proportional to the share of workers that look full. Returns the
+    /// time until the next probe is due.
+    fn refresh_reports(&mut self, full_share: f64) -> f64 {
         let (now, ready) = (self.now, self.fleet.ready.len());
-        let bearable = self.spend / self.terms.probe_cost.max(self.spend / 64.0);
-        let rate = self.flow.arrivals.read(now) * bearable * full;
-        let old = (ready as f64 / rate).max(self.flow.lag(self.now) as f64);
-        self.flow.save(now, rate, 1.0 + rate * (2 * self.terms.connect_timeout / 5) as f64);
-        while self.flow.probes.0 >= 1.0 {
-            let Some(worker) = self.fleet.next_older(now, old) else { break };
-            self.flow.probes.0 -= 1.0;
-            self.todo.push(Action::Probe { worker });
-        }
-        (1.0 - self.flow.probes.0).max(0.0) / rate
+        let probes_per_submission =
+            self.refresh_cost_limit / self.config.probe_cost.max(self.refresh_cost_limit / 64.0);
+        let rate = self.traffic.arrivals.read(now) * probes_per_submission * full_share;
+        let max_age = (ready as f64 / rate).max(self.traffic.report_delay(self.now) as f64);
+        self.traffic.grow_probe_budget(now, rate, 1.0 + rate * (2 * self.config.connect_timeout / 5) as f64);
+        while self.traffic.probe_budget.0 >= 1.0 {
+            let Some(worker) = self.fleet.next_to_probe(now, max_age) else { break };
+            self.traffic.probe_budget.0 -= 1.0;
+            self.actions.push(Action::Probe { worker });
+        }
+        (1.0 - self.traffic.probe_budget.0).max(0.0) / rate
     }
 
-    fn come_closer(&mut self, worker: Worker) {
-        let desk = &mut self.fleet[worker];
-        (desk.aside, desk.unanswered) = (desk.aside.saturating_sub(1), 0);
-        if desk.aside == 0 && desk.take_death(!self.terms.may_probe) {
-            (desk.listing.started, desk.reported) = (self.now, None);
-            self.fleet.take_stock(self.now, self.terms.slow_start_duration);
+    /// Brings an ejected worker one probe closer to its return. If its process was lost, it returns cold.
+    fn probe_answered(&mut self, worker: Worker) {
+        let state = &mut self.fleet[worker];
+        (state.probes_to_return, state.unanswered_probes) = (state.probes_to_return.saturating_sub(1), 0);
+        if state.probes_to_return == 0 && state.take_process_loss(!self.config.may_probe) {
+            (state.entry.started, state.reported_at) = (self.now, None);
+            self.fleet.summarize(self.now, self.config.slow_start_duration);
         }
     }
 
-    /// What a silent worker holds is copied, and what was not started in time called off, to be sent on when
-    /// that is known, where the product bears a repeat and another has room.
-    fn rescue(&mut self, worker: Worker, out: usize) {
-        let (desk, now) = (&self.fleet[worker], self.now);
-        let Some(job) = desk.out.get(out) else { return };
-        let &Out { submission, execution, waits, sent, looked, idled, .. } = job;
-        // Held for there, a lost job would fill a worker that is free, and make reports look as old as it.
-        if self.terms.may_cancel && desk.lost(job, self.terms.progress_interval, now) {
-            self.flow.lag = (0, now);
-            return self.todo.push(Action::Cancel { submission, execution });
-        }
-        let held = &self.held[submission as usize];
-        let product = &self.terms.products[usize::from(held.job.product)];
-        let patience = product.latency_target / 2;
-        // Some go on where they were called off: what pays less moves only while the more start at once.
-        let prompt = self.flow.prompt > PROMPT.max(1.0 - product.payoff / self.best);
-        let stuck = waits && now - sent > patience && prompt && self.terms.may_cancel;
-        let copied = !self.fit(desk) && self.terms.may_duplicate;
-        if !held.open || held.out != 1 || !(stuck || copied) || now - looked < patience / 4 {
+    /// Copies a job that an unavailable worker holds, and cancels a job that was not started in time so that
+    /// it is sent on once the cancellation is known. Both need a product that allows a repeat and another
+    /// worker with room. A job that the worker has lost is cancelled in any case.
+    fn move_overdue_job(&mut self, worker: Worker, index: usize) {
+        let (state, now) = (&self.fleet[worker], self.now);
+        let Some(job) = state.in_flight.get(index) else { return };
+        let &InFlight {
+            submission, execution, unstarted, sent_at, last_search, connection_idle_time, ..
+        } = job;
+        // If a lost job stayed in flight, it would block slots that are free, and the reports, which do not
+        // count it, would seem to be as old as the job.
+        if self.config.may_cancel && state.has_lost(job, self.config.progress_interval, now) {
+            self.traffic.report_delay = (0, now);
+            return self.actions.push(Action::Cancel { submission, execution });
+        }
+        let submission_state = &self.submissions[submission as usize];
+        let product = &self.config.products[usize::from(submission_state.job.product)];
+        let start_timeout = product.latency_target / 2;
+        // Some workers go on with a cancelled job, so a move may waste work. The less a product pays, the
+        // more of the jobs must start at once before its jobs are moved.
+        let prompt =
+            self.traffic.prompt_share > MIN_PROMPT_SHARE.max(1.0 - product.payoff / self.best_payoff);
+        let stuck = unstarted && now - sent_at > start_timeout && prompt && self.config.may_cancel;
+        let copied = !self.is_available(state) && self.config.may_duplicate;
+        if !submission_state.open
+            || submission_state.in_flight != 1
+            || !(stuck || copied)
+            || now - last_search < start_timeout / 4
+        {
             return;
         }
-        self.fleet[worker].out[out].looked = now;
+        self.fleet[worker].in_flight[index].last_search = now;
         let choice = self.choose(submission);
-        if choice.members > 0 && stuck {
-            self.flow.started(false, idled);
-            self.todo.push(Action::Cancel { submission, execution });
-        } else if choice.members > 0 {
+        if choice.below_threshold > 0 && stuck {
+            self.traffic.record_start(false, connection_idle_time);
+            self.actions.push(Action::Cancel { submission, execution });
+        } else if choice.below_threshold > 0 {
             self.execute(submission, &choice);
         }
     }
 }
 
-/// Failures in a row ask for ever more probes. A break is no death till one fails, or few would stay warm.
-fn set_aside(desk: &mut Desk, suspected: bool) {
-    if desk.aside == 0 {
-        desk.strikes = (desk.strikes + 1).min(MAX_STRIKES);
+/// Ejects a worker. Each ejection doubles the answered probes that it needs to return. A broken connection
+/// alone is only a suspected loss of the process until a probe fails: treated as a loss, a few breaks would
+/// leave hardly any warm worker.
+fn eject(worker: &mut WorkerState, loss_suspected: bool) {
+    if worker.probes_to_return == 0 {
+        worker.recent_ejections = (worker.recent_ejections + 1).min(MAX_DOUBLINGS);
     }
-    (desk.aside, desk.served) = (1 << desk.strikes, 0);
-    desk.suspected |= suspected;
+    (worker.probes_to_return, worker.completed_jobs) = (1 << worker.recent_ejections, 0);
+    worker.loss_suspected |= loss_suspected;
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decides, for one linestack node, where each submission is executed and how it ends.
+//! Decides, for one linestack node, to which worker each submission is sent and how it ends.
 //!
-//! [`types`] is the interface, [`decide`] the decisions.
+//! [`types`] is the interface, [`decide`] holds the decisions.
 
 pub mod decide;
 mod reconfigure;
@@ -12,7 +12,7 @@
         Self::decide(self, now, event)
     }
 
-    fn reconfigure(&mut self, terms: types::DispatchConfig) {
-        Self::reconfigure(self, terms);
+    fn reconfigure(&mut self, config: types::DispatchConfig) {
+        Self::reconfigure(self, config);
     }
 }
--- a/crates/dispatch/src/reconfigure.rs
+++ b/crates/dispatch/src/reconfigure.rs
@@ -1,43 +1,51 @@
-//! What a dispatcher keeps when its terms change while it runs: a function of what it knows, with no I/O.
+//! Replaces the configuration of a running dispatcher.
 //!
-//! Kept is what means the same under any terms: who is there, since when, what drains or is gone, what died or
-//! is set aside, how many slots each was seen to have; what is held and out; and when the list is asked for.
-//! Reports, shares, limits, thresholds and answer times were measured under the old terms, and start afresh.
+//! What means the same under any configuration is kept: the list, the starts, the health and the ejections of
+//! the workers, the slots that each was seen to have, the submissions and their executions in flight, and the
+//! time of the next request for the list. Reports, shares, limits, thresholds and answer times were measured
+//! under the previous configuration and start anew.
 
 use crate::decide::Dispatcher;
 use crate::types::{DispatchConfig, Nanos};
 use crate::worker_stats::Fleet;
 
 impl Dispatcher {
-    /// Goes on under other terms. The lists that products, tenants, kinds and zones are places in must be the
-    /// same, and so must the promises on repeats; the caller sees to that.
-    pub fn reconfigure(&mut self, terms: DispatchConfig) {
-        let (sized, cold_for) = (terms.weights_are_sizes, terms.slow_start_duration);
-        let old = std::mem::replace(self, Self::new(terms));
+    /// Continues under another configuration. The lists that give products, tenants, kinds and zones their
+    /// indices must be the same, and so must the products' repeat policies; the caller ensures this.
+    pub fn reconfigure(&mut self, config: DispatchConfig) {
+        let (weights_are_sizes, slow_start_duration) = (config.weights_are_sizes, config.slow_start_duration);
+        let old = std::mem::replace(self, Self::new(config));
         self.now = old.now;
-        self.chance = old.chance;
-        self.fleet = afresh(old.fleet, old.now, sized, cold_for);
-        self.held = old.held;
-        self.flow.in_flight = old.flow.in_flight;
-        let expected = self.terms.quotas.iter().sum::<f64>() / f64::from(self.terms.nodes);
-        self.flow.expect(self.now, expected.max(1.0) / 1e9);
-        (self.next_pulse, self.subscribe_at, self.unheard) = (old.next_pulse, old.subscribe_at, old.unheard);
+        self.rng = old.rng;
+        self.fleet = reset_measurements(old.fleet, old.now, weights_are_sizes, slow_start_duration);
+        self.submissions = old.submissions;
+        self.traffic.slots_in_flight = old.traffic.slots_in_flight;
+        let expected = self.config.quotas.iter().sum::<f64>() / f64::from(self.config.nodes);
+        self.traffic.assume_rate(self.now, expected.max(1.0) / 1e9);
+        (self.next_tick, self.subscribe_at, self.failed_list_requests) =
+            (old.next_tick, old.subscribe_at, old.failed_list_requests);
     }
 }
 
-fn afresh(mut fleet: Fleet, now: Nanos, sized: bool, cold_for: Nanos) -> Fleet {
-    for desk in &mut fleet.desks {
-        (desk.reported, desk.linked) = (None, None);
-        (desk.answers, desk.paces, desk.served) = Default::default();
-        // What waits may have started unseen before notices counted; what ran is not called off for it.
-        desk.out.iter_mut().for_each(|o| o.waits = false);
+fn reset_measurements(
+    mut fleet: Fleet,
+    now: Nanos,
+    weights_are_sizes: bool,
+    slow_start_duration: Nanos,
+) -> Fleet {
+    for worker in &mut fleet.workers {
+        (worker.reported_at, worker.idle_since) = (None, None);
+        (worker.recent_answers, worker.recent_ratios, worker.completed_jobs) = Default::default();
+        // A job in flight may have started before starts were reported. It must not be cancelled as
+        // unstarted.
+        worker.in_flight.iter_mut().for_each(|e| e.unstarted = false);
     }
     for kind in fleet.kinds.iter_mut().flatten() {
-        (kind.threshold, kind.run) = (kind.start(), 0);
+        (kind.threshold, kind.completed_jobs) = (kind.initial_threshold(), 0);
     }
-    let listed = fleet.desks.iter().map(|d| f64::from(d.listing.weight)).filter(|w| w.is_finite());
-    fleet.largest = if sized { listed.fold(0.0, f64::max) } else { 0.0 };
-    (fleet.told, fleet.asked, fleet.free) = Default::default();
-    fleet.take_stock(now, cold_for);
+    let weights = fleet.workers.iter().map(|w| f64::from(w.entry.weight)).filter(|w| w.is_finite());
+    fleet.largest_size = if weights_are_sizes { weights.fold(0.0, f64::max) } else { 0.0 };
+    (fleet.any_reported, fleet.probed, fleet.probed_with_room) = Default::default();
+    fleet.summarize(now, slow_start_duration);
     fleet
 }
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -55,7 +55,7 @@
     pub repeat_policy: RepeatPolicy,
     /// The time within which an answer earns the full payoff.
     pub latency_target: Nanos,
-    /// The multiple of a submission's own running time by which its latency target grows.
+    /// The multiple of a submission's own running time that is added to its latency target.
     pub latency_target_factor: f64,
     pub payoff: f64,
     /// The part of the payoff that an answer after the latency target still earns.
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -1,389 +1,452 @@
-//! What a dispatcher remembers: plain records, with no decision in them.
+//! The state that the decisions rest on: statistics per worker, kind, tenant and product, and the
+//! submissions.
+//!
+//! These are plain records; the decisions themselves are in `decide.rs`.
 
 use std::ops::{Index, IndexMut};
 
 use crate::types::{Execution, Health, Job, Nanos, Product, Report, Submission, Worker, WorkerEntry};
 
-/// A sum that loses its past: what was added `span` ago counts 1/e.
+/// An exponentially decaying sum: an amount added one `time_constant` ago counts 1/e.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Decaying {
+pub(crate) struct DecayingSum {
     sum: f64,
     at: Nanos,
 }
 
-impl Decaying {
-    pub(crate) fn read(&self, now: Nanos, span: f64) -> f64 {
-        self.sum * (-((now - self.at) as f64) / span).exp()
+impl DecayingSum {
+    pub(crate) fn read(&self, now: Nanos, time_constant: f64) -> f64 {
+        self.sum * (-((now - self.at) as f64) / time_constant).exp()
     }
 
-    pub(crate) fn add(&mut self, now: Nanos, span: f64, amount: f64) {
-        (self.sum, self.at) = (self.read(now, span) + amount, now);
+    pub(crate) fn add(&mut self, now: Nanos, time_constant: f64, amount: f64) {
+        (self.sum, self.at) = (self.read(now, time_constant) + amount, now);
     }
 }
 
-/// How often something happens, in the last seconds.
+/// The rate of an event over the last seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Rate(Decaying);
+pub(crate) struct Rate(DecayingSum);
 
 impl Rate {
-    const SPAN: f64 = 4e9;
+    const TIME_CONSTANT_NS: f64 = 4e9;
 
-    /// A nanosecond's.
+    /// Returns the events per nanosecond.
     pub(crate) fn read(&self, now: Nanos) -> f64 {
-        self.0.read(now, Self::SPAN) / Self::SPAN
+        self.0.read(now, Self::TIME_CONSTANT_NS) / Self::TIME_CONSTANT_NS
     }
 
     pub(crate) fn add(&mut self, now: Nanos) {
-        self.0.add(now, Self::SPAN, 1.0);
+        self.0.add(now, Self::TIME_CONSTANT_NS, 1.0);
     }
 }
 
 /// An execution that has not ended.
 #[derive(Debug)]
-pub(crate) struct Out {
+pub(crate) struct InFlight {
     pub(crate) submission: Submission,
     pub(crate) execution: Execution,
-    pub(crate) sent: Nanos,
-    /// When it last gave a sign.
-    pub(crate) heard: Nanos,
+    pub(crate) sent_at: Nanos,
+    /// The time of its last message, or of sending it.
+    pub(crate) last_progress: Nanos,
     pub(crate) slots: f64,
     pub(crate) memory: f64,
-    /// What an answer took as a rule when it was sent.
-    pub(crate) usual: f64,
-    /// For how long the connection that it took had stood idle, 0 if it was new.
-    pub(crate) idled: Nanos,
-    /// When another worker was last looked for.
-    pub(crate) looked: Nanos,
-    /// It has not started, as far as is known.
-    pub(crate) waits: bool,
+    /// The mean answer time of its product when it was sent.
+    pub(crate) expected_duration: f64,
+    /// How long its connection had been idle before, 0 if the connection was new.
+    pub(crate) connection_idle_time: Nanos,
+    /// When another worker was last searched for.
+    pub(crate) last_search: Nanos,
+    /// The worker reports starts and has not yet reported this one.
+    pub(crate) unstarted: bool,
 }
 
-/// What is known of one worker.
+/// The state of one worker as far as it is known here.
 #[derive(Debug, Default)]
-pub(crate) struct Desk {
-    pub(crate) listing: WorkerEntry,
+pub(crate) struct WorkerState {
+    pub(crate) entry: WorkerEntry,
     pub(crate) report: Report,
-    pub(crate) reported: Option<Nanos>,
-    /// The most slots that its reports have shown it to have.
-    pub(crate) slots: f64,
-    /// What this node has there, the oldest first.
-    pub(crate) out: Vec<Out>,
+    pub(crate) reported_at: Option<Nanos>,
+    /// The most slots that its reports have shown so far.
+    pub(crate) known_slots: f64,
+    /// This node's executions there, the oldest first.
+    pub(crate) in_flight: Vec<InFlight>,
     pub(crate) own_slots: f64,
     pub(crate) own_memory: f64,
-    /// When a job of ours there last gave a sign.
-    pub(crate) heard: Nanos,
-    /// Its answers lately, and their times as multiples of what was usual.
-    pub(crate) answers: Decaying,
-    pub(crate) paces: Decaying,
-    /// Since when a connection stands idle there.
-    pub(crate) linked: Option<Nanos>,
-    /// The probe that is out.
-    pub(crate) probed: Option<Nanos>,
-    /// It is among the workers of which something is known now.
-    pub(crate) watched: bool,
-    /// Answered probes still wanted before it gets work again.
-    pub(crate) aside: u32,
-    pub(crate) strikes: u32,
-    /// Probes in a row that it did not answer, and when it may be asked again.
-    pub(crate) unanswered: u32,
-    pub(crate) ask_at: Nanos,
-    pub(crate) served: u32,
-    /// A connection broke, and a probe after it failed: it lost its process, so it will be cold, whatever the
-    /// list still says.
-    pub(crate) suspected: bool,
-    pub(crate) died: bool,
+    /// When one of this node's jobs there last sent a message.
+    pub(crate) last_progress: Nanos,
+    /// The number of recent answers.
+    pub(crate) recent_answers: DecayingSum,
+    /// The sum of the recent answers' times, each as a multiple of the mean at that time.
+    pub(crate) recent_ratios: DecayingSum,
+    /// Since when a connection to it has been idle.
+    pub(crate) idle_since: Option<Nanos>,
+    /// When the outstanding probe was sent.
+    pub(crate) probe_sent_at: Option<Nanos>,
+    /// It is in the fleet's list of tracked workers.
+    pub(crate) tracked: bool,
+    /// The answered probes that are still needed before it gets work again. It is ejected while this is not
+    /// 0.
+    pub(crate) probes_to_return: u32,
+    /// How often it was ejected lately; each ejection doubles the probes needed.
+    pub(crate) recent_ejections: u32,
+    /// Probes in a row that it did not answer.
+    pub(crate) unanswered_probes: u32,
+    /// The earliest time of the next probe while it is ejected.
+    pub(crate) next_probe_at: Nanos,
+    /// Jobs completed since the last ejection.
+    pub(crate) completed_jobs: u32,
+    /// A connection broke. If a probe fails after that, the process was lost.
+    pub(crate) loss_suspected: bool,
+    /// A probe failed after the break: the process was lost, so the worker will be cold when it is back, even
+    /// if the list does not show the new start yet.
+    pub(crate) process_lost: bool,
 }
 
-impl Desk {
-    pub(crate) fn send(&mut self, out: Out) {
-        if self.out.is_empty() {
-            self.heard = out.sent;
+impl WorkerState {
+    pub(crate) fn send(&mut self, execution: InFlight) {
+        if self.in_flight.is_empty() {
+            self.last_progress = execution.sent_at;
         }
-        self.own_slots += out.slots;
-        self.own_memory += out.memory;
-        self.out.push(out);
-    }
-
-    /// Set aside, and there to be asked: one that drains would answer in vain.
-    pub(crate) fn wants(&self, now: Nanos) -> bool {
-        self.aside > 0 && self.listing.health == Health::Ready && now >= self.ask_at
-    }
-
-    /// Its answer times lately, as a multiple of what was usual; four usual ones are taken as given. What is out
-    /// for longer than usual counts as it stands: of a worker that slows down answers come too late to tell.
-    pub(crate) fn pace(&self, now: Nanos, span: Nanos) -> f64 {
-        let span = span as f64;
-        let out = self.out.iter().map(|o| (now - o.sent) as f64 / o.usual).filter(|pace| *pace > 1.0);
-        let (sum, n) = out.fold((4.0, 4.0), |(sum, n), pace| (sum + pace, n + 1.0));
-        (self.paces.read(now, span) + sum) / (self.answers.read(now, span) + n)
-    }
-
-    pub(crate) fn paced(&mut self, now: Nanos, span: Nanos, pace: f64) {
-        self.paces.add(now, span as f64, pace);
-        self.answers.add(now, span as f64, 1.0);
-    }
-
-    /// Notes a report. If it names fewer jobs than we hold there, it was taken before the newest of them
-    /// arrived: the age that this proves is returned.
-    pub(crate) fn take_report(&mut self, mut report: Report, now: Nanos) -> Option<Nanos> {
-        let free = report.free_slots.map_or(0.0, whole);
-        // Where reports do not count the jobs in hand, the most that was ever free or started of ours is the
-        // best that is known: added up, a late report would make a worker look larger than it is.
-        let started = || self.out.iter().filter(|o| !o.waits).map(|o| o.slots).sum::<f64>().max(free);
-        // What waits is in hand as well, and noise grows with it: counted as slots, a long queue would make a
-        // worker look the larger the less it can take.
-        let queued = report.queued_jobs.map_or(free < 1.0, |w| whole(w) > 0.0);
-        let seen = report.active_jobs.map_or_else(started, |n| if queued { 0.0 } else { free + whole(n) });
+        self.own_slots += execution.slots;
+        self.own_memory += execution.memory;
+        self.in_flight.push(execution);
+    }
+
+    /// Returns whether it is ejected and due for a probe. A draining worker gets no work even if it answers,
+    /// so it is not probed.
+    pub(crate) fn is_due_for_probe(&self, now: Nanos) -> bool {
+        self.probes_to_return > 0 && self.entry.health == Health::Ready && now >= self.next_probe_at
+    }
+
+    /// Returns its recent answer times as a multiple of the mean; four answers at the mean are assumed to
+    /// begin with. An execution that already takes longer than the mean counts with its time so far, because
+    /// the answers of a worker that slows down come too late to show it.
+    pub(crate) fn answer_time_ratio(&self, now: Nanos, time_constant: Nanos) -> f64 {
+        let time_constant = time_constant as f64;
+        let overdue = self
+            .in_flight
+            .iter()
+            .map(|e| (now - e.sent_at) as f64 / e.expected_duration)
+            .filter(|ratio| *ratio > 1.0);
+        let (sum, n) = overdue.fold((4.0, 4.0), |(sum, n), ratio| (sum + ratio, n + 1.0));
+        (self.recent_ratios.read(now, time_constant) + sum)
+            / (self.recent_answers.read(now, time_constant) + n)
+    }
+
+    pub(crate) fn record_answer_time_ratio(&mut self, now: Nanos, time_constant: Nanos, ratio: f64) {
+        self.recent_ratios.add(now, time_constant as f64, ratio);
+        self.recent_answers.add(now, time_constant as f64, 1.0);
+    }
+
+    /// Stores a report. If the report counts fewer jobs than this node has in flight there, it was taken
+    /// before the newest of them arrived; returns the minimum age of the report that follows from this.
+    pub(crate) fn apply_report(&mut self, mut report: Report, now: Nanos) -> Option<Nanos> {
+        let free = report.free_slots.map_or(0.0, rounded);
+        // If reports have no count of active jobs, the size is estimated by the largest figure of free slots
+        // or of this node's started slots. Their sum would overestimate it when a report is late.
+        let started =
+            || self.in_flight.iter().filter(|e| !e.unstarted).map(|e| e.slots).sum::<f64>().max(free);
+        // Queued jobs are active too, and the noise grows with their number. If they were counted as slots, a
+        // worker would look larger the longer its queue is.
+        let queued = report.queued_jobs.map_or(free < 1.0, |w| rounded(w) > 0.0);
+        let seen = report.active_jobs.map_or_else(started, |n| if queued { 0.0 } else { free + rounded(n) });
         if report.free_slots.is_some() {
-            self.slots = self.slots.max(seen);
+            self.known_slots = self.known_slots.max(seen);
         }
         if let (None, Some(n)) = (report.queued_jobs, report.active_jobs) {
-            let beyond = if queued && self.slots > 0.0 { f64::from(n) - self.slots } else { 0.0 };
-            report.queued_jobs = Some(beyond.max(0.0) as f32);
+            let excess = if queued && self.known_slots > 0.0 { f64::from(n) - self.known_slots } else { 0.0 };
+            report.queued_jobs = Some(excess.max(0.0) as f32);
         }
-        (self.report, self.reported) = (report, Some(now));
-        self.out.get(whole(report.active_jobs?) as usize).map(|missed| now - missed.sent)
+        (self.report, self.reported_at) = (report, Some(now));
+        self.in_flight.get(rounded(report.active_jobs?) as usize).map(|missed| now - missed.sent_at)
     }
 
-    /// Of what we hold there, the part sent since its last report was taken, which was `lag` before it came.
-    pub(crate) fn since(&self, lag: Nanos, part: fn(&Out) -> f64) -> f64 {
-        let taken_at = self.reported.map_or(0, |r| r.saturating_sub(lag));
-        self.out.iter().filter(|o| o.sent > taken_at).map(part).sum()
+    /// Sums `part` over this node's executions that the last report does not include: those sent after the
+    /// report was taken, which was `delay` before it arrived.
+    pub(crate) fn sent_since_report(&self, delay: Nanos, part: fn(&InFlight) -> f64) -> f64 {
+        let taken_at = self.reported_at.map_or(0, |r| r.saturating_sub(delay));
+        self.in_flight.iter().filter(|e| e.sent_at > taken_at).map(part).sum()
     }
 
-    /// A connection to it stands idle, for less than `kept`.
-    pub(crate) fn is_linked(&self, now: Nanos, kept: f64) -> bool {
-        self.linked.is_some_and(|l| ((now - l) as f64) < kept)
+    /// Returns whether a connection to it has been idle for less than `lifetime`.
+    pub(crate) fn has_idle_connection(&self, now: Nanos, lifetime: f64) -> bool {
+        self.idle_since.is_some_and(|l| ((now - l) as f64) < lifetime)
     }
 
-    pub(crate) fn restarted(&mut self) {
-        self.linked = None;
-        (self.reported, self.suspected, self.died) = (None, false, false);
-        (self.unanswered, self.ask_at) = (0, 0);
+    /// Drops what was true of the process before the restart.
+    pub(crate) fn reset_after_restart(&mut self) {
+        self.idle_since = None;
+        (self.reported_at, self.loss_suspected, self.process_lost) = (None, false, false);
+        (self.unanswered_probes, self.next_probe_at) = (0, 0);
     }
 
-    /// Whether it lost its process before it came back; where nobody could ask, a suspicion must do.
-    pub(crate) fn take_death(&mut self, unasked: bool) -> bool {
-        let died = self.suspected && (self.died || unasked);
-        (self.suspected, self.died) = (false, false);
-        died
+    /// Returns whether it lost its process before it came back, and clears the marks. Without probes, a
+    /// suspected loss counts as one.
+    pub(crate) fn take_process_loss(&mut self, without_probes: bool) -> bool {
+        let lost = self.loss_suspected && (self.process_lost || without_probes);
+        (self.loss_suspected, self.process_lost) = (false, false);
+        lost
     }
 
-    /// The memory that is left there, if other nodes' jobs take what ours do.
-    pub(crate) fn memory_left(&self, lag: Nanos, per_slot: f64) -> f64 {
-        let free = self.report.free_slots.map_or(0.0, whole);
-        let others = (self.slots - free - self.own_slots).max(0.0) * per_slot;
-        let told = self.report.free_memory.map(|m| f64::from(m) - self.since(lag, |o| o.memory));
-        told.unwrap_or(self.slots - self.own_memory - others)
+    /// Returns the memory left there, on the assumption that the jobs of other nodes need as much as this
+    /// node's.
+    pub(crate) fn memory_left(&self, report_delay: Nanos, memory_per_slot: f64) -> f64 {
+        let free = self.report.free_slots.map_or(0.0, rounded);
+        let others = (self.known_slots - free - self.own_slots).max(0.0) * memory_per_slot;
+        let reported = self
+            .report
+            .free_memory
+            .map(|m| f64::from(m) - self.sent_since_report(report_delay, |e| e.memory));
+        reported.unwrap_or(self.known_slots - self.own_memory - others)
     }
 
-    /// A job of ours has started or made progress. Returns how long it waited, if that was not known before,
-    /// and how long its connection had stood idle.
-    pub(crate) fn noted(
+    /// Records that one of this node's jobs has started or made progress. If this is the first sign of its
+    /// start, returns how long the job waited and how long its connection had been idle before.
+    pub(crate) fn record_progress(
         &mut self,
         submission: Submission,
         execution: Execution,
         now: Nanos,
     ) -> Option<(Nanos, Nanos)> {
-        let mut out = self.out.iter_mut();
-        let out = out.find(|o| o.submission == submission && o.execution == execution)?;
-        (out.heard, self.heard) = (now, now);
-        std::mem::replace(&mut out.waits, false).then(|| (now - out.sent, out.idled))
-    }
-
-    /// Whether a job of ours is gone without a word: no sign of it for the time of two progress notes, and a
-    /// report that came a note's time after the last one counts fewer jobs than we sent so long before it. What
-    /// was sent just now may be missing in it, and says nothing of the others.
-    pub(crate) fn lost(&self, out: &Out, every: Option<Nanos>, now: Nanos) -> bool {
-        let (Some(every), Some(reported)) = (every, self.reported) else { return false };
-        let settled = self.out.iter().filter(|o| reported > o.sent + every).count();
-        let denied = self.report.active_jobs.is_some_and(|n| whole(n) < settled as f64);
-        denied && now > out.heard + 2 * every && reported > out.heard + every
-    }
-
-    pub(crate) fn end(&mut self, submission: Submission, execution: Execution) -> Option<Out> {
-        let i = self.out.iter().position(|o| o.submission == submission && o.execution == execution)?;
-        let out = self.out.remove(i);
-        // Summed anew, so that no rounding is carried along.
-        self.own_slots = self.out.iter().map(|o| o.slots).sum();
-        self.own_memory = self.out.iter().map(|o| o.memory).sum();
-        Some(out)
+        let mut in_flight = self.in_flight.iter_mut();
+        let found = in_flight.find(|e| e.submission == submission && e.execution == execution)?;
+        (found.last_progress, self.last_progress) = (now, now);
+        std::mem::replace(&mut found.unstarted, false)
+            .then(|| (now - found.sent_at, found.connection_idle_time))
+    }
+
+    /// Returns whether the worker has dropped a job of this node without an answer. This holds if the job
+    /// sent no message for two progress intervals, and a report that came at least one interval after its
+    /// last message counts fewer jobs than this node had sent one interval before the report. Jobs sent later
+    /// may be missing in the report and prove nothing.
+    pub(crate) fn has_lost(
+        &self,
+        execution: &InFlight,
+        progress_interval: Option<Nanos>,
+        now: Nanos,
+    ) -> bool {
+        let (Some(interval), Some(reported_at)) = (progress_interval, self.reported_at) else { return false };
+        let settled = self.in_flight.iter().filter(|e| reported_at > e.sent_at + interval).count();
+        let missing = self.report.active_jobs.is_some_and(|n| rounded(n) < settled as f64);
+        missing
+            && now > execution.last_progress + 2 * interval
+            && reported_at > execution.last_progress + interval
+    }
+
+    pub(crate) fn end(&mut self, submission: Submission, execution: Execution) -> Option<InFlight> {
+        let i = self.in_flight.iter().position(|e| e.submission == submission && e.execution == execution)?;
+        let ended = self.in_flight.remove(i);
+        // The sums are computed anew so that rounding errors do not accumulate.
+        self.own_slots = self.in_flight.iter().map(|e| e.slots).sum();
+        self.own_memory = self.in_flight.iter().map(|e| e.memory).sum();
+        Some(ended)
     }
 }
 
-/// What is known of one submission, until its last execution has ended.
+/// The state of one submission until its last execution has ended.
 #[derive(Debug, Default)]
-pub(crate) struct Held {
+pub(crate) struct SubmissionState {
     pub(crate) job: Job,
+    /// The index is in use: [`crate::types::Action::Forget`] has not been returned for it.
     pub(crate) known: bool,
+    /// No final answer has been given.
     pub(crate) open: bool,
     pub(crate) streaming: bool,
     pub(crate) executions: Execution,
-    pub(crate) out: u16,
+    /// The number of executions that have not ended.
+    pub(crate) in_flight: u16,
     /// An ended execution may have run.
-    pub(crate) perhaps_ran: bool,
-    /// The first execution that may have run or still may: its worker and when it was sent.
-    pub(crate) anchor: Option<(Worker, Nanos)>,
+    pub(crate) may_have_run: bool,
+    /// The worker and the sending time of the first execution that may have run or may still run.
+    pub(crate) first_possible_run: Option<(Worker, Nanos)>,
     pub(crate) tried: Vec<Worker>,
 }
 
-impl Held {
+impl SubmissionState {
     pub(crate) fn send(
         &mut self,
         submission: Submission,
         worker: Worker,
-        sent: Nanos,
-        waits: bool,
-        usual: f64,
-    ) -> Out {
+        sent_at: Nanos,
+        unstarted: bool,
+        expected_duration: f64,
+    ) -> InFlight {
         let (execution, Job { slots, memory, .. }) = (self.executions, self.job);
-        self.anchor.get_or_insert((worker, sent));
+        self.first_possible_run.get_or_insert((worker, sent_at));
         self.executions += 1;
-        self.out += 1;
+        self.in_flight += 1;
         self.tried.push(worker);
-        Out { submission, execution, sent, heard: sent, usual, looked: 0, slots, memory, waits, idled: 0 }
+        InFlight {
+            submission,
+            execution,
+            sent_at,
+            last_progress: sent_at,
+            expected_duration,
+            last_search: 0,
+            slots,
+            memory,
+            unstarted,
+            connection_idle_time: 0,
+        }
     }
 
-    pub(crate) fn ended(&mut self, perhaps_ran: bool) {
-        self.out -= 1;
-        self.perhaps_ran |= perhaps_ran;
-        if self.out == 0 && !self.perhaps_ran {
-            self.anchor = None;
+    pub(crate) fn execution_ended(&mut self, may_have_run: bool) {
+        self.in_flight -= 1;
+        self.may_have_run |= may_have_run;
+        if self.in_flight == 0 && !self.may_have_run {
+            self.first_possible_run = None;
         }
     }
 
-    pub(crate) fn take(&mut self, job: Job) {
+    /// Makes this the state of a new submission.
+    pub(crate) fn reset(&mut self, job: Job) {
         let mut tried = std::mem::take(&mut self.tried);
         tried.clear();
         *self = Self { job, known: true, open: true, tried, ..Self::default() };
     }
 }
 
-/// The slots at which a threshold starts before anything was seen.
-pub(crate) const MODEST: f64 = 8.0;
+/// The threshold in slots of a kind of which no worker has reported yet.
+pub(crate) const DEFAULT_THRESHOLD: f64 = 8.0;
 
+/// Statistics of one kind of worker.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Kind {
+pub(crate) struct KindStats {
+    /// The most slots that this node may have in flight at a worker of the kind that counts as below
+    /// threshold.
     pub(crate) threshold: f64,
-    pub(crate) run: u32,
-    /// Slots that its workers were seen to have, and how many workers were seen.
+    /// Completed jobs since the threshold last changed.
+    pub(crate) completed_jobs: u32,
+    /// The sum of the slots that its workers were seen to have.
     pub(crate) slots: f64,
-    pub(crate) seen: f64,
+    /// The number of workers whose slots are known.
+    pub(crate) workers: f64,
 }
 
-impl Kind {
-    /// Where its threshold starts, and what it never passes.
-    pub(crate) fn start(&self) -> f64 {
-        self.mean().max(MODEST)
+impl KindStats {
+    /// Returns the value at which the threshold starts and which it never exceeds.
+    pub(crate) fn initial_threshold(&self) -> f64 {
+        self.mean_slots().max(DEFAULT_THRESHOLD)
     }
 
-    /// The slots that one of its workers was seen to have, on average.
-    pub(crate) fn mean(&self) -> f64 {
-        self.slots / self.seen.max(1.0)
+    /// Returns the mean number of slots that its workers were seen to have.
+    pub(crate) fn mean_slots(&self) -> f64 {
+        self.slots / self.workers.max(1.0)
     }
 }
 
+/// Statistics of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tenant {
-    pub(crate) sent: Decaying,
-    pub(crate) within: Decaying,
+pub(crate) struct TenantStats {
+    pub(crate) sent: DecayingSum,
+    /// The submissions that counted as within the tenant's share.
+    pub(crate) within_share: DecayingSum,
 }
 
+/// Statistics of one product's answer times, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AnswerTime {
-    pub(crate) seen: f64,
+    pub(crate) samples: f64,
     pub(crate) mean: f64,
+    /// The lowest mean; it drifts slowly towards the present one.
     pub(crate) shortest: f64,
 }
 
 impl AnswerTime {
-    /// Before any answer was seen.
-    pub(crate) fn expected(agreed: Nanos) -> Self {
-        Self { mean: agreed as f64, shortest: agreed as f64, ..Self::default() }
+    /// Returns the estimate before the first answer.
+    pub(crate) fn expected(latency_target: Nanos) -> Self {
+        Self { mean: latency_target as f64, shortest: latency_target as f64, ..Self::default() }
     }
 
     pub(crate) fn add(&mut self, took: f64) {
-        self.seen = (self.seen + 1.0).min(128.0);
-        self.mean += (took - self.mean) / self.seen;
-        // A mean of few answers may be far too short, and what follows it would never recover.
+        self.samples = (self.samples + 1.0).min(128.0);
+        self.mean += (took - self.mean) / self.samples;
+        // The mean of a few answers may be far too short, and the shortest one would hardly recover from it.
         let drifted = self.shortest + (self.mean - self.shortest) / 2048.0;
-        self.shortest = if self.seen < 32.0 { self.mean } else { self.mean.min(drifted) };
+        self.shortest = if self.samples < 32.0 { self.mean } else { self.mean.min(drifted) };
     }
 }
 
-/// Every worker that was listed and not retired.
+/// All workers that were listed and not retired.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
-    pub(crate) desks: Vec<Desk>,
-    pub(crate) kinds: Vec<Option<Kind>>,
-    /// Those listed as ready.
+    pub(crate) workers: Vec<WorkerState>,
+    pub(crate) kinds: Vec<Option<KindStats>>,
+    /// The workers listed as ready.
     pub(crate) ready: Vec<Worker>,
-    /// Those of which something is known now.
-    pub(crate) watched: Vec<Worker>,
-    pub(crate) turn: usize,
-    /// The largest size listed, 0 where the list tells none.
-    pub(crate) largest: f64,
-    /// The mean of the ready workers' sizes, and those of them that were cold when the list last told.
+    /// The workers of which something current is known: a recent report, a job, a probe or an idle
+    /// connection.
+    pub(crate) tracked: Vec<Worker>,
+    /// The position in `ready` of the worker last probed in turn.
+    pub(crate) probe_cursor: usize,
+    /// The largest size in the list, 0 if the list gives no sizes.
+    pub(crate) largest_size: f64,
+    /// The mean relative size of the ready workers.
     pub(crate) mean_size: f64,
-    pub(crate) young: Vec<Worker>,
-    /// Some worker has reported.
-    pub(crate) told: bool,
-    /// Workers that answered probes lately, and those of them that had room.
-    pub(crate) asked: Decaying,
-    pub(crate) free: Decaying,
+    /// The ready workers that were cold when the list was last received.
+    pub(crate) cold: Vec<Worker>,
+    /// Whether any worker has sent a report.
+    pub(crate) any_reported: bool,
+    /// The number of workers that recently answered a probe with a report.
+    pub(crate) probed: DecayingSum,
+    /// The number of those that had a free slot.
+    pub(crate) probed_with_room: DecayingSum,
 }
 
 impl Fleet {
-    pub(crate) fn get_mut(&mut self, worker: Worker) -> Option<&mut Desk> {
-        self.desks.get_mut(worker as usize)
+    pub(crate) fn get_mut(&mut self, worker: Worker) -> Option<&mut WorkerState> {
+        self.workers.get_mut(worker as usize)
     }
 
-    pub(crate) fn kind(&self, desk: &Desk) -> Option<&Kind> {
-        self.kinds.get(usize::from(desk.listing.kind))?.as_ref()
+    pub(crate) fn kind(&self, worker: &WorkerState) -> Option<&KindStats> {
+        self.kinds.get(usize::from(worker.entry.kind))?.as_ref()
     }
 
-    /// What workers like this one were seen to have, one slot at least.
-    pub(crate) fn mean_slots(&self, desk: &Desk) -> f64 {
-        self.kind(desk).map_or(1.0, |k| k.mean().max(1.0))
+    /// Returns the mean number of slots of workers of its kind, at least one.
+    pub(crate) fn mean_slots(&self, worker: &WorkerState) -> f64 {
+        self.kind(worker).map_or(1.0, |k| k.mean_slots().max(1.0))
     }
 
-    /// Its size as a part of the largest listed, where the list tells sizes.
-    pub(crate) fn size(&self, desk: &Desk) -> f64 {
-        let told = f64::from(desk.listing.weight);
-        if self.largest > 0.0 && told > 0.0 { (told / self.largest).min(1.0) } else { 1.0 }
+    /// Returns its size as a part of the largest in the list, or 1 if the list gives no sizes.
+    pub(crate) fn relative_size(&self, worker: &WorkerState) -> f64 {
+        let weight = f64::from(worker.entry.weight);
+        if self.largest_size > 0.0 && weight > 0.0 { (weight / self.largest_size).min(1.0) } else { 1.0 }
     }
 
-    /// What all ready workers together may hold, as far as their kinds are known: half as much again may wait.
-    pub(crate) fn room(&self) -> f64 {
+    /// Returns the slots that all ready workers together may hold, estimated from the kinds that are known:
+    /// half as many jobs as a worker has slots may be queued there.
+    pub(crate) fn capacity(&self) -> f64 {
         let known = self.kinds.iter().flatten();
-        let (sum, seen) = known
-            .fold((0.0, 0.0), |(sum, seen), k| (sum + (1.5 * k.mean()).max(MODEST) * k.seen, seen + k.seen));
-        self.ready.len() as f64 * if seen > 0.0 { sum / seen } else { MODEST }
+        let (sum, workers) = known.fold((0.0, 0.0), |(sum, workers), k| {
+            (sum + (1.5 * k.mean_slots()).max(DEFAULT_THRESHOLD) * k.workers, workers + k.workers)
+        });
+        self.ready.len() as f64 * if workers > 0.0 { sum / workers } else { DEFAULT_THRESHOLD }
     }
 
-    /// How many ready workers are open to a product.
-    pub(crate) fn open(&self, product: &Product) -> usize {
-        let open = |w: &&Worker| product.allows(&self[**w].listing);
-        if product.is_restricted() { self.ready.iter().filter(open).count() } else { self.ready.len() }
+    /// Returns the number of ready workers that a product may go to.
+    pub(crate) fn ready_for(&self, product: &Product) -> usize {
+        let allowed = |w: &&Worker| product.allows(&self[**w].entry);
+        if product.is_restricted() { self.ready.iter().filter(allowed).count() } else { self.ready.len() }
     }
 
-    /// What this node holds at those.
+    /// Returns the slots that this node has in flight at the workers that a product may go to.
     pub(crate) fn own_slots(&self, product: &Product) -> f64 {
-        let open = self.watched.iter().map(|w| &self[*w]).filter(|d| product.allows(&d.listing));
-        open.map(|d| d.own_slots).sum()
+        let allowed = self.tracked.iter().map(|w| &self[*w]).filter(|d| product.allows(&d.entry));
+        allowed.map(|d| d.own_slots).sum()
     }
 
-    /// The next ready worker in turn whose report is so old, noted as probed.
-    pub(crate) fn next_older(&mut self, now: Nanos, old: f64) -> Option<Worker> {
+    /// Returns the next ready worker in turn whose report is older than `max_age`, and marks it as probed.
+    pub(crate) fn next_to_probe(&mut self, now: Nanos, max_age: f64) -> Option<Worker> {
         for _ in 0..self.ready.len() {
-            self.turn = self.turn.wrapping_add(1) % self.ready.len();
-            let worker = self.ready[self.turn];
-            let desk = &self[worker];
-            if desk.probed.is_none()
-                && desk.aside == 0
-                && desk.reported.is_none_or(|r| (now - r) as f64 > old)
+            self.probe_cursor = self.probe_cursor.wrapping_add(1) % self.ready.len();
+            let worker = self.ready[self.probe_cursor];
+            let state = &self[worker];
+            if state.probe_sent_at.is_none()
+                && state.probes_to_return == 0
+                && state.reported_at.is_none_or(|r| (now - r) as f64 > max_age)
             {
-                self.watch(worker).probed = Some(now);
+                self.track(worker).probe_sent_at = Some(now);
                 return Some(worker);
             }
         }
@@ -396,133 +459,146 @@
         (n > 0.0).then(|| sum / n)
     }
 
-    pub(crate) fn meet(&mut self, kind: u16, threshold: f64) {
-        at(&mut self.kinds, kind.into()).get_or_insert(Kind { threshold, run: 0, slots: 0.0, seen: 0.0 });
+    pub(crate) fn add_kind(&mut self, kind: u16, threshold: f64) {
+        entry_at(&mut self.kinds, kind.into()).get_or_insert(KindStats {
+            threshold,
+            completed_jobs: 0,
+            slots: 0.0,
+            workers: 0.0,
+        });
     }
 
-    /// The executions of a submission that have not ended, among the workers that it was sent to.
-    pub(crate) fn out(&self, submission: Submission, tried: &[Worker]) -> impl Iterator<Item = Execution> {
-        let out = tried.iter().flat_map(|w| &self[*w].out);
-        out.filter(move |o| o.submission == submission).map(|o| o.execution)
+    /// Returns the executions of a submission that have not ended, of the workers that it was sent to.
+    pub(crate) fn in_flight(
+        &self,
+        submission: Submission,
+        tried: &[Worker],
+    ) -> impl Iterator<Item = Execution> {
+        let in_flight = tried.iter().flat_map(|w| &self[*w].in_flight);
+        in_flight.filter(move |e| e.submission == submission).map(|e| e.execution)
     }
 
-    pub(crate) fn all_gone(&mut self) {
-        self.desks.iter_mut().for_each(|d| d.listing.health = Health::Gone);
+    pub(crate) fn mark_all_gone(&mut self) {
+        self.workers.iter_mut().for_each(|d| d.entry.health = Health::Gone);
         self.ready.clear();
     }
 
-    /// Sums up what the list has told: the mean size, and who is cold.
-    pub(crate) fn take_stock(&mut self, now: Nanos, cold_for: Nanos) {
-        let sizes = self.ready.iter().map(|w| self.size(&self[*w])).sum::<f64>();
+    /// Updates what is derived from the list: the mean size and the cold workers.
+    pub(crate) fn summarize(&mut self, now: Nanos, slow_start_duration: Nanos) {
+        let sizes = self.ready.iter().map(|w| self.relative_size(&self[*w])).sum::<f64>();
         self.mean_size = (sizes / self.ready.len().max(1) as f64).max(f64::MIN_POSITIVE);
-        let cold = |w: &&Worker| now < self[**w].listing.started.saturating_add(cold_for);
-        self.young = self.ready.iter().filter(cold).copied().collect();
+        let cold = |w: &&Worker| now < self[**w].entry.started.saturating_add(slow_start_duration);
+        self.cold = self.ready.iter().filter(cold).copied().collect();
     }
 
-    /// Follows a line of the list. True if it tells of a new start.
-    pub(crate) fn follow(&mut self, listing: WorkerEntry, sized: bool) -> bool {
-        let desk = at(&mut self.desks, listing.worker);
-        match (desk.listing.health == Health::Ready, listing.health == Health::Ready) {
-            (false, true) => self.ready.push(listing.worker),
-            (true, false) => self.ready.retain(|w| *w != listing.worker),
+    /// Applies one entry of the list. Returns whether it shows a new start of the worker.
+    pub(crate) fn apply_entry(&mut self, entry: WorkerEntry, weights_are_sizes: bool) -> bool {
+        let state = entry_at(&mut self.workers, entry.worker);
+        match (state.entry.health == Health::Ready, entry.health == Health::Ready) {
+            (false, true) => self.ready.push(entry.worker),
+            (true, false) => self.ready.retain(|w| *w != entry.worker),
             _ => {}
         }
-        let before = std::mem::replace(&mut desk.listing, listing).started;
-        desk.listing.started = listing.started.max(before);
-        if sized && listing.weight.is_finite() {
-            self.largest = self.largest.max(listing.weight.into());
+        let before = std::mem::replace(&mut state.entry, entry).started;
+        state.entry.started = entry.started.max(before);
+        if weights_are_sizes && entry.weight.is_finite() {
+            self.largest_size = self.largest_size.max(entry.weight.into());
         }
-        listing.started > before
+        entry.started > before
     }
 
-    /// Forgets a worker that is gone; what holds a job of ours or answers a probe still is kept.
+    /// Forgets a worker that is gone, unless it still holds a job of this node or has a probe outstanding.
     pub(crate) fn retire(&mut self, worker: Worker) {
-        let Some(desk) = self.desks.get_mut(worker as usize) else { return };
-        if desk.listing.health == Health::Gone && desk.out.is_empty() && desk.probed.is_none() {
-            *desk = Desk::default();
-            self.watched.retain(|w| *w != worker);
+        let Some(state) = self.workers.get_mut(worker as usize) else { return };
+        if state.entry.health == Health::Gone && state.in_flight.is_empty() && state.probe_sent_at.is_none() {
+            *state = WorkerState::default();
+            self.tracked.retain(|w| *w != worker);
         }
     }
 
-    pub(crate) fn watch(&mut self, worker: Worker) -> &mut Desk {
-        let desk = &mut self.desks[worker as usize];
-        if !std::mem::replace(&mut desk.watched, true) {
-            self.watched.push(worker);
+    pub(crate) fn track(&mut self, worker: Worker) -> &mut WorkerState {
+        let state = &mut self.workers[worker as usize];
+        if !std::mem::replace(&mut state.tracked, true) {
+            self.tracked.push(worker);
         }
-        desk
+        state
     }
 
-    /// Notes what a probe tells of all workers.
-    pub(crate) fn surveyed(&mut self, report: Option<Report>, now: Nanos) {
+    /// Counts a probe's report in the estimate of how many workers have a free slot.
+    pub(crate) fn record_probe_report(&mut self, report: Option<Report>, now: Nanos) {
         let Some((report, free)) = report.and_then(|r| Some((r, r.free_slots?))) else { return };
-        let room = whole(free) - report.queued_jobs.map_or(0.0, whole) >= 1.0;
-        self.asked.add(now, Rate::SPAN, 1.0);
-        self.free.add(now, Rate::SPAN, f64::from(u8::from(room)));
-    }
-
-    /// The part of the workers that have room, as far as was seen lately; one with room is taken as given.
-    pub(crate) fn roomy(&self, now: Nanos) -> f64 {
-        (self.free.read(now, Rate::SPAN) + 1.0) / (self.asked.read(now, Rate::SPAN) + 1.0)
-    }
-
-    /// Notes a report, and the slots that it shows. Returns the age that it proves, 0 for none.
-    pub(crate) fn report(&mut self, worker: Worker, report: Option<Report>, now: Nanos) -> Nanos {
-        let Some(report) = report.filter(|_| (worker as usize) < self.desks.len()) else { return 0 };
-        self.told = true;
-        let desk = self.watch(worker);
-        let before = desk.slots;
-        let age = desk.take_report(report, now);
-        let (place, after) = (usize::from(desk.listing.kind), desk.slots);
-        if let Some(Some(kind)) = self.kinds.get_mut(place) {
-            // A start that was not known before: what was lost since by full answers stays lost.
-            let start = kind.start();
+        let room = rounded(free) - report.queued_jobs.map_or(0.0, rounded) >= 1.0;
+        self.probed.add(now, Rate::TIME_CONSTANT_NS, 1.0);
+        self.probed_with_room.add(now, Rate::TIME_CONSTANT_NS, f64::from(u8::from(room)));
+    }
+
+    /// Returns the part of the recently probed workers that had a free slot; one with a free slot is assumed
+    /// to begin with.
+    pub(crate) fn share_with_room(&self, now: Nanos) -> f64 {
+        (self.probed_with_room.read(now, Rate::TIME_CONSTANT_NS) + 1.0)
+            / (self.probed.read(now, Rate::TIME_CONSTANT_NS) + 1.0)
+    }
+
+    /// Stores a report and the slots that it shows. Returns the minimum age of the report as far as this
+    /// node's own jobs prove it, else 0.
+    pub(crate) fn apply_report(&mut self, worker: Worker, report: Option<Report>, now: Nanos) -> Nanos {
+        let Some(report) = report.filter(|_| (worker as usize) < self.workers.len()) else { return 0 };
+        self.any_reported = true;
+        let state = self.track(worker);
+        let before = state.known_slots;
+        let age = state.apply_report(report, now);
+        let (kind, after) = (usize::from(state.entry.kind), state.known_slots);
+        if let Some(Some(kind)) = self.kinds.get_mut(kind) {
+            // The threshold moves by as much as its initial value does. What overloaded workers have taken
+            // off it stays off.
+            let initial = kind.initial_threshold();
             kind.slots += after - before;
-            kind.seen += f64::from(u8::from(before == 0.0 && after > 0.0));
-            kind.threshold += kind.start() - start;
+            kind.workers += f64::from(u8::from(before == 0.0 && after > 0.0));
+            kind.threshold += kind.initial_threshold() - initial;
         }
         age.unwrap_or(0)
     }
 }
 
 impl Index<Worker> for Fleet {
-    type Output = Desk;
+    type Output = WorkerState;
 
-    fn index(&self, worker: Worker) -> &Desk {
-        &self.desks[worker as usize]
+    fn index(&self, worker: Worker) -> &WorkerState {
+        &self.workers[worker as usize]
     }
 }
 
 impl IndexMut<Worker> for Fleet {
-    fn index_mut(&mut self, worker: Worker) -> &mut Desk {
-        &mut self.desks[worker as usize]
+    fn index_mut(&mut self, worker: Worker) -> &mut WorkerState {
+        &mut self.workers[worker as usize]
     }
 }
 
-/// What an answer takes as a rule, over all products.
-pub(crate) fn usual(answers: &[AnswerTime]) -> f64 {
-    answers.iter().map(|a| a.mean).sum::<f64>() / answers.len().max(1) as f64
+/// Returns the mean answer time over all products.
+pub(crate) fn mean_answer_time(answer_times: &[AnswerTime]) -> f64 {
+    answer_times.iter().map(|a| a.mean).sum::<f64>() / answer_times.len().max(1) as f64
 }
 
-/// What an answer of the slowest product takes.
-pub(crate) fn longest(answers: &[AnswerTime]) -> f64 {
-    answers.iter().map(|a| a.mean).fold(0.0, f64::max)
+/// Returns the mean answer time of the slowest product.
+pub(crate) fn slowest_answer_time(answer_times: &[AnswerTime]) -> f64 {
+    answer_times.iter().map(|a| a.mean).fold(0.0, f64::max)
 }
 
-/// A report's figure without its noise.
-pub(crate) fn whole(figure: f32) -> f64 {
+/// Rounds a figure of a report, which removes its noise.
+pub(crate) fn rounded(figure: f32) -> f64 {
     f64::from(figure).round()
 }
 
-/// The median of some values, each as heavy as its weight.
-pub(crate) fn median(weights: &[f64], value: impl Fn(usize) -> f64) -> f64 {
+/// Returns the weighted median of the values of the indices of `weights`.
+pub(crate) fn weighted_median(weights: &[f64], value: impl Fn(usize) -> f64) -> f64 {
     let half = weights.iter().sum::<f64>() / 2.0;
     let up_to =
         |limit: f64| (0..weights.len()).filter(|&i| value(i) <= limit).map(|i| weights[i]).sum::<f64>();
     (0..weights.len()).map(&value).filter(|v| up_to(*v) >= half).fold(f64::INFINITY, f64::min)
 }
 
-/// The entry at a small index, made if it is new.
-pub(crate) fn at<T: Default>(entries: &mut Vec<T>, index: u32) -> &mut T {
+/// Returns the entry at an index; grows the vector if the index is new.
+pub(crate) fn entry_at<T: Default>(entries: &mut Vec<T>, index: u32) -> &mut T {
     let index = index as usize;
     if index >= entries.len() {
         entries.resize_with(index + 1, T::default);
@@ -530,155 +606,167 @@
     &mut entries[index]
 }
 
-/// A worker drawn for a submission, how many are below threshold, and as which part of the known ones.
+/// The result of choosing a worker for a submission.
 #[derive(Debug, Default)]
 pub(crate) struct Choice {
+    /// The estimated part of the workers that are below threshold.
     pub(crate) room: f64,
-    pub(crate) members: usize,
+    /// The number of workers found below threshold.
+    pub(crate) below_threshold: usize,
     pub(crate) pick: Option<Worker>,
-    /// The ready workers open to it, and what each of them holds of ours on average.
-    pub(crate) open: usize,
-    pub(crate) mean: f64,
+    /// The number of ready workers that the submission may go to.
+    pub(crate) allowed: usize,
+    /// The mean number of slots that this node has in flight at each of those.
+    pub(crate) mean_own_slots: f64,
 }
 
-/// A uniformly random one of those with the lowest rank offered.
+/// A uniformly random choice among the workers offered with the lowest rank.
 #[derive(Debug, Default)]
-pub(crate) struct Draw {
+pub(crate) struct RankedDraw {
+    /// The number of workers offered, of any rank.
     pub(crate) offered: usize,
     pub(crate) pick: Option<Worker>,
     rank: u8,
-    alike: usize,
+    /// The number of workers offered with the lowest rank.
+    ties: usize,
 }
 
-impl Draw {
-    pub(crate) fn offer_if(&mut self, fits: bool, worker: Worker, rank: u8, chance: &mut fastrand::Rng) {
-        if !fits {
+impl RankedDraw {
+    pub(crate) fn offer_if(&mut self, eligible: bool, worker: Worker, rank: u8, rng: &mut fastrand::Rng) {
+        if !eligible {
             return;
         }
         self.offered += 1;
         if self.pick.is_none() || rank < self.rank {
-            (self.rank, self.alike) = (rank, 0);
+            (self.rank, self.ties) = (rank, 0);
         }
         if rank == self.rank {
-            self.alike += 1;
-            if chance.usize(..self.alike) == 0 {
+            self.ties += 1;
+            if rng.usize(..self.ties) == 0 {
                 self.pick = Some(worker);
             }
         }
     }
 }
 
-/// What passes through the node.
+/// Statistics of all submissions that pass through the node.
 #[derive(Debug)]
-pub(crate) struct Flow {
+pub(crate) struct TrafficStats {
     pub(crate) arrivals: Rate,
-    /// Those of the last moments.
-    pub(crate) lately: Decaying,
-    pub(crate) in_flight: f64,
-    /// How much of the ready workers' room this node may fill.
-    pub(crate) limit: f64,
-    /// Answer times as multiples of their products' shortest.
-    pub(crate) stretch: f64,
+    /// The arrivals of the last fraction of a second.
+    pub(crate) recent_arrivals: DecayingSum,
+    /// The slots of all executions in flight.
+    pub(crate) slots_in_flight: f64,
+    /// The part of the ready workers' capacity that this node may fill.
+    pub(crate) load_limit: f64,
+    /// The mean of the answer times as multiples of their products' shortest.
+    pub(crate) answer_time_ratio: f64,
     pub(crate) memory_per_slot: f64,
-    /// The slots that a submission asks for on average, product by product, and over how many submissions.
-    pub(crate) slots: Vec<f64>,
+    /// By product, the slots that a submission of any product needs on average: they sum to the mean.
+    pub(crate) slots_by_product: Vec<f64>,
+    /// The number of submissions in that average, up to its limit.
     pub(crate) averaged: f64,
-    /// For how long idle connections are good, as far as was seen.
-    pub(crate) kept: f64,
-    /// And at most: the settings' time.
-    pub(crate) idle: f64,
+    /// The time for which an idle connection has proved to stay usable, at most `idle_timeout`.
+    pub(crate) idle_lifetime: f64,
+    pub(crate) idle_timeout: f64,
     /// The part of the executions that started at once.
-    pub(crate) prompt: f64,
-    pub(crate) lag: (Nanos, Nanos),
-    /// Probes that refreshing may send now, and since when.
-    pub(crate) probes: (f64, Nanos),
+    pub(crate) prompt_share: f64,
+    /// The last proved delay of a report, and when it was proved.
+    pub(crate) report_delay: (Nanos, Nanos),
+    /// The probes that may be sent now to refresh reports, negative for a debt; and when this was updated.
+    pub(crate) probe_budget: (f64, Nanos),
 }
 
-impl Flow {
-    pub(crate) fn new(idle: Nanos, products: usize) -> Self {
-        Self { kept: idle as f64, idle: idle as f64, slots: vec![0.0; products], ..Self::default() }
+impl TrafficStats {
+    pub(crate) fn new(idle_timeout: Nanos, products: usize) -> Self {
+        Self {
+            idle_lifetime: idle_timeout as f64,
+            idle_timeout: idle_timeout as f64,
+            slots_by_product: vec![0.0; products],
+            ..Self::default()
+        }
     }
 
-    const MOMENTS: f64 = 0.25e9;
-    /// Submissions over which the slots that they ask for are averaged.
-    const AVERAGED: f64 = 64.0;
+    const RECENT_NS: f64 = 0.25e9;
+    /// The number of submissions over which the needed slots are averaged.
+    const AVERAGE_OVER: f64 = 64.0;
 
-    /// How old reports are at arrival: as was last proved, fading until it is proved again.
-    pub(crate) fn lag(&self, now: Nanos) -> Nanos {
-        self.lag.0.saturating_sub((now - self.lag.1) / 8)
+    /// Returns how old reports are when they arrive: the last proved delay, which fades until it is proved
+    /// again.
+    pub(crate) fn report_delay(&self, now: Nanos) -> Nanos {
+        self.report_delay.0.saturating_sub((now - self.report_delay.1) / 8)
     }
 
-    /// How often submissions come, a nanosecond; more as soon as they come faster than chance explains. What is drawn
-    /// by a part of the usual would all come in the burst.
-    pub(crate) fn rush(&self, now: Nanos) -> f64 {
-        let seen = self.lately.read(now, Self::MOMENTS);
-        self.arrivals.read(now).max((seen - 2.0 * seen.sqrt()) / Self::MOMENTS)
+    /// Returns the submissions per nanosecond, raised as soon as more arrive than chance explains. Without
+    /// this, a choice made with a probability set for the mean rate would be made too often during a burst.
+    pub(crate) fn burst_rate(&self, now: Nanos) -> f64 {
+        let seen = self.recent_arrivals.read(now, Self::RECENT_NS);
+        self.arrivals.read(now).max((seen - 2.0 * seen.sqrt()) / Self::RECENT_NS)
     }
 
-    /// Until anything was seen, this rate is taken as given.
-    pub(crate) fn expect(&mut self, now: Nanos, rate: f64) {
-        self.arrivals.0.add(now, Rate::SPAN, rate * Rate::SPAN);
+    /// Assumes an arrival rate until arrivals have been seen.
+    pub(crate) fn assume_rate(&mut self, now: Nanos, rate: f64) {
+        self.arrivals.0.add(now, Rate::TIME_CONSTANT_NS, rate * Rate::TIME_CONSTANT_NS);
     }
 
-    /// Saves up probes, up to the most.
-    pub(crate) fn save(&mut self, now: Nanos, rate: f64, most: f64) {
-        self.probes = ((self.probes.0 + rate * (now - self.probes.1) as f64).min(most), now);
+    /// Adds to the probe budget for the time since the last call, up to `max`.
+    pub(crate) fn grow_probe_budget(&mut self, now: Nanos, rate: f64, max: f64) {
+        self.probe_budget = ((self.probe_budget.0 + rate * (now - self.probe_budget.1) as f64).min(max), now);
     }
 
-    /// What a submission takes of a worker's slots on average, waiting left out, by what answers take now: where few
-    /// submissions come, most of those averaged came before any answer had.
-    pub(crate) fn work(&self, answers: &[AnswerTime]) -> f64 {
-        self.slots.iter().zip(answers).map(|(slots, answer)| slots * answer.shortest).sum()
+    /// Returns the slot time that a submission takes on average, without waiting. It uses the present answer
+    /// times: at a low rate, most of the averaged submissions came before the first answer.
+    pub(crate) fn mean_work(&self, answer_times: &[AnswerTime]) -> f64 {
+        self.slots_by_product.iter().zip(answer_times).map(|(slots, answer)| slots * answer.shortest).sum()
     }
 
-    /// A submission has come.
-    pub(crate) fn pass(&mut self, now: Nanos, job: Job) {
+    pub(crate) fn record_submission(&mut self, now: Nanos, job: Job) {
         self.arrivals.add(now);
-        self.lately.add(now, Self::MOMENTS, 1.0);
+        self.recent_arrivals.add(now, Self::RECENT_NS, 1.0);
         self.memory_per_slot += (job.memory / job.slots - self.memory_per_slot) / 16.0;
-        self.averaged = (self.averaged + 1.0).min(Self::AVERAGED);
-        for (product, slots) in self.slots.iter_mut().enumerate() {
-            let asked = if product == usize::from(job.product) { job.slots } else { 0.0 };
-            *slots += (asked - *slots) / self.averaged;
+        self.averaged = (self.averaged + 1.0).min(Self::AVERAGE_OVER);
+        for (product, slots) in self.slots_by_product.iter_mut().enumerate() {
+            let needed = if product == usize::from(job.product) { job.slots } else { 0.0 };
+            *slots += (needed - *slots) / self.averaged;
         }
     }
 
-    /// An execution started at once or did not, on a connection that had stood idle so long: it may have been
-    /// dropped unseen.
-    pub(crate) fn started(&mut self, at_once: bool, idled: Nanos) {
-        self.prompt += (f64::from(u8::from(at_once)) - self.prompt) / 16.0;
-        if idled > 0 {
-            let kept = self.kept * if at_once { 1.0 + 1.0 / 16.0 } else { 1.0 - 1.0 / 8.0 };
-            self.kept = kept.min(self.idle);
+    /// Records whether an execution started at once. If its connection had been idle before, a late start may
+    /// mean that the other end had silently dropped the connection.
+    pub(crate) fn record_start(&mut self, at_once: bool, connection_idle_time: Nanos) {
+        self.prompt_share += (f64::from(u8::from(at_once)) - self.prompt_share) / 16.0;
+        if connection_idle_time > 0 {
+            let lifetime = self.idle_lifetime * if at_once { 1.0 + 1.0 / 16.0 } else { 1.0 - 1.0 / 8.0 };
+            self.idle_lifetime = lifetime.min(self.idle_timeout);
         }
     }
 
-    pub(crate) fn proved(&mut self, age: Nanos, now: Nanos) {
-        if age > 0 && age >= self.lag(now) {
-            self.lag = (age, now);
+    pub(crate) fn record_report_age(&mut self, age: Nanos, now: Nanos) {
+        if age > 0 && age >= self.report_delay(now) {
+            self.report_delay = (age, now);
         }
     }
 }
 
-impl Default for Flow {
+impl Default for TrafficStats {
     fn default() -> Self {
         let arrivals = Rate::default();
-        let (lag, probes) = ((0, 0), (0.0, 0));
-        let (in_flight, limit, stretch, memory_per_slot) = (0.0, 1.0, 1.0, 1.0);
+        let (report_delay, probe_budget) = ((0, 0), (0.0, 0));
+        let (slots_in_flight, load_limit, answer_time_ratio, memory_per_slot) = (0.0, 1.0, 1.0, 1.0);
         Self {
             arrivals,
-            lately: Decaying::default(),
-            in_flight,
-            limit,
-            stretch,
+            recent_arrivals: DecayingSum::default(),
+            slots_in_flight,
+            load_limit,
+            answer_time_ratio,
             memory_per_slot,
-            slots: Vec::new(),
+            slots_by_product: Vec::new(),
             averaged: 0.0,
-            kept: 0.0,
-            idle: 0.0,
-            prompt: 1.0,
-            lag,
-            probes,
+            idle_lifetime: 0.0,
+            idle_timeout: 0.0,
+            prompt_share: 1.0,
+            report_delay,
+            probe_budget,
         }
     }
 }
