--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -84,6 +84,7 @@
 }
 
 impl Dispatcher {
+    /// Makes a dispatcher that knows no workers and no submissions yet.
     #[must_use]
     pub fn new(config: DispatchConfig) -> Self {
         Self {
@@ -354,7 +355,7 @@
                 && stale(candidate)
                 && self.is_available(candidate)
                 && self.slow_start_probability(candidate).is_none();
-            // An unknown worker's room is taken to be proportional to its size, and so is its probability.
+            // The expected room of an unknown worker grows with its size, so its size is its probability.
             if is_unknown
                 && !tried
                 && self.may_execute(state, worker)
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -4,8 +4,11 @@
 //! the caller assigns. A submission keeps its index until its last execution has ended, and a worker keeps
 //! its index until [`Event::Retired`].
 
+/// A time or a duration in nanoseconds.
 pub type Nanos = u64;
+/// The index of a submission.
 pub type Submission = u32;
+/// The index of a worker.
 pub type Worker = u32;
 /// An execution of a submission, numbered from 0 in the order of the [`Action::Execute`]s.
 pub type Execution = u16;
@@ -156,6 +159,7 @@
     pub weight: f32,
 }
 
+/// What the entries of an [`Event::ListReceived`] stand for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
@@ -318,6 +322,7 @@
 
 /// A dispatcher: takes events in the order in which they happen and returns the actions to carry out.
 pub trait Decide {
+    /// Handles one event and returns the actions to carry out, in order.
     fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Action];
 
     /// Replaces the configuration. Everything learned or held so far is kept as far as it means the same
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -662,7 +662,7 @@
     /// The mean of the answer times as multiples of their products' shortest.
     pub(crate) answer_time_ratio: f64,
     pub(crate) memory_per_slot: f64,
-    /// By product, the slots that a submission of any product needs on average: they sum to the mean.
+    /// By product, its contribution to the mean number of slots that a submission needs.
     pub(crate) slots_by_product: Vec<f64>,
     /// The number of submissions in that average, up to its limit.
     pub(crate) averaged: f64,
