--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -2,21 +2,21 @@
 //!
 //! Whoever holds room has it until it asks, goes or runs into a time limit, and newcomers wait unseen in the listener's queue
 //! meanwhile, with deadlines that nobody has read. So room is made before it is needed, and no kind of client that is owed
-//! no answer may hold all of it for longer than [`HELD_AT_MOST`].
+//! no answer may hold all of it for longer than [`MAX_FULL_TIME`].
 
 use super::*;
 
 /// For so long half requests may hold all the room. A newcomer that came as it was filled is let in soon enough to be
 /// answered, or refused, no later than half a second after its deadline, however short that is.
-const HELD_AT_MOST: Nanos = SECOND * 2 / 5;
+const MAX_FULL_TIME: Nanos = SECOND * 2 / 5;
 /// How often room is made while clients hold all of it: nobody else connects then, who would make some.
-const CHECK_EVERY: Nanos = SECOND / 50;
+const CHECK_INTERVAL: Nanos = SECOND / 50;
 /// The part of the room that is made at each such check.
-const MADE_AT_ONCE: usize = 16;
+const EVICTION_DIVISOR: usize = 16;
 
 /// Since when room has been short.
 #[derive(Debug, Default)]
-pub(crate) struct Room {
+pub(crate) struct ClientRoom {
     /// Clients have held all of it at some time since, and since then never as little as is not short.
     short_since: Option<Nanos>,
     /// A check is due.
@@ -40,7 +40,7 @@
         if self.submission.is_some() || self.evicted {
             return None;
         }
-        match (self.phase, self.newcomer) {
+        match (self.phase, self.newcomer_since) {
             (Phase::Leaving | Phase::Answering, _) => None,
             (_, Some(_)) => Some(Claim::Newcomer),
             (Phase::Idle, None) => Some(Claim::Resting),
@@ -51,21 +51,21 @@
 
 impl Core {
     fn room_is_short(&self) -> bool {
-        self.clients.len() > self.most_clients * 3 / 4
+        self.clients.len() > self.max_clients * 3 / 4
     }
 
     /// Notes how much room is left, after a change.
-    pub(crate) fn note_room(&mut self) {
+    pub(crate) fn update_room(&mut self) {
         if !self.room_is_short() {
-            self.room.short_since = None;
+            self.client_room.short_since = None;
         } else if self.is_at_client_limit() {
-            self.room.short_since.get_or_insert(self.now);
+            self.client_room.short_since.get_or_insert(self.now);
         }
     }
 
     /// A client has connected: before no room is left, another goes.
-    pub(crate) fn make_room_behind(&mut self, newcomer: ClientId) {
-        self.note_room();
+    pub(crate) fn make_room_after(&mut self, newcomer: ClientId) {
+        self.update_room();
         if self.room_is_short() {
             self.make_room(Some(newcomer));
         }
@@ -75,20 +75,20 @@
     }
 
     fn check_room_later(&mut self) {
-        let Some(since) = self.room.short_since else { return };
-        if !std::mem::replace(&mut self.room.check_armed, true) {
-            let due = (since + HELD_AT_MOST).max(self.now + CHECK_EVERY);
-            self.arm(due, Timer::Room);
+        let Some(since) = self.client_room.short_since else { return };
+        if !std::mem::replace(&mut self.client_room.check_armed, true) {
+            let due = (since + MAX_FULL_TIME).max(self.now + CHECK_INTERVAL);
+            self.set_timer(due, Timer::ClientRoom);
         }
     }
 
     /// Makes room while clients hold all of it.
-    pub(crate) fn make_room_in_time(&mut self) {
-        self.room.check_armed = false;
+    pub(crate) fn make_room_when_full(&mut self) {
+        self.client_room.check_armed = false;
         if !self.is_at_client_limit() {
             return;
         }
-        for _ in 0..(self.most_clients / MADE_AT_ONCE).max(1) {
+        for _ in 0..(self.max_clients / EVICTION_DIVISOR).max(1) {
             self.make_room(None);
         }
         self.check_room_later();
@@ -96,7 +96,7 @@
 
     /// Whether half requests have held the room for long enough.
     fn half_requests_may_go(&self) -> bool {
-        self.room.short_since.is_some_and(|since| self.now >= since + HELD_AT_MOST)
+        self.client_room.short_since.is_some_and(|since| self.now >= since + MAX_FULL_TIME)
     }
 
     /// One client goes, the one with the least claim, of those the one that has had it for longest. It is told and then
@@ -104,7 +104,7 @@
     /// told first is waited for no longer.
     fn make_room(&mut self, but: Option<ClientId>) {
         let told = self.least_claim(but);
-        let short = told.is_none() || self.clients.len() > self.most_clients * 7 / 8;
+        let short = told.is_none() || self.clients.len() > self.max_clients * 7 / 8;
         let left = if short { self.first_to_leave(but) } else { None };
         for client in told.into_iter().chain(left) {
             self.evict(client);
@@ -116,7 +116,7 @@
         let claims =
             self.clients.iter().filter(|(client, _)| Some(**client) != but).filter_map(|(client, state)| {
                 let claim = state.claim()?;
-                let held_since = state.newcomer.unwrap_or(state.since);
+                let held_since = state.newcomer_since.unwrap_or(state.since);
                 (claim < Claim::HalfRequest || half_requests_may_go).then_some((claim, held_since, *client))
             });
         claims.min().map(|(.., client)| client)
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -6,50 +6,50 @@
 
 impl Core {
     pub(crate) fn execute(&mut self, submission: Submission, worker: Worker, timeout: Nanos) {
-        let Some(taken) = self.taken.get_mut(submission as usize).and_then(Option::as_mut) else {
-            must!(self, false, "an execution of what is not held");
+        let Some(accepted) = self.accepted.get_mut(submission as usize).and_then(Option::as_mut) else {
+            ensure!(self, false, "an execution of what is not held");
             return;
         };
-        let execution = taken.executions.len() as Execution;
-        let until = self.now + timeout;
-        taken.executions.push(Sent { worker, at: self.now, until, connection: None });
-        self.workers[worker as usize].known += 1;
+        let execution = accepted.executions.len() as Execution;
+        let deadline = self.now + timeout;
+        accepted.executions.push(Attempt { worker, started_at: self.now, deadline, connection: None });
+        self.workers[worker as usize].known_executions += 1;
         self.stats.executions += 1;
-        let load = Load::Execution(submission, execution);
+        let exchange = Exchange::Execution(submission, execution);
         let address = self.workers[worker as usize].address;
-        let permission = self.permit(Occasion::Order, worker, address, load);
+        let permission = self.permit(Occasion::Order, worker, address, exchange);
         // The pulse of the decisions comes before the event that it runs with, and may order a copy of what that one ends.
         let overtaken = matches!(permission, Err(Refusal::Answered | Refusal::ClientLeft));
-        must!(self, permission.is_ok() || overtaken, "an execution was ordered that may not begin");
+        ensure!(self, permission.is_ok() || overtaken, "an execution was ordered that may not begin");
         if permission.is_err() {
-            return self.unsent(worker, load);
+            return self.not_sent(worker, exchange);
         }
-        match self.pooled(worker, load) {
-            Some(connection) => self.hand(connection, load),
-            None => self.open(worker, load),
+        match self.take_idle_connection(worker, exchange) {
+            Some(connection) => self.assign(connection, exchange),
+            None => self.open_connection(worker, exchange),
         }
     }
 
-    pub(crate) fn sent(&mut self, submission: Submission, execution: Execution) -> Option<&mut Sent> {
-        let taken = self.taken.get_mut(submission as usize)?.as_mut()?;
-        taken.executions.get_mut(usize::from(execution))
+    pub(crate) fn attempt(&mut self, submission: Submission, execution: Execution) -> Option<&mut Attempt> {
+        let accepted = self.accepted.get_mut(submission as usize)?.as_mut()?;
+        accepted.executions.get_mut(usize::from(execution))
     }
 
     pub(crate) fn cancel(&mut self, submission: Submission, execution: Execution) {
-        let Some(connection) = self.sent(submission, execution).and_then(|a| a.connection) else { return };
-        let Some(line) = self.links.get_mut(&connection) else { return };
-        if line.stage == Stage::Opening {
+        let Some(connection) = self.attempt(submission, execution).and_then(|a| a.connection) else { return };
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        if state.phase == ConnectionPhase::Opening {
             // Nothing was sent; the connection is as good for the next.
-            line.load = None;
-            self.ended(submission, execution, Outcome::NotSent, None, None);
+            state.exchange = None;
+            self.execution_ended(submission, execution, Outcome::NotSent, None, None);
         } else {
-            self.close_link(connection);
-            self.ended(submission, execution, Outcome::Cancelled, None, None);
+            self.close_connection(connection);
+            self.execution_ended(submission, execution, Outcome::Cancelled, None, None);
         }
     }
 
     /// An execution is over, with what an executor answered or with none.
-    pub(crate) fn ended(
+    pub(crate) fn execution_ended(
         &mut self,
         submission: Submission,
         execution: Execution,
@@ -58,15 +58,15 @@
         report: Option<Report>,
     ) {
         let now = self.now;
-        let Some(sent) = self.sent(submission, execution) else { return };
-        sent.connection = None;
-        let (worker, took) = (sent.worker, now - sent.at);
-        self.seen_at_start(worker, outcome);
+        let Some(attempt) = self.attempt(submission, execution) else { return };
+        attempt.connection = None;
+        let (worker, took) = (attempt.worker, now - attempt.started_at);
+        self.start_execution_ended(worker, outcome);
         match outcome {
             Outcome::Satisfied | Outcome::Full => {
-                self.workers[worker as usize].said = Some((now, true, report))
+                self.workers[worker as usize].last_observation = Some((now, true, report))
             }
-            Outcome::TimedOut => self.workers[worker as usize].said = Some((now, false, None)),
+            Outcome::TimedOut => self.workers[worker as usize].last_observation = Some((now, false, None)),
             _ => {}
         }
         match outcome {
@@ -77,22 +77,24 @@
             _ => {}
         }
         if let (Outcome::Satisfied, Some(result)) = (outcome, &result) {
-            self.fated(submission, Fate::Satisfied(result.clone()));
+            self.record_outcome(submission, Fate::Satisfied(result.clone()));
         }
-        let owed = |core: &Self| core.taken[submission as usize].as_ref().is_some_and(|t| t.client.is_some());
+        let owed =
+            |core: &Self| core.accepted[submission as usize].as_ref().is_some_and(|t| t.client.is_some());
         if let (Outcome::Satisfied, Some(result), true) = (outcome, result, owed(self)) {
             self.answer(submission, Answer::Completed(result));
         }
         let closed = !owed(self);
         let ending = Ending { submission, execution, worker, outcome, closed, took, report };
-        self.pending.push_back(Event::Ended(ending));
+        self.pending_events.push_back(Event::Ended(ending));
     }
 
-    pub(crate) fn probed(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) {
+    pub(crate) fn probe_ended(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) {
         self.stats.probes_failed += u64::from(answered != Some(true));
         if let Some(answered) = answered {
-            self.workers[worker as usize].said = Some((self.now, answered, report.filter(|_| answered)));
+            self.workers[worker as usize].last_observation =
+                Some((self.now, answered, report.filter(|_| answered)));
         }
-        self.pending.push_back(Event::Probed { worker, answered, report });
+        self.pending_events.push_back(Event::Probed { worker, answered, report });
     }
 }
--- a/crates/core/src/first_list.rs
+++ b/crates/core/src/first_list.rs
@@ -2,7 +2,7 @@
 //!
 //! A process starts with the list in its configuration, and nobody knows how old that is: the executors in it may have
 //! drained, left or been replaced since. It counts as outdated until discovery has answered, and nothing is executed by it.
-//! Probes are not taken for discovery's word: an executor that is back at its address may answer them while the list
+//! Probes are not accepted for discovery's word: an executor that is back at its address may answer them while the list
 //! still names it as gone.
 //!
 //! No failure of discovery makes the configured list evidence that an executor still takes work, however long the outage:
@@ -32,7 +32,7 @@
 impl Core {
     /// The list of the configuration was read; it may be empty.
     pub(crate) fn configured_list(&mut self, empty: bool) {
-        if self.start.is_some() {
+        if self.staged_start.is_some() {
             // The stages of the start decide how old a list may be that is served by.
             if !empty {
                 self.list_state = ListState::Current;
@@ -43,9 +43,9 @@
             self.list_state = ListState::Outdated;
             self.first_list_due = self.now + FIRST_LIST_TIMEOUT;
         }
-        if self.asks {
-            let first = self.now + self.chance.u64(..self.first_call_spread);
-            self.call_at(first);
+        if self.list_on_request {
+            let first = self.now + self.rng.u64(..self.first_call_spread);
+            self.schedule_list_call(first);
         }
     }
 
@@ -66,7 +66,7 @@
             return None;
         }
         self.stats.held_back += 1;
-        Some(self.spread_come_back())
+        Some(self.random_retry_after())
     }
 }
 
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -88,7 +88,7 @@
         settings: Box<Settings>,
         version: u64,
     },
-    /// Nothing may be taken from then on, unless this is said again. A node that was never told so has leave for
+    /// Nothing may be taken from then on, unless this is last_observation again. A node that was never told so has leave for
     /// ever.
     Lease {
         until: Nanos,
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -10,7 +10,7 @@
     pub fn peer_snapshot(&self, now: Nanos) -> Vec<Item> {
         let ready = self.workers.iter().filter(|w| w.health == Health::Ready);
         let items = ready.filter_map(|w| {
-            let (at, answered, report) = w.said?;
+            let (at, answered, report) = w.last_observation?;
             let figures = report.map(|r| Figures {
                 free_slots: r.free_slots,
                 free_memory: r.free_memory,
@@ -26,10 +26,10 @@
     /// What is known here of an executor with this name, and how many are ready.
     #[must_use]
     pub fn local_knowledge(&self, name: &str) -> Own {
-        let place = self.names.get(name).and_then(|w| self.workers.get(*w as usize));
-        place.map_or(Own::default(), |w| Own {
+        let worker_state = self.workers_by_name.get(name).and_then(|w| self.workers.get(*w as usize));
+        worker_state.map_or(Own::default(), |w| Own {
             ready: w.health == Health::Ready,
-            seen: w.said.map(|(at, ..)| at),
+            seen: w.last_observation.map(|(at, ..)| at),
         })
     }
 
@@ -39,9 +39,9 @@
     }
 
     /// Each enters as a probe's answer would; that another was answered proves nothing of whether this one would be.
-    pub(crate) fn heard(&mut self, items: Vec<Heard>) {
+    pub(crate) fn peer_observations(&mut self, items: Vec<Heard>) {
         for Heard { name, silent, figures } in items {
-            let Some(worker) = self.names.get(name.as_str()).copied() else { continue };
+            let Some(worker) = self.workers_by_name.get(name.as_str()).copied() else { continue };
             if self.workers[worker as usize].health != Health::Ready {
                 continue;
             }
@@ -52,7 +52,7 @@
                 in_hand: f.in_hand,
             });
             let answered = silent.then_some(false);
-            self.pending.push_back(Event::Probed { worker, answered, report });
+            self.pending_events.push_back(Event::Probed { worker, answered, report });
         }
     }
 }
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -1,4 +1,4 @@
-//! The one place that decides whether an execution may begin now.
+//! The one worker_state that decides whether an execution may begin now.
 //!
 //! It is asked when an execution is ordered, when a connection for it has come up, when it has been made durable, when it is
 //! to go over another connection, and at its first byte: in between, its client may have left, its time may have run out or
@@ -115,30 +115,30 @@
         submission: Submission,
         execution: Execution,
     ) -> Result<Nanos, Refusal> {
-        let taken = self.taken.get(submission as usize).and_then(Option::as_ref);
-        let taken = taken.ok_or(Refusal::Withdrawn)?;
-        let sent = taken.executions.get(usize::from(execution)).ok_or(Refusal::Withdrawn)?;
-        if taken.client.is_none() {
-            return Err(if taken.client_left { Refusal::ClientLeft } else { Refusal::Answered });
+        let accepted = self.accepted.get(submission as usize).and_then(Option::as_ref);
+        let accepted = accepted.ok_or(Refusal::Withdrawn)?;
+        let attempt = accepted.executions.get(usize::from(execution)).ok_or(Refusal::Withdrawn)?;
+        if accepted.client.is_none() {
+            return Err(if accepted.client_left { Refusal::ClientLeft } else { Refusal::Answered });
         }
-        let left = sent.until.saturating_sub(self.now);
+        let left = attempt.deadline.saturating_sub(self.now);
         if left == 0 {
             return Err(Refusal::DeadlinePassed);
         }
-        let place = &self.workers[worker as usize];
-        match place.health {
+        let worker_state = &self.workers[worker as usize];
+        match worker_state.health {
             Health::Ready => {}
             Health::Draining => return Err(Refusal::ExecutorDraining),
             Health::Gone => return Err(Refusal::ExecutorLeft),
         }
-        if place.address != address {
+        if worker_state.address != address {
             return Err(Refusal::ExecutorMoved);
         }
-        let at = Listing { kind: place.kind, zone: place.zone, ..Listing::default() };
-        if !self.products.get(usize::from(taken.product)).is_none_or(|p| p.open_to(&at)) {
+        let at = Listing { kind: worker_state.kind, zone: worker_state.zone, ..Listing::default() };
+        if !self.products.get(usize::from(accepted.product)).is_none_or(|p| p.open_to(&at)) {
             return Err(Refusal::NotOpen);
         }
-        let others = taken.executions.iter().enumerate().filter(|(i, _)| *i != usize::from(execution));
+        let others = accepted.executions.iter().enumerate().filter(|(i, _)| *i != usize::from(execution));
         if !self.may_duplicate && others.clone().any(|(_, other)| other.connection.is_some()) {
             return Err(Refusal::SecondCopy);
         }
@@ -151,14 +151,14 @@
         occasion: Occasion,
         worker: Worker,
         address: SocketAddr,
-        load: Load,
+        exchange: Exchange,
     ) -> Result<Nanos, Refusal> {
-        let Load::Execution(submission, execution) = load else { return Ok(Nanos::MAX) };
+        let Exchange::Execution(submission, execution) = exchange else { return Ok(Nanos::MAX) };
         let permission = self.may_begin(worker, address, submission, execution);
         if let Err(refusal) = permission {
             self.stats.refused.count(refusal);
-            let taken = self.taken.get(submission as usize).and_then(Option::as_ref);
-            let id = taken.map(|t| t.request.id.clone()).unwrap_or_default();
+            let accepted = self.accepted.get(submission as usize).and_then(Option::as_ref);
+            let id = accepted.map(|t| t.request.id.clone()).unwrap_or_default();
             self.effects.push(Effect::Refused { id, refusal, occasion });
         }
         permission
@@ -177,17 +177,17 @@
         effects: &mut Vec<Effect>,
     ) -> Result<Nanos, Refusal> {
         self.now = self.now.max(now);
-        let line = self.links.get(&connection);
-        let carried = line.and_then(|line| Some((line.worker, line.address, line.load?)));
-        let Some((worker, address, load)) = carried else { return Err(Refusal::Withdrawn) };
-        let permission = self.permit(Occasion::FirstByte, worker, address, load);
+        let state = self.connections.get(&connection);
+        let carried = state.and_then(|state| Some((state.worker, state.address, state.exchange?)));
+        let Some((worker, address, exchange)) = carried else { return Err(Refusal::Withdrawn) };
+        let permission = self.permit(Occasion::FirstByte, worker, address, exchange);
         if permission.is_err() {
-            if let Some(line) = self.links.get_mut(&connection) {
-                (line.load, line.idled) = (None, None);
+            if let Some(state) = self.connections.get_mut(&connection) {
+                (state.exchange, state.idle_before_exchange) = (None, None);
             }
-            self.rest(connection);
-            self.unsent(worker, load);
-            self.settle();
+            self.make_idle(connection);
+            self.not_sent(worker, exchange);
+            self.process_events();
         }
         effects.append(&mut self.effects);
         permission
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -1,11 +1,11 @@
-//! A start in stages, where an operator asks for one: what may be taken, and when connections are made and lists
+//! A start in stages, where an operator asks for one: what may be accepted, and when connections are made and lists
 //! asked for. Without it a node takes what comes as soon as it has a list.
 
 use linestack_recovery::start::{Stage, Start};
 
 use super::*;
 
-pub(crate) struct Starting {
+pub(crate) struct StagedStart {
     start: Start,
     /// A list of an age that is not known, for when discovery stays silent.
     old: Vec<Endpoint>,
@@ -18,24 +18,24 @@
     pub fn start_in_stages(&mut self, now: Nanos, start: Start, old: Vec<Endpoint>) {
         self.now = self.now.max(now);
         self.effects.push(Effect::Stage(start.stage()));
-        self.start = Some(Starting { start, old, armed: 0 });
+        self.staged_start = Some(StagedStart { start, old, armed: 0 });
     }
 
     /// How far the start has come; none where it does not go by stages.
     #[must_use]
     pub fn stage(&self) -> Option<Stage> {
-        self.start.as_ref().map(|s| s.start.stage())
+        self.staged_start.as_ref().map(|s| s.start.stage())
     }
 
-    pub(crate) fn proved(&mut self) {
-        let (now, leave) = (self.now, self.leave);
-        if let Some(s) = self.start.as_mut().filter(|_| now < leave) {
+    pub(crate) fn lease_received(&mut self) {
+        let (now, leave) = (self.now, self.lease_until);
+        if let Some(s) = self.staged_start.as_mut().filter(|_| now < leave) {
             s.start.proved();
         }
     }
 
-    pub(crate) fn go_on_starting(&mut self) {
-        let Some(Starting { start, old, armed }) = &mut self.start else { return };
+    pub(crate) fn advance_start(&mut self) {
+        let Some(StagedStart { start, old, armed }) = &mut self.staged_start else { return };
         while let Some(stage) = start.step(self.now) {
             self.effects.push(Effect::Stage(stage));
         }
@@ -46,24 +46,24 @@
         }
         let (at, by_old) = (*armed, if start.by_old() { std::mem::take(old) } else { Vec::new() });
         if rearm {
-            self.arm(at, Timer::Stage);
+            self.set_timer(at, Timer::StagedStart);
         }
         if !by_old.is_empty() {
             // When they started nobody knows: they bear what one does that has just started.
             let now = self.now;
             let endpoints = by_old.into_iter().map(|e| Endpoint { started: now, ..e }).collect();
-            self.listed(ListKind::Cached, endpoints);
+            self.list_received(ListKind::Cached, endpoints);
         }
     }
 
-    pub(crate) fn told_at_start(&mut self, kind: ListKind, ready: usize) {
-        if let Some(s) = &mut self.start {
+    pub(crate) fn start_list_received(&mut self, kind: ListKind, ready: usize) {
+        if let Some(s) = &mut self.staged_start {
             s.start.listed(kind != ListKind::Cached, ready);
         }
     }
 
-    pub(crate) fn seen_at_start(&mut self, worker: Worker, outcome: Outcome) {
-        let Some(Starting { start, .. }) = &mut self.start else { return };
+    pub(crate) fn start_execution_ended(&mut self, worker: Worker, outcome: Outcome) {
+        let Some(StagedStart { start, .. }) = &mut self.staged_start else { return };
         match outcome {
             Outcome::Satisfied | Outcome::Error | Outcome::Unusable => start.answered(worker),
             Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => start.refused(),
@@ -73,35 +73,35 @@
 
     /// The come-back time for one more, where there are too many for a start. They are spread, lest the repeats come
     /// as one wave.
-    pub(crate) fn too_many_yet(&mut self) -> Option<Option<Nanos>> {
-        let s = self.start.as_mut()?;
-        if s.start.admits(self.now, self.ids.len()) {
+    pub(crate) fn refused_by_start(&mut self) -> Option<Option<Nanos>> {
+        let s = self.staged_start.as_mut()?;
+        if s.start.admits(self.now, self.open_ids.len()) {
             return None;
         }
         self.stats.held_back += 1;
-        Some(self.spread_come_back())
+        Some(self.random_retry_after())
     }
 
     /// From an eighth to five eighths of the longest come-back time that may be named.
-    pub(crate) fn spread_come_back(&mut self) -> Option<Nanos> {
-        self.come_back.map(|most| most / 8 + self.chance.u64(..=most / 2))
+    pub(crate) fn random_retry_after(&mut self) -> Option<Nanos> {
+        self.max_retry_after.map(|most| most / 8 + self.rng.u64(..=most / 2))
     }
 
     /// When the next connection may be made.
-    pub(crate) fn turn(&mut self) -> Nanos {
-        self.start.as_mut().map_or(self.now, |s| s.start.connect_at(self.now))
+    pub(crate) fn next_connect_time(&mut self) -> Nanos {
+        self.staged_start.as_mut().map_or(self.now, |s| s.start.connect_at(self.now))
     }
 
-    pub(crate) fn turn_came(&mut self, connection: ConnectionId) {
-        let Some(line) = self.links.get(&connection) else { return };
-        let (address, limit) = (line.address, line.limit.until);
+    pub(crate) fn connect_time_reached(&mut self, connection: ConnectionId) {
+        let Some(state) = self.connections.get(&connection) else { return };
+        let (address, limit) = (state.address, state.limit.until);
         let limit = limit.saturating_sub(self.now);
         self.effects.push(Effect::OpenConnection { connection, address, timeout: limit });
     }
 
     /// When the list may be asked for, where that is later.
-    pub(crate) fn list_in(&mut self) -> Option<Nanos> {
-        let at = self.start.as_mut()?.start.list_at(self.now);
+    pub(crate) fn postponed_list_call(&mut self) -> Option<Nanos> {
+        let at = self.staged_start.as_mut()?.start.list_at(self.now);
         (at > self.now).then_some(at)
     }
 }
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -2,15 +2,15 @@
 //!
 //! The list tells starts in Unix time, by a clock that may be stepped at any moment; the node's own clock goes on evenly from
 //! the wall clock's time at its start. Of the times that a told start may mean, the latest one that is not in the future
-//! counts: an executor taken for younger than it is gets a little less for a while, and one taken for older is pushed over.
+//! counts: an executor accepted for younger than it is gets a little less for a while, and one accepted for older is pushed over.
 
 use super::*;
 
 /// What is called a start later than now by less than this is one that has just been: clocks are never quite alike.
-const SKEW: Nanos = 60 * SECOND;
+const MAX_CLOCK_SKEW: Nanos = 60 * SECOND;
 /// Discovery may tell of a start as long after it: what it has to tell counts as told 6 s later at the latest, and its last
 /// word before that is up to 3 s old. One that it tells of later still was told by another clock.
-const TOLD_WITHIN: Nanos = 10 * SECOND;
+const MAX_REPORT_DELAY: Nanos = 10 * SECOND;
 
 /// What is known of the clocks that a list's times were read from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,34 +21,34 @@
     pub wall_clock_shift: i64,
 }
 
-/// A start as it was told, and what that is taken for.
+/// A start as it was told, and what that is accepted for.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Started {
+pub(crate) struct StartTime {
     told: Nanos,
-    taken_for: Nanos,
+    interpreted: Nanos,
 }
 
-impl Started {
+impl StartTime {
     /// Takes in what a list tells; the same told again is the same start, whatever the clocks have done since.
-    pub(crate) fn hear(&mut self, told: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
+    pub(crate) fn update(&mut self, told: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
         if self.told != told {
-            *self = Self { told, taken_for: meant(told, now, clocks) };
+            *self = Self { told, interpreted: interpret(told, now, clocks) };
         }
-        self.taken_for
+        self.interpreted
     }
 
     /// On the node's clock, 0 for long ago.
     pub(crate) fn at(self) -> Nanos {
-        self.taken_for
+        self.interpreted
     }
 }
 
-fn meant(told: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
+fn interpret(told: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
     if told == 0 {
         return 0;
     }
     let by_present_wall_clock = told.saturating_add_signed(clocks.wall_clock_shift.saturating_neg());
-    let possible = [told, by_present_wall_clock].into_iter().filter(|start| *start <= now + SKEW);
+    let possible = [told, by_present_wall_clock].into_iter().filter(|start| *start <= now + MAX_CLOCK_SKEW);
     let start = possible.max().unwrap_or(now).min(now);
-    if start + TOLD_WITHIN < clocks.known_until { clocks.known_until } else { start }
+    if start + MAX_REPORT_DELAY < clocks.known_until { clocks.known_until } else { start }
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 impl Core {
-    pub(crate) fn arm(&mut self, at: Nanos, timer: Timer) {
+    pub(crate) fn set_timer(&mut self, at: Nanos, timer: Timer) {
         self.next_timer += 1;
         self.timers.push(Reverse((at, self.next_timer, timer)));
     }
 
-    pub(crate) fn limit_link(&mut self, connection: ConnectionId, until: Nanos) {
-        let Some(line) = self.links.get_mut(&connection) else { return };
-        line.limit.until = until;
-        if until < line.limit.armed {
-            line.limit.armed = until;
-            self.arm(until, Timer::Link(connection));
+    pub(crate) fn limit_connection(&mut self, connection: ConnectionId, until: Nanos) {
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        state.limit.until = until;
+        if until < state.limit.armed {
+            state.limit.armed = until;
+            self.set_timer(until, Timer::Connection(connection));
         }
     }
 
@@ -22,7 +22,7 @@
         state.limit.until = until;
         if until < state.limit.armed {
             state.limit.armed = until;
-            self.arm(until, Timer::Client(client));
+            self.set_timer(until, Timer::Client(client));
         }
     }
 
@@ -32,24 +32,25 @@
                 break;
             }
             self.timers.pop();
-            self.ring(at, timer);
-            self.settle();
+            self.timer_fired(at, timer);
+            self.process_events();
         }
     }
 
-    pub(crate) fn ring(&mut self, at: Nanos, timer: Timer) {
+    pub(crate) fn timer_fired(&mut self, at: Nanos, timer: Timer) {
         match timer {
-            Timer::Ring(token) => self.pending.push_back(Event::Rang { token }),
-            Timer::Link(connection) => {
-                let Some(line) = self.links.get_mut(&connection).filter(|l| l.limit.armed == at) else {
+            Timer::Dispatcher(token) => self.pending_events.push_back(Event::Rang { token }),
+            Timer::Connection(connection) => {
+                let Some(state) = self.connections.get_mut(&connection).filter(|l| l.limit.armed == at)
+                else {
                     return;
                 };
-                line.limit.armed = Nanos::MAX;
-                let until = line.limit.until;
+                state.limit.armed = Nanos::MAX;
+                let until = state.limit.until;
                 if until > self.now {
-                    self.limit_link(connection, until);
+                    self.limit_connection(connection, until);
                 } else {
-                    self.overdue(connection);
+                    self.connection_timed_out(connection);
                 }
             }
             Timer::Client(client) => {
@@ -67,79 +68,83 @@
                     self.effects.push(Effect::DropClient { client });
                 }
             }
-            Timer::CutOff(submission, number) => {
-                let taken = self.taken.get(submission as usize).and_then(Option::as_ref);
-                if taken.is_some_and(|t| t.number == number && t.client.is_some() && t.cut_off <= self.now) {
-                    must!(self, false, "a submission unanswered at its cut-off");
+            Timer::Deadline(submission, serial) => {
+                let accepted = self.accepted.get(submission as usize).and_then(Option::as_ref);
+                if accepted
+                    .is_some_and(|t| t.serial == serial && t.client.is_some() && t.deadline <= self.now)
+                {
+                    ensure!(self, false, "a submission unanswered at its cut-off");
                     self.answer(submission, Answer::Aborted);
-                    self.pending.push_back(Event::Left { submission });
+                    self.pending_events.push_back(Event::Left { submission });
                 }
             }
             // Another time may have been settled since.
-            Timer::Watch if self.call_at != Some(at) => {}
-            Timer::Watch => match self.list_in() {
-                Some(later) => self.call_at(later),
+            Timer::ListCall if self.next_list_call != Some(at) => {}
+            Timer::ListCall => match self.postponed_list_call() {
+                Some(later) => self.schedule_list_call(later),
                 None => {
-                    self.call_at = None;
+                    self.next_list_call = None;
                     self.effects.push(Effect::RequestList);
                 }
             },
             // The reducer looks where the start is after each input.
-            Timer::Stage => {}
-            Timer::Open(connection) => self.turn_came(connection),
-            Timer::Room => self.make_room_in_time(),
-            Timer::Leave => self.leaving = true,
-            Timer::LastCall => {
-                // Taken before the stop, with a cut-off that lies after the kill: unanswered, they would be lost
+            Timer::StagedStart => {}
+            Timer::OpenConnection(connection) => self.connect_time_reached(connection),
+            Timer::ClientRoom => self.make_room_when_full(),
+            Timer::ExitWhenEmpty => self.exit_when_empty = true,
+            Timer::AnswerDeadline => {
+                // AcceptedSubmission before the stop, with a cut-off that lies after the kill: unanswered, they would be lost
                 // with the process.
-                let open = (0..).zip(&self.taken).filter_map(|(i, t)| Some((i, t.as_ref()?.client?)));
+                let open = (0..).zip(&self.accepted).filter_map(|(i, t)| Some((i, t.as_ref()?.client?)));
                 for (submission, _) in open.collect::<Vec<(Submission, ClientId)>>() {
                     self.answer(submission, Answer::Aborted);
-                    self.pending.push_back(Event::Left { submission });
+                    self.pending_events.push_back(Event::Left { submission });
                 }
             }
-            Timer::End => self.effects.push(Effect::Exit),
-            Timer::Refuse => {
-                self.refusing = true;
-                self.arm(self.now + STAY, Timer::Leave);
+            Timer::Exit => self.effects.push(Effect::Exit),
+            Timer::CloseClients => {
+                self.closing_clients = true;
+                self.set_timer(self.now + CLOSE_GRACE, Timer::ExitWhenEmpty);
                 let resting = self.clients.iter().filter(|(_, g)| g.submission.is_none());
                 let resting = resting.filter(|(_, g)| matches!(g.phase, Phase::Idle | Phase::Leaving));
                 let mut resting: Vec<ClientId> = resting.map(|(c, _)| *c).collect();
                 resting.sort_unstable();
-                resting.into_iter().for_each(|client| self.send_off(client));
+                resting.into_iter().for_each(|client| self.close_when_idle(client));
             }
             Timer::Report => {
-                self.forget_fates();
+                self.expire_outcomes();
                 self.effects.push(Effect::Report(self.stats()));
-                self.arm(self.now.max(at) + REPORT_EVERY, Timer::Report);
+                self.set_timer(self.now.max(at) + REPORT_INTERVAL, Timer::Report);
             }
         }
     }
 
     /// A connection has used up its time.
-    pub(crate) fn overdue(&mut self, connection: ConnectionId) {
-        let Some(line) = self.links.get(&connection) else { return };
-        let (worker, stage, load) = (line.worker, line.stage, line.load);
-        if load.is_some() {
-            self.workers[worker as usize].seen.silent = true;
+    pub(crate) fn connection_timed_out(&mut self, connection: ConnectionId) {
+        let Some(state) = self.connections.get(&connection) else { return };
+        let (worker, phase, exchange) = (state.worker, state.phase, state.exchange);
+        if exchange.is_some() {
+            self.workers[worker as usize].failure_signs.unanswered = true;
         }
-        let Some(line) = self.forget_link(connection) else { return };
+        let Some(state) = self.remove_connection(connection) else { return };
         self.effects.push(Effect::CloseConnection { connection });
-        if stage == Stage::Opening {
-            self.broke(&line, false);
+        if phase == ConnectionPhase::Opening {
+            self.detect_process_loss(&state, false);
         }
-        match load {
+        match exchange {
             None => {}
-            Some(Load::Probe) => self.probed(worker, Some(false), None),
-            Some(Load::Execution(submission, execution)) => {
-                let outcome = match stage {
-                    Stage::Opening if self.stands(&line, Load::Execution(submission, execution)) => {
+            Some(Exchange::Probe) => self.probe_ended(worker, Some(false), None),
+            Some(Exchange::Execution(submission, execution)) => {
+                let outcome = match phase {
+                    ConnectionPhase::Opening
+                        if self.is_still_permitted(&state, Exchange::Execution(submission, execution)) =>
+                    {
                         Outcome::ConnectFailed
                     }
-                    Stage::Opening => Outcome::NotSent,
+                    ConnectionPhase::Opening => Outcome::NotSent,
                     _ => Outcome::TimedOut,
                 };
-                self.ended(submission, execution, outcome, None, None);
+                self.execution_ended(submission, execution, outcome, None, None);
             }
         }
     }
