--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -1,10 +1,11 @@
-//! Clients' connections and what they hand in.
+//! Client connections and the submissions that arrive on them.
 
 use linestack_recovery::Fate;
 
 use super::*;
 
 impl Core {
+    /// Registers a new connection of a client, and makes room for the next one if room is short.
     pub(crate) fn client_connected(&mut self, client: ClientId) {
         let (since, newcomer_since) = (self.now, Some(self.now));
         let state = ClientState {
@@ -20,41 +21,44 @@
         self.make_room_after(client);
     }
 
-    /// Lets one go that rests while the node stops: a newcomer once the request that it came for should be here.
+    /// Closes an idle connection while the node stops. A newcomer is given [`CLOSE_GRACE`] first, because its request is
+    /// probably on the way.
     pub(crate) fn close_when_idle(&mut self, client: ClientId) {
         let Some(state) = self.clients.get(&client) else { return };
-        let until = match (state.phase, state.newcomer_since) {
-            (Phase::Leaving, _) => state.limit.until.min(self.now + CLOSE_GRACE),
+        let close_at = match (state.phase, state.newcomer_since) {
+            (Phase::Closing, _) => state.limit.until.min(self.now + CLOSE_GRACE),
             (_, Some(since)) => since + CLOSE_GRACE,
             (_, None) => self.now,
         };
-        if until > self.now {
-            self.limit_client(client, until);
+        if close_at > self.now {
+            self.limit_client(client, close_at);
         } else {
             self.effects.push(Effect::CloseClient { client });
         }
     }
 
+    /// Records which phase a client connection is in, and sets the time limit of that phase.
     pub(crate) fn client_phase(&mut self, client: ClientId, phase: Phase) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         if phase == Phase::Reading && state.phase == Phase::Reading {
-            // A byte now and then buys no time.
+            // A client that sends a byte now and then gets no more time.
             return;
         }
         (state.phase, state.since) = (phase, self.now);
-        state.evicted &= phase != Phase::Leaving;
+        state.evicted &= phase != Phase::Closing;
         let until = match (phase, state.newcomer_since) {
             (Phase::Idle | Phase::Reading, Some(since)) => since + REQUEST_READ_TIMEOUT,
             (Phase::Idle, None) => self.now + CLIENT_IDLE_TIMEOUT,
-            (Phase::Reading | Phase::Leaving, _) => self.now + REQUEST_READ_TIMEOUT,
+            (Phase::Reading | Phase::Closing, _) => self.now + REQUEST_READ_TIMEOUT,
             (Phase::Answering, _) => self.now + RESPONSE_READ_TIMEOUT,
         };
         self.limit_client(client, until);
-        if self.closing_clients && matches!(phase, Phase::Idle | Phase::Leaving) {
+        if self.closing_clients && matches!(phase, Phase::Idle | Phase::Closing) {
             self.close_when_idle(client);
         }
     }
 
+    /// Removes a client connection; an open submission of it is abandoned.
     pub(crate) fn client_disconnected(&mut self, client: ClientId) {
         let Some(state) = self.clients.remove(&client) else { return };
         self.update_room();
@@ -68,42 +72,43 @@
         }
     }
 
-    pub(crate) fn submitted(&mut self, client: ClientId, intake: NewSubmission) {
-        let settled = self.answer_from_store(&intake);
-        let too_early = if settled.is_none() {
+    /// Accepts a submission and passes it to the dispatcher, or answers it at once.
+    pub(crate) fn submitted(&mut self, client: ClientId, new: NewSubmission) {
+        let stored_answer = self.answer_from_store(&new);
+        let refused_during_start = if stored_answer.is_none() {
             self.refused_before_first_list().or_else(|| self.refused_by_start())
         } else {
             None
         };
         let Some(state) = self.clients.get_mut(&client) else { return };
-        ensure!(self, state.submission.is_none(), "two submissions at once on a connection");
-        // Checked here and by the time that this input came with, lest a node that was asleep takes what it may
-        // not before anybody has told it.
+        ensure!(self, state.submission.is_none(), "two open submissions on one client connection");
+        // The lease is checked here, against the time of this very input: a node whose machine was suspended would otherwise
+        // accept submissions after its lease has expired and before anything has told it so.
         if self.now >= self.lease_until {
             self.stats.fenced += 1;
             state.newcomer_since = None;
             self.client_phase(client, Phase::Answering);
-            let answer = Answer::Dismissed(self.max_retry_after.map(|most| most / 8));
+            let answer = Answer::Dismissed(self.max_retry_after.map(|longest| longest / 8));
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
         }
-        if let Some(answer) = settled {
+        if let Some(answer) = stored_answer {
             self.stats.remembered += 1;
             state.newcomer_since = None;
             self.client_phase(client, Phase::Answering);
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
         }
-        if let Some(come_back) = too_early {
+        if let Some(retry_after) = refused_during_start {
             state.newcomer_since = None;
             self.client_phase(client, Phase::Answering);
             let (last, version, answer) =
-                (self.closing_clients, self.settings_version, Answer::Dismissed(come_back));
+                (self.closing_clients, self.settings_version, Answer::Dismissed(retry_after));
             return self.effects.push(Effect::Answer { client, answer, last, version });
         }
-        // It would be a second copy of what its holder has out, and an executor that is asked twice for one
-        // id looks as if it failed.
-        if !self.open_ids.insert(intake.request.id.clone()) {
+        // A second submission with an id that is still open would be a copy of the first, and an executor that is asked
+        // twice for one id answers with an error, which would count as a failure of the executor.
+        if !self.open_ids.insert(new.request.id.clone()) {
             self.stats.turned_down += 1;
             self.client_phase(client, Phase::Answering);
             return self.effects.push(Effect::Answer {
@@ -120,8 +125,8 @@
         (state.submission, state.phase, state.newcomer_since) = (Some(submission), Phase::Reading, None);
         state.limit.until = Nanos::MAX;
         self.stats.taken += 1;
-        let deadline = (self.now + intake.timeout.min(self.max_client_timeout)).min(self.answer_deadline);
-        let NewSubmission { product, tenant, slots, memory, request, .. } = intake;
+        let deadline = (self.now + new.timeout.min(self.max_client_timeout)).min(self.answer_deadline);
+        let NewSubmission { product, tenant, slots, memory, request, .. } = new;
         self.set_key_open(product, &request, true);
         let (serial, client, executions) = (self.stats.taken, Some(client), Vec::new());
         self.accepted[submission as usize] = Some(AcceptedSubmission {
@@ -140,7 +145,7 @@
         self.pending_events.push_back(Event::Submitted { submission, job });
     }
 
-    /// The client is no longer owed an answer.
+    /// Detaches a submission from its client and returns the client, if it still waits for an answer.
     pub(crate) fn release_client(&mut self, submission: Submission) -> Option<ClientId> {
         let client = self.accepted.get_mut(submission as usize)?.as_mut()?.client.take();
         if let Some(state) = client.and_then(|c| self.clients.get_mut(&c)) {
@@ -149,11 +154,12 @@
         client
     }
 
+    /// Sends the final answer to the client of a submission.
     pub(crate) fn answer(&mut self, submission: Submission, answer: Answer) {
         let version =
-            self.accepted.get(submission as usize).and_then(Option::as_ref).map_or(0, |t| t.settings_version);
+            self.accepted.get(submission as usize).and_then(Option::as_ref).map_or(0, |a| a.settings_version);
         let Some(client) = self.release_client(submission) else {
-            ensure!(self, false, "a second final answer");
+            ensure!(self, false, "second final answer to a submission");
             return;
         };
         match answer {
--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -1,45 +1,49 @@
-//! Connections to executors, kept and opened.
+//! The pool of connections to executors: opening, reusing and closing them.
 
 use super::*;
 
 impl Core {
-    /// An idle connection, the last used first. A job gets none that has been idle for so long that others
-    /// were closed at the other end by then: what is written to one of those may have run, for all that is
-    /// known here. For a probe any will do, since it can be asked again; and it tells how long they last.
+    /// Takes an idle connection from the pool, the most recently used one first.
+    ///
+    /// A job never gets a connection that has been idle longer than `max_reuse_idle`: the executor may have closed it
+    /// already, and whether a request written to a closed connection has run is unknown. A probe may use any of them, since
+    /// it can be repeated, and its result shows how long idle connections last.
     pub(crate) fn take_idle_connection(
         &mut self,
         worker: Worker,
         exchange: Exchange,
     ) -> Option<ConnectionId> {
-        let (links, now) = (&self.connections, self.now);
+        let (connections, now) = (&self.connections, self.now);
         let idle = &mut self.workers.get_mut(worker as usize)?.idle_connections;
-        let worker_state = idle
+        let position = idle
             .iter()
-            .rposition(|connection| links.get(connection).is_some_and(|l| l.reusable_at <= now))?;
-        let idled = now - links.get(&idle[worker_state])?.since;
-        if exchange != Exchange::Probe && idled > self.max_reuse_idle {
+            .rposition(|connection| connections.get(connection).is_some_and(|c| c.reusable_at <= now))?;
+        let idle_time = now - connections.get(&idle[position])?.since;
+        if exchange != Exchange::Probe && idle_time > self.max_reuse_idle {
             return None;
         }
-        Some(idle.remove(worker_state))
+        Some(idle.remove(position))
     }
 
-    /// An idle connection proved good, or was found closed, after so long.
-    pub(crate) fn learn_reuse_idle(&mut self, idled: Nanos, good: bool) {
-        if !good {
-            self.max_reuse_idle = self.max_reuse_idle.min(idled / 2);
-        } else if idled >= self.max_reuse_idle / 2 {
-            // Slowly, for a job lost costs far more than a connection made anew.
+    /// Adjusts `max_reuse_idle` after a connection that had been idle for `idle_time` was found usable or closed.
+    pub(crate) fn learn_reuse_idle(&mut self, idle_time: Nanos, usable: bool) {
+        if !usable {
+            self.max_reuse_idle = self.max_reuse_idle.min(idle_time / 2);
+        } else if idle_time >= self.max_reuse_idle / 2 {
+            // The limit grows slowly, because a lost job costs far more than a new connection.
             self.max_reuse_idle =
                 (self.max_reuse_idle + self.max_reuse_idle / REUSE_GROWTH_DIVISOR + REUSE_GROWTH_STEP)
                     .min(self.idle_timeout);
         }
     }
 
+    /// Opens a connection for an exchange. At the limit of connections, the one that has been idle longest is closed first; if
+    /// none is idle, the exchange is reported as not sent.
     pub(crate) fn open_connection(&mut self, worker: Worker, exchange: Exchange) {
         if self.connections.len() >= self.max_connections {
-            let idle = self.connections.iter().filter(|(_, l)| l.phase == ConnectionPhase::Idle);
+            let idle = self.connections.iter().filter(|(_, c)| c.phase == ConnectionPhase::Idle);
             match idle
-                .min_by_key(|(connection, l)| (l.since, **connection))
+                .min_by_key(|(connection, c)| (c.since, **connection))
                 .map(|(connection, _)| *connection)
             {
                 Some(connection) => self.close_connection(connection),
@@ -48,12 +52,12 @@
         }
         let connection = self.next_connection;
         self.next_connection += 1;
-        let mut limit = self.connect_timeout;
+        let mut timeout = self.connect_timeout;
         if let Exchange::Execution(submission, execution) = exchange {
             let now = self.now;
             if let Some(attempt) = self.attempt(submission, execution) {
                 attempt.connection = Some(connection);
-                limit = limit.min(attempt.deadline.saturating_sub(now));
+                timeout = timeout.min(attempt.deadline.saturating_sub(now));
             }
         }
         self.stats.links_opened += 1;
@@ -73,15 +77,15 @@
         };
         self.connections.insert(connection, state);
         self.workers[worker as usize].open_connections += 1;
-        let turn = self.next_connect_time();
-        self.limit_connection(connection, turn + limit);
-        if turn > self.now {
-            return self.set_timer(turn, Timer::OpenConnection(connection));
+        let connect_at = self.next_connect_time();
+        self.limit_connection(connection, connect_at + timeout);
+        if connect_at > self.now {
+            return self.set_timer(connect_at, Timer::OpenConnection(connection));
         }
-        self.effects.push(Effect::OpenConnection { connection, address, timeout: limit });
+        self.effects.push(Effect::OpenConnection { connection, address, timeout });
     }
 
-    /// What was not sent, and could not be, for a reason that is not the worker's.
+    /// Reports an exchange that could not be sent for a reason other than the worker.
     pub(crate) fn not_sent(&mut self, worker: Worker, exchange: Exchange) {
         match exchange {
             Exchange::Execution(submission, execution) => {
@@ -91,22 +95,22 @@
         }
     }
 
-    /// Whether an order that has waited for this connection may still be sent.
+    /// Whether an exchange that has waited for this connection may still be sent.
     pub(crate) fn is_still_permitted(&self, state: &ConnectionState, exchange: Exchange) -> bool {
         let Exchange::Execution(submission, execution) = exchange else { return true };
         self.may_begin(state.worker, state.address, submission, execution).is_ok()
     }
 
-    /// Sends the order over a connection that is up and carries nothing.
+    /// Starts an exchange on an established connection that carries none.
     pub(crate) fn assign(&mut self, connection: ConnectionId, exchange: Exchange) {
         let Some(state) = self.connections.get_mut(&connection) else {
-            ensure!(self, false, "an idle connection that is not known");
+            ensure!(self, false, "exchange assigned to an unknown connection");
             return;
         };
         ensure!(
             self,
             state.exchange.is_none() && state.phase != ConnectionPhase::Busy,
-            "two orders on one connection"
+            "two exchanges on one connection"
         );
         let (worker, connection_address) = (state.worker, state.address);
         if self.permit(Occasion::Connected, worker, connection_address, exchange).is_err() {
@@ -114,7 +118,7 @@
             return self.not_sent(worker, exchange);
         }
         let now = self.now;
-        let until = match exchange {
+        let deadline = match exchange {
             Exchange::Probe => {
                 self.effects.push(Effect::Probe { connection });
                 now + self.connect_timeout / 2
@@ -122,39 +126,41 @@
             Exchange::Execution(submission, execution) => {
                 let Some(attempt) = self.attempt(submission, execution) else { return };
                 attempt.connection = Some(connection);
-                let until = attempt.deadline;
+                let deadline = attempt.deadline;
                 if !self.persist_before_send(connection, submission, execution) {
                     let accepted = self.accepted[submission as usize]
                         .as_ref()
-                        .map(|t| (t.request.clone(), t.settings_version));
+                        .map(|a| (a.request.clone(), a.settings_version));
                     let (request, version) = accepted.unwrap_or_default();
-                    self.effects.push(Effect::Send { connection, request, timeout: until - now, version });
+                    let timeout = deadline - now;
+                    self.effects.push(Effect::Send { connection, request, timeout, version });
                 }
-                until
+                deadline
             }
         };
         if let Some(state) = self.connections.get_mut(&connection) {
             state.idle_before_exchange = (state.phase == ConnectionPhase::Idle).then_some(now - state.since);
             (state.phase, state.exchange) = (ConnectionPhase::Busy, Some(exchange));
         }
-        self.limit_connection(connection, until);
+        self.limit_connection(connection, deadline);
     }
 
-    /// The outcome of what the connection carries is known.
+    /// Takes the exchange off a connection once its outcome is known; the rest of the response may still be coming in.
     pub(crate) fn finish_exchange(&mut self, connection: ConnectionId) -> Option<Exchange> {
         let state = self.connections.get_mut(&connection)?;
         let exchange = state.exchange.take();
-        let idled = state.idle_before_exchange.take();
+        let idle_time = state.idle_before_exchange.take();
         state.phase = ConnectionPhase::Finishing;
         self.workers[state.worker as usize].failure_signs.unanswered = false;
-        if let Some(idled) = idled {
-            self.learn_reuse_idle(idled, true);
+        if let Some(idle_time) = idle_time {
+            self.learn_reuse_idle(idle_time, true);
         }
         self.limit_connection(connection, self.now + self.connect_timeout);
         exchange
     }
 
-    /// A connection that is up has nothing to carry.
+    /// Returns an established connection to the pool, or closes it if it is of no more use: its executor has left or moved, or
+    /// it was to be closed after its last exchange.
     pub(crate) fn make_idle(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         let worker_state = &mut self.workers[state.worker as usize];
@@ -166,11 +172,12 @@
         }
         (state.phase, state.exchange, state.since) = (ConnectionPhase::Idle, None, self.now);
         worker_state.idle_connections.push(connection);
-        // Twice what jobs may find it at: a probe then shows whether they could.
-        let limit = self.idle_timeout.min(MIN_IDLE_TIMEOUT.max(2 * self.max_reuse_idle));
-        self.limit_connection(connection, self.now + limit);
+        // Kept idle for twice as long as jobs may reuse it, so that probes can show whether the limit may be raised.
+        let idle_time = self.idle_timeout.min(MIN_IDLE_TIMEOUT.max(2 * self.max_reuse_idle));
+        self.limit_connection(connection, self.now + idle_time);
     }
 
+    /// Handles a connection that has come up: starts the exchange that waits for it, if there is one.
     pub(crate) fn connection_established(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         let signs = &mut self.workers[state.worker as usize].failure_signs;
@@ -182,14 +189,15 @@
         }
     }
 
+    /// Handles a connection that broke, was closed by the executor or could not be opened.
     pub(crate) fn connection_lost(&mut self, connection: ConnectionId, disconnect: Disconnect) {
         let Some(state) = self.remove_connection(connection) else { return };
         if !disconnect.local_fault {
             self.detect_process_loss(&state, disconnect.response_started);
         }
         let Some(exchange) = state.exchange else {
-            let told = state.phase == ConnectionPhase::Idle && !disconnect.unexpected_data;
-            if told && self.workers[state.worker as usize].health == Health::Ready {
+            let closed_idle = state.phase == ConnectionPhase::Idle && !disconnect.unexpected_data;
+            if closed_idle && self.workers[state.worker as usize].health == Health::Ready {
                 self.learn_reuse_idle(self.now - state.since, false);
             }
             return;
@@ -198,11 +206,11 @@
         if disconnect.local_fault || (opening && !self.is_still_permitted(&state, exchange)) {
             return self.not_sent(state.worker, exchange);
         }
-        // Closed at the other end while it was idle, which says nothing of the worker. Before the last byte
-        // was written, and for a probe at any time, a new one does as well.
-        if let Some(idled) = state.idle_before_exchange.filter(|_| !disconnect.response_started) {
+        // The executor closed the connection while it was idle, which says nothing about the executor's health. If the last
+        // byte of the request was not written yet, and for a probe in any case, a new connection serves as well.
+        if let Some(idle_time) = state.idle_before_exchange.filter(|_| !disconnect.response_started) {
             if !disconnect.unexpected_data {
-                self.learn_reuse_idle(idled, false);
+                self.learn_reuse_idle(idle_time, false);
             }
             self.stats.stale += 1;
             return match (exchange, disconnect.request_written) {
@@ -218,7 +226,7 @@
         match exchange {
             Exchange::Probe => self.probe_ended(state.worker, Some(false), None),
             Exchange::Execution(submission, execution) => {
-                // After the last byte nobody can tell whether it ran.
+                // Once the last byte is written, whether the job ran is unknown.
                 let outcome =
                     if disconnect.request_written { Outcome::Reset } else { Outcome::ConnectFailed };
                 self.execution_ended(submission, execution, outcome, None, None);
@@ -226,9 +234,10 @@
         }
     }
 
-    /// Whether what broke, with what broke just before, or could not be made, tells that the process was lost.
-    /// One connection that breaks tells nothing, nor do idle ones that were closed at the other end.
-    pub(crate) fn detect_process_loss(&mut self, state: &ConnectionState, answered: bool) {
+    /// Reports the executor's process as lost if this disconnect, together with the preceding ones, shows it.
+    ///
+    /// A single broken connection is no evidence, and neither are idle connections that the executor closed.
+    pub(crate) fn detect_process_loss(&mut self, state: &ConnectionState, response_started: bool) {
         let now = self.now;
         let signs = &mut self.workers[state.worker as usize].failure_signs;
         let lost = if state.established {
@@ -236,11 +245,11 @@
                 (signs.recent_disconnects, signs.exchange_interrupted) = (0, false);
             }
             (signs.recent_disconnects, signs.last_disconnect) = (signs.recent_disconnects + 1, now);
-            // Before any answer it may have been closed while it was idle.
-            signs.exchange_interrupted |= state.exchange.is_some() && answered;
+            // Before any part of a response, the connection may have been closed while it was idle.
+            signs.exchange_interrupted |= state.exchange.is_some() && response_started;
             signs.unanswered || (signs.exchange_interrupted && signs.recent_disconnects > 1)
         } else {
-            // One may be refused for other reasons, such as a full table.
+            // A single connection may be refused for other reasons, such as a full table.
             signs.failed_connects += 1;
             signs.failed_connects >= PROCESS_LOSS_CONNECT_FAILURES
         };
@@ -251,17 +260,19 @@
         }
     }
 
+    /// Removes a connection from the records; the socket is not touched.
     pub(crate) fn remove_connection(&mut self, connection: ConnectionId) -> Option<ConnectionState> {
         let state = self.connections.remove(&connection)?;
         let worker_state = &mut self.workers[state.worker as usize];
         worker_state.open_connections -= 1;
         worker_state.failure_signs.established -= usize::from(state.established);
         if state.phase == ConnectionPhase::Idle {
-            self.workers[state.worker as usize].idle_connections.retain(|l| *l != connection);
+            self.workers[state.worker as usize].idle_connections.retain(|idle| *idle != connection);
         }
         Some(state)
     }
 
+    /// Removes a connection from the records and closes its socket.
     pub(crate) fn close_connection(&mut self, connection: ConnectionId) {
         if self.remove_connection(connection).is_some() {
             self.effects.push(Effect::CloseConnection { connection });
--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -1,50 +1,53 @@
-//! Which client is closed when room for clients is short.
+//! Eviction of client connections when few more can be accepted.
 //!
-//! Whoever holds room has it until it asks, goes or runs into a time limit, and newcomers wait unseen in the listener's queue
-//! meanwhile, with deadlines that nobody has read. So room is made before it is needed, and no kind of client that is owed
-//! no answer may hold all of it for longer than [`MAX_FULL_TIME`].
+//! A connection stays until its client sends a request, disconnects or reaches a time limit. At the limit of connections,
+//! further clients wait in the listener's queue, and the deadlines of their requests pass unread. So connections are evicted
+//! before the limit is reached, and connections without an open submission, of whatever class, do not take up all the room
+//! for longer than [`MAX_FULL_TIME`].
 
 use super::*;
 
-/// For so long half requests may hold all the room. A newcomer that came as it was filled is let in soon enough to be
-/// answered, or refused, no later than half a second after its deadline, however short that is.
+/// For how long partly received requests may take up all the room. It is short enough that a client that connects just as
+/// the room fills up is answered or refused no later than half a second after its deadline, however short that is.
 const MAX_FULL_TIME: Nanos = SECOND * 2 / 5;
-/// How often room is made while clients hold all of it: nobody else connects then, who would make some.
+/// How often connections are evicted while the limit is reached. Until then each new connection triggers an eviction; at the
+/// limit there are no new connections.
 const CHECK_INTERVAL: Nanos = SECOND / 50;
-/// The part of the room that is made at each such check.
+/// Each such check evicts one part in this many of the allowed connections.
 const EVICTION_DIVISOR: usize = 16;
 
-/// Since when room has been short.
+/// How long room for clients has been short.
 #[derive(Debug, Default)]
 pub(crate) struct ClientRoom {
-    /// Clients have held all of it at some time since, and since then never as little as is not short.
+    /// When the limit was reached for the first time since room became short; `None` while there is enough room.
     short_since: Option<Nanos>,
-    /// A check is due.
+    /// The timer of the next check is set.
     check_armed: bool,
 }
 
-/// Who goes first: the less it has asked for, and the less it loses.
+/// The classes of connections that can be evicted, in the order of eviction: those that have used the node least and lose
+/// least come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Claim {
-    /// It has asked for nothing yet. A flood of connections evicts its own.
+enum EvictionClass {
+    /// It has not sent a request yet. A flood of connections therefore evicts its own.
     Newcomer,
-    /// It has asked before and rests.
-    Resting,
-    /// It has asked before, and half of its next request has come. It gets an error, and nothing has begun for it.
-    HalfRequest,
+    /// It has sent requests before and is idle.
+    Idle,
+    /// It has sent requests before, and the next one is partly received. The client gets an error; nothing was executed.
+    PartialRequest,
 }
 
 impl ClientState {
-    /// What it has to stay by; none where it can't be told to go.
-    fn claim(&self) -> Option<Claim> {
+    /// The class of this connection, or `None` if it must not be evicted now.
+    fn eviction_class(&self) -> Option<EvictionClass> {
         if self.submission.is_some() || self.evicted {
             return None;
         }
         match (self.phase, self.newcomer_since) {
-            (Phase::Leaving | Phase::Answering, _) => None,
-            (_, Some(_)) => Some(Claim::Newcomer),
-            (Phase::Idle, None) => Some(Claim::Resting),
-            (Phase::Reading, None) => Some(Claim::HalfRequest),
+            (Phase::Closing | Phase::Answering, _) => None,
+            (_, Some(_)) => Some(EvictionClass::Newcomer),
+            (Phase::Idle, None) => Some(EvictionClass::Idle),
+            (Phase::Reading, None) => Some(EvictionClass::PartialRequest),
         }
     }
 }
@@ -54,7 +57,7 @@
         self.clients.len() > self.max_clients * 3 / 4
     }
 
-    /// Notes how much room is left, after a change.
+    /// Updates the record of how long room has been short, after a change in the number of clients.
     pub(crate) fn update_room(&mut self) {
         if !self.room_is_short() {
             self.client_room.short_since = None;
@@ -63,18 +66,18 @@
         }
     }
 
-    /// A client has connected: before no room is left, another goes.
+    /// Evicts another connection after a client has connected, if room is short.
     pub(crate) fn make_room_after(&mut self, newcomer: ClientId) {
         self.update_room();
         if self.room_is_short() {
             self.make_room(Some(newcomer));
         }
         if self.is_at_client_limit() {
-            self.check_room_later();
+            self.schedule_room_check();
         }
     }
 
-    fn check_room_later(&mut self) {
+    fn schedule_room_check(&mut self) {
         let Some(since) = self.client_room.short_since else { return };
         if !std::mem::replace(&mut self.client_room.check_armed, true) {
             let due = (since + MAX_FULL_TIME).max(self.now + CHECK_INTERVAL);
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Makes room while clients hold all of it.
+    /// Evicts several connections if the limit is still reached.
     pub(crate) fn make_room_when_full(&mut self) {
         self.client_room.check_armed = false;
         if !self.is_at_client_limit() {
@@ -91,53 +94,56 @@
         for _ in 0..(self.max_clients / EVICTION_DIVISOR).max(1) {
             self.make_room(None);
         }
-        self.check_room_later();
+        self.schedule_room_check();
     }
 
-    /// Whether half requests have held the room for long enough.
-    fn half_requests_may_go(&self) -> bool {
+    /// Whether room has been short for long enough to evict connections with partly received requests.
+    fn may_evict_partial_requests(&self) -> bool {
         self.client_room.short_since.is_some_and(|since| self.now >= since + MAX_FULL_TIME)
     }
 
-    /// One client goes, the one with the least claim, of those the one that has had it for longest. It is told and then
-    /// waited for, lest what crosses resets it; when room is short for that too, or nobody else can go, the one that was
-    /// told first is waited for no longer.
-    fn make_room(&mut self, but: Option<ClientId>) {
-        let told = self.least_claim(but);
-        let short = told.is_none() || self.clients.len() > self.max_clients * 7 / 8;
-        let left = if short { self.first_to_leave(but) } else { None };
-        for client in told.into_iter().chain(left) {
+    /// Evicts one connection: of the first class that has any, the oldest.
+    ///
+    /// The connection is closed in one direction, and the node waits for the client to close the other, so that data that is
+    /// still on the way does not reset it. When there is little room even for connections that are being closed, or no other
+    /// can be evicted, the one that has been closing for longest is dropped as well.
+    fn make_room(&mut self, except: Option<ClientId>) {
+        let evicted = self.first_to_evict(except);
+        let short = evicted.is_none() || self.clients.len() > self.max_clients * 7 / 8;
+        let dropped = if short { self.oldest_closing(except) } else { None };
+        for client in evicted.into_iter().chain(dropped) {
             self.evict(client);
         }
     }
 
-    fn least_claim(&self, but: Option<ClientId>) -> Option<ClientId> {
-        let half_requests_may_go = self.half_requests_may_go();
-        let claims =
-            self.clients.iter().filter(|(client, _)| Some(**client) != but).filter_map(|(client, state)| {
-                let claim = state.claim()?;
-                let held_since = state.newcomer_since.unwrap_or(state.since);
-                (claim < Claim::HalfRequest || half_requests_may_go).then_some((claim, held_since, *client))
-            });
-        claims.min().map(|(.., client)| client)
+    fn first_to_evict(&self, except: Option<ClientId>) -> Option<ClientId> {
+        let may_evict_partial_requests = self.may_evict_partial_requests();
+        let others = self.clients.iter().filter(|(client, _)| Some(**client) != except);
+        let candidates = others.filter_map(|(client, state)| {
+            let class = state.eviction_class()?;
+            let since = state.newcomer_since.unwrap_or(state.since);
+            (class < EvictionClass::PartialRequest || may_evict_partial_requests)
+                .then_some((class, since, *client))
+        });
+        candidates.min().map(|(.., client)| client)
     }
 
-    fn first_to_leave(&self, but: Option<ClientId>) -> Option<ClientId> {
-        let leaving = self.clients.iter().filter(|(client, state)| {
-            Some(**client) != but
-                && state.phase == Phase::Leaving
+    fn oldest_closing(&self, except: Option<ClientId>) -> Option<ClientId> {
+        let closing = self.clients.iter().filter(|(client, state)| {
+            Some(**client) != except
+                && state.phase == Phase::Closing
                 && state.submission.is_none()
                 && !state.evicted
         });
-        leaving.map(|(client, state)| (state.since, *client)).min().map(|(_, client)| client)
+        closing.map(|(client, state)| (state.since, *client)).min().map(|(_, client)| client)
     }
 
     fn evict(&mut self, client: ClientId) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         state.evicted = true;
-        self.stats.evicted += u64::from(state.phase != Phase::Leaving);
+        self.stats.evicted += u64::from(state.phase != Phase::Closing);
         self.effects.push(match state.phase {
-            // What has come in meanwhile is looked at first.
+            // A request that has arrived in the meantime is still served.
             Phase::Idle => Effect::CloseClient { client },
             _ => Effect::DropClient { client },
         });
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -1,13 +1,14 @@
-//! Executions of submissions, from the order to the outcome.
+//! Executions of submissions, from the dispatcher's action to the outcome.
 
 use linestack_recovery::Fate;
 
 use super::*;
 
 impl Core {
+    /// Starts an execution that the dispatcher asked for.
     pub(crate) fn execute(&mut self, submission: Submission, worker: Worker, timeout: Nanos) {
         let Some(accepted) = self.accepted.get_mut(submission as usize).and_then(Option::as_mut) else {
-            ensure!(self, false, "an execution of what is not held");
+            ensure!(self, false, "execution of an unknown submission");
             return;
         };
         let execution = accepted.executions.len() as Execution;
@@ -18,9 +19,14 @@
         let exchange = Exchange::Execution(submission, execution);
         let address = self.workers[worker as usize].address;
         let permission = self.permit(Occasion::Order, worker, address, exchange);
-        // The pulse of the decisions comes before the event that it runs with, and may order a copy of what that one ends.
-        let overtaken = matches!(permission, Err(Refusal::Answered | Refusal::ClientLeft));
-        ensure!(self, permission.is_ok() || overtaken, "an execution was ordered that may not begin");
+        // The dispatcher's periodic work runs before the event that triggers it, so it may start a copy of a submission that
+        // this very event completes.
+        let completed_by_event = matches!(permission, Err(Refusal::Answered | Refusal::ClientLeft));
+        ensure!(
+            self,
+            permission.is_ok() || completed_by_event,
+            "dispatcher started an execution that may not begin"
+        );
         if permission.is_err() {
             return self.not_sent(worker, exchange);
         }
@@ -30,16 +36,18 @@
         }
     }
 
+    /// The record of one execution of a submission.
     pub(crate) fn attempt(&mut self, submission: Submission, execution: Execution) -> Option<&mut Attempt> {
         let accepted = self.accepted.get_mut(submission as usize)?.as_mut()?;
         accepted.executions.get_mut(usize::from(execution))
     }
 
+    /// Cancels an execution that waits for its connection or is under way.
     pub(crate) fn cancel(&mut self, submission: Submission, execution: Execution) {
         let Some(connection) = self.attempt(submission, execution).and_then(|a| a.connection) else { return };
         let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.phase == ConnectionPhase::Opening {
-            // Nothing was sent; the connection is as good for the next.
+            // Nothing was sent; the connection can carry another exchange once it is established.
             state.exchange = None;
             self.execution_ended(submission, execution, Outcome::NotSent, None, None);
         } else {
@@ -48,7 +56,8 @@
         }
     }
 
-    /// An execution is over, with what an executor answered or with none.
+    /// Records the end of an execution, answers its client if it completed, and informs the dispatcher. `result` is the
+    /// executor's response, if there is one.
     pub(crate) fn execution_ended(
         &mut self,
         submission: Submission,
@@ -60,7 +69,7 @@
         let now = self.now;
         let Some(attempt) = self.attempt(submission, execution) else { return };
         attempt.connection = None;
-        let (worker, took) = (attempt.worker, now - attempt.started_at);
+        let (worker, duration) = (attempt.worker, now - attempt.started_at);
         self.start_execution_ended(worker, outcome);
         match outcome {
             Outcome::Satisfied | Outcome::Full => {
@@ -79,16 +88,17 @@
         if let (Outcome::Satisfied, Some(result)) = (outcome, &result) {
             self.record_outcome(submission, Fate::Satisfied(result.clone()));
         }
-        let owed =
-            |core: &Self| core.accepted[submission as usize].as_ref().is_some_and(|t| t.client.is_some());
-        if let (Outcome::Satisfied, Some(result), true) = (outcome, result, owed(self)) {
+        let client_waits =
+            |core: &Self| core.accepted[submission as usize].as_ref().is_some_and(|a| a.client.is_some());
+        if let (Outcome::Satisfied, Some(result), true) = (outcome, result, client_waits(self)) {
             self.answer(submission, Answer::Completed(result));
         }
-        let closed = !owed(self);
-        let ending = Ending { submission, execution, worker, outcome, closed, took, report };
+        let closed = !client_waits(self);
+        let ending = Ending { submission, execution, worker, outcome, closed, took: duration, report };
         self.pending_events.push_back(Event::Ended(ending));
     }
 
+    /// Records the end of a probe; `answered` is `None` if it says nothing about the worker.
     pub(crate) fn probe_ended(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) {
         self.stats.probes_failed += u64::from(answered != Some(true));
         if let Some(answered) = answered {
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -62,7 +62,7 @@
     Reading,
     Answering,
     /// Answered for good; the rest of what it sends is dropped.
-    Leaving,
+    Closing,
 }
 
 /// What a connection to an executor had done when it broke.
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -1,40 +1,45 @@
-//! One-shots that may have run, where the node keeps them over a restart. "It may have run" lasts before the first byte
-//! of an execution leaves; what asks again under the same key is answered from what is known, and never run twice.
+//! The outcomes of one-shots, for nodes that keep them over a restart.
+//!
+//! That a one-shot may have run is durable before the first byte of its first execution is sent. A repeated submission with
+//! the same key is answered from the stored outcome and never runs twice.
 
 use linestack_dispatch::types::Repeats;
 use linestack_recovery::{Age, Fate, Fates};
 
 use super::*;
 
-/// So many records that wait for the disk mean that it does not keep up: one-shots are dismissed until it does.
+/// With this many records waiting to be written, the disk is too slow, and one-shots are dismissed until it catches up.
 const MAX_PENDING_RECORDS: usize = 256;
 
-/// What a node that remembers is told at its start.
+/// The outcomes that a node has restored from its store when it starts.
 pub struct StoredOutcomes {
+    /// The outcomes by key.
     pub outcomes: Fates,
-    /// How old the store is at the time that the node starts.
+    /// The age of the store when the node starts; the times of records are ages of the store.
     pub age: Age,
+    /// The time of the start on the node's clock.
     pub now: Nanos,
-    /// Clients keep `Idempotency-Key` when they ask again, or else `Req-Id`.
+    /// Whether a repeated submission is recognized by `Idempotency-Key`, which clients keep in a retry, or else by `Req-Id`.
     pub by_stamp: bool,
-    /// What an earlier store knew is lost: until then a one-shot that is not known may have run.
+    /// An earlier store was lost. Until this time a one-shot that is not in the store may have run.
     pub incomplete_until: Nanos,
 }
 
 pub(crate) struct OutcomeStore {
-    fates: Fates,
+    outcomes: Fates,
     age: Age,
     since: Nanos,
     by_stamp: bool,
-    doubtful: Nanos,
-    waiting: usize,
-    /// Keys of one-shots that are held here: until one is about to be sent nothing else tells of it.
-    open: HashSet<Bytes>,
-    /// The disk has failed: nothing more can be made to last.
+    incomplete_until: Nanos,
+    /// The number of records that executions wait for.
+    pending_records: usize,
+    /// Keys of the open one-shots. There is no record of a one-shot before its first execution is about to be sent.
+    open_keys: HashSet<Bytes>,
+    /// Writing has failed, so nothing can be made durable.
     failed: bool,
 }
 
-/// An execution that waits until it is written down that it may have run.
+/// Identifies an execution that waits until the record that it may have run is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PersistTicket {
     connection: ConnectionId,
@@ -44,40 +49,40 @@
 }
 
 impl Core {
-    /// From now on one-shots are remembered over a restart. To be called before anything is accepted.
-    pub fn enable_outcome_store(&mut self, remembered: StoredOutcomes) {
-        let StoredOutcomes { outcomes: fates, age, now, by_stamp, incomplete_until: doubtful } = remembered;
-        let open = HashSet::new();
+    /// Keeps the outcomes of one-shots over restarts from now on. Must be called before anything is accepted.
+    pub fn enable_outcome_store(&mut self, stored: StoredOutcomes) {
+        let StoredOutcomes { outcomes, age, now, by_stamp, incomplete_until } = stored;
         self.outcome_store = Some(OutcomeStore {
-            fates,
+            outcomes,
             age,
             since: now,
             by_stamp,
-            doubtful,
-            waiting: 0,
-            open,
+            incomplete_until,
+            pending_records: 0,
+            open_keys: HashSet::new(),
             failed: false,
         });
     }
 
-    /// Whether all that may have run is known.
+    /// Whether the store knows every one-shot that may have run.
     #[must_use]
     pub fn outcomes_complete(&self) -> bool {
-        self.outcome_store.as_ref().is_none_or(|b| b.doubtful <= self.now)
+        self.outcome_store.as_ref().is_none_or(|store| store.incomplete_until <= self.now)
     }
 
-    /// How a submission with this key stands, for whoever asks.
+    /// The stored outcome of the submission with this key.
     #[must_use]
     pub fn stored_outcome(&self, key: &[u8]) -> Option<&Fate> {
-        self.outcome_store.as_ref()?.fates.fate(key)
+        self.outcome_store.as_ref()?.outcomes.fate(key)
     }
 
-    /// Whether one-shots can be accepted, where they are to be remembered.
+    /// Whether one-shots can be accepted: their outcomes can be stored, or need not be.
     #[must_use]
     pub fn can_store_outcomes(&self) -> bool {
-        self.outcome_store.as_ref().is_none_or(|b| !b.failed)
+        self.outcome_store.as_ref().is_none_or(|store| !store.failed)
     }
 
+    /// The key by which a repeated submission is recognized; `None` if the request carries none.
     fn outcome_key(&self, request: &ForwardedRequest) -> Option<Bytes> {
         let store = self.outcome_store.as_ref()?;
         if store.by_stamp { request.stamp.clone() } else { Some(request.id.clone()) }
@@ -87,47 +92,49 @@
         self.products.get(usize::from(product)).is_some_and(|p| p.repeats == Repeats::OneShot)
     }
 
-    /// The answer to one that asks again, or that can't be remembered; none where it is to be accepted.
-    pub(crate) fn answer_from_store(&self, intake: &NewSubmission) -> Option<Answer> {
-        let store = self.outcome_store.as_ref().filter(|_| self.is_one_shot(intake.product))?;
-        // Without a key it could not be known again, and would run again.
-        let turned_away = Answer::Dismissed(self.max_retry_after.map(|most| most / 8));
-        let Some(key) = self.outcome_key(&intake.request) else { return Some(turned_away) };
-        if store.open.contains(&key) {
-            // Both would be attempt, and neither has an end yet.
+    /// The answer to a one-shot that is repeated or whose outcome can't be stored; `None` if it is to be accepted.
+    pub(crate) fn answer_from_store(&self, new: &NewSubmission) -> Option<Answer> {
+        let store = self.outcome_store.as_ref().filter(|_| self.is_one_shot(new.product))?;
+        let dismissed = Answer::Dismissed(self.max_retry_after.map(|longest| longest / 8));
+        // Without a key a repeated submission could not be recognized and would run again.
+        let Some(key) = self.outcome_key(&new.request) else { return Some(dismissed) };
+        if store.open_keys.contains(&key) {
+            // Neither has an outcome yet, so both would be sent.
             return Some(Answer::DuplicateId);
         }
-        match store.fates.fate(&key) {
+        match store.outcomes.fate(&key) {
             Some(Fate::Satisfied(result)) => Some(Answer::Completed(result.clone())),
             Some(Fate::MayHaveRun) => Some(Answer::Aborted),
-            // Dismissed, it would be told that asking again is harmless.
-            None if self.now < store.doubtful => Some(Answer::Aborted),
-            _ if store.failed || store.waiting >= MAX_PENDING_RECORDS || store.fates.full() => {
-                Some(turned_away)
+            // Dismissing it would promise that a retry is harmless.
+            None if self.now < store.incomplete_until => Some(Answer::Aborted),
+            _ if store.failed || store.pending_records >= MAX_PENDING_RECORDS || store.outcomes.full() => {
+                Some(dismissed)
             }
             Some(Fate::Unsent) | None => None,
         }
     }
 
-    /// A submission is held from now on, or no more.
-    pub(crate) fn set_key_open(&mut self, product: u8, request: &ForwardedRequest, held: bool) {
+    /// Records that a one-shot is open, or no longer is.
+    pub(crate) fn set_key_open(&mut self, product: u8, request: &ForwardedRequest, open: bool) {
         if !self.is_one_shot(product) {
             return;
         }
         if let (Some(key), Some(store)) = (self.outcome_key(request), &mut self.outcome_store) {
-            if held {
-                store.open.insert(key)
+            if open {
+                store.open_keys.insert(key)
             } else {
-                store.open.remove(&key)
+                store.open_keys.remove(&key)
             };
         }
     }
 
+    /// The age of the store now.
     fn store_age(&self) -> Age {
-        self.outcome_store.as_ref().map_or(0, |b| b.age + self.now.saturating_sub(b.since))
+        self.outcome_store.as_ref().map_or(0, |store| store.age + self.now.saturating_sub(store.since))
     }
 
-    /// Whether an execution has to wait until it is written down; it is asked for then.
+    /// Whether an execution must wait until the record that it may have run is durable. If so, asks for the record to be
+    /// written.
     pub(crate) fn persist_before_send(
         &mut self,
         connection: ConnectionId,
@@ -143,35 +150,35 @@
         let (serial, request) = (accepted.serial, Arc::clone(&accepted.request));
         let (Some(key), now) = (self.outcome_key(&request), self.store_age()) else { return false };
         let Some(store) = &mut self.outcome_store else { return false };
-        store.waiting += 1;
-        let keep = store.fates.sending(&key, now);
+        store.pending_records += 1;
+        let record = store.outcomes.sending(&key, now);
         let ticket = Some(PersistTicket { connection, submission, serial, execution });
-        self.effects.push(Effect::Persist { record: keep, ticket });
+        self.effects.push(Effect::Persist { record, ticket });
         true
     }
 
-    /// It is written down, or can't be.
-    pub(crate) fn persisted(&mut self, ticket: PersistTicket, lasts: bool) {
+    /// Sends the execution that waited for a record, or gives it up if the record could not be made durable.
+    pub(crate) fn persisted(&mut self, ticket: PersistTicket, durable: bool) {
         let PersistTicket { connection, submission, serial, execution } = ticket;
         if let Some(store) = &mut self.outcome_store {
-            store.waiting -= 1;
-            store.failed |= !lasts;
+            store.pending_records -= 1;
+            store.failed |= !durable;
         }
         let exchange = Exchange::Execution(submission, execution);
         let accepted = self.accepted.get_mut(submission as usize).and_then(Option::as_mut);
-        let Some(accepted) = accepted.filter(|t| t.serial == serial) else { return };
-        accepted.persisted |= lasts;
+        let Some(accepted) = accepted.filter(|a| a.serial == serial) else { return };
+        accepted.persisted |= durable;
         let (request, version) = (Arc::clone(&accepted.request), accepted.settings_version);
-        // The connection may have broken meanwhile, or the order been called off.
-        let Some(state) = self.connections.get_mut(&connection).filter(|l| l.exchange == Some(exchange))
+        // Meanwhile the connection may have broken, or the execution may have been cancelled.
+        let Some(state) = self.connections.get_mut(&connection).filter(|c| c.exchange == Some(exchange))
         else {
             return;
         };
         let (worker, address) = (state.worker, state.address);
-        if lasts && self.permit(Occasion::Durable, worker, address, exchange).is_ok() {
-            let until = self.attempt(submission, execution).map_or(0, |attempt| attempt.deadline);
-            let wait = until.saturating_sub(self.now);
-            return self.effects.push(Effect::Send { connection, request, timeout: wait, version });
+        if durable && self.permit(Occasion::Durable, worker, address, exchange).is_ok() {
+            let deadline = self.attempt(submission, execution).map_or(0, |attempt| attempt.deadline);
+            let timeout = deadline.saturating_sub(self.now);
+            return self.effects.push(Effect::Send { connection, request, timeout, version });
         }
         if let Some(state) = self.connections.get_mut(&connection) {
             state.exchange = None;
@@ -180,29 +187,31 @@
         self.not_sent(worker, exchange);
     }
 
-    /// The disk takes records again.
+    /// Records can be written again.
     pub(crate) fn store_recovered(&mut self) {
         if let Some(store) = &mut self.outcome_store {
             store.failed = false;
         }
     }
 
-    /// How a submission that was written down ended, as far as that makes it more certain.
-    pub(crate) fn record_outcome(&mut self, submission: Submission, fate: Fate) {
+    /// Stores the outcome of a one-shot, if it says more than the record that is there.
+    pub(crate) fn record_outcome(&mut self, submission: Submission, outcome: Fate) {
         let Some(accepted) = self.accepted.get(submission as usize).and_then(Option::as_ref) else { return };
         if !self.is_one_shot(accepted.product) {
             return;
         }
         let (Some(key), now) = (self.outcome_key(&accepted.request), self.store_age()) else { return };
-        if let Some(keep) = self.outcome_store.as_mut().and_then(|b| b.fates.ended(&key, fate, now)) {
-            self.effects.push(Effect::Persist { record: keep, ticket: None });
+        let store = self.outcome_store.as_mut();
+        if let Some(record) = store.and_then(|store| store.outcomes.ended(&key, outcome, now)) {
+            self.effects.push(Effect::Persist { record, ticket: None });
         }
     }
 
+    /// Forgets the outcomes that are past their retention time.
     pub(crate) fn expire_outcomes(&mut self) {
         let now = self.store_age();
         if let Some(store) = &mut self.outcome_store {
-            store.fates.forget(now);
+            store.outcomes.forget(now);
         }
     }
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -106,7 +106,7 @@
                 self.closing_clients = true;
                 self.set_timer(self.now + CLOSE_GRACE, Timer::ExitWhenEmpty);
                 let resting = self.clients.iter().filter(|(_, g)| g.submission.is_none());
-                let resting = resting.filter(|(_, g)| matches!(g.phase, Phase::Idle | Phase::Leaving));
+                let resting = resting.filter(|(_, g)| matches!(g.phase, Phase::Idle | Phase::Closing));
                 let mut resting: Vec<ClientId> = resting.map(|(c, _)| *c).collect();
                 resting.sort_unstable();
                 resting.into_iter().for_each(|client| self.close_when_idle(client));
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -471,7 +471,7 @@
     node.pass(10 * MS);
     assert_eq!(dropped(&node), [1]);
     node.feed(Input::ClientPhase { client: 1, phase: Phase::Answering });
-    node.feed(Input::ClientPhase { client: 1, phase: Phase::Leaving });
+    node.feed(Input::ClientPhase { client: 1, phase: Phase::Closing });
     node.pass(20 * MS);
     assert!(dropped(&node).contains(&1), "waited for, though others wait for the room");
     node.feed(Input::ClientDisconnected { client: 1 });
@@ -672,7 +672,7 @@
 #[case::asks_for_health(false, Some(Phase::Idle), Some(2_500))]
 #[case::usual(true, Some(Phase::Idle), None)]
 #[case::usual_and_slow(true, Some(Phase::Reading), Some(3_500))]
-#[case::answered_for_good(false, Some(Phase::Leaving), Some(3_500))]
+#[case::answered_for_good(false, Some(Phase::Closing), Some(3_500))]
 fn a_newcomer_has_a_limit(#[case] usual: bool, #[case] phase: Option<Phase>, #[case] at: Option<u64>) {
     let mut node = Node::new(1);
     let client = if usual {
@@ -1297,7 +1297,7 @@
         for effect in effects {
             match effect {
                 Effect::CloseClient { client } => {
-                    node.feed(Input::ClientPhase { client, phase: Phase::Leaving });
+                    node.feed(Input::ClientPhase { client, phase: Phase::Closing });
                     waited_for.push(client);
                 }
                 Effect::DropClient { client } => {
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -328,7 +328,7 @@
 /// Nothing more is written to the client, which has a while to close too.
 fn leave(node: &Arc<Node>, client: ClientId, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
-    node.feed(Input::ClientPhase { client, phase: Phase::Leaving });
+    node.feed(Input::ClientPhase { client, phase: Phase::Closing });
     Ok(())
 }
 
