--- a/crates/core/src/first_list.rs
+++ b/crates/core/src/first_list.rs
@@ -1,39 +1,39 @@
 //! The wait for the first list of executors after a start.
 //!
-//! A process starts with the list in its configuration, and nobody knows how old that is: the executors in it may have
-//! drained, left or been replaced since. It counts as outdated until discovery has answered, and nothing is executed by it.
-//! Probes are not accepted for discovery's word: an executor that is back at its address may answer them while the list
-//! still names it as gone.
+//! A process starts with the list in its configuration, whose age is unknown: the executors in it may have drained, left or
+//! been replaced since. The list counts as outdated until discovery has answered, and nothing is executed on its basis.
+//! Answers to probes are no substitute: an executor that is back at its address may answer them while the list still says
+//! that it is gone.
 //!
-//! No failure of discovery makes the configured list evidence that an executor still takes work, however long the outage:
-//! where lists are pushed, what discovery had counts as told from the first moment of a process; where they are asked for,
-//! 6 s after discovery had it and could be reached, whatever a failed call allows. That may be long before a start.
+//! No failure of discovery, however long, makes the configured list evidence that an executor still accepts work. Where lists
+//! are pushed, what discovery knows counts as told from the first moment of a process. Where lists are asked for, it counts as
+//! told 6 s after discovery knew it and could be reached, even if a call has failed. That may be long before a start.
 
 use super::*;
 
-/// The first calls of processes that start together are spread over this time at most, and over less by a fleet that is
-/// small: none of them serves before its call is answered.
+/// The first calls of processes that start together are spread over at most this time. In a small fleet they are spread over
+/// less, since no process serves before its call is answered.
 const FIRST_CALL_SPREAD: Nanos = SECOND;
-/// A process that starts has to be ready within 6 s, also in an outage of discovery: from then on it admits clients, and
-/// refuses what they ask for at once until discovery has answered.
+/// A process must be ready within 6 s after its start, even in an outage of discovery. From then on it admits clients, but
+/// refuses their submissions at once until discovery has answered.
 const FIRST_LIST_TIMEOUT: Nanos = SECOND * 11 / 2;
 
-/// Whether executors may be chosen by the list.
+/// Whether the list may be used to choose executors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListState {
-    /// None is known.
+    /// No list is known.
     Missing,
-    /// Only the one of the configuration is known, and whether it still holds has to be heard from discovery.
+    /// Only the configured list is known, and discovery has not confirmed it.
     Outdated,
-    /// Discovery has told it, or the stages of the start allow it.
+    /// The list came from discovery, or the staged start allows its use.
     Current,
 }
 
 impl Core {
-    /// The list of the configuration was read; it may be empty.
+    /// Handles the list from the configuration.
     pub(crate) fn configured_list(&mut self, empty: bool) {
         if self.staged_start.is_some() {
-            // The stages of the start decide how old a list may be that is served by.
+            // The staged start decides how old a list may be used.
             if !empty {
                 self.list_state = ListState::Current;
             }
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Whether clients may be sent here, as far as the list goes. In a long outage they may before anything is executed:
-    /// what they ask for is refused at once.
+    /// Whether the state of the list allows the node to report itself ready. In a long outage of discovery the node does so
+    /// before it executes anything, and refuses submissions at once.
     pub(crate) fn list_admits_clients(&self, now: Nanos) -> bool {
         match self.list_state {
             ListState::Missing => false,
@@ -59,8 +59,9 @@
         }
     }
 
-    /// The come-back time for a submission that comes before the first list. Nothing has begun, so a retry is harmless;
-    /// the times are spread, lest the retries come as one wave.
+    /// Returns the retry delay for a submission that is refused because it arrives before the first list, and `None` if it is
+    /// not refused. Nothing has been executed, so a retry is harmless. The delays are random, so that the retries don't arrive
+    /// as one wave.
     pub(crate) fn refused_before_first_list(&mut self) -> Option<Option<Nanos>> {
         if self.list_state != ListState::Outdated {
             return None;
@@ -70,7 +71,7 @@
     }
 }
 
-/// Over how long the first calls are spread by a fleet of so many nodes.
+/// The time over which a fleet of this many nodes spreads its first calls.
 pub(crate) fn first_call_spread(nodes: u32, connect_timeout: Nanos) -> Nanos {
     let each = connect_timeout / 4;
     each.saturating_mul(nodes.into()).clamp(1, FIRST_CALL_SPREAD)
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,4 +1,4 @@
-//! What the reducer is told and what it asks for.
+//! The inputs of the reducer and the effects that it asks for.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use crate::permission::{Occasion, Refusal, Refusals};
 use crate::start_times::ListClocks;
 
-/// A client's connection, numbered by the node and never again.
+/// Identifies a client's connection. The node numbers connections and never reuses a number.
 pub type ClientId = u64;
-/// A connection to an executor, numbered likewise.
+/// Identifies a connection to an executor. The reducer numbers connections and never reuses a number.
 pub type ConnectionId = u64;
 
-/// A line of the list of executors, as discovery words it.
+/// An entry in the list of executors, as discovery gives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     pub name: String,
@@ -28,243 +28,246 @@
     pub kind: String,
     pub cell: u16,
     pub health: Health,
-    /// Its last start on the node's clock, 0 for long ago.
+    /// When the executor started last, on the node's clock; 0 for long ago.
     pub started: Nanos,
+    /// Its size, or what of it is free where weights are live; 0 if the list gives none.
     pub weight: f32,
 }
 
-/// What goes on unchanged to the executor.
+/// The parts of a client's request that are forwarded to the executor unchanged.
 #[derive(Debug, Default)]
 pub struct ForwardedRequest {
     pub method: Bytes,
     pub path: Bytes,
     pub host: Bytes,
+    /// The value of `Req-Id`.
     pub id: Bytes,
+    /// The value of `Idempotency-Key`.
     pub stamp: Option<Bytes>,
     pub body: Bytes,
 }
 
-/// A submission as the door took it in.
+/// A submission as it arrives from a client.
 #[derive(Debug)]
 pub struct NewSubmission {
     pub product: u8,
     pub tenant: u16,
-    /// How long the client waits.
+    /// How long the client waits for the answer.
     pub timeout: Nanos,
     pub slots: f64,
     pub memory: f64,
     pub request: Arc<ForwardedRequest>,
 }
 
+/// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
+    /// No request is being read or answered.
     Idle,
+    /// A request is being received.
     Reading,
+    /// A response is being sent.
     Answering,
-    /// Answered for good; the rest of what it sends is dropped.
+    /// The last response has been sent, and whatever the client still sends is discarded.
     Closing,
 }
 
-/// What a connection to an executor had done when it broke.
+/// How far the exchange on a connection to an executor had come when the connection broke.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Disconnect {
-    /// A byte of the request was written.
+    /// The first byte of the request was written.
     pub request_started: bool,
-    /// Its last byte was written.
+    /// The last byte of the request was written.
     pub request_written: bool,
-    /// Something of an answer had come.
+    /// Part of a response had arrived.
     pub response_started: bool,
-    /// This machine, not the other, is at fault: no descriptor was left.
+    /// The fault is on this machine, which had no file descriptor left.
     pub local_fault: bool,
-    /// Something came that nothing had asked for.
+    /// Data arrived that was not a response to any request.
     pub unexpected_data: bool,
 }
 
+/// An input of the reducer.
 #[derive(Debug)]
 pub enum Input {
-    /// Other settings hold from now on; [`Settings::restart_for`] has found nothing against it. What was taken
-    /// before keeps the version that it was taken under.
-    SettingsChanged {
-        settings: Box<Settings>,
-        version: u64,
-    },
-    /// Nothing may be taken from then on, unless this is last_observation again. A node that was never told so has leave for
-    /// ever.
-    Lease {
-        until: Nanos,
-    },
-    /// What [`Effect::Persist`] asked for lasts, or can't be made to.
-    Persisted {
-        ticket: PersistTicket,
-        durable: bool,
-    },
-    /// By which clocks the list is told that comes next.
+    /// Other settings are in force from now on; [`Settings::restart_for`] has found that no restart is needed. Submissions
+    /// accepted before keep the version under which they were accepted.
+    SettingsChanged { settings: Box<Settings>, version: u64 },
+    /// Submissions may be accepted until this time, unless the lease is renewed. A node that never gets this input may accept
+    /// them for ever.
+    Lease { until: Nanos },
+    /// The record of an [`Effect::Persist`] is durable, or could not be made so.
+    Persisted { ticket: PersistTicket, durable: bool },
+    /// The clocks by which the times in the next list were read.
     ListClocks(ListClocks),
-    /// What is to last can be made to again.
+    /// Records can be made durable again after a failure.
     StoreRecovered,
-    ListReceived {
-        kind: ListKind,
-        endpoints: Vec<Endpoint>,
-    },
-    /// A call for the list failed, or a watch ended. Discovery may have had something to tell for so long.
+    /// A list, or changes to it, came from discovery or from the configuration.
+    ListReceived { kind: ListKind, endpoints: Vec<Endpoint> },
+    /// A list call failed or a watch ended.
     ListFailed {
+        /// How long ago discovery may have had the first change that this node has missed.
         silent_for: Nanos,
-        /// It turned the call away.
+        /// Discovery turned the call away.
         overloaded: bool,
     },
-    /// What may be gone by of what a running node told.
-    PeerObservations {
-        observations: Vec<Heard>,
-    },
-    ClientConnected {
-        client: ClientId,
-    },
-    ClientPhase {
-        client: ClientId,
-        phase: Phase,
-    },
-    ClientDisconnected {
-        client: ClientId,
-    },
-    /// What the client asked for makes no sense; it is told so and then let go.
-    RequestRejected {
-        client: ClientId,
-    },
-    Submitted {
-        client: ClientId,
-        submission: NewSubmission,
-    },
-    ExecutorConnected {
-        connection: ConnectionId,
-    },
-    ExecutorDisconnected {
-        connection: ConnectionId,
-        disconnect: Disconnect,
-    },
-    Progressed {
-        connection: ConnectionId,
-    },
-    Ended {
-        connection: ConnectionId,
-        outcome: Outcome,
-        result: Bytes,
-        report: Option<Report>,
-    },
+    /// The usable part of what a running peer has reported about executors.
+    PeerObservations { observations: Vec<Heard> },
+    /// A client has connected.
+    ClientConnected { client: ClientId },
+    /// A client's connection has entered another phase.
+    ClientPhase { client: ClientId, phase: Phase },
+    /// A client's connection has ended.
+    ClientDisconnected { client: ClientId },
+    /// A client's request was invalid. The client gets an error, and its connection is then closed.
+    RequestRejected { client: ClientId },
+    /// A client has sent a submission.
+    Submitted { client: ClientId, submission: NewSubmission },
+    /// A connection to an executor is established.
+    ExecutorConnected { connection: ConnectionId },
+    /// A connection to an executor broke, or could not be opened.
+    ExecutorDisconnected { connection: ConnectionId, disconnect: Disconnect },
+    /// The executor reported that the execution has started or made progress.
+    Progressed { connection: ConnectionId },
+    /// An execution has ended with a response.
+    Ended { connection: ConnectionId, outcome: Outcome, result: Bytes, report: Option<Report> },
+    /// A probe has ended.
     Probed {
         connection: ConnectionId,
+        /// `None` if the executor turned the probe away.
         answered: Option<bool>,
         report: Option<Report>,
     },
-    /// The exchange is over to its last byte; the connection can carry another.
+    /// The last byte of an exchange was received, and the connection can carry another.
     ConnectionReusable {
         connection: ConnectionId,
-        /// The answer named what it was for: a second one like it can be told from the next one's.
+        /// The response named its submission, so that a duplicate can be told from the next response.
         identified: bool,
     },
+    /// The time of [`Core::next_due`](crate::Core::next_due) has come.
     Tick,
+    /// The node is to finish its work and exit.
     Stop,
 }
 
+/// The final answer to a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
+    /// The executor's result.
     Completed(Bytes),
+    /// Not executed, with the promise that a retry is harmless, and perhaps the time after which to retry.
     Dismissed(Option<Nanos>),
+    /// Not completed, without that promise.
     Aborted,
-    /// Not taken: its id is another's that is still open here.
+    /// Not accepted, because a submission with the same id or key is open on this node.
     DuplicateId,
 }
 
+/// What the reducer asks the node to do.
 #[derive(Debug)]
 pub enum Effect {
+    /// Send an answer to a client.
     Answer {
         client: ClientId,
         answer: Answer,
+        /// The connection is to be closed after the answer.
         last: bool,
-        /// What it was taken under.
+        /// The version of the settings under which the submission was accepted or refused.
         version: u64,
     },
-    /// Tell it that nothing more comes, and wait until it closes, unless a request is coming in on it.
-    CloseClient {
-        client: ClientId,
-    },
-    /// Its time is over: a request half read is turned down, an answer half taken or a wait for its end given up.
-    DropClient {
-        client: ClientId,
-    },
-    OpenConnection {
-        connection: ConnectionId,
-        address: SocketAddr,
-        timeout: Nanos,
-    },
+    /// Shut down the sending side and wait until the client closes the connection, unless a request is coming in on it.
+    CloseClient { client: ClientId },
+    /// The connection has reached its time limit or must make room: reject a request that is partly received, and otherwise
+    /// close the connection at once.
+    DropClient { client: ClientId },
+    /// Open a connection to an executor.
+    OpenConnection { connection: ConnectionId, address: SocketAddr, timeout: Nanos },
+    /// Send a request over a connection.
     Send {
         connection: ConnectionId,
         request: Arc<ForwardedRequest>,
+        /// How long the execution may take.
         timeout: Nanos,
+        /// The version of the settings under which the submission was accepted.
         version: u64,
     },
-    Probe {
-        connection: ConnectionId,
-    },
-    CloseConnection {
-        connection: ConnectionId,
-    },
+    /// Send a probe over a connection.
+    Probe { connection: ConnectionId },
+    /// Close a connection to an executor.
+    CloseConnection { connection: ConnectionId },
+    /// Ask discovery for the list, or watch it for changes.
     RequestList,
-    /// Write this down durably; with a ticket, say when it lasts: something waits for it.
-    Persist {
-        record: Keep,
-        ticket: Option<PersistTicket>,
-    },
-    /// The start has come so far.
+    /// Make this record durable. With a ticket, an execution waits for it: report with [`Input::Persisted`].
+    Persist { record: Keep, ticket: Option<PersistTicket> },
+    /// The staged start has reached this stage.
     Stage(Stage),
-    /// An execution was not begun; it has been counted.
-    Refused {
-        id: Bytes,
-        refusal: Refusal,
-        occasion: Occasion,
-    },
-    /// Something that must hold did not; it has been counted.
+    /// An execution was not begun. The refusal has been counted.
+    Refused { id: Bytes, refusal: Refusal, occasion: Occasion },
+    /// An invariant was violated. The violation has been counted.
     InvariantBroken(&'static str),
+    /// Log the statistics.
     Report(Stats),
+    /// End the process.
     Exit,
 }
 
-/// Counted since the start.
+/// Statistics, counted since the start unless said otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
+    /// Submissions accepted.
     pub taken: u64,
+    /// Submissions completed.
     pub satisfied: u64,
+    /// Accepted submissions dismissed.
     pub dismissed: u64,
+    /// Accepted submissions aborted.
     pub aborted: u64,
+    /// Clients that disconnected before their answer.
     pub left: u64,
-    /// Dismissed without being taken, since there was no leave to take them.
+    /// Submissions dismissed without being accepted, because the node had no lease.
     pub fenced: u64,
-    /// Answered from what was remembered of them, or dismissed since they could not be remembered.
+    /// Submissions answered from a stored outcome, or dismissed because their outcome could not be stored.
     pub remembered: u64,
-    /// Requests that were not taken, and connections closed to make room.
+    /// Requests rejected as invalid or for a duplicate id.
     pub turned_down: u64,
+    /// Client connections closed to make room.
     pub evicted: u64,
-    /// Turned away for being more than a start may take yet.
+    /// Submissions dismissed because a start may not accept them yet.
     pub held_back: u64,
+    /// Executions started.
     pub executions: u64,
+    /// Executions refused by the check before they begin.
     pub refused: Refusals,
+    /// Executions whose connection broke after the request was written.
     pub resets: u64,
-    /// Kept connections that were found closed when something was to be sent.
+    /// Idle connections found closed when something was sent over them.
     pub stale: u64,
+    /// Executions whose connection could not be opened, or broke before the request was written.
     pub connect_failed: u64,
-    /// Executors whose process or machine was lost, by what was seen of their connections.
+    /// Executors whose process or machine was lost, as observed from their connections.
     pub died: u64,
+    /// Executions that timed out.
     pub timed_out: u64,
+    /// Executions that were not sent for a reason other than the executor.
     pub not_sent: u64,
+    /// Probes sent.
     pub probes: u64,
+    /// Probes without an answer.
     pub probes_failed: u64,
+    /// Connections to executors opened.
     pub links_opened: u64,
+    /// Lists received.
     pub lists: u64,
+    /// List calls that failed, and watches that ended.
     pub list_failures: u64,
-    /// Times that something which must hold did not.
+    /// Violated invariants.
     pub broken: u64,
+    /// Client connections at present.
     pub clients: usize,
+    /// Connections to executors at present.
     pub links: usize,
-    /// Executors' indices in use or kept for those that left lately.
+    /// Indices of executors in use, including those of executors that have left and are remembered, and free ones.
     pub workers: usize,
+    /// Submissions accepted and not forgotten yet, at present.
     pub open: usize,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,9 @@
-//! The reducer: all that the node knows beside the decisions. It takes one input at a time, asks the
-//! dispatcher, and returns the effects that sockets and clocks are to carry out. It does no I/O itself.
+//! The reducer, which holds all state of a node except that of the dispatcher.
+//!
+//! It handles one input at a time, asks the dispatcher for decisions, and returns the effects that the node's sockets and
+//! clocks carry out. It does no I/O itself.
 
-/// What must hold: asserted in debug builds, counted in release builds.
+/// Checks an invariant: a violation panics in debug builds, and is counted and reported in release builds.
 macro_rules! ensure {
     ($core:expr, $holds:expr, $what:literal) => {
         if !$holds {
@@ -51,83 +53,106 @@
 
 const SECOND: Nanos = 1_000_000_000;
 const DAY: Nanos = 86_400 * SECOND;
-/// A client may take this long to take its answer, and to hand in a request: a newcomer from when it
-/// connected, silent or not, lest those that never ask take the worker_state of those that do.
+/// How long a client may take to read its response.
 const RESPONSE_READ_TIMEOUT: Nanos = 5 * SECOND;
+/// How long a client may take to send a request. For a newcomer the time runs from its connecting, whether it sends anything
+/// or not, so that clients that never send a request do not keep out those that do.
 const REQUEST_READ_TIMEOUT: Nanos = SECOND * 5 / 2;
-/// A client that asks for nothing for so long has been forgotten by whatever was between.
+/// How long a client's connection may be idle. After this time, network devices on the path have probably dropped their state
+/// of the connection.
 const CLIENT_IDLE_TIMEOUT: Nanos = 300 * SECOND;
-/// After SIGTERM new connections go on coming for up to 0.4 s, and clients go on using those that they have.
-/// What crosses the closing of an idle one is sent once more, so the node stays a little longer than that.
+/// How long a node that was told to stop serves its clients at least. New connections arrive for up to 0.4 s after SIGTERM,
+/// and clients go on using their connections.
 const STOP_GRACE: Nanos = SECOND * 9 / 20;
+/// How long a stopping node waits for a request on a connection that is new or being closed. A client whose request crosses
+/// the closing of its idle connection sends the request again, so the node stays a little longer.
 const CLOSE_GRACE: Nanos = SECOND / 4;
-/// The node is not killed sooner than the longest cut-off after this, and that counts as so long at most. An
-/// answer must be out some time before.
+/// A node that was told to stop is not killed before its longest deadline and this delay have passed.
 const KILL_DELAY: Nanos = SECOND * 7 / 10;
+/// A longer deadline than this does not put off the kill any further.
 const MAX_KILL_DEADLINE: Nanos = 3 * SECOND;
+/// All submissions must be answered this long before the node may be killed.
 const KILL_MARGIN: Nanos = SECOND / 5;
-/// For how long a connection stands idle at least, and by what part and what step a good one raises the time
-/// at which jobs may find it.
+/// How long a connection is kept idle at least.
 const MIN_IDLE_TIMEOUT: Nanos = SECOND / 4;
+/// Each idle connection that proves usable raises the longest idle time at which jobs may reuse one by one part in this many,
 const REUSE_GROWTH_DIVISOR: Nanos = 32;
+/// and by this step.
 const REUSE_GROWTH_STEP: Nanos = SECOND / 1000;
+/// How often the statistics are reported.
 const REPORT_INTERVAL: Nanos = 10 * SECOND;
-/// Where changes are pushed: how soon a watch that ended is opened again, at the earliest.
+/// The shortest delay before a watch that ended is opened again, where discovery pushes changes.
 const WATCH_RETRY_DELAY: Nanos = SECOND / 2;
-/// Where the list is asked for, what discovery has counts as told 6 s after it had it and could be reached. The next
-/// call begins at most `MAX_LIST_CALL_DELAY` after the last moment from which nothing can have been missed: the call that
-/// failed at once, the last state of a watch that fell silent, the start of a call that hung (3.25 s of it are gone
-/// then). That leaves 1.25 s for the answer.
+/// The longest delay of a list call after the last moment at which nothing can have been missed, where the list is asked for:
+/// the time of a call that failed at once, of the last line of a watch that fell silent, or of the start of a call that hung
+/// (of which 3.25 s have passed by then).
+///
+/// What discovery knows counts as told 6 s after discovery knew it and could be reached, so 1.25 s are left for the answer.
 const MAX_LIST_CALL_DELAY: Nanos = SECOND * 19 / 4;
+/// The shortest delay before the list is asked for again.
 const MIN_LIST_CALL_DELAY: Nanos = SECOND / 4;
-/// Discovery bears little more calls than the settings' time for asking spreads over all nodes, works on those that
-/// were given up too, and fails those that waited: the first calls after an end are spread by chance, and each node
-/// keeps its worker_state from then on. One that waited for so long and was turned away had too many others before it,
-/// and is spread anew, after a pause.
+/// A call that waited at least this long before discovery turned it away had too many other calls ahead of it.
+///
+/// Discovery can handle little more than the calls of all nodes spread evenly over the list refresh limit; it also works on
+/// calls that were abandoned, and fails those that waited. So the first calls after a failure are spread at random, and each
+/// node keeps its place in that order from then on. A call that waited for this long and was turned away gets a new random
+/// place after [`OVERLOADED_CALL_DELAY`].
 const LONG_CALL_WAIT: Nanos = SECOND / 2;
+/// The shortest delay before the list is asked for again after discovery was overloaded.
 const OVERLOADED_CALL_DELAY: Nanos = SECOND;
-/// A second answer may come some milliseconds after the first. One that names no submission, read as the next one's,
-/// could say of what runs that it never did.
+/// How long a connection is not reused after a response that names no submission. An executor may send a second response some
+/// milliseconds after the first; taken for the response to the next execution, it could say of a running job that it never
+/// ran.
 const DUPLICATE_RESPONSE_WINDOW: Nanos = SECOND / 20;
-/// A process that ends breaks all its connections within this.
+/// A process that ends breaks all its connections within this time.
 const PROCESS_LOSS_WINDOW: Nanos = SECOND / 50;
-/// So many that could not be made, and none in between that could, tell of its end.
+/// This many failed connection attempts in a row show that the executor's process has ended.
 const PROCESS_LOSS_CONNECT_FAILURES: u32 = 2;
-/// Bytes that a connection takes: of its stack, what is touched, and the first of its buffers.
+/// Bytes of memory for one connection: the part of its stack that is touched, and its initial buffers.
 const CONNECTION_BYTES: usize = 20 * 1024;
-/// A client may say that it waits this many times as long as the longest cut-off; more is remembered in vain.
+/// A client's timeout counts up to this many times the longest deadline; holding a submission for longer serves no purpose.
 const MAX_TIMEOUT_FACTOR: Nanos = 4;
-/// Names that a list may bring beyond those of the settings.
+/// The most names of zones, and of kinds, that are kept; lists may bring names that the settings do not have.
 const MAX_NAMES: usize = 1024;
-/// Executors that have left and are kept beside as many as are there: all of a large fleet, should a list leave them out.
+/// Executors that have left are remembered up to the number of those present plus this: a whole large fleet, in case a list
+/// leaves it out by mistake.
 const MAX_EXTRA_DEPARTED: usize = 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
+    /// A timer of the dispatcher, with its identifier.
     Dispatcher(u64),
+    /// The time limit of a connection to an executor.
     Connection(ConnectionId),
+    /// The time limit of a client's connection.
     Client(ClientId),
+    /// The deadline of a submission, with its serial number.
     Deadline(Submission, u64),
+    /// The list of executors is to be asked for.
     ListCall,
+    /// A stopping node closes the connections of its clients.
     CloseClients,
+    /// A stopping node exits as soon as it has no clients.
     ExitWhenEmpty,
-    /// All that was accepted must be answered now,
+    /// A stopping node answers all open submissions.
     AnswerDeadline,
-    /// and whatever is not over by then would be killed.
+    /// A stopping node exits, before it is killed.
     Exit,
+    /// Statistics are due.
     Report,
-    /// The start may go on by time alone.
+    /// A staged start may proceed because time has passed.
     StagedStart,
-    /// A connection's turn has come.
+    /// A staged start allows this connection to be opened.
     OpenConnection(ConnectionId),
-    /// Clients hold all the room.
+    /// Room for clients is to be checked, since the limit was reached.
     ClientRoom,
 }
 
-/// A time limit that is moved often and seldom reached: one timer stands for all its moves.
+/// A time limit that is moved often and seldom reached. Only one timer is set for it, which is set again when it fires early.
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     until: Nanos,
+    /// When the timer that is set fires.
     armed: Nanos,
 }
 
@@ -135,28 +160,32 @@
     const NONE: Self = Self { until: Nanos::MAX, armed: Nanos::MAX };
 }
 
+/// A connection of a client.
 #[derive(Debug)]
 struct ClientState {
     submission: Option<Submission>,
     phase: Phase,
+    /// When the phase began.
     since: Nanos,
-    /// When it connected, until it has handed in something that was accepted.
+    /// When the client connected; `None` once a submission of it was accepted or answered.
     newcomer_since: Option<Nanos>,
-    /// It was told to go, so that others have room.
+    /// The connection is being closed to make room for others.
     evicted: bool,
     limit: Limit,
 }
 
+/// A submission that was accepted and is not over yet.
 #[derive(Debug)]
 struct AcceptedSubmission {
-    /// Told apart from those that had this index before.
+    /// Tells the submission apart from those that had this index before.
     serial: u64,
+    /// The client that waits for the answer.
     client: Option<ClientId>,
-    /// It left before it was answered.
+    /// The client disconnected before it was answered.
     client_left: bool,
-    /// Of the terms that held when it was accepted; it keeps it to its end.
+    /// The version of the settings under which the submission was accepted; it holds to the end.
     settings_version: u64,
-    /// That it may have run is written down, where it has to be.
+    /// The record that the submission may have run is durable.
     persisted: bool,
     product: u8,
     deadline: Nanos,
@@ -164,14 +193,17 @@
     executions: Vec<Attempt>,
 }
 
+/// One execution of a submission.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     worker: Worker,
     started_at: Nanos,
     deadline: Nanos,
+    /// The connection that carries the execution, or will; `None` when the execution has ended.
     connection: Option<ConnectionId>,
 }
 
+/// What a connection carries, or is opened for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Exchange {
     Execution(Submission, Execution),
@@ -182,30 +214,32 @@
 enum ConnectionPhase {
     Opening,
     Busy,
-    /// The outcome is known, the last bytes are not in.
+    /// The outcome of the exchange is known, but the end of the response has not arrived.
     Finishing,
     Idle,
 }
 
+/// A connection to an executor.
 #[derive(Debug)]
 struct ConnectionState {
     worker: Worker,
-    /// Where it leads: the executor of this name may be elsewhere by now.
+    /// The address that it was opened to; the executor may have moved since.
     address: SocketAddr,
     phase: ConnectionPhase,
     exchange: Option<Exchange>,
-    /// Nothing more is wanted of it than what it carries.
+    /// The connection is not to be reused after its present exchange.
     close_after_exchange: bool,
-    /// Until then a second answer may come that nobody could tell from the next one's.
+    /// Until then a duplicate response may arrive that could be taken for the response to the next exchange.
     reusable_at: Nanos,
-    /// It was made.
     established: bool,
-    /// For how long it had stood idle before what it carries now: it may have been closed at the other end.
+    /// How long the connection had been idle before the present exchange; the executor may have closed it in that time.
     idle_before_exchange: Option<Nanos>,
+    /// When it was opened or became idle.
     since: Nanos,
     limit: Limit,
 }
 
+/// An executor, with the reducer's own observations of it.
 #[derive(Debug)]
 struct WorkerState {
     name: Arc<str>,
@@ -217,53 +251,58 @@
     weight: f32,
     start_time: start_times::StartTime,
     idle_connections: Vec<ConnectionId>,
-    /// Connections to it, and executions there of submissions that are still known: while there are any, its
-    /// index can mean no other.
+    /// The number of connections to it. While there are any, its index is not given to another executor.
     open_connections: usize,
+    /// The number of executions on it of submissions that are not forgotten yet. While there are any, its index is not given
+    /// to another executor.
     known_executions: usize,
-    /// It waits in `left`.
+    /// Its index is in [`Core::departed`].
     is_departed: bool,
     failure_signs: FailureSigns,
-    /// When something was seen of it last, whether it answered, and its report if it told one.
+    /// When it was last observed, whether it answered then, and the report that came with the answer.
     last_observation: Option<(Nanos, bool, Option<Report>)>,
 }
 
-/// What was seen of an executor's connections, as far as it tells whether its process was lost.
+/// Observations of an executor's connections that show whether its process was lost.
 #[derive(Clone, Copy, Debug, Default)]
 struct FailureSigns {
-    /// Those that are up.
+    /// The number of established connections.
     established: usize,
-    /// How many broke together, until when, and whether one of them carried something.
+    /// How many connections broke within [`PROCESS_LOSS_WINDOW`] of each other.
     recent_disconnects: usize,
+    /// When the last of them broke.
     last_disconnect: Nanos,
+    /// One of them broke in the middle of a response.
     exchange_interrupted: bool,
-    /// How many in a row could not be made.
+    /// How many connections in a row could not be opened.
     failed_connects: u32,
-    /// Nothing has answered since something went unanswered.
+    /// An exchange timed out, and none has been answered since.
     unanswered: bool,
 }
 
+/// The state of a node. See the [module documentation](self).
 pub struct Core {
     dispatcher: Box<dyn Decide + Send>,
     connect_timeout: Nanos,
     idle_timeout: Nanos,
-    /// How long a connection may have been idle and still get a job, as far as was seen.
+    /// The longest idle time after which a connection may still carry a job, learned from connections found closed.
     max_reuse_idle: Nanos,
+    /// Whether the list of executors must be asked for; otherwise discovery pushes changes.
     list_on_request: bool,
     may_probe: bool,
     may_duplicate: bool,
     products: Vec<Product>,
     max_client_timeout: Nanos,
-    /// The version of the terms, and until when anything may be accepted.
     settings_version: u64,
+    /// Submissions are accepted until this time only.
     lease_until: Nanos,
-    /// The longest come-back time that may be named.
+    /// The longest retry delay that clients may be given; `None` if they are given none.
     max_retry_after: Option<Nanos>,
     outcome_store: Option<outcomes::OutcomeStore>,
     staged_start: Option<staged_start::StagedStart>,
-    /// How long it may go on after it was told to stop.
+    /// How long the node may go on after it was told to stop.
     stop_duration: Nanos,
-    /// When all that is accepted from now on must be answered.
+    /// When a stopping node must have answered everything.
     answer_deadline: Nanos,
     max_clients: usize,
     client_room: eviction::ClientRoom,
@@ -274,13 +313,14 @@
     now: Nanos,
     workers: Vec<WorkerState>,
     workers_by_name: HashMap<Arc<str>, Worker>,
-    /// Those that are gone, the first first, and the indices that mean nobody.
+    /// Executors that are gone from the list, in the order in which they left.
     departed: VecDeque<Worker>,
+    /// Indices that belong to no executor.
     free_workers: Vec<Worker>,
-    /// How many are not gone.
+    /// The number of executors that are not gone.
     present_workers: usize,
     accepted: Vec<Option<AcceptedSubmission>>,
-    /// Those accepted, by their ids.
+    /// The request ids of accepted submissions.
     open_ids: HashSet<Bytes>,
     free_submissions: Vec<Submission>,
     clients: HashMap<ClientId, ClientState>,
@@ -292,38 +332,44 @@
     effects: Vec<Effect>,
     stats: Stats,
     list_state: ListState,
-    /// When clients are admitted whether or not discovery has answered.
+    /// When the node reports itself ready although discovery has not answered.
     first_list_due: Nanos,
     list_clocks: ListClocks,
     first_call_spread: Nanos,
-    /// When the list is asked for next, if that is settled, and how often in a row that failed.
+    /// When the list is asked for next, if the reducer has scheduled that itself.
     next_list_call: Option<Nanos>,
+    /// How many list calls in a row have failed.
     failed_list_calls: u32,
+    /// The node was told to stop.
     stopping: bool,
+    /// Client connections are closed as soon as they are idle.
     closing_clients: bool,
+    /// The node exits when its last client has disconnected.
     exit_when_empty: bool,
 }
 
-/// How long a connection may stand idle, how long a node told to stop may go on, and how long a client may say
-/// that it waits.
+/// Returns how long a connection may be idle, how long a node may go on after it was told to stop, and the longest timeout
+/// that a client may ask for.
 fn time_limits(idle: Nanos, longest_cut_off: Nanos) -> (Nanos, Nanos, Nanos) {
-    // The executor closes it after that, and what is written to it from then on is lost.
-    let idle = if idle > 0 { idle / 2 } else { SECOND };
-    // Where they name none, it may be any.
-    let longest = Some(longest_cut_off).filter(|l| *l > 0);
-    let last = longest.unwrap_or(MAX_KILL_DEADLINE).min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
-    (idle, last, longest.map_or(DAY, |l| l * MAX_TIMEOUT_FACTOR))
+    // The executor closes an idle connection after the time of the settings; what is written to it after that is lost.
+    let idle_timeout = if idle > 0 { idle / 2 } else { SECOND };
+    // Settings without a longest deadline allow any.
+    let longest = Some(longest_cut_off).filter(|longest| *longest > 0);
+    let stop_duration =
+        longest.unwrap_or(MAX_KILL_DEADLINE).min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+    (idle_timeout, stop_duration, longest.map_or(DAY, |longest| longest * MAX_TIMEOUT_FACTOR))
 }
 
 impl Core {
-    /// `sockets` is the limit on descriptors, `memory` that on bytes.
+    /// Creates the reducer of a node with the dispatcher that the settings configure. `sockets` is the limit on file
+    /// descriptors, `memory` the limit on memory in bytes.
     #[must_use]
     pub fn new(settings: Settings, sockets: usize, memory: usize) -> Self {
         let dispatcher = Box::new(Dispatcher::new(settings.orders.clone()));
         Self::with_dispatcher(dispatcher, settings, sockets, memory)
     }
 
-    /// With decisions of another's making: for comparison, and for tests.
+    /// Creates the reducer with another dispatcher, for comparisons and tests.
     #[must_use]
     pub fn with_dispatcher(
         dispatcher: Box<dyn Decide + Send>,
@@ -334,10 +380,10 @@
         let (orders, names) = (settings.orders, settings.names);
         let (idle_timeout, stop_duration, max_client_timeout) =
             time_limits(orders.idle, settings.longest_cut_off);
-        // The rest is for the listener, the watch, the signals, and what is just being closed.
-        let spare = sockets.saturating_sub(16);
-        // An eighth of the memory for what each client's connection takes, as much for executors'.
-        let most = memory / 8 / CONNECTION_BYTES;
+        // 16 are left for the listener, the watch of the list, the signals and sockets that are being closed.
+        let available = sockets.saturating_sub(16);
+        // One eighth of the memory is for the connections of clients, another for those to executors.
+        let max_by_memory = memory / 8 / CONNECTION_BYTES;
         let mut core = Self {
             connect_timeout: orders.connect_timeout,
             idle_timeout,
@@ -354,9 +400,9 @@
             outcome_store: None,
             staged_start: None,
             answer_deadline: Nanos::MAX,
-            max_clients: most.min(spare / 2),
+            max_clients: max_by_memory.min(available / 2),
             client_room: eviction::ClientRoom::default(),
-            max_connections: most.min(spare * 3 / 8),
+            max_connections: max_by_memory.min(available * 3 / 8),
             zones: names.zones,
             kinds: names.kinds,
             rng: fastrand::Rng::with_seed(orders.seed),
@@ -395,7 +441,8 @@
         core
     }
 
-    /// What is held, in flight and known stays; see the dispatcher's `go_on_under`.
+    /// Applies changed settings. Open submissions, executions in flight and everything learned stay; see
+    /// [`Decide::go_on_under`].
     fn apply_settings(&mut self, settings: Settings) {
         let orders = settings.orders;
         self.dispatcher.go_on_under(orders.clone());
@@ -408,7 +455,7 @@
         self.products = orders.products;
     }
 
-    /// Whether clients should come.
+    /// Whether the node is ready for submissions from clients.
     #[must_use]
     pub fn ready(&self, now: Nanos) -> bool {
         self.list_admits_clients(now)
@@ -417,36 +464,38 @@
             && self.stage().is_none_or(Stage::serves)
     }
 
-    /// Submissions accepted since the start.
+    /// The number of submissions accepted since the start.
     #[must_use]
     pub fn submissions_accepted(&self) -> u64 {
         self.stats.taken
     }
 
-    /// The version of the terms that hold.
+    /// The version of the settings in force.
     #[must_use]
     pub fn settings_version(&self) -> u64 {
         self.settings_version
     }
 
-    /// Whether no further client can be let in.
+    /// Whether the limit of client connections is reached.
     #[must_use]
     pub fn is_at_client_limit(&self) -> bool {
         self.clients.len() >= self.max_clients
     }
 
+    /// When [`Input::Tick`] is due next.
     #[must_use]
     pub fn next_due(&self) -> Nanos {
         self.timers.peek().map_or(Nanos::MAX, |Reverse((at, ..))| *at)
     }
 
+    /// The statistics as of now.
     #[must_use]
     pub fn stats(&self) -> Stats {
         let (clients, links, workers) = (self.clients.len(), self.connections.len(), self.workers.len());
         Stats { clients, links, workers, open: self.accepted.iter().flatten().count(), ..self.stats }
     }
 
-    /// Takes one input and adds to `effects` what is to be done, in order.
+    /// Handles one input and appends to `effects` what is to be done, in order.
     pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match input {
@@ -458,12 +507,12 @@
                 self.lease_until = until;
                 self.lease_received();
             }
-            Input::Persisted { ticket, durable: lasts } => self.persisted(ticket, lasts),
+            Input::Persisted { ticket, durable } => self.persisted(ticket, durable),
             Input::StoreRecovered => self.store_recovered(),
             Input::ListClocks(clocks) => self.list_clocks = clocks,
             Input::ListReceived { kind, endpoints } => self.list_received(kind, endpoints),
-            Input::ListFailed { silent_for: lost, overloaded: busy } => self.list_failed(lost, busy),
-            Input::PeerObservations { observations: items } => self.peer_observations(items),
+            Input::ListFailed { silent_for, overloaded } => self.list_failed(silent_for, overloaded),
+            Input::PeerObservations { observations } => self.peer_observations(observations),
             Input::ClientConnected { client } => self.client_connected(client),
             Input::ClientPhase { client, phase } => self.client_phase(client, phase),
             Input::ClientDisconnected { client } => self.client_disconnected(client),
@@ -471,14 +520,14 @@
                 self.stats.turned_down += 1;
                 self.client_phase(client, Phase::Answering);
             }
-            Input::Submitted { client, submission: intake } => self.submitted(client, intake),
+            Input::Submitted { client, submission } => self.submitted(client, submission),
             Input::ExecutorConnected { connection } => self.connection_established(connection),
             Input::ExecutorDisconnected { connection, disconnect } => {
                 self.connection_lost(connection, disconnect)
             }
             Input::Progressed { connection } => {
                 if let Some(Exchange::Execution(submission, execution)) =
-                    self.connections.get(&connection).and_then(|l| l.exchange)
+                    self.connections.get(&connection).and_then(|c| c.exchange)
                 {
                     self.pending_events.push_back(Event::Noted { submission, execution });
                 }
@@ -489,25 +538,26 @@
                 }
             }
             Input::Probed { connection, answered, report } => {
-                let worker = self.connections.get(&connection).map(|l| l.worker);
+                let worker = self.connections.get(&connection).map(|c| c.worker);
                 if let (Some(worker), Some(Exchange::Probe)) = (worker, self.finish_exchange(connection)) {
                     self.probe_ended(worker, answered, report);
                 }
             }
-            Input::ConnectionReusable { connection, identified: named } => {
+            Input::ConnectionReusable { connection, identified } => {
                 if let Some(state) =
-                    self.connections.get_mut(&connection).filter(|l| l.phase == ConnectionPhase::Finishing)
+                    self.connections.get_mut(&connection).filter(|c| c.phase == ConnectionPhase::Finishing)
                 {
-                    state.reusable_at = if named { 0 } else { self.now + DUPLICATE_RESPONSE_WINDOW };
+                    state.reusable_at = if identified { 0 } else { self.now + DUPLICATE_RESPONSE_WINDOW };
                     self.make_idle(connection);
                 }
             }
             Input::Tick => self.tick(),
             Input::Stop => {
                 if !std::mem::replace(&mut self.stopping, true) {
-                    // Its clients have nobody else until they are told to go, and where nodes restart in turn
-                    // the one before may not be back. It serves them for half of the time that it has; what it
-                    // takes from now on must be done in all of it, for a kill would lose it.
+                    // The clients have no other node until their connections are closed, and in a rolling restart the
+                    // previous node may not be back yet. So the node serves them for half of the time that it has.
+                    // Submissions accepted from now on must be answered within the whole of it, since a kill would lose
+                    // them.
                     self.answer_deadline = self.now + self.stop_duration;
                     self.set_timer(self.now + STOP_GRACE.max(self.stop_duration / 2), Timer::CloseClients);
                     self.set_timer(self.answer_deadline, Timer::AnswerDeadline);
@@ -523,29 +573,30 @@
         effects.append(&mut self.effects);
     }
 
-    /// Hands the dispatcher what has happened, until nothing more follows from it.
-    /// Where the worker with this index can be reached, if it means one.
+    /// The address of the executor with this index, if there is one.
     #[must_use]
     pub fn address(&self, worker: Worker) -> Option<SocketAddr> {
         let worker_state = self.workers.get(worker as usize)?;
         self.workers_by_name.contains_key(&worker_state.name).then_some(worker_state.address)
     }
 
+    /// Passes all pending events to the dispatcher, including those that its actions cause.
     pub(crate) fn process_events(&mut self) {
         while let Some(event) = self.pending_events.pop_front() {
             self.dispatch_event(event);
         }
     }
 
+    /// Passes one event to the dispatcher and carries out its actions.
     pub(crate) fn dispatch_event(&mut self, event: Event<'_>) {
-        let orders = self.dispatcher.decide(self.now, event).to_vec();
-        for order in orders {
-            self.carry_out(order);
+        let actions = self.dispatcher.decide(self.now, event).to_vec();
+        for action in actions {
+            self.carry_out(action);
         }
     }
 
-    pub(crate) fn carry_out(&mut self, order: Order) {
-        match order {
+    pub(crate) fn carry_out(&mut self, action: Order) {
+        match action {
             Order::Execute { submission, worker, timeout } => self.execute(submission, worker, timeout),
             Order::Cancel { submission, execution } => self.cancel(submission, execution),
             Order::Dismiss { submission, come_back } => {
@@ -553,7 +604,7 @@
             }
             Order::Abort { submission } => self.answer(submission, Answer::Aborted),
             Order::Probe { worker } => {
-                ensure!(self, self.may_probe, "a probe where none may be attempt");
+                ensure!(self, self.may_probe, "dispatcher sent a probe that the settings forbid");
                 if !self.may_probe {
                     return;
                 }
@@ -567,12 +618,14 @@
                 let idle =
                     self.workers.get_mut(worker as usize).map(|w| std::mem::take(&mut w.idle_connections));
                 idle.into_iter().flatten().for_each(|connection| self.close_connection(connection));
-                // The one whose end led to this is not idle yet: its last bytes are not in.
-                let here = self.connections.values_mut().filter(|l| l.worker == worker);
-                here.filter(|l| l.phase == ConnectionPhase::Finishing)
-                    .for_each(|l| l.close_after_exchange = true);
+                // The connection whose exchange led to this action is not idle yet, because the end of the response has not
+                // arrived.
+                let to_worker = self.connections.values_mut().filter(|c| c.worker == worker);
+                to_worker
+                    .filter(|c| c.phase == ConnectionPhase::Finishing)
+                    .for_each(|c| c.close_after_exchange = true);
             }
-            // The reducer times the next call itself where it knows how the last one ended.
+            // After a failed call the reducer schedules the next one itself.
             Order::Subscribe if self.next_list_call.is_some() => {}
             Order::Subscribe => self.effects.push(Effect::RequestList),
             Order::Forget { submission } => {
@@ -581,11 +634,11 @@
                     self.open_ids.remove(&accepted.request.id);
                     self.set_key_open(accepted.product, &accepted.request, false);
                 }
-                let over = accepted.as_ref().is_some_and(|t| {
-                    t.client.is_none() && t.executions.iter().all(|a| a.connection.is_none())
+                let is_over = accepted.as_ref().is_some_and(|accepted| {
+                    accepted.client.is_none() && accepted.executions.iter().all(|a| a.connection.is_none())
                 });
-                ensure!(self, over, "forgotten while something was owed or out");
-                for attempt in accepted.iter().flat_map(|t| &t.executions) {
+                ensure!(self, is_over, "submission forgotten before its answer or its last execution");
+                for attempt in accepted.iter().flat_map(|accepted| &accepted.executions) {
                     self.workers[attempt.worker as usize].known_executions -= 1;
                 }
                 self.free_submissions.push(submission);
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -1,31 +1,35 @@
-//! The list of executors: who they are, and the indices that stand for them.
+//! The list of executors from discovery, and the indices by which the dispatcher knows executors.
 
 use super::*;
 
 impl Core {
-    /// The next call is the reducer's to time, whatever the dispatcher asks for later: by its own rule a call that
-    /// failed would put off the next by as long as all changes may take to be known.
-    pub(crate) fn list_failed(&mut self, lost: Nanos, busy: bool) {
+    /// Handles a list call that failed or a watch that ended, and schedules the next call.
+    ///
+    /// The reducer schedules it itself, whatever the dispatcher asks for later: the dispatcher's rule would put off the next call
+    /// by the whole time within which changes must become known.
+    pub(crate) fn list_failed(&mut self, silent_for: Nanos, overloaded: bool) {
         self.failed_list_calls += 1;
-        let last = MAX_LIST_CALL_DELAY.saturating_sub(lost).max(2 * MIN_LIST_CALL_DELAY);
-        let wait = if !self.list_on_request {
+        let latest = MAX_LIST_CALL_DELAY.saturating_sub(silent_for).max(2 * MIN_LIST_CALL_DELAY);
+        let delay = if !self.list_on_request {
             WATCH_RETRY_DELAY + self.rng.u64(..WATCH_RETRY_DELAY)
-        } else if busy && lost >= LONG_CALL_WAIT {
+        } else if overloaded && silent_for >= LONG_CALL_WAIT {
             OVERLOADED_CALL_DELAY + self.rng.u64(..MAX_LIST_CALL_DELAY)
         } else if self.failed_list_calls == 1 {
-            self.rng.u64(MIN_LIST_CALL_DELAY..last)
+            self.rng.u64(MIN_LIST_CALL_DELAY..latest)
         } else {
-            last
+            latest
         };
-        self.schedule_list_call(self.now + wait);
+        self.schedule_list_call(self.now + delay);
         self.list_received(ListKind::Failed, Vec::new());
     }
 
+    /// Schedules the next list call, in place of any that is scheduled.
     pub(crate) fn schedule_list_call(&mut self, at: Nanos) {
         self.next_list_call = Some(at);
         self.set_timer(at, Timer::ListCall);
     }
 
+    /// Applies a list, or the changes to it, and passes it to the dispatcher.
     pub(crate) fn list_received(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) {
         if kind == ListKind::Failed {
             self.stats.list_failures += 1;
@@ -42,7 +46,7 @@
         if matches!(kind, ListKind::Whole | ListKind::Cached) {
             self.workers.iter_mut().for_each(|w| w.health = Health::Gone);
         }
-        let mut listings = Vec::with_capacity(endpoints.len());
+        let mut entries = Vec::with_capacity(endpoints.len());
         for e in endpoints {
             let worker = self.worker_index(&e);
             let now = self.now;
@@ -60,9 +64,9 @@
             (worker_state.kind, worker_state.zone, worker_state.cell, worker_state.weight) =
                 (kind, zone, e.cell, e.weight);
             let (health, cell, weight) = (e.health, e.cell, e.weight);
-            listings.push(Listing { worker, health, kind, zone, cell, started, weight });
+            entries.push(Listing { worker, health, kind, zone, cell, started, weight });
         }
-        // What a whole list lacks has left, and so do the connections kept for it.
+        // An executor that a whole list lacks has left. The idle connections of all that have left are closed.
         self.present_workers = 0;
         for worker in 0..self.workers.len() {
             let worker_state = &mut self.workers[worker];
@@ -76,27 +80,25 @@
             }
             idle.into_iter().for_each(|connection| self.close_connection(connection));
         }
-        self.dispatch_event(Event::Listed { kind, entries: &listings });
+        self.dispatch_event(Event::Listed { kind, entries: &entries });
         self.process_events();
         self.retire_workers();
     }
 
-    /// All that are not gone, as they were told last.
+    /// All executors that are not gone, with their latest entries in the list.
     #[must_use]
     pub fn endpoints(&self) -> Vec<Endpoint> {
-        let there = self
+        let present = self
             .workers
             .iter()
             .filter(|w| w.health != Health::Gone && self.workers_by_name.contains_key(&w.name));
-        let word = |names: &[String], worker_state: u16| {
-            names.get(usize::from(worker_state)).cloned().unwrap_or_default()
-        };
-        there
+        let name = |names: &[String], index: u16| names.get(usize::from(index)).cloned().unwrap_or_default();
+        present
             .map(|w| Endpoint {
                 name: w.name.to_string(),
                 address: w.address,
-                zone: word(&self.zones, w.zone),
-                kind: word(&self.kinds, w.kind),
+                zone: name(&self.zones, w.zone),
+                kind: name(&self.kinds, w.kind),
                 cell: w.cell,
                 health: w.health,
                 started: w.start_time.at(),
@@ -105,7 +107,7 @@
             .collect()
     }
 
-    /// The index of an executor: its own, or one that means nobody.
+    /// The index of an executor: the one that it has, or a free one.
     fn worker_index(&mut self, e: &Endpoint) -> Worker {
         if let Some(worker) = self.workers_by_name.get(e.name.as_str()) {
             return *worker;
@@ -138,17 +140,19 @@
         worker
     }
 
-    /// Forgets those that left first, where more have left than are there. What is known of one that comes
-    /// back soon is worth keeping; of all that ever were it would fill the memory. An index that something of
-    /// the old one is still out under is never given to another: its end would be booked to the wrong one.
+    /// Forgets the executors that left first, if many more have left than are present.
+    ///
+    /// What is known of an executor is worth keeping in case it comes back soon, but remembering all that ever existed would
+    /// fill the memory. An index with open connections or executions is not given to another executor, since their ends would
+    /// be attributed to the wrong one.
     fn retire_workers(&mut self) {
         for _ in 0..self.departed.len() {
             let Some(worker) = self.departed.pop_front() else { break };
-            let crowded = self.departed.len() >= self.present_workers + MAX_EXTRA_DEPARTED;
+            let too_many = self.departed.len() >= self.present_workers + MAX_EXTRA_DEPARTED;
             let worker_state = &mut self.workers[worker as usize];
             if worker_state.health != Health::Gone {
                 worker_state.is_departed = false;
-            } else if crowded && worker_state.open_connections == 0 && worker_state.known_executions == 0 {
+            } else if too_many && worker_state.open_connections == 0 && worker_state.known_executions == 0 {
                 worker_state.is_departed = false;
                 let name = Arc::clone(&worker_state.name);
                 self.workers_by_name.remove(&name);
@@ -161,7 +165,7 @@
     }
 }
 
-/// The worker_state of a name among those known; a new one is added while there is room.
+/// The index of a name among those known; a new name is added while there is room for it.
 fn name_index(names: &mut Vec<String>, name: &str) -> u16 {
     let known = names.iter().position(|n| n == name).or_else(|| {
         (names.len() < MAX_NAMES).then(|| {
@@ -169,6 +173,7 @@
             names.len() - 1
         })
     });
-    // One too many is like no other: accepted for a known one, it would be open to products that are not for it.
-    known.and_then(|worker_state| u16::try_from(worker_state).ok()).unwrap_or(u16::MAX)
+    // A name beyond the limit gets an index that no other has. With the index of a known name, the executor would be open to
+    // products that may not run there.
+    known.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX)
 }
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -1,11 +1,11 @@
-//! What this node tells one that starts, and what it takes from others when it starts itself.
+//! Observations of executors that nodes exchange: a running node reports them to one that starts.
 
 use linestack_peers::{Figures, Heard, Item, Own};
 
 use super::*;
 
 impl Core {
-    /// What was seen here of each executor that is ready, and how long ago.
+    /// The latest observation of each ready executor, with its age.
     #[must_use]
     pub fn peer_snapshot(&self, now: Nanos) -> Vec<Item> {
         let ready = self.workers.iter().filter(|w| w.health == Health::Ready);
@@ -23,7 +23,7 @@
         items.collect()
     }
 
-    /// What is known here of an executor with this name, and how many are ready.
+    /// What this node knows about the executor with this name.
     #[must_use]
     pub fn local_knowledge(&self, name: &str) -> Own {
         let worker_state = self.workers_by_name.get(name).and_then(|w| self.workers.get(*w as usize));
@@ -33,12 +33,15 @@
         })
     }
 
+    /// The number of ready executors.
     #[must_use]
     pub fn ready_workers(&self) -> usize {
         self.workers.iter().filter(|w| w.health == Health::Ready).count()
     }
 
-    /// Each enters as a probe's answer would; that another was answered proves nothing of whether this one would be.
+    /// Passes the observations of a peer to the dispatcher, each like the result of a probe.
+    ///
+    /// That the peer got an answer is not passed on: it does not prove that this node would get one.
     pub(crate) fn peer_observations(&mut self, items: Vec<Heard>) {
         for Heard { name, silent, figures } in items {
             let Some(worker) = self.workers_by_name.get(name.as_str()).copied() else { continue };
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -1,36 +1,37 @@
-//! The one worker_state that decides whether an execution may begin now.
+//! The check whether an execution may begin now, in one place.
 //!
-//! It is asked when an execution is ordered, when a connection for it has come up, when it has been made durable, when it is
-//! to go over another connection, and at its first byte: in between, its client may have left, its time may have run out or
-//! a drain may have been told, however short the wait was meant to be.
+//! The check is made when the dispatcher starts an execution, when a connection for it is established, when its record is
+//! durable, when it moves to another connection, and before its first byte is written. Between any two of these, the client
+//! may have disconnected, the deadline may have passed or the list may have announced a drain, however short the wait was
+//! meant to be.
 
 use super::*;
 
 /// Why an execution may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It was called off, or its submission is no longer known.
+    /// It was cancelled, or its submission is no longer known.
     Withdrawn,
-    /// Its submission has its final answer.
+    /// Its submission has been answered.
     Answered,
-    /// Its client has left.
+    /// Its client has disconnected.
     ClientLeft,
-    /// No answer could come in time.
+    /// Its deadline has passed.
     DeadlinePassed,
-    /// The list says that its executor drains.
+    /// Its executor is draining, according to the list.
     ExecutorDraining,
-    /// The list says that its executor has left.
+    /// Its executor has left, according to the list.
     ExecutorLeft,
-    /// The list says that its executor is at another address now.
+    /// Its executor has another address now, according to the list.
     ExecutorMoved,
-    /// Its product may not go to that zone or kind.
+    /// Its product may not run in that zone or on that kind of executor.
     NotOpen,
-    /// Another execution of its submission is out, and two may not be.
+    /// Another execution of its submission is in flight, and the settings forbid copies.
     SecondCopy,
 }
 
 impl Refusal {
-    /// As logs and metrics name it.
+    /// The name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -47,23 +48,23 @@
     }
 }
 
-/// On which occasion it was asked.
+/// When the check is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Occasion {
-    /// An execution is ordered.
+    /// The dispatcher starts an execution.
     Order,
-    /// A connection is there to carry it.
+    /// A connection is available for it.
     Connected,
-    /// That it may run has been made durable.
+    /// The record that it may have run is durable.
     Durable,
-    /// The connection that it was for was found closed.
+    /// The connection that it was assigned to was found closed.
     Reconnect,
     /// Its first byte is about to be written.
     FirstByte,
 }
 
 impl Occasion {
-    /// As logs name it.
+    /// The name in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -76,18 +77,18 @@
     }
 }
 
-/// Executions that were refused, by reason, since the start.
+/// The numbers of refused executions since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Refusals {
-    /// The submission was over, or the execution called off.
+    /// The submission was answered, or the execution cancelled.
     pub over: u64,
-    /// The client had left.
+    /// The client had disconnected.
     pub client_left: u64,
     /// The deadline had passed.
     pub deadline_passed: u64,
-    /// The executor drained, had left or was elsewhere.
+    /// The executor was draining, had left or had moved.
     pub executor_leaving: u64,
-    /// By the rules on places and copies; the decisions should never lead there.
+    /// The settings forbid the place or the copy; a correct dispatcher never starts such an execution.
     pub forbidden: u64,
 }
 
@@ -107,7 +108,8 @@
 }
 
 impl Core {
-    /// How long an execution may take if it begins now at an address that was its executor's, or why it may not.
+    /// Returns how long an execution may take if it begins now, or why it may not begin. `address` is where its connection
+    /// leads.
     pub(crate) fn may_begin(
         &self,
         worker: Worker,
@@ -121,8 +123,8 @@
         if accepted.client.is_none() {
             return Err(if accepted.client_left { Refusal::ClientLeft } else { Refusal::Answered });
         }
-        let left = attempt.deadline.saturating_sub(self.now);
-        if left == 0 {
+        let remaining = attempt.deadline.saturating_sub(self.now);
+        if remaining == 0 {
             return Err(Refusal::DeadlinePassed);
         }
         let worker_state = &self.workers[worker as usize];
@@ -134,18 +136,18 @@
         if worker_state.address != address {
             return Err(Refusal::ExecutorMoved);
         }
-        let at = Listing { kind: worker_state.kind, zone: worker_state.zone, ..Listing::default() };
-        if !self.products.get(usize::from(accepted.product)).is_none_or(|p| p.open_to(&at)) {
+        let entry = Listing { kind: worker_state.kind, zone: worker_state.zone, ..Listing::default() };
+        if !self.products.get(usize::from(accepted.product)).is_none_or(|product| product.open_to(&entry)) {
             return Err(Refusal::NotOpen);
         }
         let others = accepted.executions.iter().enumerate().filter(|(i, _)| *i != usize::from(execution));
         if !self.may_duplicate && others.clone().any(|(_, other)| other.connection.is_some()) {
             return Err(Refusal::SecondCopy);
         }
-        Ok(left)
+        Ok(remaining)
     }
 
-    /// As [`Core::may_begin`], and a refusal is counted and told.
+    /// As [`Core::may_begin`], but also counts and reports a refusal. Probes are always permitted.
     pub(crate) fn permit(
         &mut self,
         occasion: Occasion,
@@ -158,18 +160,18 @@
         if let Err(refusal) = permission {
             self.stats.refused.count(refusal);
             let accepted = self.accepted.get(submission as usize).and_then(Option::as_ref);
-            let id = accepted.map(|t| t.request.id.clone()).unwrap_or_default();
+            let id = accepted.map(|a| a.request.id.clone()).unwrap_or_default();
             self.effects.push(Effect::Refused { id, refusal, occasion });
         }
         permission
     }
 
-    /// The first byte of what a connection carries is about to be written: how long its executor may be told to take.
-    /// Where it may not begin any more, the connection is at rest, and what follows from that is among the effects.
+    /// Returns how long the executor may be told to take, when the first byte of a request is about to be written. If the
+    /// execution may not begin any more, the connection becomes idle, and what follows from that is appended to `effects`.
     ///
     /// # Errors
     ///
-    /// Why nothing may be written.
+    /// The reason why nothing may be written.
     pub fn begin_send(
         &mut self,
         now: Nanos,
@@ -178,8 +180,8 @@
     ) -> Result<Nanos, Refusal> {
         self.now = self.now.max(now);
         let state = self.connections.get(&connection);
-        let carried = state.and_then(|state| Some((state.worker, state.address, state.exchange?)));
-        let Some((worker, address, exchange)) = carried else { return Err(Refusal::Withdrawn) };
+        let assigned = state.and_then(|state| Some((state.worker, state.address, state.exchange?)));
+        let Some((worker, address, exchange)) = assigned else { return Err(Refusal::Withdrawn) };
         let permission = self.permit(Occasion::FirstByte, worker, address, exchange);
         if permission.is_err() {
             if let Some(state) = self.connections.get_mut(&connection) {
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -1,41 +1,44 @@
-//! A start in stages, where an operator asks for one: what may be accepted, and when connections are made and lists
-//! asked for. Without it a node takes what comes as soon as it has a list.
+//! The staged start of a node, which operators may ask for. It limits how many submissions are accepted, and schedules
+//! connections and list calls. Without it a node accepts submissions as soon as it has a list.
 
 use linestack_recovery::start::{Stage, Start};
 
 use super::*;
 
+/// The state of a staged start.
 pub(crate) struct StagedStart {
     start: Start,
-    /// A list of an age that is not known, for when discovery stays silent.
-    old: Vec<Endpoint>,
+    /// A list of unknown age, which is used if discovery does not answer.
+    old_list: Vec<Endpoint>,
+    /// When the timer that was set last fires.
     armed: Nanos,
 }
 
 impl Core {
-    /// From now on the start goes by stages; `old` is a list of an age that is not known. To be called before anything
-    /// else.
-    pub fn start_in_stages(&mut self, now: Nanos, start: Start, old: Vec<Endpoint>) {
+    /// Makes the node start in stages; `old_list` is a list of unknown age. Must be called before anything else.
+    pub fn start_in_stages(&mut self, now: Nanos, start: Start, old_list: Vec<Endpoint>) {
         self.now = self.now.max(now);
         self.effects.push(Effect::Stage(start.stage()));
-        self.staged_start = Some(StagedStart { start, old, armed: 0 });
+        self.staged_start = Some(StagedStart { start, old_list, armed: 0 });
     }
 
-    /// How far the start has come; none where it does not go by stages.
+    /// The stage that the start has reached; `None` if the node does not start in stages.
     #[must_use]
     pub fn stage(&self) -> Option<Stage> {
         self.staged_start.as_ref().map(|s| s.start.stage())
     }
 
+    /// Informs the staged start of a lease.
     pub(crate) fn lease_received(&mut self) {
-        let (now, leave) = (self.now, self.lease_until);
-        if let Some(s) = self.staged_start.as_mut().filter(|_| now < leave) {
+        let (now, lease_until) = (self.now, self.lease_until);
+        if let Some(s) = self.staged_start.as_mut().filter(|_| now < lease_until) {
             s.start.proved();
         }
     }
 
+    /// Moves the start to the stages that it has reached, and uses the old list where the start allows it.
     pub(crate) fn advance_start(&mut self) {
-        let Some(StagedStart { start, old, armed }) = &mut self.staged_start else { return };
+        let Some(StagedStart { start, old_list, armed }) = &mut self.staged_start else { return };
         while let Some(stage) = start.step(self.now) {
             self.effects.push(Effect::Stage(stage));
         }
@@ -44,24 +47,27 @@
         if rearm {
             *armed = due.max(self.now + 1);
         }
-        let (at, by_old) = (*armed, if start.by_old() { std::mem::take(old) } else { Vec::new() });
+        let fires_at = *armed;
+        let old_list = if start.by_old() { std::mem::take(old_list) } else { Vec::new() };
         if rearm {
-            self.set_timer(at, Timer::StagedStart);
+            self.set_timer(fires_at, Timer::StagedStart);
         }
-        if !by_old.is_empty() {
-            // When they started nobody knows: they bear what one does that has just started.
+        if !old_list.is_empty() {
+            // When these executors started is unknown, so they are treated as if they had just started.
             let now = self.now;
-            let endpoints = by_old.into_iter().map(|e| Endpoint { started: now, ..e }).collect();
+            let endpoints = old_list.into_iter().map(|e| Endpoint { started: now, ..e }).collect();
             self.list_received(ListKind::Cached, endpoints);
         }
     }
 
+    /// Informs the staged start of a list with this many ready executors.
     pub(crate) fn start_list_received(&mut self, kind: ListKind, ready: usize) {
         if let Some(s) = &mut self.staged_start {
             s.start.listed(kind != ListKind::Cached, ready);
         }
     }
 
+    /// Informs the staged start of the outcome of an execution.
     pub(crate) fn start_execution_ended(&mut self, worker: Worker, outcome: Outcome) {
         let Some(StagedStart { start, .. }) = &mut self.staged_start else { return };
         match outcome {
@@ -71,8 +77,8 @@
         }
     }
 
-    /// The come-back time for one more, where there are too many for a start. They are spread, lest the repeats come
-    /// as one wave.
+    /// Returns the retry delay for a submission that is refused because a staged start accepts no more yet, and `None` if it
+    /// is not refused. The delays are random, so that the retries don't arrive as one wave.
     pub(crate) fn refused_by_start(&mut self) -> Option<Option<Nanos>> {
         let s = self.staged_start.as_mut()?;
         if s.start.admits(self.now, self.open_ids.len()) {
@@ -82,24 +88,25 @@
         Some(self.random_retry_after())
     }
 
-    /// From an eighth to five eighths of the longest come-back time that may be named.
+    /// A random delay from one eighth to five eighths of the longest retry delay.
     pub(crate) fn random_retry_after(&mut self) -> Option<Nanos> {
-        self.max_retry_after.map(|most| most / 8 + self.rng.u64(..=most / 2))
+        self.max_retry_after.map(|longest| longest / 8 + self.rng.u64(..=longest / 2))
     }
 
-    /// When the next connection may be made.
+    /// When the next connection may be opened.
     pub(crate) fn next_connect_time(&mut self) -> Nanos {
         self.staged_start.as_mut().map_or(self.now, |s| s.start.connect_at(self.now))
     }
 
+    /// Opens a connection that had to wait, unless it has been removed.
     pub(crate) fn connect_time_reached(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.get(&connection) else { return };
-        let (address, limit) = (state.address, state.limit.until);
-        let limit = limit.saturating_sub(self.now);
-        self.effects.push(Effect::OpenConnection { connection, address, timeout: limit });
+        let (address, deadline) = (state.address, state.limit.until);
+        let timeout = deadline.saturating_sub(self.now);
+        self.effects.push(Effect::OpenConnection { connection, address, timeout });
     }
 
-    /// When the list may be asked for, where that is later.
+    /// When the list may be asked for, if a staged start puts the call off.
     pub(crate) fn postponed_list_call(&mut self) -> Option<Nanos> {
         let at = self.staged_start.as_mut()?.start.list_at(self.now);
         (at > self.now).then_some(at)
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -1,54 +1,57 @@
-//! When an executor started, from what a wall clock told of it.
+//! The start times of executors, from lists whose times come from wall clocks.
 //!
-//! The list tells starts in Unix time, by a clock that may be stepped at any moment; the node's own clock goes on evenly from
-//! the wall clock's time at its start. Of the times that a told start may mean, the latest one that is not in the future
-//! counts: an executor accepted for younger than it is gets a little less for a while, and one accepted for older is pushed over.
+//! A list gives start times in Unix time, by a clock that may be stepped at any moment. The node's own clock runs on evenly from
+//! the wall clock's time at the node's start. Of the times that a listed start may mean, the latest that is not in the future
+//! counts: an executor that seems younger than it is gets a little less work for a while, but one that seems older than it is
+//! gets overloaded.
 
 use super::*;
 
-/// What is called a start later than now by less than this is one that has just been: clocks are never quite alike.
+/// A start up to this far in the future counts as one that has just happened, since clocks always differ a little.
 const MAX_CLOCK_SKEW: Nanos = 60 * SECOND;
-/// Discovery may tell of a start as long after it: what it has to tell counts as told 6 s later at the latest, and its last
-/// word before that is up to 3 s old. One that it tells of later still was told by another clock.
+/// How long after a start discovery may first report it: what discovery knows counts as told 6 s later at the latest, and its
+/// last message before that is up to 3 s old. A start that is reported later still was read from another clock.
 const MAX_REPORT_DELAY: Nanos = 10 * SECOND;
 
-/// What is known of the clocks that a list's times were read from.
+/// What is known about the clocks from which the times of a list were read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListClocks {
-    /// Discovery was heard at this time, and told of no start that it tells of now; 0 if that is not known.
+    /// At this time discovery was in contact and reported none of the starts that it reports now; 0 if that is unknown.
     pub known_until: Nanos,
-    /// By how much this machine's wall clock has moved against the node's own since the node began, in nanoseconds.
+    /// How far this machine's wall clock has moved against the node's own clock since the node started, in nanoseconds.
     pub wall_clock_shift: i64,
 }
 
-/// A start as it was told, and what that is accepted for.
+/// The start time of an executor, as listed and as interpreted.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StartTime {
-    told: Nanos,
+    listed: Nanos,
     interpreted: Nanos,
 }
 
 impl StartTime {
-    /// Takes in what a list tells; the same told again is the same start, whatever the clocks have done since.
-    pub(crate) fn update(&mut self, told: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
-        if self.told != told {
-            *self = Self { told, interpreted: interpret(told, now, clocks) };
+    /// Interprets a listed start time. A listed time that has not changed means the same start, whatever the clocks have done
+    /// since.
+    pub(crate) fn update(&mut self, listed: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
+        if self.listed != listed {
+            *self = Self { listed, interpreted: interpret(listed, now, clocks) };
         }
         self.interpreted
     }
 
-    /// On the node's clock, 0 for long ago.
+    /// The start on the node's clock, 0 for long ago.
     pub(crate) fn at(self) -> Nanos {
         self.interpreted
     }
 }
 
-fn interpret(told: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
-    if told == 0 {
+/// Converts a listed start time to the node's clock.
+fn interpret(listed: Nanos, now: Nanos, clocks: ListClocks) -> Nanos {
+    if listed == 0 {
         return 0;
     }
-    let by_present_wall_clock = told.saturating_add_signed(clocks.wall_clock_shift.saturating_neg());
-    let possible = [told, by_present_wall_clock].into_iter().filter(|start| *start <= now + MAX_CLOCK_SKEW);
+    let by_present_wall_clock = listed.saturating_add_signed(clocks.wall_clock_shift.saturating_neg());
+    let possible = [listed, by_present_wall_clock].into_iter().filter(|start| *start <= now + MAX_CLOCK_SKEW);
     let start = possible.max().unwrap_or(now).min(now);
     if start + MAX_REPORT_DELAY < clocks.known_until { clocks.known_until } else { start }
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,13 +1,15 @@
-//! Time limits.
+//! Timers and time limits.
 
 use super::*;
 
 impl Core {
+    /// Sets a timer. Timers of the same time fire in the order in which they were set.
     pub(crate) fn set_timer(&mut self, at: Nanos, timer: Timer) {
         self.next_timer += 1;
         self.timers.push(Reverse((at, self.next_timer, timer)));
     }
 
+    /// Moves the time limit of a connection to an executor.
     pub(crate) fn limit_connection(&mut self, connection: ConnectionId, until: Nanos) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.limit.until = until;
@@ -17,6 +19,7 @@
         }
     }
 
+    /// Moves the time limit of a client connection.
     pub(crate) fn limit_client(&mut self, client: ClientId, until: Nanos) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         state.limit.until = until;
@@ -26,6 +29,7 @@
         }
     }
 
+    /// Fires all timers that are due.
     pub(crate) fn tick(&mut self) {
         while let Some(Reverse((at, _, timer))) = self.timers.peek().copied() {
             if at > self.now {
@@ -37,11 +41,12 @@
         }
     }
 
+    /// Does what is due at a timer that was set for `at`.
     pub(crate) fn timer_fired(&mut self, at: Nanos, timer: Timer) {
         match timer {
             Timer::Dispatcher(token) => self.pending_events.push_back(Event::Rang { token }),
             Timer::Connection(connection) => {
-                let Some(state) = self.connections.get_mut(&connection).filter(|l| l.limit.armed == at)
+                let Some(state) = self.connections.get_mut(&connection).filter(|c| c.limit.armed == at)
                 else {
                     return;
                 };
@@ -54,7 +59,7 @@
                 }
             }
             Timer::Client(client) => {
-                let Some(state) = self.clients.get_mut(&client).filter(|g| g.limit.armed == at) else {
+                let Some(state) = self.clients.get_mut(&client).filter(|c| c.limit.armed == at) else {
                     return;
                 };
                 state.limit.armed = Nanos::MAX;
@@ -71,14 +76,14 @@
             Timer::Deadline(submission, serial) => {
                 let accepted = self.accepted.get(submission as usize).and_then(Option::as_ref);
                 if accepted
-                    .is_some_and(|t| t.serial == serial && t.client.is_some() && t.deadline <= self.now)
+                    .is_some_and(|a| a.serial == serial && a.client.is_some() && a.deadline <= self.now)
                 {
-                    ensure!(self, false, "a submission unanswered at its cut-off");
+                    ensure!(self, false, "submission unanswered at its deadline");
                     self.answer(submission, Answer::Aborted);
                     self.pending_events.push_back(Event::Left { submission });
                 }
             }
-            // Another time may have been settled since.
+            // The call may have been rescheduled since the timer was set.
             Timer::ListCall if self.next_list_call != Some(at) => {}
             Timer::ListCall => match self.postponed_list_call() {
                 Some(later) => self.schedule_list_call(later),
@@ -87,15 +92,15 @@
                     self.effects.push(Effect::RequestList);
                 }
             },
-            // The reducer looks where the start is after each input.
+            // The start is advanced after each input, so nothing is left to do here.
             Timer::StagedStart => {}
             Timer::OpenConnection(connection) => self.connect_time_reached(connection),
             Timer::ClientRoom => self.make_room_when_full(),
             Timer::ExitWhenEmpty => self.exit_when_empty = true,
             Timer::AnswerDeadline => {
-                // AcceptedSubmission before the stop, with a cut-off that lies after the kill: unanswered, they would be lost
-                // with the process.
-                let open = (0..).zip(&self.accepted).filter_map(|(i, t)| Some((i, t.as_ref()?.client?)));
+                // These submissions were accepted before the stop, with deadlines after the kill. If they were not answered now,
+                // they would be lost with the process.
+                let open = (0..).zip(&self.accepted).filter_map(|(i, a)| Some((i, a.as_ref()?.client?)));
                 for (submission, _) in open.collect::<Vec<(Submission, ClientId)>>() {
                     self.answer(submission, Answer::Aborted);
                     self.pending_events.push_back(Event::Left { submission });
@@ -105,11 +110,11 @@
             Timer::CloseClients => {
                 self.closing_clients = true;
                 self.set_timer(self.now + CLOSE_GRACE, Timer::ExitWhenEmpty);
-                let resting = self.clients.iter().filter(|(_, g)| g.submission.is_none());
-                let resting = resting.filter(|(_, g)| matches!(g.phase, Phase::Idle | Phase::Closing));
-                let mut resting: Vec<ClientId> = resting.map(|(c, _)| *c).collect();
-                resting.sort_unstable();
-                resting.into_iter().for_each(|client| self.close_when_idle(client));
+                let idle = self.clients.iter().filter(|(_, c)| c.submission.is_none());
+                let idle = idle.filter(|(_, c)| matches!(c.phase, Phase::Idle | Phase::Closing));
+                let mut idle: Vec<ClientId> = idle.map(|(client, _)| *client).collect();
+                idle.sort_unstable();
+                idle.into_iter().for_each(|client| self.close_when_idle(client));
             }
             Timer::Report => {
                 self.expire_outcomes();
@@ -119,7 +124,7 @@
         }
     }
 
-    /// A connection has used up its time.
+    /// Closes a connection that has reached its time limit, and ends its exchange.
     pub(crate) fn connection_timed_out(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.get(&connection) else { return };
         let (worker, phase, exchange) = (state.worker, state.phase, state.exchange);
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -849,7 +849,7 @@
     node.list(ListKind::Whole, vec![place]);
     let noticed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
         node.submit(PAY, 5_000 * MS);
-        node.effects.iter().any(|e| matches!(e, Effect::InvariantBroken(what) if what.contains("may not go")))
+        node.effects.iter().any(|e| matches!(e, Effect::InvariantBroken(what) if what.contains("started an execution that may not begin")))
     }));
     // A debug build ends there, a release build counts it.
     assert_eq!(noticed.unwrap_or(true), !open);
@@ -1188,8 +1188,8 @@
 }
 
 #[rstest]
-#[case::copies("mayDuplicate", "a second execution")]
-#[case::probes("mayProbe", "a probe where none")]
+#[case::copies("mayDuplicate", "started an execution that may not begin")]
+#[case::probes("mayProbe", "sent a probe that the settings forbid")]
 fn what_the_settings_forbid_is_noticed(
     #[case] key: &str,
     #[case] fault: &str,
