--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! The settings that the tests share.
 
-/// Three products, two tenants, a list that must be asked for.
+/// Settings with three products, two tenants and a list that must be asked for.
 pub const SETTINGS: &str = r#"{
  "az": 0, "balancers": 2, "discovery": "on_request", "excessPayoff": 0.2,
  "familyInfo": {"classStretch": [1, 1, 1], "progressMs": 1000.0, "reportX0": "free slots"},
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! A fleet of 350 processes and 1,100 executors, as one process's reducer sees it.
+//! Tests of one process's reducer in a fleet of 350 processes and 1,100 executors.
 
 mod common;
 
@@ -14,12 +14,12 @@
 const LOOK: u8 = 2;
 const PROCESSES: &str = "\"balancers\": 350";
 const EXECUTORS: u32 = 1_100;
-/// Executors that have left and are remembered, at the least.
-const REMEMBERED: u32 = 1_024;
-/// Room for as many connections to executors as there are executors: three eighths of the descriptors, and an eighth of
-/// the memory at 20 KiB each.
+/// How many more executors that have left are remembered than are present.
+const MAX_EXTRA_DEPARTED: u32 = 1_024;
+/// Enough for as many connections to executors as there are executors: three eighths of the descriptors, and one eighth of the
+/// memory at 20 KiB each.
 const SOCKETS: usize = 4_096;
-const MEMORY: usize = 192 << 20;
+const MEMORY_BYTES: usize = 192 << 20;
 
 struct Node {
     core: Core,
@@ -30,37 +30,38 @@
     fn new() -> Self {
         let settings = common::SETTINGS.replace("\"balancers\": 2", PROCESSES);
         let settings = settings.replace("\"mayProbe\": true", "\"mayProbe\": false");
-        // No tenant is over its quota here.
+        // No tenant exceeds its quota in these tests.
         let settings = settings.replace("\"quotaPerS\": 50.0", "\"quotaPerS\": 1000000.0");
         let settings = linestack_settings::read(settings.as_bytes(), 7).unwrap();
         assert_eq!(settings.orders.nodes, 350);
-        Self { core: Core::new(settings, SOCKETS, MEMORY), now: 100_000 * MS }
+        Self { core: Core::new(settings, SOCKETS, MEMORY_BYTES), now: 100_000 * MS }
     }
 
-    fn feed(&mut self, input: Input) -> Vec<Effect> {
+    fn handle(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.core.handle(self.now, input, &mut effects);
         effects
     }
 
-    fn list(&mut self, kind: ListKind, executors: impl Iterator<Item = Endpoint>) {
-        self.feed(Input::ListReceived { kind, endpoints: executors.collect() });
+    fn receive_list(&mut self, kind: ListKind, executors: impl Iterator<Item = Endpoint>) {
+        self.handle(Input::ListReceived { kind, endpoints: executors.collect() });
     }
 
-    /// Hands in a job and lets the connection that it asks for come up. Where it was sent, and over which connection.
+    /// Submits a job and establishes the connection that it asks for. Returns the connection over which it was sent, and the
+    /// address of the executor.
     fn submit(&mut self, id: u64) -> Option<(ConnectionId, SocketAddr)> {
-        self.feed(Input::ClientConnected { client: id });
+        self.handle(Input::ClientConnected { client: id });
         let request =
             Arc::new(ForwardedRequest { id: Bytes::from(id.to_string()), ..ForwardedRequest::default() });
-        let intake =
+        let submission =
             NewSubmission { product: LOOK, tenant: 0, timeout: 5_000 * MS, slots: 1.0, memory: 0.0, request };
-        let asked = self.feed(Input::Submitted { client: id, submission: intake });
-        let (connection, address) = asked.iter().find_map(|e| match e {
+        let effects = self.handle(Input::Submitted { client: id, submission });
+        let (connection, address) = effects.iter().find_map(|e| match e {
             Effect::OpenConnection { connection, address, .. } => Some((*connection, *address)),
             _ => None,
         })?;
-        let sent = self.feed(Input::ExecutorConnected { connection });
-        let sent = sent.iter().any(|e| matches!(e, Effect::Send { connection: l, .. } if *l == connection));
+        let sent = self.handle(Input::ExecutorConnected { connection });
+        let sent = sent.iter().any(|e| matches!(e, Effect::Send { connection: c, .. } if *c == connection));
         sent.then_some((connection, address))
     }
 }
@@ -76,12 +77,12 @@
     numbers.map(|number| executor(number, Health::Ready))
 }
 
-// Every executor is known by its own address, and jobs that are out at the same time are out at different ones as long as
-// that can be.
+// Every executor is known by its own address, and jobs in flight at the same time are spread over different executors as far as
+// possible.
 #[test]
 fn eleven_hundred_executors_are_known_and_used() {
     let mut node = Node::new();
-    node.list(ListKind::Whole, ready(0..EXECUTORS));
+    node.receive_list(ListKind::Whole, ready(0..EXECUTORS));
     assert_eq!(node.core.stats().workers, EXECUTORS as usize);
     assert_eq!(node.core.endpoints(), ready(0..EXECUTORS).collect::<Vec<_>>());
     let mut reached = HashSet::new();
@@ -94,19 +95,19 @@
     assert_eq!(node.core.stats().broken, 0);
 }
 
-// All but one drain, told in one list of changes: whatever is handed in then goes to that one.
+// All executors but one drain, according to one list of changes. Everything submitted after that goes to the one.
 #[test]
-fn a_change_of_a_thousand_entries_holds_for_each() {
+fn a_list_of_a_thousand_changes_applies_to_each_executor() {
     let mut node = Node::new();
-    node.list(ListKind::Whole, ready(0..EXECUTORS));
+    node.receive_list(ListKind::Whole, ready(0..EXECUTORS));
     let last = EXECUTORS - 1;
-    node.list(ListKind::Changes, (0..last).map(|number| executor(number, Health::Draining)));
+    node.receive_list(ListKind::Changes, (0..last).map(|number| executor(number, Health::Draining)));
     let mut sent = 0;
     for id in 0..64 {
         node.now += 20 * MS;
         if let Some((connection, address)) = node.submit(id) {
             assert_eq!(address, executor(last, Health::Ready).address);
-            node.feed(Input::Ended {
+            node.handle(Input::Ended {
                 connection,
                 outcome: Outcome::Satisfied,
                 result: Bytes::from_static(b"r"),
@@ -118,15 +119,15 @@
     assert!(sent > 0);
 }
 
-// A list that names few for a moment costs nothing of what is known of the others: an index is given to another only when
-// more have left than are remembered.
+// If a list leaves out most executors for a moment, what is known of them is kept: an index is given to another executor only
+// when more executors have left than are remembered.
 #[test]
 fn a_thousand_executors_that_left_together_are_remembered() {
     let mut node = Node::new();
-    let stay = EXECUTORS - REMEMBERED;
-    node.list(ListKind::Whole, ready(0..EXECUTORS));
-    node.list(ListKind::Whole, ready(0..stay));
-    // The next that come get indices of their own.
-    node.list(ListKind::Changes, ready(EXECUTORS..EXECUTORS + REMEMBERED));
-    assert_eq!(node.core.stats().workers, (EXECUTORS + REMEMBERED) as usize);
+    let stay = EXECUTORS - MAX_EXTRA_DEPARTED;
+    node.receive_list(ListKind::Whole, ready(0..EXECUTORS));
+    node.receive_list(ListKind::Whole, ready(0..stay));
+    // New executors get indices of their own.
+    node.receive_list(ListKind::Changes, ready(EXECUTORS..EXECUTORS + MAX_EXTRA_DEPARTED));
+    assert_eq!(node.core.stats().workers, (EXECUTORS + MAX_EXTRA_DEPARTED) as usize);
 }
