--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -81,7 +81,7 @@
             None
         };
         let Some(state) = self.clients.get_mut(&client) else { return };
-        ensure!(self, state.submission.is_none(), "two open submissions on one client connection");
+        check_invariant!(self, state.submission.is_none(), "two open submissions on one client connection");
         // The lease is checked here, against the time of this very input: a node whose machine was suspended would otherwise
         // accept submissions after its lease has expired and before anything has told it so.
         if self.now >= self.lease_until {
@@ -159,7 +159,7 @@
         let version =
             self.accepted.get(submission as usize).and_then(Option::as_ref).map_or(0, |a| a.settings_version);
         let Some(client) = self.release_client(submission) else {
-            ensure!(self, false, "second final answer to a submission");
+            check_invariant!(self, false, "second final answer to a submission");
             return;
         };
         match answer {
--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -104,10 +104,10 @@
     /// Starts an exchange on an established connection that carries none.
     pub(crate) fn assign(&mut self, connection: ConnectionId, exchange: Exchange) {
         let Some(state) = self.connections.get_mut(&connection) else {
-            ensure!(self, false, "exchange assigned to an unknown connection");
+            check_invariant!(self, false, "exchange assigned to an unknown connection");
             return;
         };
-        ensure!(
+        check_invariant!(
             self,
             state.exchange.is_none() && state.phase != ConnectionPhase::Busy,
             "two exchanges on one connection"
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -8,7 +8,7 @@
     /// Starts an execution that the dispatcher asked for.
     pub(crate) fn execute(&mut self, submission: Submission, worker: Worker, timeout: Nanos) {
         let Some(accepted) = self.accepted.get_mut(submission as usize).and_then(Option::as_mut) else {
-            ensure!(self, false, "execution of an unknown submission");
+            check_invariant!(self, false, "execution of an unknown submission");
             return;
         };
         let execution = accepted.executions.len() as Execution;
@@ -22,7 +22,7 @@
         // The dispatcher's periodic work runs before the event that triggers it, so it may start a copy of a submission that
         // this very event completes.
         let completed_by_event = matches!(permission, Err(Refusal::Answered | Refusal::ClientLeft));
-        ensure!(
+        check_invariant!(
             self,
             permission.is_ok() || completed_by_event,
             "dispatcher started an execution that may not begin"
--- a/crates/core/src/first_list.rs
+++ b/crates/core/src/first_list.rs
@@ -6,8 +6,8 @@
 //! that it is gone.
 //!
 //! No failure of discovery, however long, makes the configured list evidence that an executor still accepts work. Where lists
-//! are pushed, what discovery knows counts as told from the first moment of a process. Where lists are asked for, it counts as
-//! told 6 s after discovery knew it and could be reached, even if a call has failed. That may be long before a start.
+//! are pushed, a process counts as informed of what discovery knows from its first moment. Where lists are asked for, it counts
+//! as informed 6 s after discovery knew it and could be reached, even if a call has failed. That may be long before its start.
 
 use super::*;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,7 +4,7 @@
 //! clocks carry out. It does no I/O itself.
 
 /// Checks an invariant: a violation panics in debug builds, and is counted and reported in release builds.
-macro_rules! ensure {
+macro_rules! check_invariant {
     ($core:expr, $holds:expr, $what:literal) => {
         if !$holds {
             debug_assert!(false, $what);
@@ -64,8 +64,9 @@
 /// How long a node that was told to stop serves its clients at least. New connections arrive for up to 0.4 s after SIGTERM,
 /// and clients go on using their connections.
 const STOP_GRACE: Nanos = SECOND * 9 / 20;
-/// How long a stopping node waits for a request on a connection that is new or being closed. A client whose request crosses
-/// the closing of its idle connection sends the request again, so the node stays a little longer.
+/// How long a stopping node waits for a request on a connection that is new or being closed, and how long it goes on after it
+/// has begun to close idle connections. A client whose request was on the way when its connection was closed sends the request
+/// again.
 const CLOSE_GRACE: Nanos = SECOND / 4;
 /// A node that was told to stop is not killed before its longest deadline and this delay have passed.
 const KILL_DELAY: Nanos = SECOND * 7 / 10;
@@ -75,9 +76,10 @@
 const KILL_MARGIN: Nanos = SECOND / 5;
 /// How long a connection is kept idle at least.
 const MIN_IDLE_TIMEOUT: Nanos = SECOND / 4;
-/// Each idle connection that proves usable raises the longest idle time at which jobs may reuse one by one part in this many,
+/// Each idle connection that proves usable raises the longest idle time after which jobs may reuse one: by this fraction of it
+/// (one part in 32) plus [`REUSE_GROWTH_STEP`].
 const REUSE_GROWTH_DIVISOR: Nanos = 32;
-/// and by this step.
+/// The fixed part of each such raise.
 const REUSE_GROWTH_STEP: Nanos = SECOND / 1000;
 /// How often the statistics are reported.
 const REPORT_INTERVAL: Nanos = 10 * SECOND;
@@ -87,7 +89,8 @@
 /// the time of a call that failed at once, of the last line of a watch that fell silent, or of the start of a call that hung
 /// (of which 3.25 s have passed by then).
 ///
-/// What discovery knows counts as told 6 s after discovery knew it and could be reached, so 1.25 s are left for the answer.
+/// A node counts as informed of what discovery knows 6 s after discovery knew it and could be reached, so 1.25 s are left for
+/// the answer.
 const MAX_LIST_CALL_DELAY: Nanos = SECOND * 19 / 4;
 /// The shortest delay before the list is asked for again.
 const MIN_LIST_CALL_DELAY: Nanos = SECOND / 4;
@@ -118,6 +121,7 @@
 /// leaves it out by mistake.
 const MAX_EXTRA_DEPARTED: usize = 1024;
 
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// A timer of the dispatcher, with its identifier.
@@ -604,7 +608,7 @@
             }
             Order::Abort { submission } => self.answer(submission, Answer::Aborted),
             Order::Probe { worker } => {
-                ensure!(self, self.may_probe, "dispatcher sent a probe that the settings forbid");
+                check_invariant!(self, self.may_probe, "dispatcher sent a probe that the settings forbid");
                 if !self.may_probe {
                     return;
                 }
@@ -637,7 +641,11 @@
                 let is_over = accepted.as_ref().is_some_and(|accepted| {
                     accepted.client.is_none() && accepted.executions.iter().all(|a| a.connection.is_none())
                 });
-                ensure!(self, is_over, "submission forgotten before its answer or its last execution");
+                check_invariant!(
+                    self,
+                    is_over,
+                    "submission forgotten before its answer or its last execution"
+                );
                 for attempt in accepted.iter().flat_map(|accepted| &accepted.executions) {
                     self.workers[attempt.worker as usize].known_executions -= 1;
                 }
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -9,8 +9,8 @@
 
 /// A start up to this far in the future counts as one that has just happened, since clocks always differ a little.
 const MAX_CLOCK_SKEW: Nanos = 60 * SECOND;
-/// How long after a start discovery may first report it: what discovery knows counts as told 6 s later at the latest, and its
-/// last message before that is up to 3 s old. A start that is reported later still was read from another clock.
+/// How long after a start discovery may first report it: a node counts as informed 6 s after discovery knew, at the latest, and
+/// the last message before that is up to 3 s old. A start that is reported later still was read from another clock.
 const MAX_REPORT_DELAY: Nanos = 10 * SECOND;
 
 /// What is known about the clocks from which the times of a list were read.
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -78,7 +78,7 @@
                 if accepted
                     .is_some_and(|a| a.serial == serial && a.client.is_some() && a.deadline <= self.now)
                 {
-                    ensure!(self, false, "submission unanswered at its deadline");
+                    check_invariant!(self, false, "submission unanswered at its deadline");
                     self.answer(submission, Answer::Aborted);
                     self.pending_events.push_back(Event::Left { submission });
                 }
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -1251,8 +1251,8 @@
     assert_eq!(reported_or_panicked.unwrap_or(true), !allowed);
 }
 
-// What discovery knows counts as told 6 s after discovery knew it and could be reached. By then a call must have begun and have had
-// time to be answered, whatever became of the previous call.
+// A node counts as informed of what discovery knows 6 s after discovery knew it and could be reached. By then a call must have
+// begun and have had time to be answered, whatever became of the previous call.
 #[rstest]
 #[case::refused(0, false, 4_750)]
 #[case::connects_in_vain(500, false, 4_250)]
