--- a/crates/core/tests/started.rs
+++ b/crates/core/tests/started.rs
@@ -57,7 +57,7 @@
     #[case] known_until: Nanos,
     #[case] expected: Nanos,
 ) {
-    let clocks = ListClocks { known_until, wall_clock_shift: wall_clock_shift };
+    let clocks = ListClocks { known_until, wall_clock_shift };
     assert_eq!(interpreted_start(&mut new_core(), NOW, listed, clocks), expected);
 }
 
