--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -333,7 +333,7 @@
 /// Nothing more is written to the client, which has a while to close too.
 fn leave(node: &Arc<Node>, client: ClientId, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
-    node.handle_input(Input::ClientPhase { client, phase: Phase::Leaving });
+    node.handle_input(Input::ClientPhase { client, phase: Phase::Closing });
     Ok(())
 }
 
