--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The one place where the configuration is read, checked and given its defaults.
+//! Reads and checks the node's configuration and fills in its defaults. No other module does.
 
 use std::net::SocketAddr;
 
@@ -11,28 +11,30 @@
 use crate::io_failure::{START_RETRY_TIMEOUT, is_transient, retry_transient};
 use crate::net::discovery::List;
 
+/// An error in the configuration.
 #[derive(Debug, Error)]
 #[error("{key}: {reason}")]
 pub struct ConfigError {
-    /// The variable or the key in the file that is at fault.
+    /// The environment variable, or the key in the file, that caused the error.
     pub key: String,
     pub reason: String,
     pub kind: ConfigErrorKind,
 }
 
-/// What is to be done about a fault.
+/// The kind of a configuration error, which tells how to respond to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigErrorKind {
-    /// What the key holds makes no sense, or can't be read.
+    /// The value is invalid, or the file cannot be read.
     Invalid,
-    /// It is nowhere.
+    /// The value is set neither in the environment nor in the file.
     Missing,
-    /// The file can't be read now, for want of something on this machine.
+    /// The file cannot be read now because this machine lacks a resource; a later attempt may succeed.
     Transient,
 }
 
 const DISCOVERY: &str = "PROXY_DISCOVERY";
 
+/// A node's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
@@ -41,26 +43,27 @@
     pub seed: u64,
     pub memory_mb: u64,
     pub sockets: usize,
+    /// The list of executors to begin with.
     pub known: Option<List>,
     pub settings: Settings,
-    /// The settings as they stood in the file.
-    text: String,
+    /// The settings' JSON text, as it is in the file.
+    settings_text: String,
 }
 
 impl Config {
-    /// Whether a newer reading has other settings.
+    /// Returns whether a newer configuration has other settings than this one.
     #[must_use]
     pub fn differs_in_settings(&self, newer: &Self) -> bool {
         let value = |text: &str| serde_json::from_str::<serde_json::Value>(text).ok();
-        self.text != newer.text && value(&self.text) != value(&newer.text)
+        self.settings_text != newer.settings_text && value(&self.settings_text) != value(&newer.settings_text)
     }
 
-    /// Goes on with the settings of a newer reading.
+    /// Takes over the settings of a newer configuration.
     pub fn apply_settings(&mut self, newer: &Self) {
-        (self.settings, self.text) = (newer.settings.clone(), newer.text.clone());
+        (self.settings, self.settings_text) = (newer.settings.clone(), newer.settings_text.clone());
     }
 
-    /// The keys of a newer reading that differ and are read at the start only.
+    /// Returns the keys that differ in a newer configuration and take effect only at a restart.
     #[must_use]
     pub fn keys_requiring_restart(&self, newer: &Self) -> Vec<&'static str> {
         let differ = [
@@ -70,8 +73,8 @@
             ("limits", (self.sockets, self.memory_mb) != (newer.sockets, newer.memory_mb)),
             ("known", self.known != newer.known),
         ];
-        let kept = differ.into_iter().filter_map(|(key, differs)| differs.then_some(key));
-        kept.chain(self.settings.restart_for(&newer.settings)).collect()
+        let changed = differ.into_iter().filter_map(|(key, differs)| differs.then_some(key));
+        changed.chain(self.settings.restart_for(&newer.settings)).collect()
     }
 }
 
@@ -107,42 +110,43 @@
     }
 }
 
-/// The fewest descriptors and the least memory that a node can work with.
-const LEAST_SOCKETS: usize = 32;
-const LEAST_MEMORY_MB: u64 = 32;
+/// The fewest file descriptors that a node can work with.
+const MIN_SOCKETS: usize = 32;
+/// The least memory that a node can work with.
+const MIN_MEMORY_MB: u64 = 32;
 
-/// Whether the system leaves this process as many descriptors as a node needs at the least.
+/// Checks that the system leaves this process at least `MIN_SOCKETS` free file descriptors.
 ///
 /// # Errors
 ///
-/// How many there are.
+/// Returns a message with the number of descriptors in use and allowed, or the error of the count.
 pub fn check_descriptors() -> Result<(), String> {
-    let most = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    let most = most.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX));
-    // One is used by looking.
+    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+    let limit = limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX));
+    // Reading the folder itself uses one descriptor.
     let open = retry_transient(START_RETRY_TIMEOUT, || std::fs::read_dir("/proc/self/fd"));
-    let open = open.map(|all| all.count().saturating_sub(1));
+    let open = open.map(|entries| entries.count().saturating_sub(1));
     match open {
-        Ok(open) if most.saturating_sub(open) >= LEAST_SOCKETS => Ok(()),
+        Ok(open) if limit.saturating_sub(open) >= MIN_SOCKETS => Ok(()),
         Ok(open) => Err(format!(
-            "{open} of the {most} descriptors that the system allows are in use, and {LEAST_SOCKETS} are needed"
+            "{open} of the {limit} file descriptors that the system allows are in use; {MIN_SOCKETS} free ones are needed"
         )),
         Err(error) => Err(error.to_string()),
     }
 }
 
-/// How much is logged. It is read first, so that the rest can be logged.
+/// Reads the log level from PROXY_LOG. It is read before the rest of the configuration, whose errors are logged.
 pub fn log_level(variable: impl Fn(&str) -> Option<String>) -> Result<Level, ConfigError> {
     const KEY: &str = "PROXY_LOG";
     let Some(text) = variable(KEY) else { return Ok(Level::INFO) };
     text.parse().map_err(|_| {
-        let reason = format!("{text:?} is not a level");
+        let reason = format!("{text:?} is not a log level");
         ConfigError { key: KEY.to_owned(), reason, kind: ConfigErrorKind::Invalid }
     })
 }
 
-/// Reads it again while the node runs. The file's `discovery` wins over the variable of the start, which
-/// cannot have changed since; without one the present one stays.
+/// Reads the configuration again while the node runs. The `discovery` in the file has precedence over the variable
+/// PROXY_DISCOVERY, which cannot have changed since the start; if the file has none, the present address stays.
 pub fn reread(
     present: &Config,
     variable: impl Fn(&str) -> Option<String>,
@@ -150,70 +154,71 @@
 ) -> Result<Config, ConfigError> {
     let newer = read(|key| if key == DISCOVERY { None } else { variable(key) }, &file);
     match newer {
-        Err(fault) if fault.key == DISCOVERY && fault.kind == ConfigErrorKind::Missing => {
+        Err(error) if error.key == DISCOVERY && error.kind == ConfigErrorKind::Missing => {
             let present = present.discovery.to_string();
             read(|key| if key == DISCOVERY { Some(present.clone()) } else { variable(key) }, &file)
         }
-        // The variable has no say here.
-        Err(fault) if fault.key == DISCOVERY => Err(ConfigError { key: "discovery".into(), ..fault }),
+        // The variable is ignored here, so the error names the key in the file.
+        Err(error) if error.key == DISCOVERY => Err(ConfigError { key: "discovery".into(), ..error }),
         other => other,
     }
 }
 
-/// Reads what the variables name; `variable` gives their values, `file` the text of a file.
+/// Reads the configuration. `variable` returns the value of an environment variable, `file` the text of a file.
 pub fn read(
     variable: impl Fn(&str) -> Option<String>,
     file: impl Fn(&str) -> std::io::Result<String>,
 ) -> Result<Config, ConfigError> {
-    let fault = |key: &str, reason: String| ConfigError {
+    let invalid = |key: &str, reason: String| ConfigError {
         key: key.to_owned(),
         reason,
         kind: ConfigErrorKind::Invalid,
     };
-    let path = variable("PROXY_CONFIG").ok_or(fault("PROXY_CONFIG", "not set".into()))?;
+    let path = variable("PROXY_CONFIG").ok_or(invalid("PROXY_CONFIG", "not set".into()))?;
     let text = file(&path).map_err(|e| {
         let kind = if is_transient(&e) { ConfigErrorKind::Transient } else { ConfigErrorKind::Invalid };
-        ConfigError { kind, ..fault("PROXY_CONFIG", format!("{path}: {e}")) }
+        ConfigError { kind, ..invalid("PROXY_CONFIG", format!("{path}: {e}")) }
     })?;
-    let read = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(&text));
-    let file: File = read.map_err(|e| match e.path().to_string().as_str() {
-        // No JSON at all.
-        "." | "?" => fault("PROXY_CONFIG", format!("{path}: {}", e.inner())),
-        key => fault(key, e.inner().to_string()),
+    let parsed = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(&text));
+    let file: File = parsed.map_err(|e| match e.path().to_string().as_str() {
+        // The text is not JSON at all.
+        "." | "?" => invalid("PROXY_CONFIG", format!("{path}: {}", e.inner())),
+        key => invalid(key, e.inner().to_string()),
     })?;
-    let either = |key: &str, from_file: Option<String>| {
+    let variable_or_file = |key: &str, from_file: Option<String>| {
         variable(key).or(from_file).filter(|v| !v.is_empty()).ok_or(ConfigError {
             kind: ConfigErrorKind::Missing,
-            ..fault(key, "not set, nor in the file".into())
+            ..invalid(key, "set neither in the environment nor in the file".into())
         })
     };
     let address = |key: &str, from_file| {
-        let text: String = either(key, from_file)?;
-        text.parse::<SocketAddr>().map_err(|e| fault(key, format!("{text:?}: {e}, wanted IP:PORT")))
+        let text: String = variable_or_file(key, from_file)?;
+        text.parse::<SocketAddr>().map_err(|e| invalid(key, format!("{text:?}: {e}, expected IP:PORT")))
     };
     let seed = match file.seed {
-        None => return Err(fault("seed", "missing".into())),
-        Some(hex) => u64::from_str_radix(&hex, 16).map_err(|e| fault("seed", format!("{hex:?}: {e}")))?,
+        None => return Err(invalid("seed", "missing".into())),
+        Some(hex) => u64::from_str_radix(&hex, 16).map_err(|e| invalid("seed", format!("{hex:?}: {e}")))?,
     };
-    if file.limits.sockets < LEAST_SOCKETS {
-        return Err(fault("limits.sockets", format!("{} is under {LEAST_SOCKETS}", file.limits.sockets)));
+    if file.limits.sockets < MIN_SOCKETS {
+        return Err(invalid("limits.sockets", format!("{} is less than {MIN_SOCKETS}", file.limits.sockets)));
     }
-    if file.limits.memory_mb < LEAST_MEMORY_MB {
-        return Err(fault(
+    if file.limits.memory_mb < MIN_MEMORY_MB {
+        return Err(invalid(
             "limits.memory_mb",
-            format!("{} is under {LEAST_MEMORY_MB}", file.limits.memory_mb),
+            format!("{} is less than {MIN_MEMORY_MB}", file.limits.memory_mb),
         ));
     }
-    let text = file.settings.ok_or(fault("settings", "missing".into()))?.get().to_owned();
-    let settings = linestack_settings::read(text.as_bytes(), seed)
-        .map_err(|e| fault(format!("settings.{}", e.path()).trim_end_matches('.'), e.inner().to_string()))?;
+    let settings_text = file.settings.ok_or(invalid("settings", "missing".into()))?.get().to_owned();
+    let settings = linestack_settings::read(settings_text.as_bytes(), seed).map_err(|e| {
+        invalid(format!("settings.{}", e.path()).trim_end_matches('.'), e.inner().to_string())
+    })?;
     if settings.names.products.is_empty() {
-        return Err(fault("settings.products", "none is named".into()));
+        return Err(invalid("settings.products", "no product is named".into()));
     }
-    // An old list that can't be read is no reason not to start: the list is asked for again.
+    // A known list that cannot be parsed does not prevent the start: the list is requested from discovery anyway.
     let known = file.known.and_then(|raw| List::read(raw.get().as_bytes()).ok());
     Ok(Config {
-        name: either("PROXY_NAME", file.name)?,
+        name: variable_or_file("PROXY_NAME", file.name)?,
         listen: address("PROXY_LISTEN", file.listen)?,
         discovery: address(DISCOVERY, file.discovery)?,
         seed,
@@ -221,6 +226,6 @@
         sockets: file.limits.sockets,
         known,
         settings,
-        text,
+        settings_text,
     })
 }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -1,20 +1,23 @@
-//! HTTP/1.1 messages: heads parsed in place, bodies framed, heads written as lists of slices.
+//! HTTP/1.1 messages: parses heads in place, decodes bodies by their framing, and writes messages as lists of slices.
 
 use std::io::{self, IoSlice, Write};
 use std::ops::Range;
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest body, and the longest head.
+/// The longest body that is accepted.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The longest head that is accepted.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-const HEADERS: usize = 64;
-/// The longest line that gives a chunk's size.
-const CHUNK_LINE: usize = 1024;
+/// The most headers that a head may have.
+const MAX_HEADERS: usize = 64;
+/// The longest line with a chunk's size, and the longest trailer line.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// Why a request is turned down, or an answer is not understood.
+/// Why a request is rejected, or a response cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpError {
+    /// The status to answer a request with.
     pub status: u16,
     pub reason: &'static str,
 }
@@ -23,6 +26,7 @@
     HttpError { status, reason }
 }
 
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     Length(usize),
@@ -31,13 +35,16 @@
     Close,
 }
 
-/// A client's head. The ranges are places in the buffer that was parsed.
+/// The head of a client's request. The ranges are positions in the buffer that was parsed.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
+    /// The head's length in bytes.
     pub length: usize,
     pub framing: Option<Framing>,
+    /// Whether the client wants the connection closed after the response.
     pub close: bool,
-    pub expects: bool,
+    /// Whether the client waits for a `100 Continue`.
+    pub expects_continue: bool,
     pub method: Range<usize>,
     pub path: Range<usize>,
     pub host: Option<Range<usize>>,
@@ -49,19 +56,23 @@
     pub extra: Option<Range<usize>>,
 }
 
-/// An executor's or discovery's head.
+/// The head of a response from an executor or from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
+    /// The head's length in bytes.
     pub length: usize,
     pub status: u16,
     pub framing: Framing,
+    /// Whether the connection ends after this response.
     pub close: bool,
+    /// Whether the executor turned the request away without processing it.
     pub declined: bool,
+    /// The load report in the header.
     pub load: Option<String>,
 }
 
-/// How long the body is. Two lengths, or a length beside chunks, could be read one way here and another
-/// way further on, which lets one request hide another: neither is accepted.
+/// The headers that determine a body's length. Two lengths, or a length together with chunks, are rejected: the next
+/// server could interpret them differently, which allows request smuggling.
 #[derive(Default)]
 struct Lengths {
     length: Option<usize>,
@@ -69,7 +80,7 @@
 }
 
 impl Lengths {
-    fn take(&mut self, header: &httparse::Header<'_>) -> Result<(), HttpError> {
+    fn read_header(&mut self, header: &httparse::Header<'_>) -> Result<(), HttpError> {
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = std::str::from_utf8(header.value)
                 .ok()
@@ -94,9 +105,9 @@
     value.split(|b| *b == b',').any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
 }
 
-/// Parses a client's head. `None` until it is whole.
+/// Parses the head of a request. Returns `None` until the head is complete.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<Request>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let length = match parsed.parse(buffer) {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
@@ -107,24 +118,24 @@
     if parsed.version != Some(1) {
         return Err(http_error(505, "HTTP/1.1 only"));
     }
-    let place = |part: &[u8]| {
-        let from = part.as_ptr() as usize - buffer.as_ptr() as usize;
-        from..from + part.len()
+    let range = |part: &[u8]| {
+        let start = part.as_ptr() as usize - buffer.as_ptr() as usize;
+        start..start + part.len()
     };
-    // What another may read differently is not passed on: executors close on what they can't read, and take
-    // whatever else waits on that connection with it.
+    // A path that an executor may parse differently is not forwarded: executors close the connection on a request
+    // that they cannot parse, which also fails whatever else waits on that connection.
     if !parsed.path.is_some_and(|p| p.starts_with('/') && p.bytes().all(|b| b.is_ascii_graphic())) {
         return Err(http_error(400, "bad path"));
     }
     let mut head = Request {
         length,
-        method: place(parsed.method.unwrap_or_default().as_bytes()),
-        path: place(parsed.path.unwrap_or_default().as_bytes()),
+        method: range(parsed.method.unwrap_or_default().as_bytes()),
+        path: range(parsed.path.unwrap_or_default().as_bytes()),
         ..Request::default()
     };
     let mut lengths = Lengths::default();
     for header in parsed.headers.iter() {
-        lengths.take(header)?;
+        lengths.read_header(header)?;
         let slot = match header.name {
             n if n.eq_ignore_ascii_case("req-id") => &mut head.id,
             n if n.eq_ignore_ascii_case("req-kind") => &mut head.kind,
@@ -138,16 +149,16 @@
                 continue;
             }
             n if n.eq_ignore_ascii_case("expect") => {
-                head.expects = true;
+                head.expects_continue = true;
                 continue;
             }
             _ => continue,
         };
         if !header.value.iter().all(|b| b.is_ascii_graphic() || *b == b' ') {
-            return Err(http_error(400, "a header that is no plain text"));
+            return Err(http_error(400, "a header is not plain ASCII text"));
         }
-        if slot.replace(place(header.value)).is_some() {
-            return Err(http_error(400, "a header that may come once came twice"));
+        if slot.replace(range(header.value)).is_some() {
+            return Err(http_error(400, "a header that may occur once is repeated"));
         }
     }
     if lengths.length.is_some_and(|l| l > MAX_BODY_BYTES) {
@@ -158,9 +169,9 @@
     Ok(Some(head))
 }
 
-/// Parses an answer's head. `None` until it is whole.
+/// Parses the head of a response. Returns `None` until the head is complete.
 pub fn parse_response(buffer: &[u8]) -> Result<Option<Response>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     let length = match parsed.parse(buffer) {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
@@ -179,7 +190,7 @@
     };
     let mut lengths = Lengths::default();
     for header in parsed.headers.iter() {
-        lengths.take(header)?;
+        lengths.read_header(header)?;
         match header.name {
             n if n.eq_ignore_ascii_case("srv-declined") => head.declined = header.value.trim_ascii() == b"1",
             n if n.eq_ignore_ascii_case("srv-load") => {
@@ -199,17 +210,20 @@
     Ok(Some(head))
 }
 
-/// Takes a body out of what was read, piece by piece.
+/// Decodes a body from the bytes received, piece by piece.
 #[derive(Debug)]
-pub struct BodyDecoder(Part);
+pub struct BodyDecoder(BodyState);
 
 #[derive(Debug)]
-enum Part {
-    Left(usize),
+enum BodyState {
+    /// So many bytes are still to come.
+    Remaining(usize),
     UntilClose,
     ChunkSize,
+    /// So many bytes of the present chunk are still to come.
     Chunk(u64),
     ChunkEnd,
+    /// So many bytes of the trailer have come.
     Trailer(usize),
 }
 
@@ -217,86 +231,97 @@
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
-            Framing::Length(length) => Part::Left(length),
-            Framing::Chunked => Part::ChunkSize,
-            Framing::Close => Part::UntilClose,
+            Framing::Length(length) => BodyState::Remaining(length),
+            Framing::Chunked => BodyState::ChunkSize,
+            Framing::Close => BodyState::UntilClose,
         })
     }
 
-    /// Moves what has come from `input` to `output`. True once the body is whole.
+    /// Moves the body's bytes from `input` to `output`. Returns true once the body is complete.
     pub fn decode(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, HttpError> {
-        const BAD: HttpError = http_error(400, "malformed chunk");
+        const MALFORMED_CHUNK: HttpError = http_error(400, "malformed chunk");
         loop {
             match &mut self.0 {
-                Part::Left(0) => return Ok(true),
+                BodyState::Remaining(0) => return Ok(true),
                 _ if input.is_empty() => return Ok(false),
-                Part::Left(left) => {
-                    let now = input.len().min(*left);
-                    output.extend_from_slice(&input.split_to(now));
-                    *left -= now;
+                BodyState::Remaining(remaining) => {
+                    let count = input.len().min(*remaining);
+                    output.extend_from_slice(&input.split_to(count));
+                    *remaining -= count;
                 }
-                Part::UntilClose => output.extend_from_slice(&input.split()),
-                // An empty size would be taken for the last chunk's.
-                Part::ChunkSize if !input[0].is_ascii_hexdigit() => return Err(BAD),
-                Part::ChunkSize => match httparse::parse_chunk_size(input).map_err(|_| BAD)? {
-                    httparse::Status::Complete((skip, size)) => {
-                        input.advance(skip);
-                        self.0 = if size == 0 { Part::Trailer(0) } else { Part::Chunk(size) };
+                BodyState::UntilClose => output.extend_from_slice(&input.split()),
+                // httparse would parse an empty size as 0, which ends the body.
+                BodyState::ChunkSize if !input[0].is_ascii_hexdigit() => return Err(MALFORMED_CHUNK),
+                BodyState::ChunkSize => {
+                    match httparse::parse_chunk_size(input).map_err(|_| MALFORMED_CHUNK)? {
+                        httparse::Status::Complete((skip, size)) => {
+                            input.advance(skip);
+                            self.0 = if size == 0 { BodyState::Trailer(0) } else { BodyState::Chunk(size) };
+                        }
+                        httparse::Status::Partial if input.len() > MAX_CHUNK_LINE_BYTES => {
+                            return Err(MALFORMED_CHUNK);
+                        }
+                        httparse::Status::Partial => return Ok(false),
                     }
-                    httparse::Status::Partial if input.len() > CHUNK_LINE => return Err(BAD),
-                    httparse::Status::Partial => return Ok(false),
-                },
-                Part::Chunk(0) => self.0 = Part::ChunkEnd,
-                Part::Chunk(left) => {
-                    let now = input.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                    output.extend_from_slice(&input.split_to(now));
-                    *left -= now as u64;
                 }
-                Part::ChunkEnd => {
+                BodyState::Chunk(0) => self.0 = BodyState::ChunkEnd,
+                BodyState::Chunk(remaining) => {
+                    let count = input.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+                    output.extend_from_slice(&input.split_to(count));
+                    *remaining -= count as u64;
+                }
+                BodyState::ChunkEnd => {
                     if !b"\r\n".starts_with(&input[..input.len().min(2)]) {
-                        return Err(BAD);
+                        return Err(MALFORMED_CHUNK);
                     }
                     if input.len() < 2 {
                         return Ok(false);
                     }
                     input.advance(2);
-                    self.0 = Part::ChunkSize;
+                    self.0 = BodyState::ChunkSize;
                 }
-                Part::Trailer(seen) => {
+                BodyState::Trailer(seen) => {
                     let Some(end) = input.iter().position(|b| *b == b'\n') else {
-                        return if input.len() > CHUNK_LINE { Err(BAD) } else { Ok(false) };
+                        return if input.len() > MAX_CHUNK_LINE_BYTES {
+                            Err(MALFORMED_CHUNK)
+                        } else {
+                            Ok(false)
+                        };
                     };
                     let line = input.split_to(end + 1);
                     *seen += line.len();
                     if line.trim_ascii().is_empty() {
-                        self.0 = Part::Left(0);
+                        self.0 = BodyState::Remaining(0);
                     } else if *seen > MAX_HEAD_BYTES {
-                        return Err(BAD);
+                        return Err(MALFORMED_CHUNK);
                     }
                 }
             }
         }
     }
 
-    /// Whether the end of the connection is the end of the body.
+    /// Returns whether the body ends with the connection.
     #[must_use]
     pub fn ends_with_connection(&self) -> bool {
-        matches!(self.0, Part::UntilClose)
+        matches!(self.0, BodyState::UntilClose)
     }
 }
 
-/// A message on its way out: pieces that are written with one call where the socket takes them.
+/// A message to be written: its pieces are written with one vectored call where the socket accepts it.
 #[derive(Debug, Default)]
 pub struct WriteQueue {
     pieces: Vec<Bytes>,
-    at: usize,
-    /// Bytes written.
+    /// The index of the first piece that is not written completely.
+    next: usize,
+    /// The number of bytes written.
     pub written: usize,
 }
 
 impl WriteQueue {
-    const GATHERED: usize = 16;
+    /// The most pieces in one call.
+    const MAX_SLICES: usize = 16;
 
+    /// Appends a piece; an empty one is left out.
     pub fn push(&mut self, piece: impl Into<Bytes>) {
         let piece = piece.into();
         if !piece.is_empty() {
@@ -304,49 +329,50 @@
         }
     }
 
-    /// Bytes that are not written yet.
+    /// Returns the number of bytes that are not written yet.
     #[must_use]
     pub fn remaining(&self) -> usize {
-        self.pieces[self.at..].iter().map(Bytes::len).sum()
+        self.pieces[self.next..].iter().map(Bytes::len).sum()
     }
 
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.at == self.pieces.len()
+        self.next == self.pieces.len()
     }
 
-    /// Writes as much as the socket takes. True once all is written.
+    /// Writes as much as the socket accepts. Returns true once everything is written.
     pub fn write(&mut self, socket: &mut impl Write) -> io::Result<bool> {
         while !self.is_done() {
-            let mut slices = [IoSlice::new(&[]); Self::GATHERED];
-            let waiting = &self.pieces[self.at..];
-            let count = waiting.len().min(Self::GATHERED);
-            for (slice, piece) in slices.iter_mut().zip(waiting) {
+            let mut slices = [IoSlice::new(&[]); Self::MAX_SLICES];
+            let pending = &self.pieces[self.next..];
+            let count = pending.len().min(Self::MAX_SLICES);
+            for (slice, piece) in slices.iter_mut().zip(pending) {
                 *slice = IoSlice::new(piece);
             }
-            let mut gone = match socket.write_vectored(&slices[..count]) {
+            let mut accepted = match socket.write_vectored(&slices[..count]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(gone) => gone,
+                Ok(accepted) => accepted,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(false),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) => return Err(e),
             };
-            self.written += gone;
-            while let Some(piece) = self.pieces.get_mut(self.at) {
-                let now = gone.min(piece.len());
-                piece.advance(now);
-                gone -= now;
+            self.written += accepted;
+            while let Some(piece) = self.pieces.get_mut(self.next) {
+                let count = accepted.min(piece.len());
+                piece.advance(count);
+                accepted -= count;
                 if !piece.is_empty() {
                     break;
                 }
-                self.at += 1;
+                self.next += 1;
             }
         }
         Ok(true)
     }
 }
 
-/// Whether a whole request stands at the beginning of what was read, or something that is none and is to be answered so.
+/// Returns whether the input begins with a complete request, or with something invalid that has to be answered with an
+/// error.
 #[must_use]
 pub fn has_request(input: &[u8]) -> bool {
     if input.is_empty() {
@@ -363,7 +389,7 @@
     }
 }
 
-/// The figure of this name in a load report written as text, such as `TEXT inflight=7, queue=2`.
+/// Returns the figure with this name in a load report in text form, such as `TEXT inflight=7, queue=2`.
 #[must_use]
 pub fn text_figure(text: &str, name: &str) -> Option<f32> {
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
--- a/crates/node/src/io_failure.rs
+++ b/crates/node/src/io_failure.rs
@@ -1,30 +1,33 @@
-//! Where the cause of a failed system call lies, and tries again while it is this machine's for a moment.
+//! Classifies failed system calls by where the cause lies, and retries those that fail for a transient lack of local
+//! resources.
 
 use std::io;
 use std::time::{Duration, Instant};
 
 use rustix::io::Errno;
 
-/// For how long a start bears calls that fail for want of something on this machine. It has to be ready within 10 s.
+/// For how long calls are retried at the start that fail because this machine lacks a resource. A process has to be
+/// ready within 10 s.
 pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Where the cause of a failed call lies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoFailure {
-    /// A resource of this machine or process, which may be had again in a moment.
+    /// A resource of this machine or process was not available; it may be available again a moment later.
     LocalResource,
-    /// This machine knows no way there: at once its own trouble, for long the other's.
+    /// This machine has no route to the address. A short failure points to this machine, a long one to the remote
+    /// network.
     LocalRoute,
-    /// Nobody was found, or nobody answered in time: the way there, or whoever was to answer. It is no refusal, and one
-    /// such failure does not tell which.
+    /// The remote host was not found or did not answer in time. The network or the host may be at fault: a single
+    /// failure of this kind does not tell which, and it is not a refusal.
     Unreachable,
-    /// What was asked for, or whoever was to answer.
+    /// The cause is the request itself or the remote host.
     Other,
 }
 
 impl IoFailure {
-    /// That of this error.
+    /// Classifies an I/O error.
     #[must_use]
     pub fn of(error: &io::Error) -> Self {
         let Some(errno) = Errno::from_io_error(error) else { return Self::Other };
@@ -46,25 +49,27 @@
     }
 }
 
-/// Whether a call that opens something may succeed when it is made again a moment later. A process at its own limit of
-/// descriptors stays there while nothing else runs in it.
+/// Returns whether a call that opens a resource may succeed when it is repeated a moment later. `EMFILE` is not included:
+/// during the start nothing else runs in the process that could free a descriptor.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
-    let passing = [Errno::AGAIN, Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
-    Errno::from_io_error(error).is_some_and(|errno| passing.contains(&errno))
+    let transient = [Errno::AGAIN, Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+    Errno::from_io_error(error).is_some_and(|errno| transient.contains(&errno))
 }
 
-/// Makes a call again, on this thread, for as long as its failure may pass and `patience` lasts.
+/// Repeats a call on this thread until it succeeds, fails permanently, or `timeout` is over.
 ///
 /// # Errors
 ///
-/// The last failure.
-pub fn retry_transient<T>(patience: Duration, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let begun = Instant::now();
+/// Returns the error of the last attempt.
+pub fn retry_transient<T>(timeout: Duration, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let started_at = Instant::now();
     loop {
         match call() {
-            Err(error) if is_transient(&error) && begun.elapsed() < patience => std::thread::sleep(AGAIN),
-            done => return done,
+            Err(error) if is_transient(&error) && started_at.elapsed() < timeout => {
+                std::thread::sleep(RETRY_INTERVAL)
+            }
+            result => return result,
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! A linestack node on sockets: the decisions of `linestack_dispatch` behind HTTP/1.1.
+//! A linestack node that serves HTTP/1.1 on sockets. `linestack_dispatch` makes its decisions.
 
 pub mod config;
 pub mod fleet;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -180,7 +180,7 @@
     let mut core = Core::new(settings.clone(), sockets, memory);
     let (mut known, mut whole) = (known, false);
     if let Some(stages) = &stages {
-        let kept = keeper.as_ref().and_then(|k| k.list(stages.list_fresh));
+        let kept = keeper.as_ref().and_then(|k| k.list(stages.list_max_age));
         let fresh = kept.as_ref().is_some_and(|(_, fresh)| *fresh);
         if let Some((list, _)) = kept {
             // Its version may mean nothing to the discovery that is there now: the whole list is asked for.
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -39,7 +39,7 @@
         let body = BodyDecoder::new(request.framing.unwrap_or(Framing::Length(0)));
         *head = Some(Box::new(Incoming {
             asked: requested(node, &request, &text)?,
-            expects: request.expects,
+            expects: request.expects_continue,
             body,
         }));
     }
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -1,4 +1,4 @@
-//! The operator's file for a start in stages. Off unless PROXY_START names one.
+//! Reads the operator's configuration file for a staged start. A node starts in stages only if PROXY_START names one.
 
 use std::path::Path;
 
@@ -7,11 +7,12 @@
 
 use crate::fleet::boottime;
 
+/// The configuration of a staged start.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     pub terms: Terms,
-    /// A list that was kept is gone by at once while it is younger.
-    pub list_fresh: u64,
+    /// A stored list that is younger than this, in nanoseconds, is used at once.
+    pub list_max_age: u64,
 }
 
 #[derive(Deserialize)]
@@ -48,59 +49,59 @@
     }
 }
 
-/// Reads an operator's file. `nodes` is how many the settings tell.
+/// Reads a configuration file. `nodes` is the number of nodes in the settings, used unless the file has its own.
 ///
 /// # Errors
 ///
-/// All that is wrong with it, each by its key.
+/// Returns every error of the file, one a line, each with its key.
 pub fn read_config(path: &Path, nodes: u32) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let File { start: t } = crate::fleet::config::table(path, &text)?;
-    let mut faults = Vec::new();
-    let mut must = |fine: bool, key: &str, why: &str| {
-        if !fine {
-            faults.push(format!("{}: start.{key}: {why}", path.display()));
+    let File { start: table } = crate::fleet::config::table(path, &text)?;
+    let mut errors = Vec::new();
+    let mut check = |valid: bool, key: &str, reason: &str| {
+        if !valid {
+            errors.push(format!("{}: start.{key}: {reason}", path.display()));
         }
     };
-    let nodes = t.nodes.unwrap_or(nodes).max(1);
-    must(nodes <= 100_000 && t.nodes != Some(0), "nodes", "from 1 to 100,000");
+    let nodes = table.nodes.unwrap_or(nodes).max(1);
+    check(nodes <= 100_000 && table.nodes != Some(0), "nodes", "must be from 1 to 100,000");
     for (key, rate) in [
-        ("connects-per-s", t.connects_per_s),
-        ("lists-per-s", t.lists_per_s),
-        ("sessions-per-s", t.sessions_per_s),
+        ("connects-per-s", table.connects_per_s),
+        ("lists-per-s", table.lists_per_s),
+        ("sessions-per-s", table.sessions_per_s),
     ] {
-        must((0.0..=1e6).contains(&rate), key, "from 0, for no bound, to 1,000,000");
-        // A node's own turn must come while somebody still waits for it.
-        must(
+        check((0.0..=1e6).contains(&rate), key, "must be from 0 (no limit) to 1,000,000");
+        // A node's turn must come while clients still wait for it.
+        check(
             rate <= 0.0 || f64::from(nodes) / rate <= 60.0,
             key,
-            "a node would wait for over a minute for its turn",
+            "would make a node wait for its turn for over a minute",
         );
     }
     for (key, ms) in [
-        ("list-fresh-ms", t.list_fresh_ms),
-        ("list-within-ms", t.list_within_ms),
-        ("known-within-ms", t.known_within_ms),
-        ("share-within-ms", t.share_within_ms),
+        ("list-fresh-ms", table.list_fresh_ms),
+        ("list-within-ms", table.list_within_ms),
+        ("known-within-ms", table.known_within_ms),
+        ("share-within-ms", table.share_within_ms),
     ] {
-        must(ms <= 600_000, key, "600,000 at most");
+        check(ms <= 600_000, key, "must be 600,000 at most");
     }
-    if !faults.is_empty() {
-        return Err(faults.join("\n"));
+    if !errors.is_empty() {
+        return Err(errors.join("\n"));
     }
     let terms = Terms {
         nodes,
-        connects_per_s: t.connects_per_s,
-        lists_per_s: t.lists_per_s,
-        sessions_per_s: t.sessions_per_s,
-        list_within: t.list_within_ms * 1_000_000,
-        known_within: t.known_within_ms * 1_000_000,
-        share_within: t.share_within_ms * 1_000_000,
+        connects_per_s: table.connects_per_s,
+        lists_per_s: table.lists_per_s,
+        sessions_per_s: table.sessions_per_s,
+        list_within: table.list_within_ms * 1_000_000,
+        known_within: table.known_within_ms * 1_000_000,
+        share_within: table.share_within_ms * 1_000_000,
     };
-    Ok(Config { terms, list_fresh: t.list_fresh_ms * 1_000_000 })
+    Ok(Config { terms, list_max_age: table.list_fresh_ms * 1_000_000 })
 }
 
-/// Now, by a clock that goes on over a restart of the process, and ends with the machine's run.
+/// Returns the present time on a clock that survives a restart of the process, but not a reboot of the machine.
 #[must_use]
 pub fn boot_timestamp() -> Kept {
     let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
--- a/crates/node/src/start_attempts.rs
+++ b/crates/node/src/start_attempts.rs
@@ -1,47 +1,49 @@
-//! Starts that die at the same place: what is read then is set aside after some, its bytes kept. A start counts itself
-//! before it reads what may kill it, and takes that back when it has.
+//! Detects starts that crash while they read the same stored files, so that the caller can quarantine these files after a
+//! number of attempts; their bytes are kept. A start records an attempt before it reads the files, and clears the count
+//! once it has read them.
 
 use std::fs::{self, File};
 use std::io::{self, Write as _};
 use std::path::{Path, PathBuf};
 
+/// The file that holds the number of attempts since the last successful one, as decimal digits.
 const FILE: &str = "tries";
 
-/// Counts a try in this folder. Returns how many before it did not come back.
+/// Records an attempt to read this folder. Returns the number of earlier attempts that were not cleared.
 ///
 /// # Errors
 ///
-/// The system's.
+/// Returns the I/O error if the count cannot be written.
 pub fn record_attempt(folder: &Path) -> io::Result<u32> {
     let path = folder.join(FILE);
-    let before = fs::read_to_string(&path).ok().and_then(|t| t.trim().parse().ok()).unwrap_or(0);
+    let earlier = fs::read_to_string(&path).ok().and_then(|t| t.trim().parse().ok()).unwrap_or(0);
     let mut file = File::create(path)?;
-    write!(file, "{}", before + 1)?;
+    write!(file, "{}", earlier + 1)?;
     file.sync_all()?;
-    Ok(before)
+    Ok(earlier)
 }
 
-/// What was read did no harm, or was refused in good order.
+/// Clears the count, after the folder was read or was refused with an error: neither crashed the process.
 pub fn clear_attempts(folder: &Path) {
     let _ = fs::remove_file(folder.join(FILE));
 }
 
-/// Moves the files of these names' kinds into a folder of their own beside them. Returns where they are now.
+/// Moves the files whose names `should_move` selects into a new subfolder. Returns the path of the subfolder.
 ///
 /// # Errors
 ///
-/// The system's.
-pub fn quarantine_files(folder: &Path, moves: impl Fn(&str) -> bool) -> io::Result<PathBuf> {
+/// Returns the I/O error if the subfolder cannot be made or a file cannot be moved.
+pub fn quarantine_files(folder: &Path, should_move: impl Fn(&str) -> bool) -> io::Result<PathBuf> {
     let free = (1..).map(|n| folder.join(format!("set-aside-{n}"))).find(|p| !p.exists());
-    let aside = free.ok_or_else(|| io::Error::other("no name is left"))?;
-    fs::create_dir(&aside)?;
+    let quarantine = free.ok_or_else(|| io::Error::other("no free folder name is left"))?;
+    fs::create_dir(&quarantine)?;
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
         let name = entry.file_name();
-        if entry.file_type()?.is_file() && moves(&name.to_string_lossy()) {
-            fs::rename(entry.path(), aside.join(name))?;
+        if entry.file_type()?.is_file() && should_move(&name.to_string_lossy()) {
+            fs::rename(entry.path(), quarantine.join(name))?;
         }
     }
     File::open(folder)?.sync_all()?;
-    Ok(aside)
+    Ok(quarantine)
 }
