--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -215,7 +215,7 @@
             Ok(Read::All) => false,
         };
         let came = waited_since.take().unwrap_or_else(|| node.clock.now());
-        arrivals.read(input.len().saturating_sub(before), came);
+        arrivals.record_read(input.len().saturating_sub(before), came);
         if over && matches!(state, State::Answering { .. } | State::Lingering) {
             return;
         }
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! One clock, and the alarm that wakes the reducer when something is due.
+//! The node's clock, and the alarm that wakes the reducer when a timer is due.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -10,27 +10,30 @@
 
 use super::lock;
 
-/// Goes on evenly from the system's time at the start, so that an executor's start, told in Unix time,
-/// is a time on it. What happens to the system's clock later does not touch it.
+/// A monotonic clock that begins at the Unix time of the node's start, so that the start times of executors, which are
+/// given in Unix time, can be compared with it. Later changes of the system's clock do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    from: Instant,
+    started_at: Instant,
+    /// The Unix time at `started_at`.
     base: Nanos,
 }
 
 impl Clock {
+    /// Starts a clock at the present Unix time.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { from: Instant::now(), base: unix.as_nanos() as Nanos }
+        Self { started_at: Instant::now(), base: unix.as_nanos() as Nanos }
     }
 
+    /// Returns the present time.
     #[must_use]
     pub fn now(&self) -> Nanos {
-        self.base + self.from.elapsed().as_nanos() as Nanos
+        self.base + self.started_at.elapsed().as_nanos() as Nanos
     }
 
-    /// By how much the system's clock has moved against this one since the start, in nanoseconds.
+    /// Returns by how much the system's clock has moved relative to this one since the start, in nanoseconds.
     #[must_use]
     pub fn wall_moved(&self) -> i64 {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos;
@@ -38,12 +41,13 @@
     }
 }
 
-/// Wakes coroutines at their times, from a thread of its own. may's own timers won't do: it counts a wait
-/// of under a millisecond as one without an end, and one that runs out while the coroutine is still being
-/// put to sleep is lost. Both ways nothing would ever be given up again.
+/// Wakes coroutines at given times, from its own thread. may's timers are not used: they treat a timeout of less than a
+/// millisecond as none at all, and lose a timeout that expires while the coroutine is still being suspended. In both
+/// cases the coroutine would wait for ever, and the node's timeouts would stop working.
 struct Waker {
     waiting: Mutex<BinaryHeap<Reverse<Wake>>>,
-    sooner: Condvar,
+    /// Notified when a wake is added that is due before all others.
+    earlier: Condvar,
 }
 
 struct Wake {
@@ -73,7 +77,7 @@
 
 impl Waker {
     fn start(clock: Clock) -> Arc<Self> {
-        let waker = Arc::new(Self { waiting: Mutex::default(), sooner: Condvar::new() });
+        let waker = Arc::new(Self { waiting: Mutex::default(), earlier: Condvar::new() });
         let thread = Arc::clone(&waker);
         std::thread::spawn(move || thread.run(clock));
         waker
@@ -88,62 +92,65 @@
                     wake.sleeper.unpark();
                 }
             }
-            let wait = waiting.peek().map_or(LONGEST, |Reverse(wake)| Duration::from_nanos(wake.at - now));
-            let woken = self.sooner.wait_timeout(waiting, wait.min(LONGEST));
+            let wait = waiting.peek().map_or(MAX_WAIT, |Reverse(wake)| Duration::from_nanos(wake.at - now));
+            let woken = self.earlier.wait_timeout(waiting, wait.min(MAX_WAIT));
             waiting = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    fn wake(&self, at: Nanos, sleeper: Coroutine) {
+    fn schedule(&self, at: Nanos, sleeper: Coroutine) {
         let mut waiting = lock(&self.waiting);
-        let sooner = waiting.peek().is_none_or(|Reverse(wake)| at < wake.at);
+        let earliest = waiting.peek().is_none_or(|Reverse(wake)| at < wake.at);
         waiting.push(Reverse(Wake { at, sleeper }));
-        if sooner {
-            self.sooner.notify_one();
+        if earliest {
+            self.earlier.notify_one();
         }
     }
 }
 
-const LONGEST: Duration = Duration::from_secs(60);
+/// The longest that the waker's thread waits at a time.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Rings when the reducer has something due.
+/// Wakes the coroutine that runs the reducer's timers when one is due.
 pub struct Alarm {
     clock: Clock,
-    set: Mutex<Set>,
+    state: Mutex<AlarmState>,
     sleeper: OnceLock<Coroutine>,
     waker: Arc<Waker>,
 }
 
-struct Set {
+struct AlarmState {
+    /// When the next timer is due.
     due: Nanos,
-    /// The earliest time for which a wake has been asked and has not come.
-    asked: Nanos,
+    /// The earliest time for which a wake is scheduled and has not come yet.
+    scheduled: Nanos,
 }
 
 impl Alarm {
+    /// Makes an alarm and starts its thread.
     #[must_use]
     pub fn start(clock: Clock) -> Self {
-        let set = Mutex::new(Set { due: 0, asked: Nanos::MAX });
-        Self { clock, set, sleeper: OnceLock::new(), waker: Waker::start(clock) }
+        let state = Mutex::new(AlarmState { due: 0, scheduled: Nanos::MAX });
+        Self { clock, state, sleeper: OnceLock::new(), waker: Waker::start(clock) }
     }
 
-    /// Something is due then, and nothing earlier.
+    /// Sets the time at which the next timer is due.
     pub fn set(&self, due: Nanos) {
-        let mut set = lock(&self.set);
-        set.due = due;
-        self.ask(&mut set);
+        let mut state = lock(&self.state);
+        state.due = due;
+        self.schedule_wake(&mut state);
     }
 
-    fn ask(&self, set: &mut Set) {
-        if set.due < set.asked
+    fn schedule_wake(&self, state: &mut AlarmState) {
+        if state.due < state.scheduled
             && let Some(sleeper) = self.sleeper.get()
         {
-            set.asked = set.due;
-            self.waker.wake(set.due, sleeper.clone());
+            state.scheduled = state.due;
+            self.waker.schedule(state.due, sleeper.clone());
         }
     }
 
-    /// Waits until something is due. Only one coroutine may wait here.
+    /// Waits until a timer is due. Only one coroutine may wait here.
     pub fn wait(&self) {
         self.sleeper.get_or_init(coroutine::current);
         while !self.is_due() {
@@ -152,26 +159,26 @@
     }
 
     fn is_due(&self) -> bool {
-        let (mut set, now) = (lock(&self.set), self.clock.now());
-        if set.asked <= now {
-            set.asked = Nanos::MAX;
+        let (mut state, now) = (lock(&self.state), self.clock.now());
+        if state.scheduled <= now {
+            state.scheduled = Nanos::MAX;
         }
-        if set.due > now {
-            self.ask(&mut set);
+        if state.due > now {
+            self.schedule_wake(&mut state);
         }
-        set.due <= now
+        state.due <= now
     }
 
-    /// Lets the calling coroutine sleep.
+    /// Suspends the calling coroutine for a time.
     pub fn sleep(&self, span: Duration) {
         let until = self.clock.now() + span.as_nanos() as Nanos;
-        self.waker.wake(until, coroutine::current());
+        self.waker.schedule(until, coroutine::current());
         while self.clock.now() < until {
             coroutine::park();
         }
-        // A wake that comes while may puts a coroutine to sleep is answered by running it from within its own
-        // park. If it ended there, its park would wait for itself to be over, and no coroutine would run any
-        // more. Once it has given way it runs from the queue.
+        // If a wake comes while may is parking a coroutine, may resumes the coroutine from within its own call of
+        // park. If the coroutine ended there, that call would wait for itself, and no coroutine would run any more.
+        // After a yield the coroutine runs from the scheduler's queue.
         coroutine::yield_now();
     }
 }
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -1,7 +1,7 @@
-//! Connections to other machines, and whose failure it was if none came up.
+//! Opens connections to other machines, and tells local failures from remote ones.
 //!
-//! What fails on this machine (no descriptor, no port, no buffer, no route) says nothing of the other one. It is tried again
-//! by a short, jittered backoff for as long as the caller can wait, and told apart when that is over.
+//! A failure on this machine (no descriptor, port, buffer or route) says nothing about the remote one. Such an attempt is
+//! repeated with a short, jittered backoff for as long as the caller can wait, and reported as local after that.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,65 +15,66 @@
 use super::Node;
 use crate::io_failure::IoFailure;
 
-const FIRST_PAUSE: Duration = Duration::from_millis(1);
-const LONGEST_PAUSE: Duration = Duration::from_millis(50);
-/// may takes a wait of under a millisecond for one without an end.
-const SHORTEST_TIMEOUT: Duration = Duration::from_millis(1);
+const MIN_PAUSE: Duration = Duration::from_millis(1);
+const MAX_PAUSE: Duration = Duration::from_millis(50);
+/// may treats a timeout of less than a millisecond as none at all.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Why no connection came up. Not a byte was sent.
+/// Why no connection was opened. No byte was sent.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine had not what it takes, for as long as it was tried. Nothing is known of the other one.
-    #[error("not tried, for want of something on this machine: {0}")]
+    /// This machine lacked a resource for as long as the connection was tried. Nothing is known about the remote host.
+    #[error("not attempted: this machine lacks a resource: {0}")]
     Local(io::Error),
-    /// This machine knew no way there, for as long as it was tried. Whose trouble that is nobody can tell.
+    /// This machine had no route for as long as the connection was tried. Which side is at fault is unknown.
     #[error("no route: {0}")]
     NoRoute(io::Error),
-    /// Nobody could be reached there.
+    /// The remote host could not be reached, or refused the connection.
     #[error("{0}")]
     Remote(io::Error),
-    /// It is no longer wanted.
+    /// The caller no longer wants the connection.
     #[error("no longer wanted")]
     Cancelled,
 }
 
-/// Waits between tries: twice as long each time, half of it by chance.
+/// The waits between attempts: each is up to twice as long as the one before, and half of it is random.
 struct Backoff {
     pause: Duration,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl Backoff {
     fn new(seed: u64) -> Self {
-        Self { pause: FIRST_PAUSE, chance: fastrand::Rng::with_seed(seed) }
+        Self { pause: MIN_PAUSE, rng: fastrand::Rng::with_seed(seed) }
     }
 
     fn next(&mut self) -> Duration {
-        let pause = self.pause.mul_f64(0.5 + self.chance.f64() / 2.0);
-        self.pause = (2 * self.pause).min(LONGEST_PAUSE);
+        let pause = self.pause.mul_f64(0.5 + self.rng.f64() / 2.0);
+        self.pause = (2 * self.pause).min(MAX_PAUSE);
         pause
     }
 }
 
-/// Connects within a time. Where this machine fails, or nobody is found, it tries again for three quarters of that, so that its
-/// caller hears of it before its own limit ends the wait: taken for the other's end at once, a loss on the way there that
-/// lasts for milliseconds, to all executors alike, would put every one of them out of service. `seed` is of the backoff's chance; `wanted` is asked before each try.
+/// Connects within `timeout`. After a local failure, or if the remote host is unreachable, the attempt is repeated for three
+/// quarters of that time, so that the caller learns of the failure before its own limit ends the wait. Without the retries, a
+/// loss of the network for milliseconds would look like the failure of every executor and put them all out of service.
+/// `seed` is for the backoff's random part; `wanted` is asked before each further attempt.
 ///
 /// # Errors
 ///
-/// Whose failure it was, or that it is no longer wanted.
+/// Returns which side failed, or that the connection is no longer wanted.
 pub fn connect(
     node: &Arc<Node>,
     address: SocketAddr,
-    within: Duration,
+    timeout: Duration,
     seed: u64,
     wanted: impl Fn() -> bool,
 ) -> Result<TcpStream, ConnectError> {
-    let begun = node.clock.now();
-    let elapsed = || Duration::from_nanos(node.clock.now().saturating_sub(begun));
+    let started_at = node.clock.now();
+    let elapsed = || Duration::from_nanos(node.clock.now().saturating_sub(started_at));
     let mut backoff = Backoff::new(seed);
     loop {
-        let left = within.saturating_sub(elapsed()).max(SHORTEST_TIMEOUT);
+        let left = timeout.saturating_sub(elapsed()).max(MIN_TIMEOUT);
         let error = match TcpStream::connect_timeout(&address, left) {
             Ok(socket) => return Ok(socket),
             Err(error) => error,
@@ -86,7 +87,7 @@
             node.local_failures.fetch_add(1, Ordering::Relaxed);
         }
         let pause = backoff.next();
-        if elapsed() + pause > within / 4 * 3 {
+        if elapsed() + pause > timeout / 4 * 3 {
             return Err(match cause {
                 IoFailure::LocalRoute => ConnectError::NoRoute(error),
                 IoFailure::Unreachable => ConnectError::Remote(error),
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of executors: its form, and the watch on its changes.
+//! The list of executors: its JSON format, and the watch on discovery that follows its changes.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -17,48 +17,52 @@
 use crate::http;
 use linestack_core::{Endpoint, Input, ListClocks};
 
-const CONNECT: Duration = Duration::from_millis(500);
-/// While nothing changes an empty line comes every 2 s, and a call waits in turn for as long as 3 s. What brings
-/// neither a whole list nor a heartbeat for longer is dead, though its connection may look open, and bytes may come;
-/// and what discovery has to tell counts as told after 6 s, after a change of discovery after 4 s. The reducer's
-/// `CALL_WITHIN` goes by this.
-const SILENCE: Nanos = 3_000_000_000;
-/// For a call a little longer: that it was turned away after its wait is worth hearing.
-const CALL: Nanos = 3_250_000_000;
-/// For so long after a change of discovery a watch that fails is asked for again at once.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest time between two messages on a watch. While nothing changes discovery sends an empty line every 2 s, and
+/// it may queue a request for 3 s. A watch that brings neither a complete list nor a heartbeat for longer counts as dead,
+/// even if its connection looks open and bytes arrive. The node is also expected to know a change 6 s after discovery has
+/// it, or 4 s after the discovery address changed. The reducer's `CALL_WITHIN` depends on this value.
+const MESSAGE_TIMEOUT: Nanos = 3_000_000_000;
+/// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT`], so that the node still receives
+/// the status if discovery rejects the request after queueing it for 3 s.
+const FIRST_MESSAGE_TIMEOUT: Nanos = 3_250_000_000;
+/// For so long after a change of the discovery address, a watch that fails is requested again after [`RETRY_PAUSE`].
 pub(crate) const DISCOVERY_CHANGE_RETRY: Nanos = 4_000_000_000;
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
+/// Why a watch on discovery ended.
 #[derive(Debug, Error)]
 pub enum WatchError {
     #[error("no connection: {0}")]
     Connect(#[from] ConnectError),
-    #[error("the watch broke: {0}")]
-    Broke(io::Error),
-    #[error("the watch was silent for too long")]
-    Silent,
+    #[error("the connection broke: {0}")]
+    ConnectionBroken(io::Error),
+    #[error("neither a list nor a heartbeat came in time")]
+    TimedOut,
     #[error("discovery answered {0}")]
     Status(u16),
-    #[error("the answer is not understood: {0}")]
-    Head(&'static str),
-    #[error("the watch brought no list: {0}")]
-    List(#[from] list_stream::ListStreamError),
+    #[error("invalid response: {0}")]
+    InvalidResponse(&'static str),
+    #[error("invalid list: {0}")]
+    InvalidList(#[from] list_stream::ListStreamError),
     #[error("the watch ended")]
     Ended,
-    #[error("another discovery has taken its place")]
+    #[error("replaced by a watch on another discovery address")]
     Replaced,
 }
 
-/// A list, or the entries of it that changed.
+/// The complete list, or the entries that changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
+    /// The list's version.
     pub index: u64,
+    /// Whether this is the complete list.
     pub whole: bool,
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Its entries stay text here: what is nested a hundred levels deep and read as a tree would fill a
-/// coroutine's stack.
+/// The list as it is received. Its entries stay text at first: parsing the whole list as a tree could overflow a
+/// coroutine's stack where values are nested a hundred levels deep.
 #[derive(Deserialize)]
 struct RawList<'a> {
     index: u64,
@@ -68,7 +72,7 @@
     endpoints: Vec<&'a RawValue>,
 }
 
-/// As it is written: what reads it is [`RawList`].
+/// The list as it is written; [`RawList`] reads this format.
 #[derive(Serialize)]
 struct WrittenList<'a> {
     index: u64,
@@ -107,7 +111,7 @@
 }
 
 impl List {
-    /// The list as discovery would tell it.
+    /// Returns the list as JSON, in discovery's format.
     #[must_use]
     pub fn write(&self) -> Vec<u8> {
         let endpoints = self.endpoints.iter().map(|e| WrittenEndpoint {
@@ -128,15 +132,15 @@
         serde_json::to_vec(&list).unwrap_or_default()
     }
 
-    /// Reads a list's JSON object. An entry that makes no sense is left out, the others count.
+    /// Parses a list's JSON object. Invalid entries are left out.
     pub fn read(text: &[u8]) -> Result<Self, serde_json::Error> {
         let raw: RawList = parse_object(text)?;
         let endpoints = raw.endpoints.into_iter().filter_map(|entry| {
-            let read = parse_object(entry.get().as_bytes()).ok().and_then(endpoint);
-            if read.is_none() {
-                tracing::warn!("an entry of the list makes no sense and is left out");
+            let parsed = parse_object(entry.get().as_bytes()).ok().and_then(endpoint);
+            if parsed.is_none() {
+                tracing::warn!("invalid entry in the list of executors is left out");
             }
-            read
+            parsed
         });
         Ok(Self { index: raw.index, whole: raw.snapshot, endpoints: endpoints.collect() })
     }
@@ -146,12 +150,12 @@
     let health = match raw.status.as_str() {
         "active" => Health::Ready,
         "left" => Health::Gone,
-        // Of a status that is not known, nothing new may be hoped for.
+        // An executor with an unknown status gets no new executions.
         _ => Health::Draining,
     };
     let address = match raw.address.parse::<SocketAddr>() {
         Ok(address) => address,
-        // Where it was does not matter any more.
+        // The address of an executor that is gone is not used.
         Err(_) if health == Health::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         Err(_) => return None,
     };
@@ -168,81 +172,87 @@
     }
 }
 
-/// Watches until the watch ends, and tells the reducer what it hears.
+/// Follows discovery's list and passes each list to the reducer, until the watch ends.
 pub(crate) fn watch(node: &Arc<Node>, number: u64) {
     loop {
-        let called = node.clock.now();
-        // Since when nothing was heard of it.
-        let mut heard = called;
-        let Err(why) = follow(node, number, &mut heard);
-        let hurry = {
+        let called_at = node.clock.now();
+        // When the last message came from discovery.
+        let mut last_message = called_at;
+        let Err(error) = follow(node, number, &mut last_message);
+        let retry_now = {
             let watch = lock(&node.watch);
-            watch.number == number && watch.index.is_none() && node.clock.now() < watch.hurry
+            watch.number == number && watch.index.is_none() && node.clock.now() < watch.retry_until
         };
-        if hurry {
-            tracing::warn!(%why, "new discovery does not answer yet");
-            node.alarm.sleep(AGAIN);
-        } else if matches!(why, WatchError::Connect(ConnectError::Local(_) | ConnectError::NoRoute(_))) {
-            // It costs discovery nothing, and says nothing of it: what it has to tell may be waiting.
+        if retry_now {
+            tracing::warn!(why = %error, "new discovery does not answer yet");
+            node.alarm.sleep(RETRY_PAUSE);
+        } else if matches!(error, WatchError::Connect(ConnectError::Local(_) | ConnectError::NoRoute(_))) {
+            // A retry costs discovery nothing, and the failure says nothing about it: a change may be waiting there.
             if node.may_log() {
-                tracing::warn!(%why, "discovery can't be asked from here");
+                tracing::warn!(why = %error, "discovery cannot be reached from this machine");
             }
-            node.alarm.sleep(AGAIN);
+            node.alarm.sleep(RETRY_PAUSE);
         } else {
-            // One that ended in the open has told all that it had.
-            let ended = heard > called && matches!(why, WatchError::Ended | WatchError::Broke(_));
-            let lost = if ended { 0 } else { node.clock.now().saturating_sub(heard) };
-            if node.watch_ended(number, lost, matches!(why, WatchError::Status(_))) {
-                tracing::warn!(%why, "watch ended");
+            // After messages, a connection that visibly ends has delivered everything that discovery had sent.
+            let complete = last_message > called_at
+                && matches!(error, WatchError::Ended | WatchError::ConnectionBroken(_));
+            let silent_for = if complete { 0 } else { node.clock.now().saturating_sub(last_message) };
+            if node.watch_ended(number, silent_for, matches!(error, WatchError::Status(_))) {
+                tracing::warn!(why = %error, "watch ended");
             }
             return;
         }
     }
 }
 
-/// Where to ask and for what, while this is still the watch that is wanted.
-fn wanted(node: &Node, number: u64) -> Result<(SocketAddr, Option<u64>), WatchError> {
+/// Returns discovery's address and the known version of the list, while this is still the current watch.
+fn watch_target(node: &Node, number: u64) -> Result<(SocketAddr, Option<u64>), WatchError> {
     let watch = lock(&node.watch);
     if watch.number == number { Ok((watch.discovery, watch.index)) } else { Err(WatchError::Replaced) }
 }
 
-fn follow(node: &Arc<Node>, number: u64, heard: &mut Nanos) -> Result<std::convert::Infallible, WatchError> {
-    let (discovery, after) = wanted(node, number)?;
-    let wanted_still = || wanted(node, number).is_ok();
-    let mut socket = connect(node, discovery, CONNECT, number, wanted_still)?;
-    let broke = |e: io::Error| match e.kind() {
-        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => WatchError::Silent,
-        _ => WatchError::Broke(e),
+/// Opens a watch and follows it until it fails. `last_message` is set to the time of each message.
+fn follow(
+    node: &Arc<Node>,
+    number: u64,
+    last_message: &mut Nanos,
+) -> Result<std::convert::Infallible, WatchError> {
+    let (discovery, after) = watch_target(node, number)?;
+    let still_current = || watch_target(node, number).is_ok();
+    let mut socket = connect(node, discovery, CONNECT_TIMEOUT, number, still_current)?;
+    let watch_error = |e: io::Error| match e.kind() {
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => WatchError::TimedOut,
+        _ => WatchError::ConnectionBroken(e),
     };
     {
         let mut watch = lock(&node.watch);
         if watch.number != number {
             return Err(WatchError::Replaced);
         }
-        // Without it the watch is dropped when it next says something.
+        // Without this handle a replaced watch ends only at its next message.
         watch.socket = socket.inner().try_clone().ok();
     }
-    socket.set_write_timeout(Some(Duration::from_nanos(SILENCE))).map_err(broke)?;
+    socket.set_write_timeout(Some(Duration::from_nanos(MESSAGE_TIMEOUT))).map_err(watch_error)?;
     let version = after.map_or(String::new(), |index| format!("&after={index}"));
-    let ask = format!("GET /v1/servers?watch=1{version} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
-    socket.write_all(ask.as_bytes()).map_err(broke)?;
+    let request = format!("GET /v1/servers?watch=1{version} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
+    socket.write_all(request.as_bytes()).map_err(watch_error)?;
     let (mut input, mut decoded) = (BytesMut::new(), BytesMut::new());
     let mut body: Option<http::BodyDecoder> = None;
     let mut lists = ListStream::default();
-    let mut due = *heard + CALL;
-    // Without a version to go on from, all that the first list names is all that there is.
-    let mut all = after.is_none();
+    let mut due = *last_message + FIRST_MESSAGE_TIMEOUT;
+    // Without a known version in the request, the first list is the complete list.
+    let mut first_is_whole = after.is_none();
     loop {
         let mut piece = [0; 4096];
-        // may takes a wait of under a millisecond for one without an end.
+        // may treats a timeout of less than a millisecond as none at all.
         let left = due.saturating_sub(node.clock.now());
         let left = Duration::from_nanos(left).max(Duration::from_millis(1));
-        socket.set_read_timeout(Some(left)).map_err(broke)?;
+        socket.set_read_timeout(Some(left)).map_err(watch_error)?;
         let n = match socket.read(&mut piece) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-            read => read.map_err(broke)?,
+            read => read.map_err(watch_error)?,
         };
-        wanted(node, number)?;
+        watch_target(node, number)?;
         if n == 0 {
             return Err(WatchError::Ended);
         }
@@ -250,10 +260,11 @@
         if body.is_some() {
             node.discovery_heard(None);
         } else {
-            let Some(head) = http::parse_response(&input).map_err(|error| WatchError::Head(error.reason))?
+            let Some(head) =
+                http::parse_response(&input).map_err(|error| WatchError::InvalidResponse(error.reason))?
             else {
                 if node.clock.now() > due {
-                    return Err(WatchError::Silent);
+                    return Err(WatchError::TimedOut);
                 }
                 continue;
             };
@@ -264,22 +275,24 @@
             body = Some(http::BodyDecoder::new(head.framing));
         }
         let Some(body) = &mut body else { continue };
-        let whole = body.decode(&mut input, &mut decoded).map_err(|error| WatchError::Head(error.reason))?;
+        let whole = body
+            .decode(&mut input, &mut decoded)
+            .map_err(|error| WatchError::InvalidResponse(error.reason))?;
         lists.push(&decoded.split());
         while let Some(message) = lists.next_message()? {
-            *heard = node.clock.now();
-            due = *heard + SILENCE;
+            *last_message = node.clock.now();
+            due = *last_message + MESSAGE_TIMEOUT;
             if let Message::List(mut list) = message {
-                list.whole |= std::mem::take(&mut all) && !list.endpoints.is_empty();
-                take(node, number, list)?;
+                list.whole |= std::mem::take(&mut first_is_whole) && !list.endpoints.is_empty();
+                deliver(node, number, list)?;
             }
             let mut watch = lock(&node.watch);
             if watch.number == number {
-                watch.last_word = *heard;
+                watch.last_message = *last_message;
             }
         }
         if node.clock.now() > due {
-            return Err(WatchError::Silent);
+            return Err(WatchError::TimedOut);
         }
         if whole {
             return Err(WatchError::Ended);
@@ -287,8 +300,8 @@
     }
 }
 
-/// Hands the reducer a list, if this is still the watch that is wanted.
-fn take(node: &Arc<Node>, number: u64, list: List) -> Result<(), WatchError> {
+/// Passes a list to the reducer, if this is still the current watch.
+fn deliver(node: &Arc<Node>, number: u64, list: List) -> Result<(), WatchError> {
     let (index, whole, entries) = (list.index, list.whole, list.endpoints.len());
     let known_until = {
         let mut watch = lock(&node.watch);
@@ -296,7 +309,7 @@
             return Err(WatchError::Replaced);
         }
         watch.index = Some(index);
-        watch.last_word
+        watch.last_message
     };
     tracing::info!(index, whole, entries, "list");
     node.handle_input(Input::ListClocks(ListClocks { known_until, wall_moved: node.clock.wall_moved() }));
--- a/crates/node/src/net/list_stream.rs
+++ b/crates/node/src/net/list_stream.rs
@@ -1,24 +1,24 @@
-//! Finds the lists and heartbeats in what a watch on discovery brings: bytes in pieces of any size go in, whole lists and
-//! heartbeats come out. No I/O.
+//! Decodes the stream of a watch on discovery: it takes bytes in pieces of any size and returns complete lists and
+//! heartbeats. It does no I/O.
 //!
-//! A list is one JSON object. Whitespace of any kind, newlines included, may stand between objects and within them, so that
-//! a list may come on one line or indented over many. A heartbeat is a line between objects that holds nothing but
-//! whitespace: neither a newline within an object nor the one that ends an object's last line is one.
+//! A list is one JSON object. Whitespace of any kind, newlines included, may occur between objects and within them, so a
+//! list may be on one line or indented over many. A heartbeat is a line between objects that holds nothing but
+//! whitespace: neither a newline within an object nor the one that ends an object's last line is a heartbeat.
 //!
-//! Each byte is looked at once, whatever pieces it comes in. The scanner follows brackets and strings only; whether the
-//! text between them is JSON is judged by [`List::read`] when the object's last bracket has come. A fault within an object
-//! therefore shows at its end, and one that never ends is left to the reader's time limit.
+//! Each byte is scanned once, whatever the size of the pieces. The scanner follows brackets and strings only; [`List::read`]
+//! parses the text once the object's last bracket has come. An error within an object is therefore found at its end, and
+//! the caller's timeout handles an object that never ends.
 
 use bytes::{Buf as _, BytesMut};
 use thiserror::Error;
 
 use super::discovery::List;
 
-/// The longest list, in bytes from its first bracket to its last. 1,100 entries may take 3.8 KB each; one with a name of
-/// 1,024 characters, indented, takes 1.2 KB.
+/// The longest list, in bytes from its first bracket to its last. This allows 1,100 entries of 3.8 KB; an indented entry
+/// with a name of 1,024 characters takes 1.2 KB.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why nothing more can be read from the watch.
+/// Why nothing more can be decoded from the stream.
 #[derive(Debug, Error)]
 pub enum ListStreamError {
     #[error("not a list: {0}")]
@@ -31,36 +31,37 @@
     TooLong,
 }
 
-/// What discovery says on a watch.
+/// A message from discovery on a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     List(List),
-    /// An empty line: nothing has changed, and the watch lives.
+    /// An empty line: nothing has changed, and the watch is alive.
     Heartbeat,
 }
 
-/// Takes a watch's bytes and gives its messages.
+/// Decodes a watch's bytes into messages.
 #[derive(Debug, Default)]
 pub struct ListStream {
     received: BytesMut,
-    /// How many of the bytes received were scanned: those of an object whose end has not come.
+    /// How many of the bytes received are scanned already: those of an object whose end has not come.
     scanned: usize,
     object: Nesting,
-    /// Something other than whitespace stands on the present line.
+    /// Whether something other than whitespace is on the present line.
     line_in_use: bool,
 }
 
 impl ListStream {
-    /// Adds what came next.
+    /// Adds the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.received.extend_from_slice(bytes);
     }
 
-    /// The next message that has come whole; none until more bytes come.
+    /// Returns the next complete message; `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// What came is no list. The watch is to be given up: where the next list begins nobody can tell.
+    /// Returns an error if the bytes are not a list. The watch must be closed then, since the start of the next list cannot
+    /// be found.
     pub fn next_message(&mut self) -> Result<Option<Message>, ListStreamError> {
         if self.scanned == 0 && self.skip_whitespace() {
             return Ok(Some(Message::Heartbeat));
@@ -69,7 +70,7 @@
         Ok(Some(Message::List(List::read(&object)?)))
     }
 
-    /// Drops the whitespace before an object, up to the end of a line that holds nothing else. True if it came.
+    /// Drops the whitespace before an object, up to the end of an otherwise empty line. Returns true if that end has come.
     fn skip_whitespace(&mut self) -> bool {
         while let Some(byte) = self.received.first().copied().filter(u8::is_ascii_whitespace) {
             self.received.advance(1);
@@ -80,7 +81,7 @@
         false
     }
 
-    /// The text of the object that begins where the whitespace ended, once it is whole.
+    /// Returns the text of the object that begins where the whitespace ended, once it is complete.
     fn next_object(&mut self) -> Result<Option<BytesMut>, ListStreamError> {
         match self.received.first() {
             None => return Ok(None),
@@ -96,7 +97,7 @@
         Ok(end.map(|end| self.received.split_to(end)))
     }
 
-    /// Scans what was not scanned yet for the object's last bracket, and returns the place after it.
+    /// Scans the remaining bytes for the object's last bracket and returns the position after it.
     fn object_end(&mut self) -> Result<Option<usize>, ListStreamError> {
         for (at, byte) in self.received.iter().enumerate().skip(self.scanned) {
             if self.object.ends_at(*byte)? {
@@ -107,18 +108,18 @@
     }
 }
 
-/// Where in an object the scanner stands.
+/// The scanner's position in the structure of an object.
 #[derive(Debug, Default)]
 struct Nesting {
-    /// Brackets that are open.
+    /// The number of open brackets.
     depth: usize,
     in_string: bool,
-    /// The byte before was a backslash that takes this one with it.
+    /// Whether the byte before was a backslash that escapes this one.
     escaped: bool,
 }
 
 impl Nesting {
-    /// Takes the next byte. True if it closes the outermost bracket.
+    /// Scans the next byte. Returns true if it closes the outermost bracket.
     fn ends_at(&mut self, byte: u8) -> Result<bool, ListStreamError> {
         if self.in_string {
             return self.string_byte(byte).map(|()| false);
@@ -135,7 +136,8 @@
         Ok(false)
     }
 
-    /// JSON has control characters escaped; one that is not tells that the string was cut short, mostly by a new line.
+    /// Scans a byte of a string. JSON escapes control characters; an unescaped one means that the string was cut short,
+    /// usually by a newline.
     fn string_byte(&mut self, byte: u8) -> Result<(), ListStreamError> {
         match byte {
             ..0x20 => return Err(ListStreamError::ControlCharacter(byte)),
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -171,9 +171,9 @@
     /// The last list understood; none if the whole list is wanted.
     pub(crate) index: Option<u64>,
     /// When discovery was heard last, 0 if never.
-    pub(crate) last_word: Nanos,
+    pub(crate) last_message: Nanos,
     /// When an answer must have come, where one is waited for after a change of discovery.
-    pub(crate) hurry: Nanos,
+    pub(crate) retry_until: Nanos,
     running: bool,
     /// A handle to the running watch's connection, to end it by.
     pub(crate) socket: Option<std::net::TcpStream>,
@@ -225,8 +225,8 @@
                 discovery,
                 number: 0,
                 index,
-                last_word: 0,
-                hurry: 0,
+                last_message: 0,
+                retry_until: 0,
                 running: false,
                 socket: None,
             }),
@@ -384,9 +384,16 @@
             let _ = old.shutdown(std::net::Shutdown::Both);
         }
         let number = watch.number + 1;
-        let hurry = self.clock.now() + discovery::DISCOVERY_CHANGE_RETRY;
-        *watch =
-            WatchState { discovery, number, index: None, last_word: 0, hurry, running: true, socket: None };
+        let retry_until = self.clock.now() + discovery::DISCOVERY_CHANGE_RETRY;
+        *watch = WatchState {
+            discovery,
+            number,
+            index: None,
+            last_message: 0,
+            retry_until,
+            running: true,
+            socket: None,
+        };
         drop(watch);
         let node = Arc::clone(self);
         spawn(move || discovery::watch(&node, number));
