--- a/crates/node/src/net/clients/answer.rs
+++ b/crates/node/src/net/clients/answer.rs
@@ -1,60 +1,66 @@
-//! What clients are told.
+//! Encodes responses to clients.
 
 use bytes::Bytes;
 use linestack_core::Answer;
 
 use crate::http::WriteQueue;
 
-pub(super) fn told(status: u16, text: &str, last: bool) -> WriteQueue {
+/// Encodes a response with a text body. With `last`, the connection closes after it.
+pub(super) fn text_response(status: u16, text: &str, last: bool) -> WriteQueue {
     let mut out = WriteQueue::default();
     let length = text.len();
-    out.push(Bytes::from(format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", reason(status))));
-    out.push(if last { LAST } else { b"" });
+    out.push(Bytes::from(format!(
+        "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n",
+        reason_phrase(status)
+    )));
+    out.push(if last { CONNECTION_CLOSE } else { b"" });
     out.push(&b"\r\n"[..]);
     out.push(Bytes::from(text.to_owned()));
     out
 }
 
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-const LAST: &[u8] = b"Connection: close\r\n";
+const CONNECTION_CLOSE: &[u8] = b"Connection: close\r\n";
 
-pub(super) fn bare(status: u16, last: bool) -> WriteQueue {
+/// Encodes a response without a body. With `last`, the connection closes after it.
+pub(super) fn empty_response(status: u16, last: bool) -> WriteQueue {
     let mut out = WriteQueue::default();
-    out.push(Bytes::from(format!("HTTP/1.1 {status} {}\r\nContent-Length: 0\r\n", reason(status))));
-    out.push(if last { LAST } else { b"" });
+    out.push(Bytes::from(format!("HTTP/1.1 {status} {}\r\nContent-Length: 0\r\n", reason_phrase(status))));
+    out.push(if last { CONNECTION_CLOSE } else { b"" });
     out.push(&b"\r\n"[..]);
     out
 }
 
-pub(super) fn answered(answer: Answer, last: bool) -> WriteQueue {
+/// Encodes the answer to a submission. With `last`, the connection closes after it.
+pub(super) fn encode_answer(answer: Answer, last: bool) -> WriteQueue {
     let mut out = WriteQueue::default();
-    let last = if last { LAST } else { b"" };
+    let connection_header = if last { CONNECTION_CLOSE } else { b"" };
     match answer {
         Answer::Satisfied(result) => {
             out.push(&b"HTTP/1.1 200 OK\r\n"[..]);
-            out.push(last);
+            out.push(connection_header);
             out.push(Bytes::from(format!("Content-Length: {}\r\n\r\n", result.len())));
             out.push(result);
         }
         Answer::Dismissed(come_back) => {
             out.push(&b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n"[..]);
-            out.push(last);
+            out.push(connection_header);
             if let Some(wait) = come_back {
                 out.push(Bytes::from(format!("Retry-After: {:.3}\r\n", wait as f64 / 1e9)));
             }
             out.push(&b"\r\n"[..]);
         }
-        Answer::Repeated => return bare(409, !last.is_empty()),
+        Answer::Repeated => return empty_response(409, !connection_header.is_empty()),
         Answer::Aborted => {
             out.push(&b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n"[..]);
-            out.push(last);
+            out.push(connection_header);
             out.push(&b"\r\n"[..]);
         }
     }
     out
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: requests in, final answers out, one at a time on each.
+//! Clients' connections. Each carries one request at a time and its final answer.
 
 mod answer;
 mod reading;
@@ -19,73 +19,74 @@
 use crate::http::{self, HttpError, WriteQueue};
 use linestack_core::{Answer, Client, Input, Nanos, Phase};
 
-use answer::{CONTINUE, answered, bare};
-use reading::{Beyond, KEPT, Read, read};
-use request::{Asked, Incoming, next};
+use answer::{CONTINUE, empty_response, encode_answer};
+use reading::{Overflow, READ_AHEAD_BYTES, ReadStatus, read};
+use request::{Incoming, RequestAction, read_request};
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// How long to leave the listener alone when no descriptor or room is left.
-const BREATH: Duration = Duration::from_millis(2);
-/// After so many newcomers in a row those that are there get their turn: what they have sent tells them from
-/// a flood of silent ones.
-const AT_ONCE: u32 = 8;
-/// A newcomer that was waited for so long had not been there before.
-const AT_LEAST_WAITED: Nanos = NANOS_PER_MS / 2;
-/// Of the requests turned down one is logged in this time, however many come.
+/// The pause before the next accept when no descriptor or no room for clients is left.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
+/// After accepting so many connections in a row the listener pauses, so that the accepted ones are read: only what they
+/// have sent distinguishes them from a flood of silent connections.
+const ACCEPT_BURST: u32 = 8;
+/// If an accept blocked for at least this long, the listener's queue was empty before.
+const MIN_ACCEPT_WAIT: Nanos = NANOS_PER_MS / 2;
+/// At most one log line that clients can cause, such as a rejected request, is written per interval, in nanoseconds.
 pub(crate) const REJECTION_LOG_INTERVAL: u64 = 1_000 * NANOS_PER_MS;
 
+/// A message to a client connection's coroutine.
 pub(crate) enum Message {
     Answer { answer: Answer, last: bool },
     CloseIfIdle,
     Drop,
 }
 
-/// Takes in clients for as long as the program runs.
+/// Starts a coroutine that accepts clients for as long as the program runs.
 /// Returns the address that it listens on.
 pub fn accept(node: &Arc<Node>, listen: SocketAddr) -> io::Result<SocketAddr> {
-    // may shares its ports, so a second node at the same address would take a part of the first one's
-    // clients and nobody would be told. A socket that does not share finds out.
-    let alone = Socket::new(Domain::for_address(listen), Type::STREAM, None)?;
-    alone.set_reuse_address(true)?;
-    alone.bind(&listen.into())?;
-    drop(alone);
+    // may sets SO_REUSEPORT, so a second node at the same address would silently take some of the first one's clients.
+    // Binding a socket without that option first reports that the address is in use.
+    let exclusive = Socket::new(Domain::for_address(listen), Type::STREAM, None)?;
+    exclusive.set_reuse_address(true)?;
+    exclusive.bind(&listen.into())?;
+    drop(exclusive);
     let listener = TcpListener::bind(listen)?;
     let address = listener.local_addr()?;
     let node = Arc::clone(node);
     spawn(move || {
-        let mut at_once = 0;
+        let mut burst = 0;
         let mut last = 0;
-        // Nobody was waiting to be let in then.
-        let mut nobody_waited = node.clock.now();
+        // The last time at which the listener's queue is known to have been empty.
+        let mut queue_empty_at = node.clock.now();
         loop {
             if node.crowded() {
-                node.alarm.sleep(BREATH);
+                node.alarm.sleep(ACCEPT_RETRY_PAUSE);
                 continue;
             }
-            let asked = node.clock.now();
+            let called_at = node.clock.now();
             match listener.accept() {
                 Ok((socket, _)) => {
                     let now = node.clock.now();
-                    if now - asked >= AT_LEAST_WAITED {
-                        nobody_waited = now;
+                    if now - called_at >= MIN_ACCEPT_WAIT {
+                        queue_empty_at = now;
                     }
-                    at_once = if now - last < YIELD_PAUSE.as_nanos() as u64 { at_once + 1 } else { 1 };
+                    burst = if now - last < YIELD_PAUSE.as_nanos() as u64 { burst + 1 } else { 1 };
                     last = now;
                     let (client, mailbox) = node.register_client();
                     node.handle_input(Input::ClientUp { client });
-                    let served = Arc::clone(&node);
-                    spawn(move || serve(&served, client, socket, nobody_waited, &mailbox));
-                    if at_once >= AT_ONCE {
-                        at_once = 0;
+                    let node_of_client = Arc::clone(&node);
+                    spawn(move || serve(&node_of_client, client, socket, queue_empty_at, &mailbox));
+                    if burst >= ACCEPT_BURST {
+                        burst = 0;
                         node.alarm.sleep(YIELD_PAUSE);
                     }
                 }
-                // No descriptor left, or a client that was gone again: the others still wait.
-                Err(why) => {
+                // No descriptor is left, or the client has closed already; others may still wait in the queue.
+                Err(error) => {
                     if node.may_log() {
-                        tracing::warn!(%why, "accept failed");
+                        tracing::warn!(why = %error, "accept failed");
                     }
-                    node.alarm.sleep(BREATH);
+                    node.alarm.sleep(ACCEPT_RETRY_PAUSE);
                 }
             }
         }
@@ -93,7 +94,7 @@
     Ok(address)
 }
 
-/// What a connection is doing.
+/// The state of a client's connection.
 enum State {
     Reading {
         head: Option<Box<Incoming>>,
@@ -108,9 +109,10 @@
         out: WriteQueue,
         last: bool,
     },
-    /// Answered for good; what still comes is read and dropped, lest a reset overtake the answer.
+    /// The last answer is written. Further bytes are read and dropped, since a close over unread bytes would reset the
+    /// connection, and the reset could overtake the answer.
     Lingering,
-    /// Shut while it rested; the client's end is waited for, and nothing more is read.
+    /// The sending side was shut down while the connection was idle. Nothing more is read until the client closes.
     Closing,
 }
 
@@ -119,15 +121,15 @@
         Self::Reading { head: None, body: BytesMut::new() }
     }
 
-    fn beyond(&self) -> Beyond {
+    fn overflow(&self) -> Overflow {
         match self {
-            Self::Reading { .. } | Self::Answering { .. } => Beyond::Waits,
-            Self::Waiting { .. } => Beyond::Dropped,
-            Self::Lingering | Self::Closing => Beyond::AllDropped,
+            Self::Reading { .. } | Self::Answering { .. } => Overflow::LeaveInSocket,
+            Self::Waiting { .. } => Overflow::DropExcess,
+            Self::Lingering | Self::Closing => Overflow::DropAll,
         }
     }
 
-    /// Bytes that it holds.
+    /// Returns the number of bytes that the state holds.
     fn size(&self) -> usize {
         match self {
             Self::Reading { body, .. } => body.len(),
@@ -138,133 +140,148 @@
     }
 }
 
-/// `since` is when it connected, at the earliest.
-fn serve(node: &Arc<Node>, client: Client, mut socket: TcpStream, since: Nanos, mailbox: &Mailbox<Message>) {
-    // However this ends, by a panic too, the reducer hears of it.
-    let _gone = Gone { node, client };
+/// Serves a client until its connection ends. `earliest_connect` is the earliest time at which it can have connected.
+fn serve(
+    node: &Arc<Node>,
+    client: Client,
+    mut socket: TcpStream,
+    earliest_connect: Nanos,
+    mailbox: &Mailbox<Message>,
+) {
+    // The guard reports the end of the connection to the reducer, after a panic too.
+    let _guard = DisconnectGuard { node, client };
     mailbox.wake(&socket);
     let _ = socket.set_nodelay(true);
-    converse(node, client, &mut socket, since, mailbox);
+    run_requests(node, client, &mut socket, earliest_connect, mailbox);
 }
 
-struct Gone<'a> {
+/// Reports to the reducer that the client has disconnected when dropped.
+struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
     client: Client,
 }
 
-impl Drop for Gone<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.node.remove_client(self.client);
         self.node.handle_input(Input::ClientGone { client: self.client });
     }
 }
 
-/// Returns when the connection is to be closed.
-fn converse(
+/// Serves requests. Returns when the connection is to be closed.
+fn run_requests(
     node: &Arc<Node>,
     client: Client,
     socket: &mut TcpStream,
-    since: Nanos,
+    earliest_connect: Nanos,
     mailbox: &Mailbox<Message>,
 ) {
-    // What is there already may have come while it waited to be let in; what comes later comes when it is read.
-    let mut waited_since = Some(since);
+    // The bytes of the first read may have arrived while the connection waited to be accepted, so they count as having
+    // arrived at the earliest possible time. Later bytes count as having arrived when they are read.
+    let mut first_arrival = Some(earliest_connect);
     let mut input = BytesMut::new();
     let mut state = State::reading();
+    // Close once the requests that were read are answered.
     let mut close = false;
-    let mut cut = false;
-    let mut go_ahead = WriteQueue::default();
+    // Bytes after `input` were dropped.
+    let mut truncated = false;
+    let mut continue_response = WriteQueue::default();
     let mut arrivals = ArrivalTimes::default();
-    let mut holding = node.client_memory.holding();
+    let mut reservation = node.client_memory.reservation();
     loop {
-        let mut over = false;
+        let mut dropped = false;
         while let Some(message) = mailbox.next() {
             match message {
-                // Its time is over, but what came just before is still owed: it is read first. What the reducer
-                // has taken meanwhile is answered, whatever was ordered before.
-                Message::Drop => (over, close) = (true, true),
-                // A request may have come in meanwhile; it is answered first.
+                // The client is out of time or evicted. Bytes that came just before are read first, since a request among
+                // them is owed an answer. A submission that the reducer has accepted meanwhile is answered in any case.
+                Message::Drop => (dropped, close) = (true, true),
+                // A request may have come meanwhile; it is answered first.
                 Message::CloseIfIdle => close = true,
                 Message::Answer { answer, last } => {
-                    // What was read behind it is owed an answer too, unless the client wants none.
+                    // A complete request that was read behind this one is owed an answer too, unless the client asked for
+                    // the connection to close.
                     let last = matches!(state, State::Waiting { last: true, .. })
                         || ((last || close) && !http::has_request(&input));
-                    state = State::Answering { out: answered(answer, last), last };
+                    state = State::Answering { out: encode_answer(answer, last), last };
                 }
             }
         }
         if matches!(state, State::Closing) {
-            // A request that crosses is not read, or it would be taken and lost: its client sees the end and sends
-            // it once more. The reset that a close over unread bytes makes waits until the client has had the time
-            // to take its last answer.
+            // A request that crosses the shutdown is not read, since it would be lost without an answer: the client sees
+            // the end of the connection and sends the request again. A close over unread bytes resets the connection, so it
+            // waits until the client has had the time to receive its last answer.
             match socket.inner().peek(&mut [0]) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() != io::ErrorKind::WouldBlock => return,
                 Ok(0) => return,
-                _ if over => return,
+                _ if dropped => return,
                 _ => socket.wait_io(),
             };
             continue;
         }
-        let before = input.len();
-        let beyond = if cut { state.beyond().max(Beyond::NewDropped) } else { state.beyond() };
-        let more = match read(socket, &mut input, beyond) {
-            // A client that closes has gone away.
-            Ok(Read::Ended) | Err(_) => return,
-            Ok(Read::Some) => true,
-            Ok(Read::All) => false,
+        let length_before = input.len();
+        let overflow = if truncated { state.overflow().max(Overflow::DropNew) } else { state.overflow() };
+        let more_available = match read(socket, &mut input, overflow) {
+            // A client that closes its sending side has left.
+            Ok(ReadStatus::Ended) | Err(_) => return,
+            Ok(ReadStatus::MoreAvailable) => true,
+            Ok(ReadStatus::Drained) => false,
         };
-        let came = waited_since.take().unwrap_or_else(|| node.clock.now());
-        arrivals.record_read(input.len().saturating_sub(before), came);
-        if over && matches!(state, State::Answering { .. } | State::Lingering) {
+        let arrival = first_arrival.take().unwrap_or_else(|| node.clock.now());
+        arrivals.record_read(input.len().saturating_sub(length_before), arrival);
+        if dropped && matches!(state, State::Answering { .. } | State::Lingering) {
             return;
         }
-        if input.len() > KEPT && matches!(state, State::Waiting { .. }) {
-            // What it sends beyond is not kept, so what follows can't be told from the middle of a request. Those that
-            // were read whole are answered, and then it is closed.
-            (cut, close) = (true, true);
+        if input.len() > READ_AHEAD_BYTES && matches!(state, State::Waiting { .. }) {
+            // Excess bytes are dropped, so later bytes may be the middle of a request. The requests that were read
+            // completely are answered, and then the connection is closed.
+            (truncated, close) = (true, true);
         }
-        // Many that bring much and never end would fill the memory, which ends the node.
-        if !holding.set(input.len() + state.size()) && matches!(state, State::Reading { .. }) {
+        // Many large requests that are never completed would exhaust the memory, and with it end the process.
+        if !reservation.resize(input.len() + state.size()) && matches!(state, State::Reading { .. }) {
             input = BytesMut::new();
-            state = turned_down(node, client, HttpError { status: 503, reason: "no memory left" });
+            state = reject(node, client, HttpError { status: 503, reason: "no memory left for requests" });
         }
         loop {
             match &mut state {
                 State::Reading { head, body } => {
-                    let begun = head.is_some() || !input.is_empty();
-                    if !begun {
+                    let request_started = head.is_some() || !input.is_empty();
+                    if !request_started {
                         if close {
-                            // Closed outright, bytes that cross would reset it, and with it an answer that is
-                            // still on its way.
-                            if leave(node, client, socket).is_err() {
+                            // After a full close, bytes that cross it would reset the connection, and the client could lose an
+                            // answer that is still in transit.
+                            if shut_down_write(node, client, socket).is_err() {
                                 return;
                             }
                             state = State::Closing;
                         }
                         break;
                     }
-                    match next(node, &mut input, head, body) {
-                        Ok(false) if over => {
-                            state = turned_down(node, client, HttpError { status: 408, reason: "too slow" });
+                    match read_request(node, &mut input, head, body) {
+                        Ok(false) if dropped => {
+                            state = reject(
+                                node,
+                                client,
+                                HttpError { status: 408, reason: "request not completed in time" },
+                            );
                         }
                         Ok(false) => {
                             node.handle_input(Input::ClientPhase { client, phase: Phase::Reading });
                             if let Some(incoming) = head
-                                && std::mem::take(&mut incoming.expects)
+                                && std::mem::take(&mut incoming.expects_continue)
                                 && input.is_empty()
                             {
-                                go_ahead.push(CONTINUE);
+                                continue_response.push(CONTINUE);
                             }
-                            if go_ahead.write(socket.inner_mut()).is_err() {
+                            if continue_response.write(socket.inner_mut()).is_err() {
                                 return;
                             }
                             break;
                         }
                         Ok(true) => {
                             let Some(incoming) = head.take() else { break };
-                            match incoming.asked {
-                                Asked::Execution(mut intake, last) => {
+                            match incoming.action {
+                                RequestAction::Execute(mut intake, last) => {
                                     let size = body.len();
                                     let now = node.clock.now();
                                     let waited =
@@ -276,38 +293,42 @@
                                     state = State::Waiting { last, size };
                                     node.handle_input(Input::Submitted { client, intake });
                                 }
-                                Asked::Health(out, last) => state = State::Answering { out, last },
+                                RequestAction::Respond(out, last) => state = State::Answering { out, last },
                             }
                         }
-                        Err(fault) => state = turned_down(node, client, fault),
+                        Err(error) => state = reject(node, client, error),
                     }
                 }
                 State::Waiting { .. } => break,
-                State::Answering { out, last } => match write_after(&mut go_ahead, out, socket.inner_mut()) {
-                    Ok(false) => break,
-                    Err(_) => return,
-                    Ok(true) if *last => {
-                        if leave(node, client, socket).is_err() {
-                            return;
-                        }
-                        input = BytesMut::new();
-                        state = State::Lingering;
-                    }
-                    Ok(true) => {
-                        state = State::reading();
-                        if input.is_empty() {
-                            // What it asked for is not kept in memory while it asks for nothing.
+                State::Answering { out, last } => {
+                    match write_after(&mut continue_response, out, socket.inner_mut()) {
+                        Ok(false) => break,
+                        Err(_) => return,
+                        Ok(true) if *last => {
+                            if shut_down_write(node, client, socket).is_err() {
+                                return;
+                            }
                             input = BytesMut::new();
+                            state = State::Lingering;
+                        }
+                        Ok(true) => {
+                            state = State::reading();
+                            if input.is_empty() {
+                                // An idle connection keeps no buffer.
+                                input = BytesMut::new();
+                            }
+                            node.handle_input(Input::ClientPhase { client, phase: Phase::Idle });
                         }
-                        node.handle_input(Input::ClientPhase { client, phase: Phase::Idle });
                     }
-                },
+                }
                 State::Lingering | State::Closing => break,
             }
         }
-        // What was left in the socket makes no event; it is read once there is room for it, and not before
-        // the others had their turn.
-        if more && (input.len() <= KEPT || cut || state.beyond() != Beyond::Waits) {
+        // Bytes left in the socket cause no further event, so they are read again once there is room for them, after a
+        // pause for other coroutines.
+        if more_available
+            && (input.len() <= READ_AHEAD_BYTES || truncated || state.overflow() != Overflow::LeaveInSocket)
+        {
             node.alarm.sleep(YIELD_PAUSE);
         } else {
             socket.wait_io();
@@ -315,26 +336,27 @@
     }
 }
 
-/// Writes an answer behind a go-ahead that may not be quite out. True once all is written.
+/// Writes an answer after a `100 Continue` that may not be written completely. Returns true once everything is written.
 fn write_after(
-    go_ahead: &mut WriteQueue,
+    continue_response: &mut WriteQueue,
     answer: &mut WriteQueue,
     socket: &mut impl io::Write,
 ) -> io::Result<bool> {
-    Ok(go_ahead.write(socket)? && answer.write(socket)?)
+    Ok(continue_response.write(socket)? && answer.write(socket)?)
 }
 
-/// Nothing more is written to the client, which has a while to close too.
-fn leave(node: &Arc<Node>, client: Client, socket: &TcpStream) -> io::Result<()> {
+/// Ends the sending side of the connection; the client gets some time to close its own.
+fn shut_down_write(node: &Arc<Node>, client: Client, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
     node.handle_input(Input::ClientPhase { client, phase: Phase::Leaving });
     Ok(())
 }
 
-fn turned_down(node: &Arc<Node>, client: Client, error: HttpError) -> State {
+/// Rejects a request and returns the state that sends the error.
+fn reject(node: &Arc<Node>, client: Client, error: HttpError) -> State {
     if node.may_log() {
         tracing::warn!(status = error.status, why = error.reason, "request turned down");
     }
     node.handle_input(Input::TurnedDown { client });
-    State::Answering { out: bare(error.status, true), last: true }
+    State::Answering { out: empty_response(error.status, true), last: true }
 }
--- a/crates/node/src/net/clients/reading.rs
+++ b/crates/node/src/net/clients/reading.rs
@@ -1,4 +1,4 @@
-//! Bytes that clients send, up to what may be kept of them.
+//! Reads the bytes that clients send, up to the limit of what may be read ahead.
 
 use std::io::{self, Read as _};
 
@@ -7,51 +7,58 @@
 
 use crate::http;
 
-/// What may be read ahead.
-pub(super) const KEPT: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
+/// The number of unprocessed bytes above which no more are kept: one head and one body of the longest kind.
+pub(super) const READ_AHEAD_BYTES: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
-/// What becomes of bytes beyond those that may be read ahead.
+/// What is done with bytes beyond those that may be read ahead. The variants are ordered by how much is dropped.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Beyond {
-    /// They wait in the socket, and what follows them is not seen.
-    Waits,
-    /// They are dropped: behind them the client's end must be seen.
-    Dropped,
-    /// What comes from now on is dropped, and what was read stays.
-    NewDropped,
-    /// All are dropped.
-    AllDropped,
+pub(super) enum Overflow {
+    /// They stay in the socket, and an end of the connection behind them is not noticed.
+    LeaveInSocket,
+    /// They are dropped, so that an end of the connection behind them is noticed.
+    DropExcess,
+    /// All bytes from now on are dropped, and those read before are kept.
+    DropNew,
+    /// All bytes are dropped, those read before too.
+    DropAll,
 }
 
-pub(super) enum Read {
+/// The state of the socket after a read.
+pub(super) enum ReadStatus {
     /// Nothing is left in the socket.
-    All,
-    Some,
+    Drained,
+    /// More bytes may be available.
+    MoreAvailable,
+    /// The client has closed the connection.
     Ended,
 }
 
-/// Reads what there is, up to what may be kept.
-pub(super) fn read(socket: &mut TcpStream, input: &mut BytesMut, beyond: Beyond) -> io::Result<Read> {
+/// Reads the available bytes, up to [`READ_AHEAD_BYTES`].
+pub(super) fn read(
+    socket: &mut TcpStream,
+    input: &mut BytesMut,
+    overflow: Overflow,
+) -> io::Result<ReadStatus> {
     let mut piece = [0; 4096];
-    let mut taken = 0;
+    let mut received = 0;
     loop {
-        if beyond == Beyond::AllDropped {
+        if overflow == Overflow::DropAll {
             input.clear();
         }
-        let full = input.len() > KEPT;
-        // One that never stops sending must not keep the others from being read.
-        if taken > KEPT || (full && beyond == Beyond::Waits) {
-            return Ok(Read::Some);
+        let full = input.len() > READ_AHEAD_BYTES;
+        // A client that never stops sending must not keep other connections from being read.
+        if received > READ_AHEAD_BYTES || (full && overflow == Overflow::LeaveInSocket) {
+            return Ok(ReadStatus::MoreAvailable);
         }
         match socket.inner_mut().read(&mut piece) {
-            Ok(0) => return Ok(Read::Ended),
+            Ok(0) => return Ok(ReadStatus::Ended),
             Ok(n) => {
-                taken += n;
-                if !full && beyond < Beyond::NewDropped {
+                received += n;
+                if !full && overflow < Overflow::DropNew {
                     input.extend_from_slice(&piece[..n]);
                 }
             }
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Read::All),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(ReadStatus::Drained),
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -1,4 +1,4 @@
-//! What clients ask for: heads and bodies read into submissions, or refused.
+//! Parses clients' requests into submissions, rejects invalid ones, and answers requests that need no execution.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -8,26 +8,26 @@
 use linestack_recovery::start::Stage;
 
 use super::NANOS_PER_MS;
-use super::answer::{bare, told};
+use super::answer::{empty_response, text_response};
 use crate::http::{self, BodyDecoder, Framing, HttpError, Request, WriteQueue};
 use crate::net::Node;
 
-/// The longest that a client may say it waits, whatever the settings name.
-const LONGEST_WAIT_MS: u64 = 86_400_000;
-/// Where a client can ask how a submission stands, by the key that it keeps.
-const SUBMISSIONS: &[u8] = b"/v1/submissions/";
+/// The longest deadline that a client may set, whatever the settings say.
+const MAX_DEADLINE_MS: u64 = 86_400_000;
+/// The path under which clients query the outcome of a submission by its key.
+const SUBMISSIONS_PATH: &[u8] = b"/v1/submissions/";
 
-/// A request of which the head has come: what it asks for, whether a go-ahead is wanted, and what is known of
-/// the body's end.
+/// A request whose head has been received.
 pub(super) struct Incoming {
-    pub(super) asked: Asked,
-    pub(super) expects: bool,
+    pub(super) action: RequestAction,
+    /// Whether the client waits for a `100 Continue`.
+    pub(super) expects_continue: bool,
     body: BodyDecoder,
 }
 
-/// True once a request is whole. What its head already shows to make no sense is turned down before any of
-/// its body is waited for.
-pub(super) fn next(
+/// Reads the next request from `input`. Returns true once it is complete. A request with an invalid head is rejected before
+/// any of its body is awaited.
+pub(super) fn read_request(
     node: &Node,
     input: &mut BytesMut,
     head: &mut Option<Box<Incoming>>,
@@ -35,82 +35,94 @@
 ) -> Result<bool, HttpError> {
     if head.is_none() {
         let Some(request) = http::parse_request(input)? else { return Ok(false) };
-        let text = input.split_to(request.length).freeze();
+        let head_text = input.split_to(request.length).freeze();
         let body = BodyDecoder::new(request.framing.unwrap_or(Framing::Length(0)));
         *head = Some(Box::new(Incoming {
-            asked: requested(node, &request, &text)?,
-            expects: request.expects_continue,
+            action: route(node, &request, &head_text)?,
+            expects_continue: request.expects_continue,
             body,
         }));
     }
     let Some(incoming) = head else { return Ok(false) };
-    let whole = incoming.body.decode(input, body)?;
+    let complete = incoming.body.decode(input, body)?;
     if body.len() > http::MAX_BODY_BYTES {
         return Err(HttpError { status: 413, reason: "body too large" });
     }
-    Ok(whole)
+    Ok(complete)
 }
 
-pub(super) enum Asked {
-    Execution(Intake, bool),
-    Health(WriteQueue, bool),
+/// How a request is answered; the flag tells whether the connection closes after the answer.
+pub(super) enum RequestAction {
+    /// By the execution of a submission.
+    Execute(Intake, bool),
+    /// At once, with this response.
+    Respond(WriteQueue, bool),
 }
 
-fn requested(node: &Node, request: &Request, text: &Bytes) -> Result<Asked, HttpError> {
+/// Selects the action by the request's method and path.
+fn route(node: &Node, request: &Request, head_text: &Bytes) -> Result<RequestAction, HttpError> {
     let last = request.close;
-    match (&text[request.method.clone()], &text[request.path.clone()]) {
+    match (&head_text[request.method.clone()], &head_text[request.path.clone()]) {
         (b"GET", b"/healthz")
-            if node.stored_outcome(b"").is_some_and(|(takes, _)| !takes) && node.ready() =>
+            if node.stored_outcome(b"").is_some_and(|(store_works, _)| !store_works) && node.ready() =>
         {
-            Ok(Asked::Health(told(200, "the store has failed: one-shots are dismissed\n", last), last))
+            Ok(RequestAction::Respond(
+                text_response(200, "the store has failed: one-shots are dismissed\n", last),
+                last,
+            ))
         }
-        (b"GET", path) if path.starts_with(SUBMISSIONS) && node.stored_outcome(b"").is_some() => {
-            let fate = node.stored_outcome(&path[SUBMISSIONS.len()..]).and_then(|(_, fate)| fate);
+        (b"GET", path) if path.starts_with(SUBMISSIONS_PATH) && node.stored_outcome(b"").is_some() => {
+            let fate = node.stored_outcome(&path[SUBMISSIONS_PATH.len()..]).and_then(|(_, fate)| fate);
             let out = match fate {
-                Some(fate) => told(200, &format!("{{\"fate\":\"{}\"}}\n", fate.word()), last),
-                None => told(404, "{\"fate\":\"not known\"}\n", last),
+                Some(fate) => text_response(200, &format!("{{\"fate\":\"{}\"}}\n", fate.word()), last),
+                None => text_response(404, "{\"fate\":\"not known\"}\n", last),
             };
-            Ok(Asked::Health(out, last))
+            Ok(RequestAction::Respond(out, last))
         }
         (b"GET", b"/healthz") if node.stage().is_some_and(|s| s < Stage::Full) => {
-            let Some(stage) = node.stage() else { return Ok(Asked::Health(bare(503, last), last)) };
+            let Some(stage) = node.stage() else {
+                return Ok(RequestAction::Respond(empty_response(503, last), last));
+            };
             let text = format!("starting: {}: {}\n", stage.word(), stage.why());
-            Ok(Asked::Health(told(if node.ready() { 200 } else { 503 }, &text, last), last))
+            Ok(RequestAction::Respond(text_response(if node.ready() { 200 } else { 503 }, &text, last), last))
         }
         (b"GET", b"/healthz") if !node.outcomes_complete() && node.ready() => {
             let text = "an earlier store was lost: one-shots are aborted until what it sent is over\n";
-            Ok(Asked::Health(told(200, text, last), last))
+            Ok(RequestAction::Respond(text_response(200, text, last), last))
+        }
+        (b"GET", b"/healthz") => {
+            Ok(RequestAction::Respond(empty_response(if node.ready() { 200 } else { 503 }, last), last))
         }
-        (b"GET", b"/healthz") => Ok(Asked::Health(bare(if node.ready() { 200 } else { 503 }, last), last)),
-        (b"GET", _) => Ok(Asked::Health(bare(404, last), last)),
-        (b"POST", _) => Ok(Asked::Execution(intake(node, request, text)?, last)),
+        (b"GET", _) => Ok(RequestAction::Respond(empty_response(404, last), last)),
+        (b"POST", _) => Ok(RequestAction::Execute(submission(node, request, head_text)?, last)),
         _ => Err(HttpError { status: 405, reason: "POST only" }),
     }
 }
 
-/// What a request asks for, if it may be executed at all. Its body is still to come.
-fn intake(node: &Node, request: &Request, text: &Bytes) -> Result<Intake, HttpError> {
+/// Parses the head of a submission. Its body is still to come.
+fn submission(node: &Node, request: &Request, head_text: &Bytes) -> Result<Intake, HttpError> {
     let bad = |reason| HttpError { status: 400, reason };
-    let part = |range: &Option<Range<usize>>| range.clone().map(|r| text.slice(r)).filter(|t| !t.is_empty());
-    let place = |names: &[String], name: &Bytes| names.iter().position(|n| n.as_bytes() == &name[..]);
+    let part =
+        |range: &Option<Range<usize>>| range.clone().map(|r| head_text.slice(r)).filter(|t| !t.is_empty());
+    let position = |names: &[String], name: &Bytes| names.iter().position(|n| n.as_bytes() == &name[..]);
     let id = part(&request.id).ok_or(bad("no Req-Id"))?;
     let kind = part(&request.kind).ok_or(bad("no Req-Kind"))?;
-    let product = place(&node.names.products, &kind).ok_or(bad("unknown Req-Kind"))?;
+    let product = position(&node.names.products, &kind).ok_or(bad("unknown Req-Kind"))?;
     let tenant = if node.names.tenants.is_empty() {
         0
     } else {
         let owner = part(&request.owner).ok_or(bad("no Req-Owner"))?;
-        place(&node.names.tenants, &owner).ok_or(bad("unknown Req-Owner"))?
+        position(&node.names.tenants, &owner).ok_or(bad("unknown Req-Owner"))?
     };
     let stamp = part(&request.stamp);
-    // Without its mark nothing would drop a repeat of it.
+    // Without a key a repeat could not be recognised and dropped.
     if stamp.is_none() && node.stamped.get(product).copied().unwrap_or(false) {
         return Err(bad("no Idempotency-Key"));
     }
     let deadline = part(&request.deadline).ok_or(bad("no Req-Deadline-Ms"))?;
     let digits = std::str::from_utf8(&deadline).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     let deadline = digits.and_then(|d| d.parse::<u64>().ok());
-    let deadline = deadline.ok_or(bad("bad Req-Deadline-Ms"))?.min(LONGEST_WAIT_MS);
+    let deadline = deadline.ok_or(bad("bad Req-Deadline-Ms"))?.min(MAX_DEADLINE_MS);
     let extra = part(&request.extra);
     let extra = extra.as_deref().and_then(|e| std::str::from_utf8(e).ok()).unwrap_or("");
     let figure = |names: [&str; 2]| {
@@ -118,8 +130,8 @@
         found.filter(|f| f.is_finite() && *f >= 0.0).map(f64::from)
     };
     let shipment = Shipment {
-        method: text.slice(request.method.clone()),
-        path: text.slice(request.path.clone()),
+        method: head_text.slice(request.method.clone()),
+        path: head_text.slice(request.path.clone()),
         host: part(&request.host).unwrap_or_default(),
         id,
         stamp,
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -1,5 +1,5 @@
-//! Connections to executors: one coroutine each. It connects, sends what its mailbox brings, and tells the
-//! reducer what came back, and how far it had got when the connection broke.
+//! Connections to executors, with one coroutine each. The coroutine connects, sends the requests from its mailbox, and
+//! reports the responses to the reducer, or how far an exchange had come when the connection broke.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -20,51 +20,55 @@
 use crate::http::{self, BodyDecoder, Response, WriteQueue};
 use linestack_core::{Broken, Input, Link, Shipment};
 
-/// The longest line or probe's answer.
-const LINE: usize = 2 * http::MAX_BODY_BYTES;
-/// What may wait to be parsed: a whole answer.
-const UNREAD: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
+/// The longest line of a response, and the longest response to a probe.
+const MAX_LINE_BYTES: usize = 2 * http::MAX_BODY_BYTES;
+/// The most bytes that may wait to be parsed: a complete response.
+const MAX_UNPARSED_BYTES: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
+/// A message to a connection's coroutine.
 pub(crate) enum Message {
     Send { shipment: Arc<Shipment> },
     Probe,
     Close,
 }
 
-/// What is on the connection.
+/// The request that a connection carries, and what has come of its response.
 struct Exchange {
-    /// What is to be executed; none for a probe.
+    /// The request to execute; none for a probe.
     shipment: Option<Arc<Shipment>>,
     /// The submission's id; none for a probe.
     id: Option<Bytes>,
-    /// That of the one before, which may be answered a second time.
-    before: Option<Bytes>,
-    /// The answer that is coming in is that second one.
+    /// The id of the previous submission, to which a second response may come.
+    previous_id: Option<Bytes>,
+    /// Whether the response that is arriving is such a second response.
     stale: bool,
     out: WriteQueue,
-    written: bool,
+    /// Whether the whole request is written.
+    fully_written: bool,
     head: Option<Response>,
     body: Option<BodyDecoder>,
     text: BytesMut,
-    /// The reducer has the outcome.
-    told: bool,
+    /// Whether the outcome was reported to the reducer.
+    outcome_reported: bool,
 }
 
+/// What to do after the bytes received were processed.
 enum Step {
-    More,
-    /// The exchange is over, and the connection may be used again.
-    Free,
+    /// Wait for more bytes.
+    NeedMore,
+    /// The exchange is over, and the connection may be reused.
+    Reusable,
     Close,
 }
 
-/// Tells the reducer that the connection is down, however that came: after a panic too, and then the worst.
-struct Down<'a> {
+/// Reports to the reducer that the connection is down when dropped, so also after a panic; the worst case is reported then.
+struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
     link: Link,
     broken: Option<Broken>,
 }
 
-impl Drop for Down<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.node.remove_connection(self.link);
         if let Some(broken) = self.broken {
@@ -73,6 +77,7 @@
     }
 }
 
+/// Opens a connection to an executor and serves it until it ends. `limit` is the time to connect within.
 pub(crate) fn run(
     node: &Arc<Node>,
     link: Link,
@@ -81,15 +86,15 @@
     mailbox: &Mailbox<Message>,
 ) {
     let worst = Broken { begun: true, written: true, answered: true, here: false, spoilt: false };
-    let mut down = Down { node, link, broken: Some(worst) };
-    // The reducer forgets a connection that it closes.
+    let mut guard = DisconnectGuard { node, link, broken: Some(worst) };
+    // The reducer removes a connection that it closes.
     let wanted = || node.has_connection(link);
     let mut socket = match connect(node, address, Duration::from_nanos(limit), link, wanted) {
         Ok(socket) => socket,
-        Err(why) => {
-            tracing::debug!(link, %address, %why, "no connection");
-            let here = matches!(why, ConnectError::Local(_));
-            down.broken = Some(Broken { here, ..Broken::default() });
+        Err(error) => {
+            tracing::debug!(link, %address, why = %error, "no connection");
+            let here = matches!(error, ConnectError::Local(_));
+            guard.broken = Some(Broken { here, ..Broken::default() });
             return;
         }
     };
@@ -97,36 +102,38 @@
     let _ = socket.set_nodelay(true);
     node.handle_input(Input::LinkUp { link });
     let mut exchange: Option<Exchange> = None;
-    let (wanted, spoilt) = match converse(node, link, &mut socket, mailbox, &mut exchange) {
-        End::Wanted => (true, false),
-        End::Broke => (false, false),
-        End::Spoilt => (false, true),
+    let (closed_here, spoilt) = match run_exchanges(node, link, &mut socket, mailbox, &mut exchange) {
+        End::ClosedByReducer => (true, false),
+        End::Broken => (false, false),
+        End::UnexpectedData => (false, true),
     };
     let broken = exchange.map_or(Broken { spoilt, ..Broken::default() }, |e| Broken {
         begun: e.out.written > 0,
-        written: e.written,
+        written: e.fully_written,
         answered: e.head.is_some(),
         here: false,
         spoilt,
     });
-    if !wanted {
-        tracing::debug!(%address, ?broken, "connection closed at the other end");
+    if !closed_here {
+        tracing::debug!(%address, ?broken, "connection to the executor lost");
     }
-    down.broken = Some(broken).filter(|_| !wanted);
-    // The socket is closed before the reducer hears of it.
+    guard.broken = Some(broken).filter(|_| !closed_here);
+    // The socket is closed before the guard reports to the reducer.
     drop(socket);
 }
 
+/// How a connection ended.
 enum End {
-    /// The reducer had it closed.
-    Wanted,
-    /// It broke, or is of no further use.
-    Broke,
-    /// Something came that nothing had asked for.
-    Spoilt,
+    ClosedByReducer,
+    /// The connection broke, or cannot be used any further.
+    Broken,
+    /// Bytes came without a request.
+    UnexpectedData,
 }
 
-fn converse(
+/// Sends the requests from the mailbox and processes the responses, until the connection ends. At the end `exchange` is
+/// the one that was not over.
+fn run_exchanges(
     node: &Arc<Node>,
     link: Link,
     socket: &mut TcpStream,
@@ -134,80 +141,94 @@
     exchange: &mut Option<Exchange>,
 ) -> End {
     let mut input = BytesMut::new();
-    let mut holding = node.executor_memory.holding();
-    let mut before: Option<Bytes> = None;
+    let mut reservation = node.executor_memory.reservation();
+    let mut previous_id: Option<Bytes> = None;
     loop {
         while let Some(message) = mailbox.next() {
             let (shipment, out) = match message {
-                Message::Close => return End::Wanted,
+                Message::Close => return End::ClosedByReducer,
                 Message::Send { shipment } => (Some(shipment), WriteQueue::default()),
-                Message::Probe => (None, probe(node)),
+                Message::Probe => (None, encode_probe(node)),
             };
             let id = shipment.as_ref().map(|shipment| shipment.id.clone());
             let (head, body, text) = (None, None, BytesMut::new());
-            let (before, stale, written, told) = (before.take(), false, false, false);
-            *exchange = Some(Exchange { shipment, id, before, stale, out, written, head, body, text, told });
+            let (previous_id, stale, fully_written, outcome_reported) =
+                (previous_id.take(), false, false, false);
+            *exchange = Some(Exchange {
+                shipment,
+                id,
+                previous_id,
+                stale,
+                out,
+                fully_written,
+                head,
+                body,
+                text,
+                outcome_reported,
+            });
         }
         let ended = read(socket, &mut input);
-        let full = input.len() > UNREAD;
-        // What there is no room for is not understood, and counts as what may have run.
-        if !holding.set(input.len() + exchange.as_ref().map_or(0, |e| e.text.len())) {
-            return End::Broke;
+        let full = input.len() > MAX_UNPARSED_BYTES;
+        // Without memory for its response the connection is given up, and the execution counts as one that may have run.
+        if !reservation.resize(input.len() + exchange.as_ref().map_or(0, |e| e.text.len())) {
+            return End::Broken;
         }
-        let asked = exchange.as_ref().is_some_and(|e| e.out.written > 0);
-        if !asked && !input.is_empty() {
-            // Nothing was asked, so nothing should come. What is to be sent now would be answered by it.
-            return End::Spoilt;
+        let request_started = exchange.as_ref().is_some_and(|e| e.out.written > 0);
+        if !request_started && !input.is_empty() {
+            // Bytes without a request would be taken for the response to the next one.
+            return End::UnexpectedData;
         }
-        if !asked && ended {
-            // Closed while it was idle: not a byte may follow, or the reducer could not send it elsewhere.
-            return End::Broke;
+        if !request_started && ended {
+            // The executor closed an idle connection. No byte of a waiting request may be written any more, since the
+            // reducer sends it elsewhere only if none was.
+            return End::Broken;
         }
         let Some(current) = exchange else {
             socket.wait_io();
             continue;
         };
-        if !current.written && !ended {
-            // Until its first byte is written it is judged anew each time.
+        if !current.fully_written && !ended {
+            // Until the first byte is written, permission is requested anew before each attempt to write.
             if current.out.written == 0
                 && let Some(shipment) = &current.shipment
             {
                 match node.begin_execution(link) {
-                    Ok(left) => current.out = request(shipment, left),
+                    Ok(time_left) => current.out = encode_request(shipment, time_left),
                     Err(_) => {
-                        before = exchange.take().and_then(|exchange| exchange.before);
+                        previous_id = exchange.take().and_then(|exchange| exchange.previous_id);
                         continue;
                     }
                 }
             }
             match current.out.write(socket.inner_mut()) {
-                Ok(done) => current.written = done,
-                Err(_) => return End::Broke,
+                Ok(done) => current.fully_written = done,
+                Err(_) => return End::Broken,
             }
         }
-        match current.take(node, link, &mut input, ended) {
-            Step::More if ended => return End::Broke,
-            // What was left in the socket makes no event; the others have their turn first.
-            Step::More if full => node.alarm.sleep(YIELD_PAUSE),
-            Step::More => {
+        match current.process(node, link, &mut input, ended) {
+            Step::NeedMore if ended => return End::Broken,
+            // Bytes left in the socket cause no further event, so it is read again after a pause for other coroutines.
+            Step::NeedMore if full => node.alarm.sleep(YIELD_PAUSE),
+            Step::NeedMore => {
                 socket.wait_io();
             }
-            Step::Free if !ended && current.written && input.is_empty() => {
+            Step::Reusable if !ended && current.fully_written && input.is_empty() => {
                 let named = current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
-                before = exchange.take().and_then(|e| e.id);
+                previous_id = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
                 node.handle_input(Input::Freed { link, named });
             }
-            Step::Free | Step::Close => return End::Broke,
+            Step::Reusable | Step::Close => return End::Broken,
         }
     }
 }
 
-/// Reads what there is. True at the end of the connection, a reset too: what came before it still counts.
+/// Reads the available bytes. Returns true at the end of the connection. A reset counts as an end too, since the bytes before
+/// it are still valid.
 fn read(socket: &mut TcpStream, input: &mut BytesMut) -> bool {
     let mut piece = [0; 4096];
     loop {
-        if input.len() > UNREAD {
+        if input.len() > MAX_UNPARSED_BYTES {
             return false;
         }
         match socket.inner_mut().read(&mut piece) {
@@ -221,9 +242,9 @@
 }
 
 impl Exchange {
-    /// Goes through what has come. What is not understood ends the connection; the reducer then counts
-    /// the execution as one that may have run.
-    fn take(&mut self, node: &Arc<Node>, link: Link, input: &mut BytesMut, ended: bool) -> Step {
+    /// Processes the bytes received. A response that cannot be parsed ends the connection, and the reducer counts the
+    /// execution as one that may have run.
+    fn process(&mut self, node: &Arc<Node>, link: Link, input: &mut BytesMut, ended: bool) -> Step {
         if self.head.is_none() {
             loop {
                 match http::parse_response(input) {
@@ -234,40 +255,41 @@
                         self.head = Some(head);
                         break;
                     }
-                    Ok(None) => return Step::More,
+                    Ok(None) => return Step::NeedMore,
                     Err(_) => return Step::Close,
                 }
             }
         }
         let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Step::Close };
-        let Ok(whole) = body.decode(input, &mut self.text) else { return Step::Close };
-        let whole = whole || (ended && body.ends_with_connection());
+        let Ok(complete) = body.decode(input, &mut self.text) else { return Step::Close };
+        let complete = complete || (ended && body.ends_with_connection());
         let close = head.close;
-        let fine = if self.id.is_none() {
-            self.probed(node, link, whole)
+        let valid = if self.id.is_none() {
+            self.process_probe_response(node, link, complete)
         } else if self.head.as_ref().is_some_and(|h| h.status == 200) {
-            self.lines(node, link, whole)
+            self.process_lines(node, link, complete)
         } else {
-            self.turned_away(node, link);
+            self.process_status(node, link);
             self.text.clear();
             true
         };
-        if self.stale && whole && fine {
-            // The answer to this one is still to come.
-            (self.head, self.body, self.stale, self.before) = (None, None, false, None);
+        if self.stale && complete && valid {
+            // The response to the present request is still to come.
+            (self.head, self.body, self.stale, self.previous_id) = (None, None, false, None);
             self.text.clear();
-            return if input.is_empty() { Step::More } else { self.take(node, link, input, ended) };
+            return if input.is_empty() { Step::NeedMore } else { self.process(node, link, input, ended) };
         }
-        match (fine, whole) {
+        match (valid, complete) {
             (false, _) => Step::Close,
-            (true, false) => Step::More,
-            // Without a last line it may have run, and the connection is given up.
-            (true, true) if close || !self.told => Step::Close,
-            (true, true) => Step::Free,
+            (true, false) => Step::NeedMore,
+            // Without a last line the execution may have run, and the connection is closed.
+            (true, true) if close || !self.outcome_reported => Step::Close,
+            (true, true) => Step::Reusable,
         }
     }
 
-    fn tell(
+    /// Reports the outcome to the reducer, once.
+    fn report_outcome(
         &mut self,
         node: &Arc<Node>,
         link: Link,
@@ -275,13 +297,13 @@
         result: Bytes,
         report: Option<Report>,
     ) {
-        if !std::mem::replace(&mut self.told, true) {
+        if !std::mem::replace(&mut self.outcome_reported, true) {
             node.handle_input(Input::Ended { link, outcome, result, report });
         }
     }
 
-    /// An answer that ended the execution by its head.
-    fn turned_away(&mut self, node: &Arc<Node>, link: Link) {
+    /// Processes a response whose status is not 200: the status is the outcome.
+    fn process_status(&mut self, node: &Arc<Node>, link: Link) {
         let Some(head) = &self.head else { return };
         let report = head.load.as_deref().and_then(|text| text_report(node, text));
         let outcome = match head.status {
@@ -289,21 +311,24 @@
             400..500 => Outcome::Unusable,
             _ => Outcome::Error,
         };
-        self.tell(node, link, outcome, Bytes::new(), report);
+        self.report_outcome(node, link, outcome, Bytes::new(), report);
     }
 
-    fn probed(&mut self, node: &Arc<Node>, link: Link, whole: bool) -> bool {
-        let Some(head) = self.head.as_ref().filter(|_| whole) else { return self.text.len() <= LINE };
+    /// Processes the response to a probe. Returns false if it is too long.
+    fn process_probe_response(&mut self, node: &Arc<Node>, link: Link, complete: bool) -> bool {
+        let Some(head) = self.head.as_ref().filter(|_| complete) else {
+            return self.text.len() <= MAX_LINE_BYTES;
+        };
         let line =
             self.text[..].split(|b| *b == b'\n').next().and_then(|line| parse_object::<Line>(line).ok());
-        if line.is_some_and(|line| self.before.as_deref() == Some(line.id.as_bytes())) {
+        if line.is_some_and(|line| self.previous_id.as_deref() == Some(line.id.as_bytes())) {
             self.stale = true;
             return true;
         }
-        if !std::mem::replace(&mut self.told, true) {
+        if !std::mem::replace(&mut self.outcome_reported, true) {
             let answered = match head.status {
                 200 => Some(true),
-                // Turned away for there being too many probes: it says nothing of the executor.
+                // The probe was declined because there are too many; this says nothing about the executor.
                 429 | 503 if head.declined => None,
                 _ => Some(false),
             };
@@ -315,26 +340,26 @@
         true
     }
 
-    /// Goes through the whole lines. False if one is not understood.
-    fn lines(&mut self, node: &Arc<Node>, link: Link, whole: bool) -> bool {
+    /// Processes the complete lines of a response. Returns false if one is invalid.
+    fn process_lines(&mut self, node: &Arc<Node>, link: Link, complete: bool) -> bool {
         loop {
             let line = match self.text.iter().position(|b| *b == b'\n') {
                 Some(end) => self.text.split_to(end + 1),
-                None if whole && !self.text.is_empty() => self.text.split(),
-                None => return self.text.len() <= LINE,
+                None if complete && !self.text.is_empty() => self.text.split(),
+                None => return self.text.len() <= MAX_LINE_BYTES,
             };
-            if line.trim_ascii().is_empty() || self.told {
+            if line.trim_ascii().is_empty() || self.outcome_reported {
                 continue;
             }
             let Ok(line) = parse_object::<Line>(&line) else { return false };
             if Some(line.id.as_bytes()) != self.id.as_deref() {
-                self.stale = self.before.as_deref() == Some(line.id.as_bytes());
+                self.stale = self.previous_id.as_deref() == Some(line.id.as_bytes());
                 if self.stale {
                     continue;
                 }
                 return false;
             }
-            // What began as another's answer is not this one's.
+            // A response that began as one to the previous request cannot go on as one to this request.
             if self.stale {
                 return false;
             }
@@ -352,14 +377,15 @@
             else {
                 return false;
             };
-            let head = self.head.as_ref().and_then(|h| h.load.as_deref());
+            let header = self.head.as_ref().and_then(|h| h.load.as_deref());
             let report = line.load.and_then(|load| json_report(node, load.get()));
-            let report = report.or_else(|| head.and_then(|text| text_report(node, text)));
-            self.tell(node, link, outcome, Bytes::from(result), report);
+            let report = report.or_else(|| header.and_then(|text| text_report(node, text)));
+            self.report_outcome(node, link, outcome, Bytes::from(result), report);
         }
     }
 }
 
+/// A line of an executor's response.
 #[derive(Deserialize)]
 struct Line<'a> {
     #[serde(borrow)]
@@ -372,8 +398,8 @@
     load: Option<&'a RawValue>,
 }
 
-/// The name that a figure has in reports on sockets, where it differs from that in the settings.
-fn plain(name: &str) -> &str {
+/// Returns the name that executors use for a figure in their reports, which may differ from that in the settings.
+fn reported_name(name: &str) -> &str {
     match name {
         "outstanding" => "inflight",
         "backlog" => "queue",
@@ -382,25 +408,27 @@
     }
 }
 
+/// Parses a load report in text form.
 fn text_report(node: &Node, text: &str) -> Option<Report> {
     node.layout.report(|place| {
         let name = node.names.figures.get(place)?;
-        http::text_figure(text, name).or_else(|| http::text_figure(text, plain(name)))
+        http::text_figure(text, name).or_else(|| http::text_figure(text, reported_name(name)))
     })
 }
 
-/// The figures stay text until they are asked for: read as a tree, what is nested a hundred levels deep
-/// would fill the stack.
+/// Parses a load report in JSON. Figures that are not used stay text: parsing the report as a tree could overflow the stack
+/// where values are nested a hundred levels deep.
 fn json_report(node: &Node, load: &str) -> Option<Report> {
     let load: BTreeMap<Cow<'_, str>, &RawValue> = parse_object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
         let name = node.names.figures.get(place)?;
-        let figure = load.get(name.as_str()).or_else(|| load.get(plain(name)))?;
+        let figure = load.get(name.as_str()).or_else(|| load.get(reported_name(name)))?;
         figure.get().parse().ok()
     })
 }
 
-fn request(shipment: &Shipment, wait: Nanos) -> WriteQueue {
+/// Encodes a request for an executor. `time_left` is the time until its deadline.
+fn encode_request(shipment: &Shipment, time_left: Nanos) -> WriteQueue {
     let mut out = WriteQueue::default();
     let mut push = |piece: &Bytes| out.push(piece.clone());
     push(&shipment.method);
@@ -414,13 +442,14 @@
         push(&Bytes::from_static(b"\r\nIdempotency-Key: "));
         push(stamp);
     }
-    let (wait, length) = ((wait / 1_000_000).max(1), shipment.body.len());
-    push(&Bytes::from(format!("\r\nReq-Deadline-Ms: {wait}\r\nContent-Length: {length}\r\n\r\n")));
+    let (wait_ms, length) = ((time_left / 1_000_000).max(1), shipment.body.len());
+    push(&Bytes::from(format!("\r\nReq-Deadline-Ms: {wait_ms}\r\nContent-Length: {length}\r\n\r\n")));
     push(&shipment.body);
     out
 }
 
-fn probe(node: &Node) -> WriteQueue {
+/// Encodes a probe: a request for the load if the settings name any figures, otherwise for the health.
+fn encode_probe(node: &Node) -> WriteQueue {
     let path = if node.names.figures.is_empty() { "/healthz" } else { "/load" };
     let mut out = WriteQueue::default();
     out.push(Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: executor\r\n\r\n")));
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -103,7 +103,7 @@
         Self(AtomicIsize::new(isize::try_from(bytes).unwrap_or(isize::MAX)))
     }
 
-    pub(crate) fn holding(&self) -> MemoryReservation<'_> {
+    pub(crate) fn reservation(&self) -> MemoryReservation<'_> {
         MemoryReservation { room: self, size: 0 }
     }
 }
@@ -117,7 +117,7 @@
 impl MemoryReservation<'_> {
     /// Notes how much is held now. False if that is more than before and there is no room for it. Buffers
     /// double as they grow, so up to twice the bytes in them are held.
-    pub(crate) fn set(&mut self, bytes: usize) -> bool {
+    pub(crate) fn resize(&mut self, bytes: usize) -> bool {
         let size = 2 * bytes.saturating_sub(MemoryBudget::FREE);
         let more = size.cast_signed() - self.size.cast_signed();
         self.size = size;
@@ -128,7 +128,7 @@
 
 impl Drop for MemoryReservation<'_> {
     fn drop(&mut self) {
-        self.set(0);
+        self.resize(0);
     }
 }
 
