--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the node, and stops it when it is told to.
+//! The program: starts a node, a coordinator or an operator's command, and stops the node on a signal.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -26,18 +26,18 @@
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
-/// A coroutine's stack, in words. The most that was seen in use is 1,919, in a debug build; may ends the
-/// program when a stack is full.
+/// The size of a coroutine's stack, in words. The most seen in use is 1,919, in a debug build; may ends the process when a
+/// stack overflows.
 const STACK_WORDS: usize = 0x2000;
-/// Stacks that are kept for the next connection.
-const KEPT_STACKS: usize = 64;
-/// How long to wait for an address that is taken: 2 s in all.
+/// The number of unused stacks that are kept for further connections.
+const STACK_POOL_SIZE: usize = 64;
+/// The attempts to listen on an address that is in use, over 2 s in total.
 const LISTEN_ATTEMPTS: u32 = 40;
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Log lines that wait to be written, at most.
-const LOG_LINES: usize = 4096;
+/// The most log lines that wait to be written.
+const MAX_BUFFERED_LOG_LINES: usize = 4096;
 
-/// A dispatcher that pushes jobs to workers. Without a command it runs a node, which is told where it is by
+/// A dispatcher that pushes jobs to workers. Without a command it runs a node, which is configured by environment
 /// variables and a file (PROXY_CONFIG).
 #[derive(Parser)]
 #[command(version, about)]
@@ -45,26 +45,26 @@
     /// Run a coordinator of a fleet.
     Coordinate {
         file: PathBuf,
-        /// The fleet is new: make its store, from the first policy.
+        /// The fleet is new: create the store from the first policy.
         #[arg(long, conflicts_with = "replacement")]
         first: bool,
-        /// It takes the place of one that has lost its store; `fleet replace` tells the number.
+        /// Replaces a coordinator that has lost its store; `fleet replace` prints the number.
         #[arg(long)]
         replacement: Option<u32>,
-        /// Most others have lost their stores: go on from this one's, and write into this file what the others are to
-        /// begin with. Nothing is run. Refused where a majority still has its stores, or another one answers.
+        /// A majority has lost its stores: continue from this coordinator's store, and write the state for the others into
+        /// this file. Nothing is run. Refused if a majority still has its stores, or if another coordinator answers.
         #[arg(long, requires = "lost", conflicts_with_all = ["first", "replacement", "refounded"])]
         refound: Option<PathBuf>,
-        /// The numbers of those that have lost their stores.
+        /// The numbers of the coordinators that have lost their stores.
         #[arg(long, value_delimiter = ',')]
         lost: Vec<u8>,
-        /// It has lost its store, and begins with what `--refound` wrote.
+        /// This coordinator has lost its store and begins with the state that `--refound` wrote.
         #[arg(long, conflicts_with_all = ["first", "replacement"])]
         refounded: Option<PathBuf>,
     },
-    /// Ask the coordinators of a fleet.
+    /// Send a request to the coordinators of a fleet.
     Fleet(fleet::operate::Arguments),
-    /// Look after a node's store.
+    /// Maintain a node's store.
     Store {
         #[command(subcommand)]
         command: keep::Command,
@@ -79,19 +79,19 @@
     if let Some(Command::Store { command }) = &command {
         return match keep::run(command) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(why) => {
-                eprintln!("linestack: {why}");
+            Err(error) => {
+                eprintln!("linestack: {error}");
                 ExitCode::FAILURE
             }
         };
     }
-    // Lines are written by a thread of their own and dropped when nobody reads them: no coroutine waits.
-    let writer = NonBlockingBuilder::default().buffered_lines_limit(LOG_LINES).lossy(true);
+    // A separate thread writes the log lines. When stderr is not read, lines are dropped, so that no coroutine blocks.
+    let writer = NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LOG_LINES).lossy(true);
     let (writer, guard) = writer.finish(std::io::stderr());
     let variable = |key: &str| std::env::var(key).ok();
     let level = config::log_level(variable);
-    let most = *level.as_ref().unwrap_or(&tracing::Level::INFO);
-    tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_max_level(most).init();
+    let max_level = *level.as_ref().unwrap_or(&tracing::Level::INFO);
+    tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_max_level(max_level).init();
     std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panicked")));
     if let Some(Command::Coordinate { file, first, replacement, refound, lost, refounded }) = &command {
         let how = match (replacement, refound, refounded) {
@@ -105,36 +105,36 @@
         drop(guard);
         return code;
     }
-    if let Err(fault) = config::check_descriptors() {
-        tracing::error!(fault, "descriptors");
+    if let Err(error) = config::check_descriptors() {
+        tracing::error!(fault = error, "descriptors");
         return ExitCode::FAILURE;
     }
-    // Taken over before anything is served, so that no signal finds them missing.
+    // The handlers are installed before clients are served, so that no signal ends the process without them.
     let mut signals = match retry_transient(START_RETRY_TIMEOUT, || Signals::new([SIGTERM, SIGINT, SIGHUP])) {
         Ok(signals) => signals,
-        Err(why) => {
-            tracing::error!(%why, "signals");
+        Err(error) => {
+            tracing::error!(why = %error, "signals");
             return ExitCode::FAILURE;
         }
     };
     let file = |path: &str| retry_transient(START_RETRY_TIMEOUT, || std::fs::read_to_string(path));
     let mut config = match level.and_then(|_| config::read(variable, file)) {
         Ok(config) => config,
-        Err(fault) => {
-            tracing::error!(%fault, "configuration");
+        Err(error) => {
+            tracing::error!(fault = %error, "configuration");
             return ExitCode::FAILURE;
         }
     };
-    let fleet = match variable("PROXY_FLEET").map(|path| join(&path, &mut config)).transpose() {
+    let fleet = match variable("PROXY_FLEET").map(|path| open_fleet_member(&path, &mut config)).transpose() {
         Ok(fleet) => fleet,
-        Err(why) => {
-            why.lines().for_each(|fault| tracing::error!(fault, "fleet"));
+        Err(errors) => {
+            errors.lines().for_each(|fault| tracing::error!(fault, "fleet"));
             return ExitCode::FAILURE;
         }
     };
     let scheduler = may::config();
-    scheduler.set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(KEPT_STACKS);
-    // Nodes on one machine would all be pinned to its first core.
+    scheduler.set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(STACK_POOL_SIZE);
+    // With pinning, all nodes on one machine would be pinned to its first core.
     scheduler.set_worker_pin(false);
     let (done, finished) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
@@ -143,8 +143,8 @@
     let keeper = variable("PROXY_STORE").map(opened);
     let mut keeper = match keeper.transpose() {
         Ok(keeper) => keeper,
-        Err(fault) => {
-            tracing::error!(fault, "store");
+        Err(error) => {
+            tracing::error!(fault = error, "store");
             return ExitCode::FAILURE;
         }
     };
@@ -153,15 +153,15 @@
         variable("PROXY_START").map(|path| staged_start::read_config(Path::new(&path), nodes)).transpose();
     let stages = match stages {
         Ok(stages) => stages,
-        Err(why) => {
-            why.lines().for_each(|fault| tracing::error!(fault, "start"));
+        Err(errors) => {
+            errors.lines().for_each(|fault| tracing::error!(fault, "start"));
             return ExitCode::FAILURE;
         }
     };
     let peers = match variable("PROXY_PEERS").map(|path| peers::config(Path::new(&path))).transpose() {
         Ok(peers) => peers,
-        Err(why) => {
-            why.lines().for_each(|fault| tracing::error!(fault, "peers"));
+        Err(errors) => {
+            errors.lines().for_each(|fault| tracing::error!(fault, "peers"));
             return ExitCode::FAILURE;
         }
     };
@@ -172,8 +172,8 @@
         .map(|(start, path)| Trail::open(path, &start.fleet().member, start.record.life.life, clock.now()));
     let audit_log = match audit_log.transpose() {
         Ok(audit_log) => audit_log,
-        Err(why) => {
-            tracing::error!(fault = %format!("fleet.history: {why}"), "fleet");
+        Err(error) => {
+            tracing::error!(fault = %format!("fleet.history: {error}"), "fleet");
             return ExitCode::FAILURE;
         }
     };
@@ -183,15 +183,15 @@
         let kept = keeper.as_ref().and_then(|k| k.list(stages.list_max_age));
         let fresh = kept.as_ref().is_some_and(|(_, fresh)| *fresh);
         if let Some((list, _)) = kept {
-            // Its version may mean nothing to the discovery that is there now: the whole list is asked for.
+            // The present discovery may not know the stored list's version, so the complete list is requested.
             (known, whole) = (Some(list), true);
         }
-        // Of no age that is known: it waits for discovery's word, or for discovery's silence.
+        // A list of unknown age is used only once discovery has sent one or has failed to answer.
         let old = known.take_if(|_| !fresh).map_or_else(Vec::new, |list| list.endpoints);
         let proved = !fleet.as_ref().is_some_and(|(start, _)| start.fleet().mode == Mode::Strict);
-        let mut chance = fastrand::Rng::with_seed(config.seed ^ fleet::draw());
+        let mut rng = fastrand::Rng::with_seed(config.seed ^ fleet::draw());
         let found = Found { proved, fresh, old: !old.is_empty() };
-        let start = Starting::new(stages.terms, found, [chance.f64(), chance.f64()], clock.now());
+        let start = Starting::new(stages.terms, found, [rng.f64(), rng.f64()], clock.now());
         core.start_by(clock.now(), start, old);
     }
     let index = known.as_ref().map(|known| known.index).filter(|_| !whole);
@@ -224,49 +224,51 @@
         writer.start(Arc::clone(&node));
     }
     if let Some((start, active)) = &fleet {
-        begin(&node, start, *active, &settings);
+        init_fleet_member(&node, start, *active, &settings);
     }
     if let Some(peers) = peers {
-        if let Err(why) = peers::listen(&peers, &name, &node) {
-            tracing::error!(fault = %format!("peers.listen: {why}"), "peers");
+        if let Err(error) = peers::listen(&peers, &name, &node) {
+            tracing::error!(fault = %format!("peers.listen: {error}"), "peers");
             return ExitCode::FAILURE;
         }
         peers::ask(peers, name.clone(), Arc::clone(&node));
     }
-    // Told even if there is none: it is what makes the node ask for the list.
+    // This is passed on even without a known list, since it makes the reducer request the list.
     node.handle_input(Input::Listed { kind: ListKind::Cached, endpoints });
-    let mut tries = 0..LISTEN_ATTEMPTS;
+    let mut attempts = 0..LISTEN_ATTEMPTS;
     let listen = loop {
         match clients::accept(&node, listen) {
             Ok(address) => break address,
-            // The one before it may not be quite gone, or this machine has nothing left for a moment.
-            Err(why)
-                if (why.kind() == ErrorKind::AddrInUse || is_transient(&why)) && tries.next().is_some() =>
+            // The previous process may not have ended yet, or this machine may lack a resource for a moment.
+            Err(error)
+                if (error.kind() == ErrorKind::AddrInUse || is_transient(&error))
+                    && attempts.next().is_some() =>
             {
                 std::thread::sleep(LISTEN_RETRY_INTERVAL);
             }
-            Err(why) => {
-                tracing::error!(%listen, %why, "listen");
+            Err(error) => {
+                tracing::error!(%listen, why = %error, "listen");
                 return ExitCode::FAILURE;
             }
         }
     };
-    let timed = Arc::clone(&node);
-    spawn(move || timed.run_timers());
+    let timer_node = Arc::clone(&node);
+    spawn(move || timer_node.run_timers());
     tracing::info!(name, %listen, %discovery, sockets, memory_mb, "started");
-    untold(&config);
-    let of_fleet = fleet.is_some();
+    warn_if_messages_expected(&config);
+    let in_fleet = fleet.is_some();
     if let Some((start, active)) = fleet {
         start.run(Arc::clone(&node), settings, config.seed, active, stages.map(|s| s.terms));
     }
     while let Some(signal) = signals.forever().next() {
         if signal == SIGHUP {
-            reload(&node, &mut config, of_fleet, variable);
+            reload(&node, &mut config, in_fleet, variable);
             continue;
         }
         tracing::info!(signal, "stopping");
         node.handle_input(Input::Stop);
-        // A second Ctrl-C ends it at once, as users expect; SIGTERM may come twice, to it and to its group.
+        // A second Ctrl-C ends the process at once, as users expect. SIGTERM is not treated so, since it may come twice: to
+        // the process and to its group.
         std::thread::spawn(move || {
             if signals.forever().any(|signal| signal == SIGINT) {
                 std::process::exit(1);
@@ -280,10 +282,10 @@
     ExitCode::SUCCESS
 }
 
-/// Reads the fleet's file, and goes on by the terms that this node went by last. Returns their version.
-fn join(path: &str, config: &mut Config) -> Result<(Start, u64), String> {
+/// Reads the fleet's configuration file, and takes over the settings that this node used last. Returns their version too.
+fn open_fleet_member(path: &str, config: &mut Config) -> Result<(Start, u64), String> {
     let fleet = fleet::config::fleet(Path::new(path))?;
-    let start = Start::open(fleet).map_err(|why| format!("{path}: fleet.folder: {why}"))?;
+    let start = Start::open(fleet).map_err(|error| format!("{path}: fleet.folder: {error}"))?;
     let kept = start.terms(&config.settings, config.seed);
     let active = if kept.is_some() { start.record.active.version } else { 0 };
     if let Some(settings) = kept {
@@ -292,8 +294,8 @@
     Ok((start, active))
 }
 
-/// What a node of a fleet is told before it serves.
-fn begin(node: &Arc<Node>, start: &Start, active: u64, settings: &linestack_settings::Settings) {
+/// Passes the settings and the lease of a fleet's node to the reducer before the node serves clients.
+fn init_fleet_member(node: &Arc<Node>, start: &Start, active: u64, settings: &linestack_settings::Settings) {
     if active > 0 {
         let what = What::Active { version: active, digest: start.record.active.digest() };
         if let Some(audit_log) = node.audit_log() {
@@ -306,63 +308,73 @@
     }
 }
 
-/// No page gives a protocol for messages between nodes.
-fn untold(config: &Config) {
+/// Warns if the settings expect messages between nodes, for which no protocol is specified.
+fn warn_if_messages_expected(config: &Config) {
     if config.settings.may_tell {
-        tracing::warn!("mayTell: nodes on sockets have no messages, so this one works as if all were lost");
+        tracing::warn!(
+            "mayTell: messages between nodes are not supported on sockets; the node works as if all of them were lost"
+        );
     }
 }
 
-/// How soon a configuration is tried again that could not be read for want of something on this machine.
-const READ_AGAIN: Duration = Duration::from_millis(50);
+/// The pause before the configuration is read again after this machine lacked a resource to read it.
+const REREAD_PAUSE: Duration = Duration::from_millis(50);
 
-/// Has the configuration read once more in a moment, by the signal that asked for it: meanwhile the other signals are heard.
-fn read_again_soon() {
+/// Makes the configuration be read again after a pause, by raising the signal that requests it. Other signals are handled
+/// meanwhile.
+fn schedule_reread() {
     let wait = std::thread::Builder::new().spawn(|| {
-        std::thread::sleep(READ_AGAIN);
-        if let Err(why) = signal_hook::low_level::raise(SIGHUP) {
-            tracing::error!(%why, "configuration is not tried again: the old one stays");
+        std::thread::sleep(REREAD_PAUSE);
+        if let Err(error) = signal_hook::low_level::raise(SIGHUP) {
+            tracing::error!(why = %error, "configuration is not read again: the old one stays");
         }
     });
-    if let Err(why) = wait {
-        tracing::error!(%why, "configuration is not tried again: the old one stays");
+    if let Err(error) = wait {
+        tracing::error!(why = %error, "configuration is not read again: the old one stays");
     }
 }
 
-/// Reads the configuration again. A file with a fault changes nothing; what is right is taken over, as far as
-/// that can be done in a running node.
-fn reload(node: &Arc<Node>, present: &mut Config, of_fleet: bool, variable: impl Fn(&str) -> Option<String>) {
+/// Reads the configuration again. A file with an error changes nothing. A valid one is applied as far as this is possible
+/// in a running node.
+fn reload(node: &Arc<Node>, present: &mut Config, in_fleet: bool, variable: impl Fn(&str) -> Option<String>) {
     match config::reread(present, variable, |path| std::fs::read_to_string(path)) {
         Ok(newer) => {
             let mut keys = present.keys_requiring_restart(&newer);
-            keys.retain(|key| !of_fleet || !key.starts_with("settings."));
+            keys.retain(|key| !in_fleet || !key.starts_with("settings."));
             if let Some(key) = keys.iter().find(|key| key.starts_with("settings.")) {
-                // Half of a change would be neither the old terms nor the new ones.
-                tracing::error!(key, "configuration read again: wants a restart, so the old one stays whole");
+                // A partly applied change would be neither the old settings nor the new ones.
+                tracing::error!(
+                    key,
+                    "configuration read again: this key needs a restart, so nothing is changed"
+                );
                 return;
             }
-            if of_fleet && present.differs_in_settings(&newer) {
-                // One node alone would be mixed with the others.
+            if in_fleet && present.differs_in_settings(&newer) {
+                // This node alone would use other settings than the rest of the fleet.
                 tracing::error!(
-                    "configuration read again: settings are the fleet's, and are not taken from here"
+                    "configuration read again: the fleet's coordinators set the settings, so those in the file are ignored"
                 );
             } else if present.differs_in_settings(&newer) {
                 present.apply_settings(&newer);
                 node.handle_input(Input::Terms { settings: Box::new(newer.settings.clone()), version: 0 });
-                tracing::info!("settings taken over; reports, shares, limits and answer times start afresh");
-                untold(&newer);
+                tracing::info!(
+                    "settings taken over; load reports, shares, limits and response times are reset"
+                );
+                warn_if_messages_expected(&newer);
             }
             if !keys.is_empty() {
-                tracing::warn!(?keys, "changed, and read at the start only: they want a restart");
+                tracing::warn!(?keys, "these keys have changed and take effect at the next start only");
             }
             tracing::info!(from = %present.discovery, discovery = %newer.discovery, "configuration read again");
             present.discovery = newer.discovery;
             node.change_discovery(newer.discovery);
         }
-        Err(fault) if fault.kind == ConfigErrorKind::Transient => {
-            tracing::warn!(%fault, "configuration can't be read now, and is tried again");
-            read_again_soon();
+        Err(error) if error.kind == ConfigErrorKind::Transient => {
+            tracing::warn!(fault = %error, "configuration cannot be read now; it is read again soon");
+            schedule_reread();
+        }
+        Err(error) => {
+            tracing::error!(fault = %error, "configuration read again: it has an error, so the old one stays")
         }
-        Err(fault) => tracing::error!(%fault, "configuration read again: the old one stays"),
     }
 }
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -59,7 +59,7 @@
         // The last time at which the listener's queue is known to have been empty.
         let mut queue_empty_at = node.clock.now();
         loop {
-            if node.crowded() {
+            if node.is_at_client_limit() {
                 node.alarm.sleep(ACCEPT_RETRY_PAUSE);
                 continue;
             }
@@ -150,7 +150,7 @@
 ) {
     // The guard reports the end of the connection to the reducer, after a panic too.
     let _guard = DisconnectGuard { node, client };
-    mailbox.wake(&socket);
+    mailbox.wake_on_message(&socket);
     let _ = socket.set_nodelay(true);
     run_requests(node, client, &mut socket, earliest_connect, mailbox);
 }
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -173,15 +173,15 @@
 }
 
 /// Follows discovery's list and passes each list to the reducer, until the watch ends.
-pub(crate) fn watch(node: &Arc<Node>, number: u64) {
+pub(crate) fn watch(node: &Arc<Node>, generation: u64) {
     loop {
         let called_at = node.clock.now();
         // When the last message came from discovery.
         let mut last_message = called_at;
-        let Err(error) = follow(node, number, &mut last_message);
+        let Err(error) = follow(node, generation, &mut last_message);
         let retry_now = {
             let watch = lock(&node.watch);
-            watch.number == number && watch.index.is_none() && node.clock.now() < watch.retry_until
+            watch.generation == generation && watch.index.is_none() && node.clock.now() < watch.retry_until
         };
         if retry_now {
             tracing::warn!(why = %error, "new discovery does not answer yet");
@@ -197,7 +197,7 @@
             let complete = last_message > called_at
                 && matches!(error, WatchError::Ended | WatchError::ConnectionBroken(_));
             let silent_for = if complete { 0 } else { node.clock.now().saturating_sub(last_message) };
-            if node.watch_ended(number, silent_for, matches!(error, WatchError::Status(_))) {
+            if node.watch_ended(generation, silent_for, matches!(error, WatchError::Status(_))) {
                 tracing::warn!(why = %error, "watch ended");
             }
             return;
@@ -206,27 +206,31 @@
 }
 
 /// Returns discovery's address and the known version of the list, while this is still the current watch.
-fn watch_target(node: &Node, number: u64) -> Result<(SocketAddr, Option<u64>), WatchError> {
+fn watch_target(node: &Node, generation: u64) -> Result<(SocketAddr, Option<u64>), WatchError> {
     let watch = lock(&node.watch);
-    if watch.number == number { Ok((watch.discovery, watch.index)) } else { Err(WatchError::Replaced) }
+    if watch.generation == generation {
+        Ok((watch.discovery, watch.index))
+    } else {
+        Err(WatchError::Replaced)
+    }
 }
 
 /// Opens a watch and follows it until it fails. `last_message` is set to the time of each message.
 fn follow(
     node: &Arc<Node>,
-    number: u64,
+    generation: u64,
     last_message: &mut Nanos,
 ) -> Result<std::convert::Infallible, WatchError> {
-    let (discovery, after) = watch_target(node, number)?;
-    let still_current = || watch_target(node, number).is_ok();
-    let mut socket = connect(node, discovery, CONNECT_TIMEOUT, number, still_current)?;
+    let (discovery, after) = watch_target(node, generation)?;
+    let still_current = || watch_target(node, generation).is_ok();
+    let mut socket = connect(node, discovery, CONNECT_TIMEOUT, generation, still_current)?;
     let watch_error = |e: io::Error| match e.kind() {
         io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => WatchError::TimedOut,
         _ => WatchError::ConnectionBroken(e),
     };
     {
         let mut watch = lock(&node.watch);
-        if watch.number != number {
+        if watch.generation != generation {
             return Err(WatchError::Replaced);
         }
         // Without this handle a replaced watch ends only at its next message.
@@ -252,7 +256,7 @@
             Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
             read => read.map_err(watch_error)?,
         };
-        watch_target(node, number)?;
+        watch_target(node, generation)?;
         if n == 0 {
             return Err(WatchError::Ended);
         }
@@ -284,10 +288,10 @@
             due = *last_message + MESSAGE_TIMEOUT;
             if let Message::List(mut list) = message {
                 list.whole |= std::mem::take(&mut first_is_whole) && !list.endpoints.is_empty();
-                deliver(node, number, list)?;
+                deliver(node, generation, list)?;
             }
             let mut watch = lock(&node.watch);
-            if watch.number == number {
+            if watch.generation == generation {
                 watch.last_message = *last_message;
             }
         }
@@ -301,11 +305,11 @@
 }
 
 /// Passes a list to the reducer, if this is still the current watch.
-fn deliver(node: &Arc<Node>, number: u64, list: List) -> Result<(), WatchError> {
+fn deliver(node: &Arc<Node>, generation: u64, list: List) -> Result<(), WatchError> {
     let (index, whole, entries) = (list.index, list.whole, list.endpoints.len());
     let known_until = {
         let mut watch = lock(&node.watch);
-        if watch.number != number {
+        if watch.generation != generation {
             return Err(WatchError::Replaced);
         }
         watch.index = Some(index);
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -98,7 +98,7 @@
             return;
         }
     };
-    mailbox.wake(&socket);
+    mailbox.wake_on_message(&socket);
     let _ = socket.set_nodelay(true);
     node.handle_input(Input::LinkUp { link });
     let mut exchange: Option<Exchange> = None;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets and clocks: they feed the reducer and carry out its effects. Every connection has a coroutine
-//! of its own, which waits for its socket and for its mailbox.
+//! Sockets and timers: they pass inputs to the reducer and apply its effects. Every connection has its own coroutine,
+//! which waits for its socket and its mailbox.
 
 mod arrivals;
 pub mod clients;
@@ -32,29 +32,28 @@
 use linestack_recovery::Fate;
 use linestack_recovery::start::Stage;
 
-/// A pause for a connection that brings more than one message's worth at once. Giving way would not do: may
-/// looks at its sockets only when no coroutine can run.
+/// The pause of a connection that received more than one message's worth of bytes at once. A yield is not enough: may polls
+/// its sockets only when no coroutine can run.
 pub(crate) const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
-/// Connections that wait in a listener's queue to be accepted, where all of a fleet may come at once. The standard
-/// library asks the system for 128.
+/// The length of a listener's accept queue where a whole fleet may connect at once. The standard library's value is 128.
 pub(crate) const BACKLOG: i32 = 1024;
 
 /// Starts a coroutine.
 #[allow(unsafe_code)]
 pub fn spawn(work: impl FnOnce() + Send + 'static) {
-    // SAFETY: may asks that no thread-local is held over a point where the coroutine may move to another
-    // thread, and that the stack suffices. Nothing here holds one, and `STACK_WORDS` in the program's start
-    // is several times what was measured.
+    // SAFETY: may requires that no reference to a thread-local is held over a point where the coroutine may move to another
+    // thread, and that the stack suffices. No code here holds one, and `STACK_WORDS` in the program's start is several
+    // times the measured use.
     drop(unsafe { may::coroutine::spawn(work) });
 }
 
-/// Locks a mutex whose holders keep it consistent between statements.
+/// Locks a mutex and ignores poisoning: every holder keeps the value consistent between statements.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reads a JSON object. An array would do for its fields in their order, and is not what anybody means.
+/// Parses a JSON object. Serde would also accept an array of the fields in their order, which is rejected here.
 pub(crate) fn parse_object<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, serde_json::Error> {
     if text.trim_ascii_start().first() != Some(&b'{') {
         return Err(serde::de::Error::custom("not an object"));
@@ -86,42 +85,42 @@
         lock(&self.messages).pop_front()
     }
 
-    /// From now on messages wake whoever waits for this socket.
-    pub(crate) fn wake(&self, socket: &TcpStream) {
+    /// Makes each further message wake the coroutine that waits for this socket.
+    pub(crate) fn wake_on_message(&self, socket: &TcpStream) {
         *lock(&self.waker) = Some(socket.waker());
     }
 }
 
-/// Bytes that connections may hold in all beside what each has for itself.
+/// The bytes that a group of connections may hold in total, beside what each may hold without a reservation.
 pub(crate) struct MemoryBudget(AtomicIsize);
 
 impl MemoryBudget {
-    /// What each may hold without asking: it is reckoned with the connection.
-    const FREE: usize = 4 * 1024;
+    /// What each connection may hold without a reservation; it is part of the connection's own cost.
+    const UNRESERVED_BYTES: usize = 4 * 1024;
 
     fn new(bytes: usize) -> Self {
         Self(AtomicIsize::new(isize::try_from(bytes).unwrap_or(isize::MAX)))
     }
 
     pub(crate) fn reservation(&self) -> MemoryReservation<'_> {
-        MemoryReservation { room: self, size: 0 }
+        MemoryReservation { budget: self, size: 0 }
     }
 }
 
-/// The part of the room that one connection has.
+/// The part of a memory budget that one connection has reserved.
 pub(crate) struct MemoryReservation<'a> {
-    room: &'a MemoryBudget,
+    budget: &'a MemoryBudget,
     size: usize,
 }
 
 impl MemoryReservation<'_> {
-    /// Notes how much is held now. False if that is more than before and there is no room for it. Buffers
-    /// double as they grow, so up to twice the bytes in them are held.
+    /// Sets how many bytes the connection holds. Returns false if that is more than before and exceeds the budget. Buffers
+    /// double their capacity as they grow, so twice the number of bytes is reserved.
     pub(crate) fn resize(&mut self, bytes: usize) -> bool {
-        let size = 2 * bytes.saturating_sub(MemoryBudget::FREE);
+        let size = 2 * bytes.saturating_sub(MemoryBudget::UNRESERVED_BYTES);
         let more = size.cast_signed() - self.size.cast_signed();
         self.size = size;
-        let left = self.room.0.fetch_sub(more, Ordering::Relaxed) - more;
+        let left = self.budget.0.fetch_sub(more, Ordering::Relaxed) - more;
         more <= 0 || left >= 0
     }
 }
@@ -132,6 +131,7 @@
     }
 }
 
+/// The reducer and the mailboxes of the connections.
 struct NodeState {
     core: Core,
     effects: Vec<Effect>,
@@ -140,46 +140,49 @@
     next_client: Client,
 }
 
+/// A node: the reducer, and the sockets and timers that serve it.
 pub struct Node {
     inner: Mutex<NodeState>,
     pub clock: Clock,
     pub(crate) alarm: Alarm,
     pub names: Names,
     pub layout: ReportLayout,
-    /// Whether stamped products' marks are asked for, by product.
+    /// Whether the product requires an idempotency key, by product.
     pub stamped: Vec<bool>,
     pub(crate) watch: Mutex<WatchState>,
     pub(crate) audit_log: Option<Trail>,
     store_records: Option<Sender<Note>>,
-    /// A leave to take submissions is over once the machine has slept for longer than this in all; 0: there is no
-    /// leave to end.
-    awake: AtomicU64,
-    logged: Mutex<Nanos>,
-    /// Tries to connect that failed on this machine.
+    /// The present lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease to
+    /// end.
+    lease_suspend_limit: AtomicU64,
+    /// When a line that clients can cause was logged last.
+    last_logged: Mutex<Nanos>,
+    /// The number of attempts to connect that failed on this machine.
     pub(crate) local_failures: AtomicU64,
-    /// For what clients send and are sent, and for what executors answer.
+    /// For requests of clients and the responses to them.
     pub(crate) client_memory: MemoryBudget,
+    /// For responses of executors.
     pub(crate) executor_memory: MemoryBudget,
     exit: Mutex<Option<Box<dyn FnOnce() + Send>>>,
 }
 
-/// Where the list comes from, and how far it is known.
+/// The state of the watch on discovery's list.
 pub(crate) struct WatchState {
     pub(crate) discovery: SocketAddr,
-    /// Counts the discoveries: a watch on an earlier one has nothing more to say.
-    pub(crate) number: u64,
-    /// The last list understood; none if the whole list is wanted.
+    /// Increases with each change of the address; results of a watch of an earlier generation are ignored.
+    pub(crate) generation: u64,
+    /// The version of the last list that was received; `None` to request the complete list.
     pub(crate) index: Option<u64>,
-    /// When discovery was heard last, 0 if never.
+    /// When the last message came from discovery, 0 if none has come.
     pub(crate) last_message: Nanos,
-    /// When an answer must have come, where one is waited for after a change of discovery.
+    /// After a change of the address: until when a watch that fails is requested again at once.
     pub(crate) retry_until: Nanos,
     running: bool,
-    /// A handle to the running watch's connection, to end it by.
+    /// A handle to the running watch's connection, used to shut it down.
     pub(crate) socket: Option<std::net::TcpStream>,
 }
 
-/// What a node is made of beside the reducer.
+/// The parts of a node beside the reducer.
 pub struct NodeParts {
     pub clock: Clock,
     pub names: Names,
@@ -188,17 +191,18 @@
     pub discovery: SocketAddr,
     /// The version of the list that is known at the start.
     pub index: Option<u64>,
-    /// Bytes that the program may have.
+    /// The memory in bytes that the process may use.
     pub memory: usize,
-    /// Where a history of this node goes, if one is kept.
+    /// The audit log of this node, if one is kept.
     pub audit_log: Option<Trail>,
-    /// Where what must last goes, if anything does.
+    /// The channel to the store's writer, if the node has a store.
     pub store_records: Option<Sender<Note>>,
-    /// Called when the node has stopped and answered what it had taken.
+    /// Called when the node has stopped and has answered all accepted submissions.
     pub exit: Box<dyn FnOnce() + Send>,
 }
 
 impl Node {
+    /// Makes a node from the reducer and its other parts.
     #[must_use]
     pub fn new(core: Core, parts: NodeParts) -> Arc<Self> {
         let NodeParts {
@@ -223,7 +227,7 @@
             stamped,
             watch: Mutex::new(WatchState {
                 discovery,
-                number: 0,
+                generation: 0,
                 index,
                 last_message: 0,
                 retry_until: 0,
@@ -232,8 +236,8 @@
             }),
             audit_log,
             store_records,
-            awake: AtomicU64::new(0),
-            logged: Mutex::new(0),
+            lease_suspend_limit: AtomicU64::new(0),
+            last_logged: Mutex::new(0),
             local_failures: AtomicU64::new(0),
             client_memory: MemoryBudget::new(memory / 4),
             executor_memory: MemoryBudget::new(memory / 4),
@@ -241,12 +245,12 @@
         })
     }
 
-    /// Hands the reducer an input and carries out what it asks for. Nothing in here waits: the lock is
-    /// never held while a coroutine gives way.
+    /// Passes an input to the reducer and applies the effects. This never blocks, so the lock is not held while a coroutine
+    /// yields.
     pub fn handle_input(self: &Arc<Self>, input: Input) {
-        let awake = self.awake.load(Ordering::Relaxed);
-        if awake > 0 && matches!(input, Input::Submitted { .. }) && slept() > awake {
-            self.awake.store(0, Ordering::Relaxed);
+        let suspend_limit = self.lease_suspend_limit.load(Ordering::Relaxed);
+        if suspend_limit > 0 && matches!(input, Input::Submitted { .. }) && slept() > suspend_limit {
+            self.lease_suspend_limit.store(0, Ordering::Relaxed);
             self.handle_input(Input::Leave { until: 0 });
         }
         let mut inner = lock(&self.inner);
@@ -268,7 +272,8 @@
         self.alarm.set(inner.core.next_due());
     }
 
-    /// The first byte of what this connection carries is about to be written: how long its executor may be told to take.
+    /// Requests permission to write the first byte of the request that this connection carries. Returns the time that the
+    /// executor may take.
     pub(crate) fn begin_execution(self: &Arc<Self>, link: Link) -> Result<Nanos, Refusal> {
         let mut inner = lock(&self.inner);
         let inner = &mut *inner;
@@ -282,29 +287,30 @@
         permission
     }
 
-    /// Whether one-shots can be taken, and how one stands; none where nothing is remembered.
+    /// Returns whether one-shots can be accepted, and the outcome stored for a key; `None` if the node has no store.
     pub(crate) fn stored_outcome(&self, key: &[u8]) -> Option<(bool, Option<Fate>)> {
         self.store_records.as_ref()?;
         let inner = lock(&self.inner);
         Some((inner.core.remembers(), inner.core.fate(key).cloned()))
     }
 
-    /// Whether all that may have run before is known.
+    /// Returns whether all executions that may have run are known.
     pub(crate) fn outcomes_complete(&self) -> bool {
         lock(&self.inner).core.sure()
     }
 
-    /// How far its start has come, where that goes by stages.
+    /// Returns the stage of a staged start; `None` if the node does not start in stages.
     pub fn stage(&self) -> Option<Stage> {
         lock(&self.inner).core.stage()
     }
 
-    /// What one that starts is told.
+    /// Returns what this node has observed of its executors, for a peer that starts.
     pub(crate) fn peer_snapshot(&self) -> Vec<Item> {
         lock(&self.inner).core.tale(self.clock.now())
     }
 
-    /// What may be gone by of what a peer told.
+    /// Returns the observations in a peer's snapshot that may be used. `asked` is when the peer was queried, `young` the
+    /// greatest age of an observation.
     pub(crate) fn evaluate_peer_snapshot(
         &self,
         tale: &Tale,
@@ -317,7 +323,7 @@
         learn(tale, me, (asked, self.clock.now()), young, own, inner.core.ready_workers())
     }
 
-    /// Discovery was heard; with a version of the list, it is another one from now on.
+    /// Records a message from discovery in the store, and the present list too if `index` gives its new version.
     pub(crate) fn discovery_heard(&self, index: Option<u64>) {
         let Some(store_records) = &self.store_records else { return };
         if let Some(index) = index {
@@ -327,54 +333,57 @@
         let _ = store_records.send(Note::Heard);
     }
 
-    /// Where its history goes, if one is kept.
+    /// Returns the audit log, if one is kept.
     pub fn audit_log(&self) -> Option<&Trail> {
         self.audit_log.as_ref()
     }
 
-    /// From now on leave is over once the machine has slept for longer than this in all.
-    pub fn end_lease_after_sleep(&self, slept: u64) {
-        self.awake.store(slept.max(1), Ordering::Relaxed);
+    /// Makes the lease end once the machine has been suspended for longer than this in total.
+    pub fn end_lease_after_sleep(&self, suspend_limit: u64) {
+        self.lease_suspend_limit.store(suspend_limit.max(1), Ordering::Relaxed);
     }
 
+    /// Returns whether the node is ready for clients.
     pub fn ready(&self) -> bool {
         lock(&self.inner).core.ready(self.clock.now())
     }
 
-    /// Whether a line that clients can cause may be logged now. Written out each time, it would be clients
-    /// who decide what time the node has for others.
+    /// Returns whether a line that clients can cause may be logged now. Without a limit, a client could use up the node's time
+    /// with such lines.
     pub(crate) fn may_log(&self) -> bool {
-        let (now, mut last) = (self.clock.now(), lock(&self.logged));
-        let may = now.saturating_sub(*last) >= clients::REJECTION_LOG_INTERVAL;
-        if may {
+        let (now, mut last) = (self.clock.now(), lock(&self.last_logged));
+        let allowed = now.saturating_sub(*last) >= clients::REJECTION_LOG_INTERVAL;
+        if allowed {
             *last = now;
         }
-        may
+        allowed
     }
 
-    pub(crate) fn crowded(&self) -> bool {
+    /// Returns whether no further client can be accepted.
+    pub(crate) fn is_at_client_limit(&self) -> bool {
         lock(&self.inner).core.crowded()
     }
 
-    /// The watch ended, or could not be had, when discovery may have had something to tell for as long as `lost`;
-    /// it may be asked for again. False if it was on an earlier discovery, of which nobody wants to hear.
-    pub(crate) fn watch_ended(self: &Arc<Self>, number: u64, lost: Nanos, busy: bool) -> bool {
-        let present = {
+    /// Reports the end of a watch to the reducer, which may request another one. A change in discovery may be unknown here for
+    /// as long as `lost`; `busy` means that discovery rejected the request. Returns false if the watch is of an earlier
+    /// generation: it is ignored.
+    pub(crate) fn watch_ended(self: &Arc<Self>, generation: u64, lost: Nanos, busy: bool) -> bool {
+        let is_current = {
             let mut watch = lock(&self.watch);
-            let present = watch.number == number;
-            if present {
+            let is_current = watch.generation == generation;
+            if is_current {
                 (watch.running, watch.socket) = (false, None);
             }
-            present
+            is_current
         };
-        if present {
+        if is_current {
             self.handle_input(Input::Unheard { lost, busy });
         }
-        present
+        is_current
     }
 
-    /// From now on the list comes from another discovery. All that is known and in flight stays; the new
-    /// list is asked for at once and taken as whole, for its versions may have nothing to do with the old.
+    /// Changes the address of discovery. Everything known and in flight stays. The complete list is requested from the new
+    /// address at once, since its versions may be unrelated to the old ones.
     pub fn change_discovery(self: &Arc<Self>, discovery: SocketAddr) {
         let mut watch = lock(&self.watch);
         if watch.discovery == discovery {
@@ -383,11 +392,11 @@
         if let Some(old) = watch.socket.take() {
             let _ = old.shutdown(std::net::Shutdown::Both);
         }
-        let number = watch.number + 1;
+        let generation = watch.generation + 1;
         let retry_until = self.clock.now() + discovery::DISCOVERY_CHANGE_RETRY;
         *watch = WatchState {
             discovery,
-            number,
+            generation,
             index: None,
             last_message: 0,
             retry_until,
@@ -396,7 +405,7 @@
         };
         drop(watch);
         let node = Arc::clone(self);
-        spawn(move || discovery::watch(&node, number));
+        spawn(move || discovery::watch(&node, generation));
     }
 
     fn register_client(&self) -> (Client, Arc<Mailbox<clients::Message>>) {
@@ -412,7 +421,7 @@
         lock(&self.inner).clients.remove(&client);
     }
 
-    /// Whether the reducer still wants this connection.
+    /// Returns whether the reducer still wants this connection.
     pub(crate) fn has_connection(&self, link: Link) -> bool {
         lock(&self.inner).links.contains_key(&link)
     }
@@ -453,8 +462,8 @@
             Effect::Watch => {
                 let mut watch = lock(&self.watch);
                 if !std::mem::replace(&mut watch.running, true) {
-                    let (node, number) = (Arc::clone(self), watch.number);
-                    spawn(move || discovery::watch(&node, number));
+                    let (node, generation) = (Arc::clone(self), watch.generation);
+                    spawn(move || discovery::watch(&node, generation));
                 }
             }
             Effect::Keep { keep, ticket } => {
@@ -521,7 +530,7 @@
         }
     }
 
-    /// Rings the reducer's timers, for ever.
+    /// Passes a tick to the reducer whenever a timer is due, for ever.
     pub fn run_timers(self: &Arc<Self>) {
         loop {
             self.alarm.wait();
