--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -279,7 +279,7 @@
             body = Some(http::BodyDecoder::new(head.framing));
         }
         let Some(body) = &mut body else { continue };
-        let whole = body
+        let body_complete = body
             .decode(&mut input, &mut decoded)
             .map_err(|error| WatchError::InvalidResponse(error.reason))?;
         lists.push(&decoded.split());
@@ -298,7 +298,7 @@
         if node.clock.now() > due {
             return Err(WatchError::TimedOut);
         }
-        if whole {
+        if body_complete {
             return Err(WatchError::Ended);
         }
     }
