--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -1,5 +1,5 @@
-//! The store of a node: a thread that makes records last, in groups, and what a node knows when it comes back. Off unless
-//! PROXY_STORE names a file.
+//! The store of a node: a thread that writes records durably in group commits, and the state that is restored from them
+//! when the node starts again. Off unless PROXY_STORE names a configuration file.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -17,54 +17,71 @@
 use crate::net::discovery::List;
 use crate::{begin, http, tries};
 
-/// Kinds of record: a one-shot's fate, the list of executors, when discovery was heard last, whose store it is, and
-/// that one before it was lost. But for fates there is one of each.
-const FATE: u8 = 1;
-const LIST: u8 = 2;
-const HEARD: u8 = 3;
-const OWNER: u8 = 4;
-const LOST: u8 = 5;
-/// Starts in a row that died while they read the store, before it is set aside.
-const TRIES: u32 = 3;
-/// Records that go in one commit, at most.
-const GROUP: usize = 512;
-/// A result that did not fit would fail the store.
+/// The kind of a record with the outcome of a one-shot. There is one record for each one-shot, and at most one record of
+/// each other kind.
+const KIND_OUTCOME: u8 = 1;
+/// The kind of the record with the list of executors.
+const KIND_LIST: u8 = 2;
+/// The kind of the record with the time at which discovery last confirmed the list.
+const KIND_LIST_CONFIRMED: u8 = 3;
+/// The kind of the record that names the node that the store belongs to.
+const KIND_OWNER: u8 = 4;
+/// The kind of the record that marks the store as the replacement of one that was lost.
+const KIND_LOST: u8 = 5;
+/// The number of consecutive starts that may die while they read the store, before it is set aside.
+const MAX_FAILED_STARTS: u32 = 3;
+/// The largest number of records in one commit.
+const GROUP_SIZE: usize = 512;
+// The largest result must fit into a record, because a record that is too large would fail the store.
 const _: () = assert!(http::HEAD + 2 * http::BODY < LARGEST);
-/// Of the memory, what fates may take.
-const MEMORY_PART: usize = 8;
+/// Stored outcomes may take one part in so many of the program's memory.
+const OUTCOMES_MEMORY_DIVISOR: usize = 8;
 
+/// The request header by which repeated submissions of a one-shot are recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DedupKey {
+    /// The header `Req-Id`.
     ReqId,
+    /// The header `Idempotency-Key`.
     IdempotencyKey,
 }
 
+/// What the node does when its store fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenFailed {
-    /// One-shots are dismissed, all else goes on.
+    /// The node dismisses one-shots, and handles everything else as before.
     Dismiss,
-    /// The node answers what it has taken, and ends.
+    /// The node answers the submissions that it has taken, and ends.
     Stop,
 }
 
+/// When commits are synced to the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sync {
-    /// Each commit is synced, with all that came while the one before was at the disk.
+    /// Each commit is synced. Records that arrive during a commit go into the next one together.
     Group,
-    /// Left to the system: a kill loses nothing, a power cut what was not written.
+    /// Syncing is left to the operating system. Nothing is lost if the process is killed; a power failure loses what was
+    /// not yet written.
     None,
 }
 
+/// The configuration of a node's store.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// The folder of the store.
     pub folder: PathBuf,
+    /// The header by which repeated submissions are recognized.
     pub dedup_key: DedupKey,
+    /// How long outcomes are remembered.
     pub remember_s: u64,
+    /// How much of the disk the store may use.
     pub budget_mb: u64,
+    /// When commits are synced.
     pub sync: Sync,
+    /// What the node does when the store fails.
     pub when_failed: WhenFailed,
 }
 
@@ -80,73 +97,74 @@
     folder: PathBuf,
     #[serde(rename = "same-by")]
     dedup_key: DedupKey,
-    #[serde(default = "remember_s")]
+    #[serde(default = "default_remember_s")]
     remember_s: u64,
-    #[serde(default = "budget_mb")]
+    #[serde(default = "default_budget_mb")]
     budget_mb: u64,
-    #[serde(default = "group")]
+    #[serde(default = "default_sync")]
     sync: Sync,
-    #[serde(default = "dismiss")]
+    #[serde(default = "default_when_failed")]
     when_failed: WhenFailed,
 }
 
-fn remember_s() -> u64 {
+fn default_remember_s() -> u64 {
     3600
 }
 
-fn budget_mb() -> u64 {
+fn default_budget_mb() -> u64 {
     256
 }
 
-fn group() -> Sync {
+fn default_sync() -> Sync {
     Sync::Group
 }
 
-fn dismiss() -> WhenFailed {
+fn default_when_failed() -> WhenFailed {
     WhenFailed::Dismiss
 }
 
-/// Reads an operator's file.
+/// Reads the configuration file of a store.
 ///
 /// # Errors
 ///
-/// What is wrong with it, by its key.
+/// The file can't be read, or its first fault, with its key.
 pub fn read_config(path: &Path) -> Result<Config, String> {
-    let fault = |why: String| format!("{}: {why}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
-    let File { store: t } = crate::fleet::config::parse_table(path, &text)?;
-    if !(10..=1_000_000).contains(&t.remember_s) {
-        return Err(fault("store.remember-s: from 10 to 1,000,000".into()));
+    let error = |reason: String| format!("{}: {reason}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| error(e.to_string()))?;
+    let File { store: table } = crate::fleet::config::parse_table(path, &text)?;
+    if !(10..=1_000_000).contains(&table.remember_s) {
+        return Err(error("store.remember-s: from 10 to 1,000,000".into()));
     }
-    if !(16..=1_000_000).contains(&t.budget_mb) {
-        return Err(fault("store.budget-mb: from 16 to 1,000,000".into()));
+    if !(16..=1_000_000).contains(&table.budget_mb) {
+        return Err(error("store.budget-mb: from 16 to 1,000,000".into()));
     }
-    let Table { folder, dedup_key, remember_s, budget_mb, sync, when_failed } = t;
+    let Table { folder, dedup_key, remember_s, budget_mb, sync, when_failed } = table;
     Ok(Config { folder, dedup_key, remember_s, budget_mb, sync, when_failed })
 }
 
-fn limits(span: Age, budget_mb: u64, sync: Sync) -> Limits {
+fn limits(retention: Age, budget_mb: u64, sync: Sync) -> Limits {
     let sync = sync == Sync::Group;
-    Limits { budget: budget_mb << 20, spans: vec![(FATE, span)], sync, ..Limits::default() }
+    Limits { budget: budget_mb << 20, spans: vec![(KIND_OUTCOME, retention)], sync, ..Limits::default() }
 }
 
-/// What is to be kept.
+/// A record to be written to the store.
 pub enum StoreRecord {
+    /// The outcome of a one-shot, and the ticket by which the reducer is told whether it is durable, if it waits for that.
     Outcome(Keep, Option<Ticket>),
-    /// The list as it stands now.
+    /// The current list of executors.
     List(List),
-    /// Discovery was heard, and the list stands.
+    /// Discovery has confirmed that the list is current.
     ListConfirmed,
 }
 
-/// Whose store it is, and which folder it was made in: a copy is another.
+/// The node that the store belongs to, and the identity of the folder that it was created in, by which a copy is detected.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
     node: String,
     place: FileIdentity,
 }
 
-/// When something was kept.
+/// The time at which something was stored.
 #[derive(Serialize, Deserialize)]
 struct Stamp {
     boot: u128,
@@ -160,195 +178,218 @@
     }
 }
 
+/// The opened store of a node, with what was read from it.
 pub struct NodeStore {
     store: Store<Folder>,
     config: Config,
+    /// The age from which the node goes on, just above that of the newest outcome. It counts only time in which a node runs.
     age: Age,
-    fates: Vec<Keep>,
+    outcomes: Vec<Keep>,
     list: Option<List>,
-    heard: Option<Kept>,
-    /// One before it was lost: what that one sent is not known.
+    /// When discovery last confirmed the list.
+    list_confirmed: Option<Kept>,
+    /// The store replaces one that was lost, so it is not known what the node had sent before.
     lost: bool,
 }
 
-/// That a store stands for one that was lost.
+/// Returns the operation that marks the store as the replacement of one that was lost.
 fn lost_mark() -> Op {
-    Op::Put { kind: LOST, key: b"lost".to_vec(), value: Vec::new(), at: 0 }
+    Op::Put { kind: KIND_LOST, key: b"lost".to_vec(), value: Vec::new(), at: 0 }
 }
 
+/// Returns the operation that makes the store belong to this node.
 fn owner_mark(node: &str, place: FileIdentity) -> Op {
     let value = serde_json::to_vec(&Owner { node: node.to_owned(), place }).unwrap_or_default();
-    Op::Put { kind: OWNER, key: b"owner".to_vec(), value, at: 0 }
+    Op::Put { kind: KIND_OWNER, key: b"owner".to_vec(), value, at: 0 }
 }
 
-/// The only record of a kind.
-fn only(store: &Store<Folder>, kind: u8) -> Option<Vec<u8>> {
+/// Returns the value of the only record of this kind.
+fn only_record(store: &Store<Folder>, kind: u8) -> Option<Vec<u8>> {
     let entry = store.entries().find(|e| e.kind == kind)?;
     store.get(kind, &entry.key).ok().flatten()
 }
 
 impl NodeStore {
-    /// Opens the store, and reads what it holds.
+    /// Opens the store and reads its records.
     ///
     /// # Errors
     ///
-    /// There is none, another process holds it, or it is damaged or another's: with what to do.
+    /// There is no store, another process has locked it, it is damaged, or it belongs to another node. The message tells
+    /// the operator what to do.
     pub fn open(config: Config, node: &str) -> Result<Self, String> {
         let place = config.folder.display().to_string();
-        let fault = |why: &Fault| {
-            let remedy = match why {
-                Fault::Missing => format!("; `linestack store init {place}` makes one"),
-                Fault::Damaged { .. } => format!("; `linestack store verify {place}` tells more"),
+        let message = |error: &Fault| {
+            let remedy = match error {
+                Fault::Missing => format!("; `linestack store init {place}` creates one"),
+                Fault::Damaged { .. } => format!("; `linestack store verify {place}` shows the damage"),
                 _ => String::new(),
             };
-            format!("store.folder: {place}: {why}{remedy}")
+            format!("store.folder: {place}: {error}{remedy}")
         };
         let path = config.folder.clone();
-        let folder = Folder::open(&path).map_err(|e| fault(&e.into()))?;
+        let folder = Folder::open(&path).map_err(|e| message(&e.into()))?;
         let limits = || limits(config.remember_s * 1_000_000_000, config.budget_mb, config.sync);
-        let died = tries::enter(&path).map_err(|e| fault(&e.into()))?;
-        let (mut store, mut fates) = if died >= TRIES {
-            let whole = |name: &str| name != "lock" && name != "tries";
-            let aside = tries::set_aside(&path, whole).map_err(|e| fault(&e.into()))?;
-            tracing::error!(aside = %aside.display(), "starts died reading the store: set aside, a new one is begun");
+        let failed_starts = tries::enter(&path).map_err(|e| message(&e.into()))?;
+        let (mut store, mut outcomes) = if failed_starts >= MAX_FAILED_STARTS {
+            let is_content = |name: &str| name != "lock" && name != "tries";
+            let aside = tries::set_aside(&path, is_content).map_err(|e| message(&e.into()))?;
+            tracing::error!(
+                aside = %aside.display(),
+                "repeated starts died while reading the store; it was set aside and a new one created"
+            );
             let mut store =
-                Store::open(folder, limits(), true, crate::fleet::random_u64()).map_err(|e| fault(&e))?;
-            store.commit(&[lost_mark()], 0).map_err(|e| fault(&e))?;
+                Store::open(folder, limits(), true, crate::fleet::random_u64()).map_err(|e| message(&e))?;
+            store.commit(&[lost_mark()], 0).map_err(|e| message(&e))?;
             (store, Vec::new())
         } else {
             let opened = Store::open(folder, limits(), false, 0);
-            let store = opened.inspect_err(|_| tries::leave(&path)).map_err(|e| fault(&e))?;
-            let fates = fates_of(&store).inspect_err(|_| tries::leave(&path)).map_err(|e| fault(&e))?;
-            (store, fates)
+            let store = opened.inspect_err(|_| tries::leave(&path)).map_err(|e| message(&e))?;
+            let outcomes =
+                read_outcomes(&store).inspect_err(|_| tries::leave(&path)).map_err(|e| message(&e))?;
+            (store, outcomes)
         };
         tries::leave(&path);
-        let place_now = file_identity(&path.join("lock")).map_err(|e| fault(&e.into()))?;
-        match only(&store, OWNER).map(|known| serde_json::from_slice::<Owner>(&known).ok()) {
-            None => store.commit(&[owner_mark(node, place_now)], 0).map_err(|e| fault(&e))?,
-            Some(Some(o)) if o.node == node && same_file(&o.place, &place_now) => {}
-            Some(known) => {
-                let whose = match known {
-                    Some(o) if o.node == node => {
-                        "a copy: what was sent since it was made is not in it".to_owned()
+        let identity = file_identity(&path.join("lock")).map_err(|e| message(&e.into()))?;
+        match only_record(&store, KIND_OWNER).map(|text| serde_json::from_slice::<Owner>(&text).ok()) {
+            None => store.commit(&[owner_mark(node, identity)], 0).map_err(|e| message(&e))?,
+            Some(Some(owner)) if owner.node == node && same_file(&owner.place, &identity) => {}
+            Some(owner) => {
+                let reason = match owner {
+                    Some(owner) if owner.node == node => {
+                        "a copy, which lacks what was sent since it was made".to_owned()
                     }
-                    Some(o) => format!("of node {}, not of {node}", o.node),
-                    None => "of a node that is not understood".to_owned(),
+                    Some(owner) => format!("it belongs to node {}, not to {node}", owner.node),
+                    None => "its owner can't be read".to_owned(),
                 };
                 return Err(format!(
-                    "store.folder: {place}: {whose}; `linestack store adopt {place}` takes it over"
+                    "store.folder: {place}: {reason}; `linestack store adopt {place}` takes it over"
                 ));
             }
         }
-        fates.sort_by_key(|k| k.at);
-        let list = only(&store, LIST).and_then(|text| List::read(&text).ok());
-        let heard: Option<Stamp> = only(&store, HEARD).and_then(|text| serde_json::from_slice(&text).ok());
-        let heard = heard.map(|Stamp { boot, at }| Kept { boot, at });
-        let lost = only(&store, LOST).is_some();
-        // No clock of day is asked: only the time in which nodes ran makes anything old.
-        let age = fates.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
-        Ok(Self { store, config, age, fates, list, heard, lost })
+        outcomes.sort_by_key(|k| k.at);
+        let list = only_record(&store, KIND_LIST).and_then(|text| List::read(&text).ok());
+        let stamp: Option<Stamp> =
+            only_record(&store, KIND_LIST_CONFIRMED).and_then(|text| serde_json::from_slice(&text).ok());
+        let list_confirmed = stamp.map(|Stamp { boot, at }| Kept { boot, at });
+        let lost = only_record(&store, KIND_LOST).is_some();
+        // Ages do not depend on the time of day: records age only while a node runs.
+        let age = outcomes.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
+        Ok(Self { store, config, age, outcomes, list, list_confirmed, lost })
     }
 
-    /// The list that was kept, and whether it is as young as one just told.
+    /// Returns the stored list, unless it is empty, and whether discovery confirmed it less than `within` nanoseconds ago,
+    /// so that it counts as fresh.
     #[must_use]
     pub fn list(&self, within: u64) -> Option<(List, bool)> {
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
-        let age = self.heard.and_then(|kept| kept.age(&begin::stamp()));
+        let age = self.list_confirmed.and_then(|stamp| stamp.age(&begin::stamp()));
         tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
         Some((list, fresh(age, within)))
     }
 
-    /// What the reducer is to know of it. `memory` is what the program may have, in bytes.
+    /// Restores the outcomes into the reducer. `memory` is the memory that the program may use, in bytes.
     pub fn restore_into(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
-        let span = self.config.remember_s * 1_000_000_000;
-        let mut fates = Fates::new(span, usize::MAX, memory / MEMORY_PART);
-        fates.restore(std::mem::take(&mut self.fates));
+        let retention = self.config.remember_s * 1_000_000_000;
+        let mut fates = Fates::new(retention, usize::MAX, memory / OUTCOMES_MEMORY_DIVISOR);
+        fates.restore(std::mem::take(&mut self.outcomes));
         fates.forget(self.age);
         tracing::info!(known = fates.len(), folder = %self.config.folder.display(), "store read");
         let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
-        // Whoever waits for what the one before had taken notices at once, and asks again within its own cut-off.
+        // Clients of the process before this one notice at once that it is gone, and retry within their own deadlines. So
+        // after the longest deadline nobody asks for a submission that the lost store may have known.
         let doubtful = if self.lost { now + longest_cut_off + LOST_SLACK } else { 0 };
         if self.lost {
-            tracing::error!("an earlier store was lost: one-shots are aborted until what it sent is over");
+            tracing::error!(
+                "an earlier store was lost; one-shots are aborted until all its executions are over"
+            );
         }
         core.remember(Remembered { fates, age: self.age, now, by_stamp, doubtful });
     }
 
-    /// Runs the thread that writes, and returns where to send what is to be written.
+    /// Returns the writer of the store, and the channel to send it records.
     pub fn into_writer(self) -> (Sender<StoreRecord>, StoreWriter) {
-        let (to, from) = channel();
-        (to, StoreWriter { keeper: self, from })
+        let (sender, records) = channel();
+        (sender, StoreWriter { node_store: self, records })
     }
 }
 
+/// Writes records to the store of a node, in a thread of its own.
 pub struct StoreWriter {
-    keeper: NodeStore,
-    from: Receiver<StoreRecord>,
+    node_store: NodeStore,
+    records: Receiver<StoreRecord>,
 }
 
-/// Beyond the longest cut-off, for clients and networks.
+/// How long beyond the longest deadline one-shots are aborted after a store was lost, to allow for delays of clients and
+/// networks.
 const LOST_SLACK: Nanos = 1_000_000_000;
-/// How often it is written down that discovery was heard.
-const STAMPED: Duration = Duration::from_millis(500);
+/// The shortest time between two writes of [`KIND_LIST_CONFIRMED`].
+const LIST_CONFIRMED_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The fates that are kept.
-fn fates_of(store: &Store<Folder>) -> Result<Vec<Keep>, Fault> {
-    let poisoned =
+/// Reads all stored outcomes.
+fn read_outcomes(store: &Store<Folder>) -> Result<Vec<Keep>, Fault> {
+    // The key of a record at which a test makes the process die.
+    let fatal_key =
         crate::fleet::injected_fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
-    let mut fates = Vec::new();
+    let mut outcomes = Vec::new();
     store.each(|entry, value| {
-        if poisoned.as_ref().is_some_and(|key| entry.kind == FATE && entry.key.starts_with(key.as_bytes())) {
+        if fatal_key
+            .as_ref()
+            .is_some_and(|key| entry.kind == KIND_OUTCOME && entry.key.starts_with(key.as_bytes()))
+        {
             std::process::abort();
         }
-        if entry.kind == FATE {
-            // Of a later version: it may have run, for all that this one can tell.
+        if entry.kind == KIND_OUTCOME {
+            // An outcome in a newer format can't be read; the submission may have run.
             let fate = Fate::from_bytes(&value).unwrap_or(Fate::MayHaveRun);
-            fates.push(Keep { key: entry.key.into(), fate, at: entry.at });
+            outcomes.push(Keep { key: entry.key.into(), fate, at: entry.at });
         }
     })?;
-    Ok(fates)
+    Ok(outcomes)
 }
 
 impl StoreWriter {
-    /// Writes for as long as the program runs; nothing in a coroutine waits for it.
+    /// Starts the thread, which writes for as long as the program runs. No coroutine waits for it.
     pub fn start(self, node: Arc<Node>) {
-        std::thread::spawn(move || self.work(&node));
+        std::thread::spawn(move || self.run(&node));
     }
 
-    fn work(self, node: &Arc<Node>) {
-        let Self { mut keeper, from } = self;
-        let mut record = Record { last: keeper.age, stamped: None };
+    fn run(self, node: &Arc<Node>) {
+        let Self { mut node_store, records } = self;
+        let mut encoder = RecordEncoder { newest_age: node_store.age, list_confirmed: None };
         let mut failure: Option<Failure> = None;
         loop {
-            let Some(group) = next_group(&from, failure.as_ref()) else { return };
-            if failure.as_mut().is_some_and(|failure| failure.may_be_over(&mut keeper.store, record.last)) {
+            let Some(group) = next_group(&records, failure.as_ref()) else { return };
+            if failure
+                .as_mut()
+                .is_some_and(|failure| failure.try_recover(&mut node_store.store, encoder.newest_age))
+            {
                 tracing::info!("store takes records again");
                 failure = None;
                 node.feed(Input::StoreBack);
             }
-            let mut ops: Vec<Op> = group.iter().filter_map(|note| record.op(note)).collect();
-            if keeper.lost && failure.is_none() && node.sure() {
-                keeper.lost = false;
-                ops.push(Op::Remove { kind: LOST, key: b"lost".to_vec() });
+            let mut ops: Vec<Op> = group.iter().filter_map(|record| encoder.encode(record)).collect();
+            if node_store.lost && failure.is_none() && node.sure() {
+                node_store.lost = false;
+                ops.push(Op::Remove { kind: KIND_LOST, key: b"lost".to_vec() });
             }
             if !ops.is_empty()
                 && failure.is_none()
-                && let Err(why) = keeper.store.commit(&ops, record.last)
+                && let Err(error) = node_store.store.commit(&ops, encoder.newest_age)
             {
-                tracing::error!(%why, "store failed: one-shots are dismissed until it is back");
+                tracing::error!(why = %error, "store failed; one-shots are dismissed until it takes records again");
                 failure = Some(Failure::new());
-                if keeper.config.when_failed == WhenFailed::Stop {
+                if node_store.config.when_failed == WhenFailed::Stop {
                     let _ = signal_hook::low_level::raise(signal_hook::consts::SIGTERM);
                 }
             }
-            for note in group {
-                match note {
+            for record in group {
+                match record {
                     StoreRecord::Outcome(_, Some(ticket)) => {
                         node.feed(Input::Kept { ticket, lasts: failure.is_none() });
                     }
-                    StoreRecord::Outcome(keep, None) => {
+                    StoreRecord::Outcome(outcome, None) => {
                         if let Some(failure) = &mut failure {
-                            failure.owe(&keep);
+                            failure.defer(&outcome);
                         }
                     }
                     StoreRecord::List(_) | StoreRecord::ListConfirmed => {}
@@ -358,190 +399,214 @@
     }
 }
 
-/// All that came while the group before was at the disk goes together. While the store has failed it may be empty: then it
-/// is time to look whether the disk is back. None once nobody is left who writes.
-fn next_group(from: &Receiver<StoreRecord>, failure: Option<&Failure>) -> Option<Vec<StoreRecord>> {
+/// Waits for the next records to be written together: all that arrived during the commit before, up to [`GROUP_SIZE`].
+/// While the store has failed the group may be empty, when it is time to try the disk again. Returns `None` once all
+/// senders are gone.
+fn next_group(records: &Receiver<StoreRecord>, failure: Option<&Failure>) -> Option<Vec<StoreRecord>> {
     let first = match failure {
-        None => from.recv().ok()?,
-        Some(failure) => match from.recv_timeout(failure.pause) {
+        None => records.recv().ok()?,
+        Some(failure) => match records.recv_timeout(failure.retry_pause) {
             Ok(first) => first,
             Err(RecvTimeoutError::Timeout) => return Some(Vec::new()),
             Err(RecvTimeoutError::Disconnected) => return None,
         },
     };
-    Some(std::iter::once(first).chain(from.try_iter().take(GROUP - 1)).collect())
+    Some(std::iter::once(first).chain(records.try_iter().take(GROUP_SIZE - 1)).collect())
 }
 
 fn put(kind: u8, key: &[u8], value: Vec<u8>, at: Age) -> Op {
     Op::Put { kind, key: key.to_vec(), value, at }
 }
 
-/// Makes records of notes.
-struct Record {
-    /// The age of the youngest.
-    last: Age,
-    /// When it was last written down that discovery was heard.
-    stamped: Option<Instant>,
+/// Turns records into operations of the store.
+struct RecordEncoder {
+    /// The highest age of a record so far.
+    newest_age: Age,
+    /// When [`KIND_LIST_CONFIRMED`] was last written.
+    list_confirmed: Option<Instant>,
 }
 
-impl Record {
-    fn op(&mut self, note: &StoreRecord) -> Option<Op> {
-        match note {
-            StoreRecord::Outcome(keep, _) => {
-                self.last = self.last.max(keep.at);
-                Some(put(FATE, &keep.key, keep.fate.to_bytes(), keep.at))
+impl RecordEncoder {
+    /// Returns the operation for a record, or `None` if it is not to be written.
+    fn encode(&mut self, record: &StoreRecord) -> Option<Op> {
+        match record {
+            StoreRecord::Outcome(outcome, _) => {
+                self.newest_age = self.newest_age.max(outcome.at);
+                Some(put(KIND_OUTCOME, &outcome.key, outcome.fate.to_bytes(), outcome.at))
             }
             StoreRecord::List(list) => {
                 let text = list.write();
                 if text.len() + 64 < LARGEST {
-                    return Some(put(LIST, b"list", text, self.last));
+                    return Some(put(KIND_LIST, b"list", text, self.newest_age));
                 }
-                tracing::warn!(bytes = text.len(), "the list is too long to be kept");
+                tracing::warn!(bytes = text.len(), "the list is too long to be stored");
+                None
+            }
+            StoreRecord::ListConfirmed
+                if self.list_confirmed.is_some_and(|at| at.elapsed() < LIST_CONFIRMED_INTERVAL) =>
+            {
                 None
             }
-            StoreRecord::ListConfirmed if self.stamped.is_some_and(|at| at.elapsed() < STAMPED) => None,
             StoreRecord::ListConfirmed => {
-                self.stamped = Some(Instant::now());
-                Some(put(HEARD, b"heard", Stamp::now(), self.last))
+                self.list_confirmed = Some(Instant::now());
+                Some(put(KIND_LIST_CONFIRMED, b"heard", Stamp::now(), self.newest_age))
             }
         }
     }
 }
 
-/// How soon after a failure the disk is tried again, and how seldom in the end.
-const TRY_AGAIN: Duration = Duration::from_millis(50);
-const TRY_SELDOM: Duration = Duration::from_millis(500);
-/// Outcomes that are kept in memory while the disk fails. Of those beyond it stays written that they may have run.
-const MOST_OWED: usize = 4096;
+/// The pause before the first retry after the store failed. It doubles with each retry.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The longest pause between two retries.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The largest number of outcomes that are held in memory while the store fails. For any others the store still says that
+/// they may have run.
+const MAX_DEFERRED: usize = 4096;
 
-/// The disk fails.
+/// The state while the store fails.
 struct Failure {
-    pause: Duration,
-    tried: Instant,
-    /// Outcomes that came meanwhile.
-    owed: Vec<Op>,
+    retry_pause: Duration,
+    last_try: Instant,
+    /// Outcomes that arrived since, to be written when the store works again.
+    deferred: Vec<Op>,
 }
 
 impl Failure {
     fn new() -> Self {
-        Self { pause: TRY_AGAIN, tried: Instant::now(), owed: Vec::new() }
+        Self { retry_pause: MIN_RETRY_PAUSE, last_try: Instant::now(), deferred: Vec::new() }
     }
 
-    fn owe(&mut self, keep: &Keep) {
-        if self.owed.len() < MOST_OWED {
-            self.owed.push(put(FATE, &keep.key, keep.fate.to_bytes(), keep.at));
+    /// Holds an outcome until the store works again.
+    fn defer(&mut self, outcome: &Keep) {
+        if self.deferred.len() < MAX_DEFERRED {
+            self.deferred.push(put(KIND_OUTCOME, &outcome.key, outcome.fate.to_bytes(), outcome.at));
         }
     }
 
-    /// Tries whether the disk takes what came meanwhile, if it is time. True if it does.
-    fn may_be_over(&mut self, store: &mut Store<Folder>, now: Age) -> bool {
-        if self.tried.elapsed() < self.pause {
+    /// Tries to write the deferred outcomes, if the pause is over. Returns whether the store works again.
+    fn try_recover(&mut self, store: &mut Store<Folder>, now: Age) -> bool {
+        if self.last_try.elapsed() < self.retry_pause {
             return false;
         }
-        let resumed = store.resume().and_then(|()| store.commit(&self.owed, now));
-        (self.tried, self.pause) = (Instant::now(), (2 * self.pause).min(TRY_SELDOM));
+        let resumed = store.resume().and_then(|()| store.commit(&self.deferred, now));
+        (self.last_try, self.retry_pause) = (Instant::now(), (2 * self.retry_pause).min(MAX_RETRY_PAUSE));
         resumed.is_ok()
     }
 }
 
-/// `linestack store`.
+/// The subcommands of `linestack store`.
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Make a store where there is none.
+    /// Create a store in a folder that has none.
     Init {
         folder: PathBuf,
-        /// There was one, and it is gone: until what it sent is over, one-shots are aborted.
+        /// The store replaces one that was lost: one-shots are aborted until the executions of the lost one are over.
         #[arg(long)]
         lost: bool,
     },
-    /// Let this folder's store be the store of whichever node starts with it next. Without `--moved` it counts as lost:
-    /// a copy does not know what was sent since it was made.
+    /// Let the store belong to the node that starts with it next. Without `--moved` it is marked as the
+    /// replacement of a lost store, because a copy lacks what was sent since it was made.
     Adopt {
         folder: PathBuf,
         /// No node has run on the original since it was copied.
         #[arg(long)]
         moved: bool,
     },
-    /// Read all of it, and tell what is damaged.
+    /// Read the whole store, and report what is damaged.
     Verify { folder: PathBuf },
-    /// What is in it, one record a line.
+    /// Print the records, one a line.
     Dump { folder: PathBuf },
-    /// Give back the room of what is no longer needed.
+    /// Free the space of records that are no longer needed.
     Compact { folder: PathBuf },
-    /// Make a store of what can still be read of a damaged one. Old files stay, as `lost-...`.
+    /// Create a store from what can still be read of a damaged one. The old files are kept as `lost-...`.
     Repair { folder: PathBuf },
 }
 
+/// Runs a subcommand of `linestack store`.
+///
 /// # Errors
 ///
-/// What went wrong, for people.
+/// A message for the operator.
 pub fn run(command: &Command) -> Result<(), String> {
-    let any = || limits(u64::MAX, 1 << 20, Sync::Group);
+    let unlimited = || limits(u64::MAX, 1 << 20, Sync::Group);
     let seed = crate::fleet::random_u64();
     let folder = |path: &Path| Folder::open(path).map_err(|e| format!("{}: {e}", path.display()));
-    let told = |path: &Path, e: &Fault| format!("{}: {e}", path.display());
+    let message = |path: &Path, e: &Fault| format!("{}: {e}", path.display());
     match command {
         Command::Init { folder: path, lost } => {
-            let mut store = Store::open(folder(path)?, any(), true, seed).map_err(|e| told(path, &e))?;
+            let mut store =
+                Store::open(folder(path)?, unlimited(), true, seed).map_err(|e| message(path, &e))?;
             if *lost {
-                store.commit(&[lost_mark()], 0).map_err(|e| told(path, &e))?;
+                store.commit(&[lost_mark()], 0).map_err(|e| message(path, &e))?;
             }
-            println!("{}: made", path.display());
+            println!("{}: created", path.display());
         }
         Command::Adopt { folder: path, moved } => {
-            let mut store = Store::open(folder(path)?, any(), false, seed).map_err(|e| told(path, &e))?;
-            let mut ops = vec![Op::Remove { kind: OWNER, key: b"owner".to_vec() }];
+            let mut store =
+                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
+            let mut ops = vec![Op::Remove { kind: KIND_OWNER, key: b"owner".to_vec() }];
             ops.extend((!moved).then(lost_mark));
-            store.commit(&ops, 0).map_err(|e| told(path, &e))?;
+            store.commit(&ops, 0).map_err(|e| message(path, &e))?;
             println!("{}: belongs to the node that starts with it next", path.display());
         }
         Command::Verify { folder: path } => {
-            let store = Store::open(folder(path)?, any(), false, seed).map_err(|e| told(path, &e))?;
-            let damage = store.verify().map_err(|e| told(path, &e))?;
+            let store =
+                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
+            let damage = store.verify().map_err(|e| message(path, &e))?;
             let stats = store.stats();
             println!("{}: {} records in {} segments", path.display(), stats.records, stats.segments);
             if !damage.is_empty() {
-                return Err(lines(&damage));
+                return Err(format_damage(&damage));
             }
         }
         Command::Dump { folder: path } => {
-            let store = Store::open(folder(path)?, any(), false, seed).map_err(|e| told(path, &e))?;
+            let store =
+                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
             let mut entries = Vec::new();
-            store.each(|entry, value| entries.push((entry, value))).map_err(|e| told(path, &e))?;
+            store.each(|entry, value| entries.push((entry, value))).map_err(|e| message(path, &e))?;
             entries.sort_by(|(a, _), (b, _)| (a.at, &a.key).cmp(&(b.at, &b.key)));
             for (entry, value) in entries {
                 let key = String::from_utf8_lossy(&entry.key);
-                let word = match entry.kind {
-                    FATE => Fate::from_bytes(&value).map_or("not understood", |f| f.word()).to_owned(),
+                let text = match entry.kind {
+                    KIND_OUTCOME => {
+                        Fate::from_bytes(&value).map_or("not understood", |f| f.word()).to_owned()
+                    }
                     _ => String::from_utf8_lossy(&value).into_owned(),
                 };
-                println!("{:.3} {} {key} {word}", entry.at as f64 / 1e9, entry.kind);
+                println!("{:.3} {} {key} {text}", entry.at as f64 / 1e9, entry.kind);
             }
         }
         Command::Compact { folder: path } => {
-            let mut store = Store::open(folder(path)?, any(), false, seed).map_err(|e| told(path, &e))?;
+            let mut store =
+                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
             let before = store.stats().bytes;
-            // Nothing is forgotten here: how long records count is the node's to say.
-            store.compact(0).and_then(|()| store.checkpoint()).map_err(|e| told(path, &e))?;
+            // No record expires here, because how long records are retained is configured at the node.
+            store.compact(0).and_then(|()| store.checkpoint()).map_err(|e| message(path, &e))?;
             println!("{}: {before} bytes before, {} now", path.display(), store.stats().bytes);
         }
         Command::Repair { folder: path } => {
-            let whole = Store::open(folder(path)?, any(), false, seed).and_then(|s| s.verify());
-            match whole {
-                Ok(damage) if damage.is_empty() => return Err(format!("{}: it is whole", path.display())),
+            let damage = Store::open(folder(path)?, unlimited(), false, seed).and_then(|s| s.verify());
+            match damage {
+                Ok(damage) if damage.is_empty() => {
+                    return Err(format!(
+                        "{}: the store is whole, there is nothing to repair",
+                        path.display()
+                    ));
+                }
                 Err(Fault::Missing) => return Err(format!("{}: there is no store here", path.display())),
                 _ => {}
             }
-            let (mut store, lost) = repair(folder(path)?, any(), seed).map_err(|e| told(path, &e))?;
-            // Whole files may be gone, of which nothing tells.
-            store.commit(&[lost_mark()], 0).map_err(|e| told(path, &e))?;
+            let (mut store, lost) =
+                repair(folder(path)?, unlimited(), seed).map_err(|e| message(path, &e))?;
+            // Whole files may be missing without a trace.
+            store.commit(&[lost_mark()], 0).map_err(|e| message(path, &e))?;
             println!("{}: {} records", path.display(), store.stats().records);
             if lost.is_empty() {
-                println!("nothing that is known of was lost");
+                println!("no known record was lost");
             } else {
-                println!("lost:\n{}", lines(&lost));
+                println!("lost:\n{}", format_damage(&lost));
                 println!(
-                    "a one-shot that may have run may be among them: the node that starts on it counts as one that lost its store"
+                    "a one-shot that may have run may be among them, so a node that starts with this store treats it as the replacement of a lost one"
                 );
             }
         }
@@ -549,8 +614,9 @@
     Ok(())
 }
 
-fn lines(damage: &[Damage]) -> String {
-    let all: Vec<String> =
+/// Formats the damaged places, one a line.
+fn format_damage(damage: &[Damage]) -> String {
+    let lines: Vec<String> =
         damage.iter().map(|d| format!("  {} at byte {}: {}", d.file, d.at, d.why)).collect();
-    all.join("\n")
+    lines.join("\n")
 }
