--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,5 +1,6 @@
-//! Asking a running node at the start, and telling one that starts. Off unless PROXY_PEERS names a file. One frame asks and
-//! one tells; both are bounded in size and time.
+//! Exchange of executor observations between nodes: a node that starts asks a running one, and answers others that start.
+//! Off unless PROXY_PEERS names a configuration file. A request and its answer are one frame each, bounded in size and
+//! time.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,23 +17,32 @@
 
 use crate::net::{BACKLOG, Node};
 
-/// For either side of one conversation.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Nodes that are told at a time: each takes a thread, a descriptor and, while it is told, up to a frame of memory. Others
-/// wait in the listener's queue.
-const MOST: usize = 16;
-/// How long it takes to look again whether one of them is done.
-const LOOK: Duration = Duration::from_millis(1);
-/// Addresses in `ask`.
-const MOST_PEERS: usize = 1024;
-/// Peers that are asked, one after the other, until one tells.
-const TRIES: usize = 2;
+/// The longest time for connecting, and on either side for receiving a frame and for a write.
+const IO_TIMEOUT: Duration = Duration::from_millis(500);
+/// The largest number of nodes that are answered at a time. Each takes a thread, a descriptor and up to one frame of
+/// memory. Others wait in the queue of the listener.
+const MAX_CONNECTIONS: usize = 16;
+/// The pause before it is checked again whether there are fewer connections than [`MAX_CONNECTIONS`].
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// The pause after a connection could not be accepted, for want of a file descriptor.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// The pause before it is checked again whether the node has a list of executors.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The largest number of addresses in the setting `ask`.
+const MAX_PEERS: usize = 1024;
+/// How many peers are asked, one after the other, until one answers.
+const MAX_ATTEMPTS: usize = 2;
 
+/// The configuration of the exchange with other nodes.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// The fleet, which must be the same at both nodes.
     pub fleet: String,
+    /// The address on which the node answers others, if it does.
     pub listen: Option<SocketAddr>,
+    /// The addresses of the nodes to ask. Only these hosts and the local one are answered.
     pub addresses: Vec<SocketAddr>,
+    /// The age in nanoseconds from which an observation is not used any more.
     pub max_age: u64,
 }
 
@@ -47,160 +57,169 @@
 struct Table {
     fleet: String,
     listen: Option<SocketAddr>,
-    #[serde(default)]
-    ask: Vec<SocketAddr>,
-    #[serde(default = "young_ms")]
-    young_ms: u64,
+    #[serde(default, rename = "ask")]
+    addresses: Vec<SocketAddr>,
+    #[serde(default = "default_max_age_ms", rename = "young-ms")]
+    max_age_ms: u64,
 }
 
-fn young_ms() -> u64 {
+fn default_max_age_ms() -> u64 {
     1000
 }
 
-/// Reads an operator's file.
+/// Reads the configuration file.
 ///
 /// # Errors
 ///
-/// What is wrong with it, by its key.
+/// The file can't be read, or its faults, one a line, each with its key.
 pub fn read_config(path: &Path) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let File { peers: t } = crate::fleet::config::parse_table(path, &text)?;
+    let File { peers: table } = crate::fleet::config::parse_table(path, &text)?;
     let mut faults = Vec::new();
-    let mut must = |fine: bool, key: &str, why: &str| {
-        if !fine {
-            faults.push(format!("{}: peers.{key}: {why}", path.display()));
+    let mut require = |valid: bool, key: &str, reason: &str| {
+        if !valid {
+            faults.push(format!("{}: peers.{key}: {reason}", path.display()));
         }
     };
-    must((1..=64).contains(&t.fleet.len()), "fleet", "from 1 to 64 characters");
-    must(t.ask.len() <= MOST_PEERS, "ask", "1,024 at most");
-    must((10..=10_000).contains(&t.young_ms), "young-ms", "from 10 to 10,000");
+    require((1..=64).contains(&table.fleet.len()), "fleet", "from 1 to 64 characters");
+    require(table.addresses.len() <= MAX_PEERS, "ask", "1,024 at most");
+    require((10..=10_000).contains(&table.max_age_ms), "young-ms", "from 10 to 10,000");
     if faults.is_empty() {
-        Ok(Config { fleet: t.fleet, listen: t.listen, addresses: t.ask, max_age: t.young_ms * 1_000_000 })
+        let Table { fleet, listen, addresses, max_age_ms } = table;
+        Ok(Config { fleet, listen, addresses, max_age: max_age_ms * 1_000_000 })
     } else {
         Err(faults.join("\n"))
     }
 }
 
+/// A request for the observations of a node. The names of the fields in the frame are the wire format.
 #[derive(Serialize, Deserialize)]
-struct Ask {
-    form: u8,
+struct SnapshotRequest {
+    #[serde(rename = "form")]
+    format_version: u8,
     fleet: String,
     node: String,
 }
 
-fn send(socket: &mut TcpStream, word: &str, body: &impl Serialize) -> io::Result<()> {
+/// Sends a frame of the kind of this name.
+fn send(socket: &mut TcpStream, kind_name: &str, body: &impl Serialize) -> io::Result<()> {
     let body = serde_json::to_vec(body)?;
-    let kind = kind(word).ok_or(io::ErrorKind::InvalidInput)?;
+    let kind = kind(kind_name).ok_or(io::ErrorKind::InvalidInput)?;
     socket.write_all(&encode(kind, &body).map_err(io::Error::other)?)
 }
 
-/// One frame of this kind, whole, before the time is over: a byte now and then buys no time.
-fn receive<T: for<'a> Deserialize<'a>>(socket: &mut TcpStream, word: &str) -> io::Result<T> {
-    let (begin, mut reader, mut piece) = (Instant::now(), Reader::default(), [0; 16 * 1024]);
+/// Receives one frame of the kind of this name. The time limit is for the whole frame: a sender of single bytes does not
+/// extend it.
+fn receive<T: for<'a> Deserialize<'a>>(socket: &mut TcpStream, kind_name: &str) -> io::Result<T> {
+    let (started, mut reader, mut buffer) = (Instant::now(), Reader::default(), [0; 16 * 1024]);
     loop {
         if let Some(frame) = reader.take().map_err(io::Error::other)? {
-            if Some(frame.kind) != kind(word) {
-                return Err(io::Error::other("not what was due"));
+            if Some(frame.kind) != kind(kind_name) {
+                return Err(io::Error::other("unexpected kind of frame"));
             }
             return Ok(serde_json::from_slice(&frame.body)?);
         }
-        let left = PATIENCE.saturating_sub(begin.elapsed());
+        let left = IO_TIMEOUT.saturating_sub(started.elapsed());
         if left.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
         socket.set_read_timeout(Some(left))?;
-        match socket.read(&mut piece)? {
+        match socket.read(&mut buffer)? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            n => reader.push(&piece[..n]),
+            n => reader.push(&buffer[..n]),
         }
     }
 }
 
-/// Listens for those that start.
+/// Starts to listen for nodes that start, and to answer them.
 ///
 /// # Errors
 ///
-/// The address can't be had.
+/// The address can't be listened on.
 pub fn listen(config: &Config, name: &str, node: &Arc<Node>) -> io::Result<()> {
     let Some(listen) = config.listen else { return Ok(()) };
     let listener = TcpListener::bind(listen)?;
     SockRef::from(&listener).listen(BACKLOG)?;
     tracing::info!(peers_at = %listener.local_addr()?, "peers");
-    let known: Vec<_> = config.addresses.iter().map(SocketAddr::ip).collect();
+    let allowed: Vec<_> = config.addresses.iter().map(SocketAddr::ip).collect();
     let (fleet, name, node) = (config.fleet.clone(), name.to_owned(), Arc::clone(node));
     let open = Arc::new(AtomicUsize::new(0));
     std::thread::spawn(move || {
         for socket in listener.incoming() {
             let Ok(mut socket) = socket else {
-                std::thread::sleep(Duration::from_millis(5));
+                std::thread::sleep(ACCEPT_PAUSE);
                 continue;
             };
-            let near = socket.peer_addr().is_ok_and(|a| a.ip().is_loopback() || known.contains(&a.ip()));
-            if !near {
+            let is_allowed =
+                socket.peer_addr().is_ok_and(|a| a.ip().is_loopback() || allowed.contains(&a.ip()));
+            if !is_allowed {
                 continue;
             }
-            while open.load(Ordering::Relaxed) >= MOST {
-                std::thread::sleep(LOOK);
+            while open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
+                std::thread::sleep(CAPACITY_POLL_INTERVAL);
             }
             open.fetch_add(1, Ordering::Relaxed);
-            let (fleet, name, node, gone) =
+            let (fleet, name, node, counter) =
                 (fleet.clone(), name.clone(), Arc::clone(&node), Arc::clone(&open));
             std::thread::spawn(move || {
-                let _ = socket.set_write_timeout(Some(PATIENCE));
-                if let Ok(ask) = receive::<Ask>(&mut socket, "ask")
-                    && ask.form == FORM
-                    && ask.fleet == fleet
-                    && ask.node != name
+                let _ = socket.set_write_timeout(Some(IO_TIMEOUT));
+                if let Ok(request) = receive::<SnapshotRequest>(&mut socket, "ask")
+                    && request.format_version == FORM
+                    && request.fleet == fleet
+                    && request.node != name
                 {
                     let _ = send(&mut socket, "tale", &Tale { form: FORM, teller: name, items: node.tale() });
                 }
-                gone.fetch_sub(1, Ordering::Relaxed);
+                counter.fetch_sub(1, Ordering::Relaxed);
             });
         }
     });
     Ok(())
 }
 
-/// Asks peers, one after the other in an order by chance, until one has told.
+/// Asks peers for their observations, one after the other in random order, until one answers. Runs in a thread of its own.
 pub fn query(config: Config, name: String, node: Arc<Node>) {
     std::thread::spawn(move || {
         let mut order = config.addresses.clone();
         fastrand::Rng::with_seed(crate::fleet::random_u64()).shuffle(&mut order);
-        for peer in order.into_iter().take(TRIES) {
-            let asked = node.clock.now();
-            let told = TcpStream::connect_timeout(&peer, PATIENCE).and_then(|mut socket| {
-                socket.set_write_timeout(Some(PATIENCE))?;
-                let ask = Ask { form: FORM, fleet: config.fleet.clone(), node: name.clone() };
-                send(&mut socket, "ask", &ask)?;
+        for peer in order.into_iter().take(MAX_ATTEMPTS) {
+            let asked_at = node.clock.now();
+            let answer = TcpStream::connect_timeout(&peer, IO_TIMEOUT).and_then(|mut socket| {
+                socket.set_write_timeout(Some(IO_TIMEOUT))?;
+                let request =
+                    SnapshotRequest { format_version: FORM, fleet: config.fleet.clone(), node: name.clone() };
+                send(&mut socket, "ask", &request)?;
                 receive::<Tale>(&mut socket, "tale")
             });
-            match told {
-                Ok(tale) => return take(&config, &name, &node, &tale, asked),
-                Err(why) => tracing::warn!(%peer, %why, "a peer told nothing"),
+            match answer {
+                Ok(snapshot) => return apply(&config, &name, &node, &snapshot, asked_at),
+                Err(error) => tracing::warn!(%peer, why = %error, "no answer from a peer"),
             }
         }
     });
 }
 
-/// Takes what may be taken, as soon as there is a list to hold it against.
-fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &Tale, asked: u64) {
-    while node.clock.now() < asked + config.max_age {
+/// Applies the observations of a peer as soon as the node has a list of executors, unless they are outdated by then.
+fn apply(config: &Config, name: &str, node: &Arc<Node>, snapshot: &Tale, asked_at: u64) {
+    while node.clock.now() < asked_at + config.max_age {
         if node.ready() {
-            match node.learn(tale, name, asked, config.max_age) {
-                Ok(heard) => {
+            match node.learn(snapshot, name, asked_at, config.max_age) {
+                Ok(observations) => {
                     tracing::info!(
-                        teller = tale.teller,
-                        told = tale.items.len(),
-                        taken = heard.len(),
+                        teller = snapshot.teller,
+                        told = snapshot.items.len(),
+                        taken = observations.len(),
                         "heard from a peer"
                     );
-                    node.feed(Input::Heard { items: heard });
+                    node.feed(Input::Heard { items: observations });
+                }
+                Err(error) => {
+                    tracing::warn!(teller = snapshot.teller, why = %error, "observations of a peer rejected");
                 }
-                Err(why) => tracing::warn!(teller = tale.teller, %why, "a peer's words are not taken"),
             }
             return;
         }
-        std::thread::sleep(Duration::from_millis(10));
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
-    tracing::info!("what a peer told is too old by now");
+    tracing::info!("observations of a peer are outdated; not used");
 }
