--- a/crates/node/src/fleet/coordinate/event.rs
+++ b/crates/node/src/fleet/coordinate/event.rs
@@ -1,4 +1,4 @@
-//! What the threads of a coordinator report to the one that holds its state.
+//! The events that the threads of a coordinator report to the thread that owns its state.
 
 use std::sync::mpsc::SyncSender;
 
@@ -6,17 +6,17 @@
 
 use crate::fleet::wire::{Body, FrameEncoder, Identity};
 
-/// A report about a connection, numbered in the order in which they were accepted.
+/// A report of a thread. Connections are numbered in the order in which they were accepted.
 pub(super) enum Event {
-    /// A process has begun a session.
+    /// A process has opened a session.
     Opened { connection: u64, session: Session },
-    /// A frame has come.
+    /// A frame was received.
     Received { connection: u64, body: Body },
-    /// A session is over.
+    /// A session has ended.
     Closed { connection: u64 },
-    /// A connection was refused or ended, for a reason to be counted.
-    Refused { why: &'static str },
-    /// The process is to stop.
+    /// A connection was refused or ended; the reason is counted.
+    Refused { reason: &'static str },
+    /// The process must stop.
     Stop,
 }
 
@@ -25,7 +25,7 @@
     pub(super) identity: Identity,
     /// The run of the process.
     pub(super) incarnation: Incarnation,
-    /// Makes the frames that are sent.
+    /// Encodes the frames to be sent.
     pub(super) encoder: FrameEncoder,
     /// Frames to be written. Once it is dropped, the connection is closed.
     pub(super) frames: SyncSender<Vec<u8>>,
--- a/crates/node/src/fleet/coordinate/mod.rs
+++ b/crates/node/src/fleet/coordinate/mod.rs
@@ -1,10 +1,10 @@
 //! `linestack coordinate FILE`: the process of one coordinator.
 //!
-//! One thread holds the state and alone uses the store and the clock ([`server`]). A thread accepts connections and two
-//! serve each of them ([`sessions`]); one thread for each other coordinator sends to it ([`peers`]). They report to the
-//! first by [`event::Event`]s.
+//! One thread owns the state, and is the only one that uses the store and the clock ([`server`]). Another thread accepts
+//! connections, and two threads serve each of them ([`sessions`]). One thread for each other coordinator sends messages to
+//! it ([`peers`]). The threads that accept and read connections report to the first one by [`event::Event`]s.
 //!
-//! How a coordinator starts is in [`storage`] and, after a majority of the stores was lost, in [`refound`].
+//! The start of a coordinator is in [`storage`] and, after a majority of the stores was lost, in [`refound`].
 
 mod event;
 mod peers;
@@ -37,29 +37,29 @@
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// How a coordinator starts.
+/// The state that a coordinator starts from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartMode {
     /// From its store.
     FromStore,
-    /// Without a store, in a new fleet: the store is created from the first policy that the file names.
+    /// Without a store, in a new fleet: the store is created from the first policy that the configuration names.
     NewFleet,
-    /// Without a store, in place of a coordinator that has lost its own: the seat, as `fleet replace` told it.
+    /// Without a store, in place of a coordinator that has lost its own: the seat number that `fleet replace` printed.
     Replacement(u32),
-    /// From its store, after most of the others were lost: write the file that they start from, and end. The file, and
-    /// the coordinators whose stores are lost.
+    /// From its store, after a majority of the stores was lost: write the file that the others start from, and end. The
+    /// file, and the coordinators whose stores are lost.
     Refound(PathBuf, Vec<Id>),
     /// Without a store, from the file that [`StartMode::Refound`] wrote.
     Refounded(PathBuf),
 }
 
-/// Runs a coordinator until it is told to stop.
+/// Runs a coordinator until it is stopped by a signal.
 #[must_use]
-pub fn run(path: &Path, how: StartMode) -> ExitCode {
-    match start(path, &how) {
+pub fn run(path: &Path, mode: StartMode) -> ExitCode {
+    match start(path, &mode) {
         Ok(code) => code,
-        Err(why) => {
-            for line in why.lines() {
+        Err(message) => {
+            for line in message.lines() {
                 tracing::error!("coordinator: {line}");
             }
             ExitCode::FAILURE
@@ -67,14 +67,14 @@
     }
 }
 
-fn start(path: &Path, how: &StartMode) -> Result<ExitCode, String> {
+fn start(path: &Path, mode: &StartMode) -> Result<ExitCode, String> {
     let config = config::read_coordinator(path)?;
-    if let StartMode::Refound(file, lost) = how {
+    if let StartMode::Refound(file, lost) = mode {
         return refound::refound(&config, file, lost).map(|()| ExitCode::SUCCESS);
     }
-    let (disk, record) = storage::open(&config, how).map_err(|why| storage_fault(path, &why))?;
+    let (disk, record) = storage::open(&config, mode).map_err(|error| storage_error_message(path, &error))?;
     let me = config.number;
-    let own = SenderInfo {
+    let sender = SenderInfo {
         fleet: config.fleet.clone(),
         identity: Identity::Coordinator(me),
         incarnation: disk.incarnation,
@@ -88,25 +88,27 @@
     let (events, incoming) = channel();
     watch_signals(events.clone())?;
     let allowed: Vec<IpAddr> = config.peers.iter().flatten().map(SocketAddr::ip).collect();
-    let greeter = own.clone();
-    thread::spawn(move || sessions::accept(&listener, &greeter, &allowed, &events));
-    let peers = config.peers.iter().map(|to| to.map(|to| peers::connect(to, own.clone()))).collect();
+    let accepting = sender.clone();
+    thread::spawn(move || sessions::accept(&listener, &accepting, &allowed, &events));
+    let peers = config.peers.iter().map(|to| to.map(|to| peers::connect(to, sender.clone()))).collect();
     let coordinator = Coordinator::new(terms(&config), record, boottime());
     tracing::info!(fleet = config.fleet, number = me, %listen, "started");
     Ok(Server::new(coordinator, disk, audit_log, peers).run(&incoming))
 }
 
-/// What to tell an operator whose coordinator can't start from its store.
-fn storage_fault(path: &Path, why: &StoreError) -> String {
-    let remedy = match why {
+/// Returns the message for the operator of a coordinator that can't start from its store.
+fn storage_error_message(path: &Path, error: &StoreError) -> String {
+    let remedy = match error {
         StoreError::Missing => {
-            "; in a new fleet it is made by --first; one that has lost its store wants `linestack fleet replace`"
+            "; --first creates it in a new fleet; a coordinator that has lost its store needs `linestack fleet replace`"
         }
         StoreError::AlreadyExists => "; start it without --first",
-        StoreError::Copied => "; it must not vote: what it promised since the copy was made is forgotten",
+        StoreError::Copied => {
+            "; the coordinator must not vote, because the copy lacks the promises made since"
+        }
         _ => "",
     };
-    format!("{}: coordinator.folder: {why}{remedy}", path.display())
+    format!("{}: coordinator.folder: {error}{remedy}", path.display())
 }
 
 /// Reports SIGTERM and SIGINT as [`Event::Stop`].
@@ -116,6 +118,7 @@
     Ok(())
 }
 
+/// Returns the configuration of the coordinator's state machine.
 fn terms(config: &config::CoordinatorConfig) -> Terms {
     Terms {
         me: config.number,
@@ -128,7 +131,7 @@
     }
 }
 
-/// The deliberate fault of this name, in a build for tests.
+/// Returns the fault of the state machine that a test injects by this name.
 fn accord_fault(name: &str) -> Option<Broken> {
     match name {
         "forgets" => Some(Broken::Forgets),
--- a/crates/node/src/fleet/coordinate/peers.rs
+++ b/crates/node/src/fleet/coordinate/peers.rs
@@ -1,4 +1,4 @@
-//! Sending to the other coordinators, each over a connection of its own.
+//! Sends messages to the other coordinators, to each over a connection of its own.
 
 use std::io::{ErrorKind, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -10,23 +10,24 @@
 
 use crate::fleet::wire::{self, Body, FrameEncoder, SenderInfo};
 
-/// Messages that wait for another coordinator: all members may ask at once, and each question is passed on in one.
+/// The number of messages that may be queued for another coordinator. All members may send a request at once, and each is
+/// forwarded in a message of its own.
 const QUEUED_MESSAGES: usize = 1024;
-/// The pause before a coordinator that could not be reached is tried again.
+/// The pause before the next attempt to connect to a coordinator that could not be reached.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The receiving end is gone: the process ends.
+/// The senders of the queue are gone, because the process ends.
 struct Stopped;
 
-/// Starts the thread that sends to another coordinator. Messages that can't be sent are dropped: the protocol repeats
-/// them for as long as they matter.
-pub(super) fn connect(to: SocketAddr, own: SenderInfo) -> SyncSender<Letter> {
-    let (letters, queue) = sync_channel::<Letter>(QUEUED_MESSAGES);
+/// Starts the thread that sends messages to another coordinator. Messages that can't be sent are dropped: the protocol
+/// repeats them for as long as they matter.
+pub(super) fn connect(address: SocketAddr, sender: SenderInfo) -> SyncSender<Letter> {
+    let (envelopes, queue) = sync_channel::<Letter>(QUEUED_MESSAGES);
     thread::spawn(move || {
         loop {
-            let Ok((socket, _, encoder)) = wire::connect_session(to, &own) else {
+            let Ok((socket, _, encoder)) = wire::connect_session(address, &sender) else {
                 thread::sleep(RECONNECT_PAUSE);
-                // What was queued meanwhile is outdated.
+                // Messages that were queued meanwhile are outdated.
                 while queue.try_recv().is_ok() {}
                 continue;
             };
@@ -35,27 +36,27 @@
             }
         }
     });
-    letters
+    envelopes
 }
 
-/// Sends what is queued until the connection ends.
+/// Sends queued messages until the connection ends.
 fn send_all(
     mut socket: TcpStream,
     mut encoder: FrameEncoder,
     queue: &Receiver<Letter>,
 ) -> Result<(), Stopped> {
     loop {
-        let letter = queue.recv().map_err(|_| Stopped)?;
-        let Ok(bytes) = encoder.encode(Body::Envelope(letter)) else { continue };
+        let envelope = queue.recv().map_err(|_| Stopped)?;
+        let Ok(bytes) = encoder.encode(Body::Envelope(envelope)) else { continue };
         if is_closed(&socket) || socket.write_all(&bytes).is_err() {
             return Ok(());
         }
     }
 }
 
-/// Whether the other end has closed the connection, on which it never sends anything.
+/// Whether the other end has closed the connection. It never sends anything on it.
 fn is_closed(socket: &TcpStream) -> bool {
-    let seen = socket.set_nonblocking(true).and_then(|()| socket.peek(&mut [0]));
-    let is_open = matches!(&seen, Err(e) if e.kind() == ErrorKind::WouldBlock);
+    let peeked = socket.set_nonblocking(true).and_then(|()| socket.peek(&mut [0]));
+    let is_open = matches!(&peeked, Err(e) if e.kind() == ErrorKind::WouldBlock);
     !is_open || socket.set_nonblocking(false).is_err()
 }
--- a/crates/node/src/fleet/coordinate/refound.rs
+++ b/crates/node/src/fleet/coordinate/refound.rs
@@ -1,5 +1,5 @@
-//! Founding a fleet again after a majority of the coordinators' stores was lost: the one store that is left becomes the
-//! beginning, and the others start from a file that is written here.
+//! Disaster recovery after a majority of the coordinators' stores was lost: the fleet is founded again from one store that
+//! is left, and the other coordinators start from a file that is written here.
 
 use std::fs::OpenOptions;
 use std::io::{self, Write as _};
@@ -14,17 +14,17 @@
 use super::StartMode;
 use super::storage::{self, Foundation};
 
-/// How many versions, revisions and rounds are skipped: more than can have been used since the store that is left was
-/// written.
+/// How many versions, revisions and rounds are skipped. It is more than can have been used since the remaining store was
+/// last written.
 const SKIPPED: u32 = 1_000_000;
 
-/// Makes the store of this coordinator the beginning of the fleet, and writes the file for the others.
+/// Founds the fleet again from the store of this coordinator, and writes the file that the others start from.
 pub(super) fn refound(config: &config::CoordinatorConfig, file: &Path, lost: &[Id]) -> Result<(), String> {
-    check_majority_lost(config, lost).map_err(option_fault)?;
-    check_all_stopped(config).map_err(option_fault)?;
+    check_majority_lost(config, lost).map_err(option_error)?;
+    check_all_stopped(config).map_err(option_error)?;
     let (mut disk, record) = storage::open(config, &StartMode::FromStore).map_err(|e| e.to_string())?;
     if record.learning {
-        return Err(option_fault("this one was never told what is agreed".into()));
+        return Err(option_error("this coordinator has not yet learned the committed state".into()));
     }
     let previous_version = record.state.policy.version;
     let record = founding_record(config, record);
@@ -33,34 +33,36 @@
     let text = serde_json::to_vec(&foundation).map_err(|e| e.to_string())?;
     write_new(file, &text).map_err(|e| format!("{}: {e}", file.display()))?;
     disk.keep(&foundation.record).map_err(|e| e.to_string())?;
-    println!("the fleet goes on from version {previous_version}, now as version {version}");
+    println!("the fleet continues from version {previous_version}, now as version {version}");
     println!(
-        "lost, if they were: changes that were decided or put since this store was written, and members that joined"
+        "changes that were proposed or decided, and members that joined, since this store was written are lost"
     );
     println!(
-        "start this one as ever, and each other one, with an empty folder, by --refounded {}",
+        "start this coordinator as usual, and each other one, with an empty folder, by --refounded {}",
         file.display()
     );
     Ok(())
 }
 
-fn option_fault(why: String) -> String {
-    format!("--refound: {why}")
+/// Returns the message for an error because of which `--refound` is refused.
+fn option_error(reason: String) -> String {
+    format!("--refound: {reason}")
 }
 
-/// Fails unless the coordinators that are left are no majority: a majority replaces the lost ones one by one.
+/// Fails if the coordinators that still have their stores are a majority, because a majority can replace the others one by
+/// one.
 fn check_majority_lost(config: &config::CoordinatorConfig, lost: &[Id]) -> Result<(), String> {
     let count = config.peers.len();
     let mut lost = lost.to_vec();
     lost.sort_unstable();
     lost.dedup();
     if lost.iter().any(|id| usize::from(*id) >= count || *id == config.number) {
-        return Err(format!("--lost: numbers of others, under {count}"));
+        return Err(format!("--lost: the numbers of other coordinators, below {count}"));
     }
-    let kept = count - lost.len();
-    if kept > count / 2 {
+    let remaining = count - lost.len();
+    if remaining > count / 2 {
         return Err(format!(
-            "{kept} of {count} have their stores: start those, and `linestack fleet replace` the lost ones"
+            "{remaining} of {count} still have their stores: start those, and `linestack fleet replace` the others"
         ));
     }
     Ok(())
@@ -69,18 +71,19 @@
 /// Fails if another coordinator answers.
 fn check_all_stopped(config: &config::CoordinatorConfig) -> Result<(), String> {
     let incarnation = Incarnation { home: random_u64(), life: 1 };
-    let own = SenderInfo { fleet: config.fleet.clone(), identity: Identity::Operator, incarnation };
-    for (id, to) in config.peers.iter().enumerate() {
-        if let Some(to) = to
-            && wire::connect_session(*to, &own).is_ok()
+    let sender = SenderInfo { fleet: config.fleet.clone(), identity: Identity::Operator, incarnation };
+    for (id, address) in config.peers.iter().enumerate() {
+        if let Some(address) = address
+            && wire::connect_session(*address, &sender).is_ok()
         {
-            return Err(format!("coordinator {id} answers at {to}: stop all of them first"));
+            return Err(format!("coordinator {id} answers at {address}: stop all of them first"));
         }
     }
     Ok(())
 }
 
-/// The record that the fleet goes on from: nothing that was promised, accepted or decided since can be higher.
+/// Returns the record that the fleet continues from. Its ballot and versions are higher than any that may have been
+/// promised, accepted or decided since the store was last written.
 fn founding_record(config: &config::CoordinatorConfig, record: Record) -> Record {
     let me = config.number;
     let round = record.promised.round.max(record.accepted.round) + SKIPPED;
@@ -96,13 +99,14 @@
     }
 }
 
+/// Returns the state that the fleet continues from.
 fn founding_state(config: &config::CoordinatorConfig, state: State) -> State {
     let State { policy, last, members, ended, mut seats, rev, .. } = state;
     for id in (0..config.peers.len()).filter_map(|id| Id::try_from(id).ok()) {
-        // A coordinator that still has an earlier store has no vote.
+        // A new seat number keeps a coordinator with an older store from voting.
         *seats.entry(id).or_insert(0) += 1;
     }
-    // The same text under another version: members may have gone by a later policy that is lost.
+    // The text of the policy stays, under a higher version: members may have activated later policies, which are lost.
     let version = last + u64::from(SKIPPED);
     State {
         rev: rev + u64::from(SKIPPED),
@@ -115,7 +119,7 @@
     }
 }
 
-/// Writes a file that does not exist yet, and returns when it is durable.
+/// Writes a new file, and returns when it is durable. Fails if the file exists.
 fn write_new(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut file = OpenOptions::new().write(true).create_new(true).open(path)?;
     file.write_all(bytes)?;
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -1,4 +1,4 @@
-//! The thread that holds a coordinator's state: it passes events on to the state machine, and carries out what follows.
+//! The thread that owns a coordinator's state: it passes events to the state machine, and carries out the outputs.
 
 use std::collections::HashMap;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
 use super::event::{Event, Session};
 use super::storage::Disk;
 
-/// The shortest time between two log lines about refusals. All are counted.
+/// The shortest time between two log lines about refusals. All refusals are counted.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// The time between two log lines of the counters.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(10);
@@ -26,11 +26,11 @@
     coordinator: Coordinator,
     disk: Disk,
     audit_log: AuditWriter,
-    /// The queues of messages to the other coordinators, by their ids.
+    /// The queues of messages to the other coordinators, indexed by their ids.
     peers: Vec<Option<SyncSender<Letter>>>,
-    /// The open sessions, by their connections.
+    /// The open sessions, by connection number.
     sessions: HashMap<u64, Session>,
-    /// The connection over which each client has sent its last request.
+    /// The connection on which each client has sent its last request.
     routes: HashMap<Guest, u64>,
     counts: Counts,
 }
@@ -43,8 +43,8 @@
     /// Leases granted.
     granted: u64,
     /// Records persisted.
-    kept: u64,
-    /// Connections and frames refused, by the reason.
+    persisted: u64,
+    /// Connections and frames refused, by reason.
     refused: HashMap<&'static str, u64>,
     /// When a refusal was logged last.
     refusal_logged: Option<Instant>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Runs until it is told to stop, or must not go on.
+    /// Runs until the process is stopped, or must not continue.
     pub(super) fn run(mut self, events: &Receiver<Event>) -> ExitCode {
         let mut counts_logged = Instant::now();
         loop {
@@ -91,13 +91,13 @@
         }
     }
 
-    /// How long to wait for an event before a tick is due.
+    /// Returns how long to wait for an event before the next tick is due.
     fn wait(&self) -> Duration {
         let due = self.coordinator.next_due().saturating_sub(boottime());
         Duration::from_nanos(due).min(COUNTS_INTERVAL)
     }
 
-    /// Handles an event, or that none has come in time.
+    /// Handles an event, or a tick if there is none.
     fn handle(&mut self, event: Option<Event>) -> Result<(), ExitCode> {
         let input = match event {
             Some(event) => self.input_of(event),
@@ -106,7 +106,7 @@
         if let Some(input) = input {
             self.step(input)?;
         }
-        // A flood of messages must not delay what is due.
+        // A flood of messages must not delay ticks.
         if self.coordinator.next_due() <= boottime() {
             self.step(Input::Tick)?;
         }
@@ -114,13 +114,13 @@
     }
 
     fn log_counts(&self) {
-        let Counts { frames, granted, kept, refused, .. } = &self.counts;
-        let speaks = self.coordinator.speaks(boottime());
+        let Counts { frames, granted, persisted, refused, .. } = &self.counts;
+        let is_leader = self.coordinator.speaks(boottime());
         let sessions = self.sessions.len();
-        tracing::info!(speaks, sessions, frames, granted, kept, ?refused, "counts");
+        tracing::info!(speaks = is_leader, sessions, frames, granted, kept = persisted, ?refused, "counts");
     }
 
-    /// What an event means to the state machine, if anything.
+    /// Returns the input of the state machine for an event, if there is one.
     fn input_of(&mut self, event: Event) -> Option<Input> {
         match event {
             Event::Opened { connection, session } => {
@@ -132,8 +132,8 @@
                 self.close(connection);
                 None
             }
-            Event::Refused { why } => {
-                self.count_refusal(why);
+            Event::Refused { reason } => {
+                self.count_refusal(reason);
                 None
             }
             Event::Stop => None,
@@ -144,8 +144,8 @@
         self.counts.frames += 1;
         let session = self.sessions.get(&connection)?;
         match (&session.identity, body) {
-            (Identity::Coordinator(from), Body::Envelope(letter)) => {
-                Some(Input::Letter { from: *from, letter })
+            (Identity::Coordinator(from), Body::Envelope(envelope)) => {
+                Some(Input::Letter { from: *from, letter: envelope })
             }
             (_, Body::Request(request)) => self.receive_request(connection, request),
             _ => {
@@ -157,62 +157,64 @@
 
     fn receive_request(&mut self, connection: u64, request: Request) -> Option<Input> {
         let session = self.sessions.get(&connection)?;
-        // A session speaks for the run of the process that began it, and for no other.
+        // A session may only renew the lease of the run that opened it.
         if let Request::Renew(renew) = &request
             && renew.incarnation != session.incarnation
         {
             self.refuse_session(connection, "name");
             return None;
         }
-        let guest = client_session(&session.identity, connection)?;
-        self.routes.insert(guest.clone(), connection);
-        Some(Input::Guest { guest, request })
+        let client = client_session(&session.identity, connection)?;
+        self.routes.insert(client.clone(), connection);
+        Some(Input::Guest { guest: client, request })
     }
 
     fn close(&mut self, connection: u64) {
         let Some(session) = self.sessions.remove(&connection) else { return };
-        let Some(guest) = client_session(&session.identity, connection) else { return };
-        if self.routes.get(&guest) == Some(&connection) {
-            self.routes.remove(&guest);
+        let Some(client) = client_session(&session.identity, connection) else { return };
+        if self.routes.get(&client) == Some(&connection) {
+            self.routes.remove(&client);
         }
     }
 
-    fn refuse_session(&mut self, connection: u64, why: &'static str) {
-        self.count_refusal(why);
+    /// Closes a session because of what was received on it.
+    fn refuse_session(&mut self, connection: u64, reason: &'static str) {
+        self.count_refusal(reason);
         self.sessions.remove(&connection);
     }
 
-    fn count_refusal(&mut self, why: &'static str) {
-        *self.counts.refused.entry(why).or_default() += 1;
+    /// Counts a refusal, and logs it unless another one was logged just before.
+    fn count_refusal(&mut self, reason: &'static str) {
+        *self.counts.refused.entry(reason).or_default() += 1;
         if self.counts.refusal_logged.is_none_or(|at| at.elapsed() >= REFUSAL_LOG_INTERVAL) {
             self.counts.refusal_logged = Some(Instant::now());
-            tracing::warn!(why, "refused");
+            tracing::warn!(why = reason, "refused");
         }
     }
 
-    /// Passes an input to the state machine, persists the record, and carries out the actions.
+    /// Passes an input to the state machine, persists the record, and carries out the outputs.
     fn step(&mut self, input: Input) -> Result<(), ExitCode> {
         let writes_before = self.coordinator.record().mark;
-        // Leases go by the clock that counts while the machine sleeps; the audit log by the one that does not.
+        // Leases are timed by the clock that also counts suspension, the audit log by the one that does not.
         let (log_time, now) = (monotonic(), boottime());
         let step = self.coordinator.take(now, input);
-        let outputs = step.finish(&mut self.disk).map_err(|why| {
-            // Whether the record is durable is not known, and nobody was told that it is.
-            tracing::error!(%why, "store failed; this coordinator ends");
+        let outputs = step.finish(&mut self.disk).map_err(|error| {
+            // The record may or may not be durable, and no other process was told that it is.
+            tracing::error!(why = %error, "store failed; this coordinator ends");
             ExitCode::FAILURE
         })?;
-        self.counts.kept += self.coordinator.record().mark - writes_before;
+        self.counts.persisted += self.coordinator.record().mark - writes_before;
         outputs.into_iter().try_for_each(|output| self.carry_out(log_time, output))
     }
 
     fn carry_out(&mut self, log_time: u64, output: Out) -> Result<(), ExitCode> {
         match output {
-            Out::Letter { to, letter } => self.send_to_peer(to, letter),
-            Out::Guest { guest, reply } => self.reply(&guest, reply),
+            Out::Letter { to, letter: envelope } => self.send_to_peer(to, envelope),
+            Out::Guest { guest: client, reply } => self.reply(&client, reply),
             Out::Note(note) => self.log_note(log_time, note),
             Out::Halt => {
                 tracing::error!(
-                    "what is stored here is older than what others have seen of it; it must not vote"
+                    "the store is older than what other coordinators have seen of it; this coordinator must not vote and ends"
                 );
                 return Err(ExitCode::FAILURE);
             }
@@ -220,16 +222,16 @@
         Ok(())
     }
 
-    fn send_to_peer(&self, to: Id, letter: Letter) {
+    fn send_to_peer(&self, to: Id, envelope: Letter) {
         if let Some(Some(peer)) = self.peers.get(usize::from(to)) {
             // If the queue is full, the peer is slow; the protocol repeats the message.
-            let _ = peer.try_send(letter);
+            let _ = peer.try_send(envelope);
         }
     }
 
     /// Replies to a client. A session whose queue is full is closed.
-    fn reply(&mut self, guest: &Guest, reply: Reply) {
-        let Some(connection) = self.routes.get(guest).copied() else { return };
+    fn reply(&mut self, client: &Guest, reply: Reply) {
+        let Some(connection) = self.routes.get(client).copied() else { return };
         let Some(session) = self.sessions.get_mut(&connection) else { return };
         let frame = session.encoder.encode(Body::Reply(reply));
         let is_queued = frame.is_ok_and(|bytes| session.frames.try_send(bytes).is_ok());
@@ -239,19 +241,19 @@
         }
     }
 
-    /// Writes an entry of the audit log, with the time of the step: a process that is stopped just then writes it when it
-    /// goes on.
+    /// Writes an entry of the audit log with the time of the step, which may be earlier than the present if the process was
+    /// stopped in between.
     fn log_note(&mut self, time: u64, note: Note) {
         if let Some(what) = self.describe(note) {
             self.audit_log.write(time, what);
         }
     }
 
-    /// Logs and counts what was noted, and returns the entry of the audit log, if there is to be one.
+    /// Logs and counts an event of the state machine, and returns its entry for the audit log, if there is one.
     fn describe(&mut self, note: Note) -> Option<What> {
         Some(match note {
             Note::Established { round } => {
-                tracing::info!(round, "speaks for the fleet");
+                tracing::info!(round, "elected leader");
                 What::Established { round: u64::from(round) }
             }
             Note::Granted { member, round, version } => {
@@ -259,7 +261,7 @@
                 What::Granted { member, round: u64::from(round), version }
             }
             Note::Pending { request, version } => {
-                tracing::info!(request, version, "change put before the members");
+                tracing::info!(request, version, "change proposed to the members");
                 What::Pending { request, version }
             }
             Note::Decided { request, version, digest } => {
@@ -270,9 +272,9 @@
                 tracing::warn!(request, version, ?end, "change dropped");
                 What::Dropped { request, version, why: format!("{end:?}") }
             }
-            Note::Refused { member, why } => {
+            Note::Refused { member, why: reason } => {
                 self.count_refusal("member");
-                tracing::debug!(member, why, "member refused");
+                tracing::debug!(member, why = reason, "member refused");
                 return None;
             }
         })
--- a/crates/node/src/fleet/coordinate/storage.rs
+++ b/crates/node/src/fleet/coordinate/storage.rs
@@ -1,4 +1,4 @@
-//! The store of a coordinator: opened, or created for a new one.
+//! The store of a coordinator: opening it, and creating it for a new coordinator.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 
 use super::StartMode;
 
-/// What is stored. The names of the fields are the format.
+/// The stored record. The names of the fields in the file are the format.
 #[derive(Serialize, Deserialize)]
 struct Stored {
     #[serde(rename = "life")]
@@ -20,14 +20,15 @@
     record: Record,
 }
 
-/// What the other coordinators start from after the fleet was founded again. The names of the fields are the format.
+/// The file that the other coordinators start from after the fleet was founded again. The names of the fields are the
+/// format.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Foundation {
     pub(super) fleet: String,
     pub(super) record: Record,
 }
 
-/// The store, and the run of this process.
+/// The open store, and the run of this process.
 pub(super) struct Disk {
     store: RecordStore,
     pub(super) incarnation: Incarnation,
@@ -44,9 +45,9 @@
 /// Opens the store, or creates one, and counts this run in it.
 pub(super) fn open(
     config: &config::CoordinatorConfig,
-    how: &StartMode,
+    mode: &StartMode,
 ) -> Result<(Disk, Record), StoreError> {
-    match how {
+    match mode {
         StartMode::Replacement(seat) => {
             create(config, Record { seat: *seat, learning: true, ..Record::default() })
         }
@@ -56,10 +57,12 @@
     }
 }
 
+/// Returns the name of the process that the store belongs to.
 fn owner(config: &config::CoordinatorConfig) -> String {
     format!("coordinator {} of {}", config.number, config.fleet)
 }
 
+/// Creates a store with this record.
 fn create(config: &config::CoordinatorConfig, record: Record) -> Result<(Disk, Record), StoreError> {
     let store = RecordStore::open(&config.folder, &owner(config), true)?;
     let mut disk = Disk { store, incarnation: Incarnation { home: random_u64(), life: 1 } };
@@ -67,6 +70,7 @@
     Ok((disk, record))
 }
 
+/// Opens the existing store.
 fn reopen(config: &config::CoordinatorConfig) -> Result<(Disk, Record), StoreError> {
     let store = RecordStore::open(&config.folder, &owner(config), false)?;
     let Some(Stored { mut incarnation, record }) = store.load()? else { return Err(StoreError::Missing) };
@@ -76,29 +80,31 @@
     Ok((disk, record))
 }
 
-/// The record that the first coordinators of a fleet begin with.
+/// Returns the record that the first coordinators of a fleet start with.
 fn first_record(first_policy: &Path) -> Result<Record, StoreError> {
     let damaged =
-        |why: String| StoreError::Damaged(format!("first-policy: {}: {why}", first_policy.display()));
+        |reason: String| StoreError::Damaged(format!("first-policy: {}: {reason}", first_policy.display()));
     let text = std::fs::read_to_string(first_policy).map_err(|e| damaged(e.to_string()))?;
     if text.len() > LARGEST_TEXT {
-        return Err(damaged(format!("{} bytes, {LARGEST_TEXT} at most", text.len())));
+        return Err(damaged(format!("{} bytes, at most {LARGEST_TEXT} are allowed", text.len())));
     }
     policy::settings_for_zone(&text, 0, 0).map_err(damaged)?;
     Ok(Record { state: State::first(text), ..Record::default() })
 }
 
-/// The record that a coordinator begins with after the fleet was founded again.
+/// Returns the record that a coordinator without a store starts with after the fleet was founded again.
 fn refounded_record(config: &config::CoordinatorConfig, file: &Path) -> Result<Record, StoreError> {
-    let damaged = |why: String| StoreError::Damaged(format!("--refounded: {}: {why}", file.display()));
+    let damaged = |reason: String| StoreError::Damaged(format!("--refounded: {}: {reason}", file.display()));
     let text = std::fs::read(file).map_err(|e| damaged(e.to_string()))?;
     let Foundation { fleet, record } = serde_json::from_slice(&text).map_err(|e| damaged(e.to_string()))?;
     if fleet != config.fleet {
-        return Err(damaged(format!("of fleet {fleet:?}")));
+        return Err(damaged(format!("the file belongs to fleet {fleet:?}")));
     }
     let me = config.number;
     if record.accepted.by == me {
-        return Err(damaged(format!("it was written by coordinator {me}, which has its store")));
+        return Err(damaged(format!(
+            "it was written by coordinator {me} itself, which must start from its store"
+        )));
     }
     Ok(Record { mark: 0, seat: record.state.seat(me), ..record })
 }
