--- a/crates/node/src/fleet/audit_log.rs
+++ b/crates/node/src/fleet/audit_log.rs
@@ -1,4 +1,5 @@
-//! A process's history, where one is asked for: lines go to a file by a thread of their own, or at once.
+//! The audit log of a process, written where the configuration names a history file. A coordinator writes its lines
+//! synchronously; a node hands them to a thread of its own.
 
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -13,7 +14,8 @@
 
 use crate::net::lock;
 
-/// Writes lines at once, each in one call: what follows from a line never comes before it.
+/// Appends lines to a history file synchronously, each in one write call, so that a line is in the file before any of
+/// its consequences.
 pub struct AuditWriter {
     file: Option<File>,
     by: String,
@@ -21,55 +23,60 @@
 }
 
 impl AuditWriter {
+    /// Opens the file, if one is configured, and writes the line that the process has started.
+    ///
     /// # Errors
     ///
-    /// The file can't be written.
+    /// The file can't be opened for appending.
     pub fn open(path: Option<&Path>, by: &str, life: u64) -> io::Result<Self> {
         let open = |p| OpenOptions::new().create(true).append(true).open(p);
-        let mut diary = Self { file: path.map(open).transpose()?, by: by.to_owned(), life };
-        diary.write(super::monotonic(), What::Started);
-        Ok(diary)
+        let mut writer = Self { file: path.map(open).transpose()?, by: by.to_owned(), life };
+        writer.write(super::monotonic(), What::Started);
+        Ok(writer)
     }
 
+    /// Appends a line with this time of the machine's monotonic clock, in nanoseconds.
     pub fn write(&mut self, at: u64, what: What) {
         if let Some(file) = &mut self.file {
-            // A history that can't be written is no reason to stop serving.
+            // Errors are ignored: a process keeps serving even if its history can't be written.
             let _ = Line::new(at, &self.by, self.life, what).write(file);
         }
     }
 }
 
-/// A node's history. Its coroutines must not wait for a disk.
+/// The audit log of a node. A thread writes the lines, because the node's coroutines must not wait for a disk.
 pub struct AuditLog {
     lines: Sender<(u64, What)>,
-    /// What each client waits for.
-    asked: Mutex<HashMap<Client, Bytes>>,
-    /// From the node's clock to the machine's.
+    /// The submission that each client waits for.
+    pending: Mutex<HashMap<Client, Bytes>>,
+    /// The reading of the node's clock minus that of the machine's monotonic clock, in nanoseconds.
     offset: u64,
 }
 
 impl AuditLog {
+    /// Opens the file and starts the thread that writes to it. `now` is the current time of the node's clock.
+    ///
     /// # Errors
     ///
-    /// The file can't be written.
+    /// The file can't be opened for appending.
     pub fn open(path: &Path, by: &str, life: u64, now: u64) -> io::Result<Self> {
-        let mut diary = AuditWriter::open(Some(path), by, life)?;
-        let (lines, told) = channel();
-        std::thread::spawn(move || told.iter().for_each(|(at, what)| diary.write(at, what)));
-        Ok(Self { lines, asked: Mutex::default(), offset: now - super::monotonic() })
+        let mut writer = AuditWriter::open(Some(path), by, life)?;
+        let (lines, queue) = channel();
+        std::thread::spawn(move || queue.iter().for_each(|(at, what)| writer.write(at, what)));
+        Ok(Self { lines, pending: Mutex::default(), offset: now - super::monotonic() })
     }
 
-    /// By the node's clock.
+    /// Queues a line with this time of the node's clock.
     pub fn write(&self, now: u64, what: What) {
         let _ = self.lines.send((now - self.offset, what));
     }
 
-    /// A time of the node's clock on the machine's.
+    /// Converts a time of the node's clock to the machine's monotonic clock.
     pub fn machine_time(&self, time: u64) -> u64 {
         time.saturating_sub(self.offset)
     }
 
-    /// What is about to go into the reducer.
+    /// Returns the client and the id of the submission, if this input of the reducer is one.
     pub(crate) fn pending_submission(&self, input: &Input) -> Option<(Client, Bytes)> {
         match input {
             Input::Submitted { client, intake } => Some((*client, intake.shipment.id.clone())),
@@ -77,21 +84,22 @@
         }
     }
 
-    /// What came of it. `taken` tells whether a submission was, and under which version.
+    /// Writes what the reducer did with an input. `submission` is what [`AuditLog::pending_submission`] returned for the
+    /// input; `taken` is the policy version under which the submission was taken, and `None` if it was turned away.
     pub(crate) fn record_effects(
         &self,
         now: u64,
-        asked: Option<(Client, Bytes)>,
+        submission: Option<(Client, Bytes)>,
         taken: Option<u64>,
         effects: &[Effect],
     ) {
         let text = |id: &Bytes| String::from_utf8_lossy(id).into_owned();
-        let mut open = lock(&self.asked);
-        if let Some((client, id)) = asked {
+        let mut pending = lock(&self.pending);
+        if let Some((client, id)) = submission {
             match taken {
                 Some(version) => {
                     self.write(now, What::Taken { id: text(&id), version });
-                    open.insert(client, id);
+                    pending.insert(client, id);
                 }
                 None => self.write(now, What::TurnedAway { id: text(&id) }),
             }
@@ -102,7 +110,7 @@
                     self.write(now, What::Sent { id: text(&shipment.id), version: *version });
                 }
                 Effect::Answer { client, answer, version, .. } => {
-                    let Some(id) = open.remove(client) else { continue };
+                    let Some(id) = pending.remove(client) else { continue };
                     let ended = match answer {
                         Answer::Satisfied(_) => Ended::Satisfied,
                         Answer::Dismissed(_) => Ended::Dismissed,
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! What a process does as part of a fleet: agreement on the policy, and leave to serve under it. Nothing of it is
-//! there in a node that was not told of a fleet: no listener, no thread, no allocation.
+//! Processes of a fleet: coordinators that agree on a policy, and nodes that hold leases to serve under it. A node
+//! that is not configured for a fleet has none of this: no listener, no thread, no allocation.
 
 pub mod audit_log;
 pub mod config;
@@ -12,45 +12,50 @@
 
 use std::hash::{BuildHasher as _, RandomState};
 
-/// The machine's monotonic clock, in nanoseconds: all processes on it read the same, and it does not jump.
+/// Reads the machine's monotonic clock, in nanoseconds. All processes on the machine read the same clock, and it does
+/// not jump.
 #[must_use]
 pub fn monotonic() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec.unsigned_abs() * 1_000_000_000 + now.tv_nsec.unsigned_abs()
 }
 
-/// As [`monotonic`], and it goes on while the machine sleeps. What is promised to others is counted by it.
+/// Reads the machine's boot-time clock, in nanoseconds. Unlike [`monotonic`], it also counts the time for which the
+/// machine is suspended. Promises to other processes, such as leases, are timed by it.
 #[must_use]
 pub fn boottime() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec.unsigned_abs() * 1_000_000_000 + now.tv_nsec.unsigned_abs()
 }
 
-/// What two readings of clocks may lie apart: far less than the drift that every leave allows for.
+/// The longest time, in nanoseconds, that may pass between two readings of the clocks that are compared. It is far
+/// below the clock drift that every lease allows for.
 const MAX_READING_GAP: u64 = 200_000;
 
-/// For how long the machine has slept since it was started, within [`MAX_READING_GAP`].
+/// Returns for how long, in nanoseconds, the machine has been suspended since it was started, to within
+/// [`MAX_READING_GAP`].
 #[must_use]
 pub fn time_suspended() -> u64 {
     loop {
         let (before, boot, after) = (monotonic(), boottime(), monotonic());
-        // A process that was stopped between two readings would take the stop for less sleep, and a leave for longer.
+        // If the process was stopped between two readings, the result would be too small and a lease would appear to
+        // last longer than it does.
         if after - before <= MAX_READING_GAP {
             return boot.saturating_sub(after);
         }
     }
 }
 
-/// Drawn anew in each process.
+/// Returns a random number other than 0, which differs between processes.
 #[must_use]
 pub fn random_u64() -> u64 {
-    // Keyed by the system's randomness.
+    // `RandomState` is keyed by the randomness of the operating system.
     let seed = RandomState::new().hash_one(monotonic());
     fastrand::Rng::with_seed(seed).u64(1..)
 }
 
-/// A fault or a known mistake that this process was started with, for the tests that must notice it. There is none
-/// in a build for service.
+/// Returns the fault that tests inject into this process by the environment variable `LINESTACK_FAULT`. Always `None`
+/// in builds without the feature `faults`, which include all production builds.
 #[must_use]
 pub fn injected_fault() -> Option<String> {
     if cfg!(feature = "faults") { std::env::var("LINESTACK_FAULT").ok() } else { None }
--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -1,5 +1,5 @@
-//! `linestack fleet`: what an operator asks of the coordinators. An answer that is lost is *unknown*, and asking again
-//! under the same request tells the outcome.
+//! `linestack fleet`: the operator's commands to the coordinators. If an answer is lost, the outcome of a change is
+//! reported as unknown; it can be queried later under the name of the request.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -14,31 +14,37 @@
 use super::random_u64;
 use super::wire::{self, Body, Identity, SenderInfo};
 
-/// How long one coordinator is waited for.
-const PATIENCE: Duration = Duration::from_secs(2);
-const AGAIN: Duration = Duration::from_millis(50);
-/// Between two questions how a change stands.
-const LOOK: Duration = Duration::from_millis(100);
+/// The longest time to wait for the answer of one coordinator.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause before a request is tried again.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The pause between two queries of the outcome of a change.
+const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is done or decided, refused, ended otherwise, not known, and wrong in the words.
+/// The exit code if the command was carried out, or the change was decided.
 const DONE: u8 = 0;
+/// The exit code if the arguments are wrong.
+const USAGE: u8 = 2;
+/// The exit code if the request was refused.
 const REFUSED: u8 = 3;
+/// The exit code if the change was dropped.
 const DROPPED: u8 = 4;
+/// The exit code if the outcome is not known.
 const UNKNOWN: u8 = 5;
-const USAGE: u8 = 2;
 
+/// The arguments of `linestack fleet`.
 #[derive(Args)]
 pub struct Arguments {
     /// The fleet's id.
     #[arg(long, env = "LINESTACK_FLEET", default_value = "fleet")]
     fleet: String,
-    /// Where the coordinators listen.
+    /// The addresses on which the coordinators listen.
     #[arg(long, env = "LINESTACK_COORDINATORS", value_delimiter = ',', required = true)]
     coordinators: Vec<SocketAddr>,
-    /// One JSON object on standard output.
+    /// Print one JSON object to standard output.
     #[arg(long, global = true)]
     json: bool,
-    /// Milliseconds after which the outcome counts as unknown.
+    /// How many milliseconds to wait before the outcome counts as unknown.
     #[arg(long, global = true, default_value_t = 30_000)]
     wait_ms: u64,
     #[command(subcommand)]
@@ -47,69 +53,72 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Who goes by what, and who may serve.
+    /// Show the policy version of each member, and whether it may serve.
     Status,
-    /// Put a change before all members: it holds everywhere or nowhere. Exits with 0 if it was decided, 3 if it was
-    /// refused, 4 if it was dropped, 5 if that is not known.
+    /// Propose a change of the policy to all members; it becomes active at all of them or at none. Exits with 0 if it was
+    /// decided, 3 if it was refused, 4 if it was dropped, 5 if the outcome is not known.
     Propose {
         /// The policy: the settings as JSON or TOML, without `az`.
         file: PathBuf,
-        /// The version that it builds on.
+        /// The version that the change builds on.
         #[arg(long)]
         base: u64,
-        /// A name for it, under which its outcome can be asked for; else one is drawn and told.
+        /// A name for the change, under which its outcome can be queried; by default a random one, which is printed.
         #[arg(long)]
         request: Option<String>,
-        /// Wait for every member that is known, also those that are away.
+        /// Wait for all known members, including those that are away.
         #[arg(long)]
         all: bool,
-        /// Drop it when it is not decided by then.
+        /// Drop the change if it is not decided after this many milliseconds.
         #[arg(long)]
         give_up_ms: Option<u64>,
     },
-    /// How a change stands or ended.
+    /// Show whether a change is pending, or how it ended.
     Outcome { request: String },
     /// Drop a change that is not decided.
     Abort { request: String },
-    /// The changes that ended, the latest last.
+    /// List the changes that ended, the latest last.
     History,
-    /// Give the number of a coordinator that is down, and has lost its store, to another with an empty one.
+    /// Replace a coordinator that is down and has lost its store: give its number to another one with an empty store.
     Replace { number: u8 },
-    /// Take a member that is away off the list.
+    /// Remove a member that is away from the list.
     Forget { member: String },
 }
 
-enum Heard {
+/// The result of sending a request to one coordinator.
+enum Answer {
+    /// The coordinator replied.
     Reply(Reply),
-    /// Nobody took it, for certain.
-    Nobody,
-    /// It may have been taken.
+    /// The request was certainly not received by a leader.
+    NotReceived,
+    /// The request may have been received, but there was no reply.
     Lost,
 }
 
 impl Arguments {
-    fn ask(&self, at: &mut usize, ask: &Ask) -> Heard {
+    /// Sends a request to the coordinator at this index. Advances the index if there is no reply.
+    fn send(&self, index: &mut usize, ask: &Ask) -> Answer {
         let incarnation = Incarnation { home: random_u64(), life: 1 };
-        let own = SenderInfo { fleet: self.fleet.clone(), identity: Identity::Operator, incarnation };
-        let to = self.coordinators[*at % self.coordinators.len()];
-        let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(to, &own) else {
-            *at += 1;
-            return Heard::Nobody;
+        let sender = SenderInfo { fleet: self.fleet.clone(), identity: Identity::Operator, incarnation };
+        let address = self.coordinators[*index % self.coordinators.len()];
+        let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(address, &sender) else {
+            *index += 1;
+            return Answer::NotReceived;
         };
         let Ok(bytes) = encoder.encode(Body::Request(Request::Ask(ask.clone()))) else {
-            return Heard::Nobody;
+            return Answer::NotReceived;
         };
-        let begin = Instant::now();
-        let sent = socket.set_read_timeout(Some(PATIENCE)).and_then(|()| socket.write_all(&bytes));
+        let started = Instant::now();
+        let sent = socket.set_read_timeout(Some(ANSWER_TIMEOUT)).and_then(|()| socket.write_all(&bytes));
         if sent.is_ok() {
-            while begin.elapsed() < PATIENCE {
+            while started.elapsed() < ANSWER_TIMEOUT {
                 match reader.next_frame() {
                     Ok(Some(frame)) => match frame.body {
                         Body::Reply(Reply::Nobody) => {
-                            *at += 1;
-                            return Heard::Nobody;
+                            *index += 1;
+                            return Answer::NotReceived;
                         }
-                        Body::Reply(reply) => return Heard::Reply(reply),
+                        Body::Reply(reply) => return Answer::Reply(reply),
                         _ => break,
                     },
                     Ok(None) => match reader.read(&mut socket) {
@@ -120,100 +129,104 @@
                 }
             }
         }
-        *at += 1;
-        Heard::Lost
+        *index += 1;
+        Answer::Lost
     }
 
-    /// Asks until somebody answers, or the time is over. Only for what may be asked twice.
-    fn insist(&self, ask: &Ask) -> Option<Reply> {
-        let (begin, mut at) = (Instant::now(), 0);
-        while begin.elapsed() < Duration::from_millis(self.wait_ms) {
-            if let Heard::Reply(reply) = self.ask(&mut at, ask) {
+    /// Sends a request until a coordinator replies, or the time is over. Only for requests that may be repeated.
+    fn send_until_reply(&self, ask: &Ask) -> Option<Reply> {
+        let (started, mut index) = (Instant::now(), 0);
+        while started.elapsed() < Duration::from_millis(self.wait_ms) {
+            if let Answer::Reply(reply) = self.send(&mut index, ask) {
                 return Some(reply);
             }
-            std::thread::sleep(AGAIN);
+            std::thread::sleep(RETRY_PAUSE);
         }
         None
     }
 
+    /// Proposes a change, and waits for its outcome.
     fn propose(&self, ask: &Ask, request: &str) -> u8 {
-        let (begin, mut at, mut lost) = (Instant::now(), 0, false);
+        let (started, mut index, mut lost) = (Instant::now(), 0, false);
         loop {
-            if begin.elapsed() >= Duration::from_millis(self.wait_ms) {
-                return self.tell("unknown", request, &[], UNKNOWN);
+            if started.elapsed() >= Duration::from_millis(self.wait_ms) {
+                return self.report("unknown", request, &[], UNKNOWN);
             }
-            match self.ask(&mut at, ask) {
-                Heard::Reply(Reply::Taken { .. }) => return self.outcome(request, begin),
-                Heard::Reply(Reply::Ended(ended)) => return self.ended(&ended),
-                // One that was lost may still come: only what was refused at once is refused for good.
-                Heard::Reply(Reply::TurnedDown(faults)) if lost => {
-                    return self.tell("unknown", request, &faults, UNKNOWN);
+            match self.send(&mut index, ask) {
+                Answer::Reply(Reply::Taken { .. }) => return self.wait_for_outcome(request, started),
+                Answer::Reply(Reply::Ended(ended)) => return self.report_ended(&ended),
+                // A request whose answer was lost may still be carried out, so a later refusal is final only if no
+                // answer was lost before.
+                Answer::Reply(Reply::TurnedDown(faults)) if lost => {
+                    return self.report("unknown", request, &faults, UNKNOWN);
                 }
-                Heard::Reply(Reply::TurnedDown(faults)) => {
-                    return self.tell("refused", request, &faults, REFUSED);
+                Answer::Reply(Reply::TurnedDown(faults)) => {
+                    return self.report("refused", request, &faults, REFUSED);
                 }
-                Heard::Reply(_) | Heard::Lost => lost = true,
-                Heard::Nobody => {}
+                Answer::Reply(_) | Answer::Lost => lost = true,
+                Answer::NotReceived => {}
             }
-            std::thread::sleep(AGAIN);
+            std::thread::sleep(RETRY_PAUSE);
         }
     }
 
-    /// Waits until it has ended.
-    fn outcome(&self, request: &str, begin: Instant) -> u8 {
-        let (mut at, ask) = (0, Ask::Outcome { request: request.to_owned() });
-        while begin.elapsed() < Duration::from_millis(self.wait_ms) {
-            if let Heard::Reply(Reply::Ended(ended)) = self.ask(&mut at, &ask) {
-                return self.ended(&ended);
+    /// Waits until a change has ended, or the time since `started` is over.
+    fn wait_for_outcome(&self, request: &str, started: Instant) -> u8 {
+        let (mut index, ask) = (0, Ask::Outcome { request: request.to_owned() });
+        while started.elapsed() < Duration::from_millis(self.wait_ms) {
+            if let Answer::Reply(Reply::Ended(ended)) = self.send(&mut index, &ask) {
+                return self.report_ended(&ended);
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(OUTCOME_POLL_INTERVAL);
         }
-        self.tell("unknown", request, &[], UNKNOWN)
+        self.report("unknown", request, &[], UNKNOWN)
     }
 
-    fn ended(&self, ended: &Ended) -> u8 {
+    /// Prints how a change ended, and returns the exit code.
+    fn report_ended(&self, ended: &Ended) -> u8 {
         match &ended.end {
             End::Decided => {
-                self.tell("decided", &ended.request, &[format!("version {}", ended.version)], DONE)
+                self.report("decided", &ended.request, &[format!("version {}", ended.version)], DONE)
             }
-            End::GivenUp => self.tell("given up", &ended.request, &[], DROPPED),
-            End::Aborted => self.tell("aborted", &ended.request, &[], DROPPED),
+            End::GivenUp => self.report("given up", &ended.request, &[], DROPPED),
+            End::Aborted => self.report("aborted", &ended.request, &[], DROPPED),
             End::Declined { member, key } => {
-                self.tell("declined", &ended.request, &[format!("{member}: {key}")], DROPPED)
+                self.report("declined", &ended.request, &[format!("{member}: {key}")], DROPPED)
             }
         }
     }
 
-    fn tell(&self, outcome: &str, request: &str, lines: &[String], code: u8) -> u8 {
+    /// Prints an outcome with its details, and returns the exit code.
+    fn report(&self, outcome: &str, request: &str, lines: &[String], code: u8) -> u8 {
         if self.json {
             println!("{}", json!({"request": request, "outcome": outcome, "lines": lines}));
         } else {
             println!("{request}: {outcome}");
             lines.iter().for_each(|l| println!("  {l}"));
             if code == UNKNOWN {
-                println!("  `linestack fleet outcome {request}` tells it, once a coordinator can be reached");
+                println!(
+                    "  `linestack fleet outcome {request}` shows the outcome once a coordinator can be reached"
+                );
             }
         }
         code
     }
 
-    fn status(&self, s: &Status) {
+    /// Prints the state of the fleet.
+    fn print_status(&self, status: &Status) {
         if self.json {
-            println!("{}", serde_json::to_string(s).unwrap_or_default());
+            println!("{}", serde_json::to_string(status).unwrap_or_default());
             return;
         }
         println!(
-            "version {} (digest {:08x}), told by coordinator {} in round {}",
-            s.version, s.digest, s.speaker, s.round
+            "version {} (digest {:08x}), reported by coordinator {} in round {}",
+            status.version, status.digest, status.speaker, status.round
         );
-        if let Some((request, version)) = &s.pending {
+        if let Some((request, version)) = &status.pending {
             println!("pending: {request}, version {version}");
         }
-        println!(
-            "{:<24} {:<6} {:<8} {:<8} {:<8} declined",
-            "member", "serves", "goes by", "has kept", "start"
-        );
-        for m in &s.members {
+        println!("{:<24} {:<6} {:<8} {:<8} {:<8} declined", "member", "serves", "active", "staged", "start");
+        for m in &status.members {
             let active = m.active.map_or("-".to_owned(), |v| v.to_string());
             let staged = if m.staged > 0 { m.staged.to_string() } else { "-".into() };
             let declined = m.declined.as_ref().map_or(String::new(), |(v, key)| format!("{v}: {key}"));
@@ -227,28 +240,29 @@
     }
 }
 
-fn policy(path: &std::path::Path) -> Result<String, String> {
-    let fault = |why: String| format!("{}: {why}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
+/// Reads a policy file, and returns it as JSON.
+fn read_policy(path: &std::path::Path) -> Result<String, String> {
+    let message = |error: String| format!("{}: {error}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| message(e.to_string()))?;
     if path.extension().is_some_and(|e| e == "toml") {
-        let value: toml::Table = toml::from_str(&text).map_err(|e| fault(e.to_string()))?;
-        return serde_json::to_string(&value).map_err(|e| fault(e.to_string()));
+        let value: toml::Table = toml::from_str(&text).map_err(|e| message(e.to_string()))?;
+        return serde_json::to_string(&value).map_err(|e| message(e.to_string()));
     }
     Ok(text)
 }
 
-/// Carries out an operator's command.
+/// Runs a command of `linestack fleet`.
 #[must_use]
 pub fn run(arguments: &Arguments) -> ExitCode {
     let a = arguments;
-    let nobody = || {
+    let no_answer = || {
         eprintln!("linestack: no coordinator answered in {} ms", a.wait_ms);
         UNKNOWN
     };
     let code = match &a.command {
-        Command::Propose { file, base, request, all, give_up_ms } => match policy(file) {
-            Err(why) => {
-                eprintln!("linestack: {why}");
+        Command::Propose { file, base, request, all, give_up_ms } => match read_policy(file) {
+            Err(error) => {
+                eprintln!("linestack: {error}");
                 USAGE
             }
             Ok(text) => {
@@ -258,54 +272,56 @@
                 a.propose(&ask, &request)
             }
         },
-        Command::Outcome { request } => match a.insist(&Ask::Outcome { request: request.clone() }) {
-            None => nobody(),
-            Some(Reply::Ended(ended)) => a.ended(&ended),
-            Some(Reply::Taken { version }) => {
-                a.tell("pending", request, &[format!("version {version}")], UNKNOWN)
+        Command::Outcome { request } => {
+            match a.send_until_reply(&Ask::Outcome { request: request.clone() }) {
+                None => no_answer(),
+                Some(Reply::Ended(ended)) => a.report_ended(&ended),
+                Some(Reply::Taken { version }) => {
+                    a.report("pending", request, &[format!("version {version}")], UNKNOWN)
+                }
+                Some(_) => a.report("not known here", request, &[], UNKNOWN),
             }
-            Some(_) => a.tell("not known here", request, &[], UNKNOWN),
-        },
-        Command::Abort { request } => match a.insist(&Ask::Abort { request: request.clone() }) {
-            None => nobody(),
-            Some(Reply::Ended(ended)) => a.ended(&ended),
-            Some(Reply::Taken { .. }) => a.outcome(request, Instant::now()),
-            Some(_) => a.tell("not known here", request, &[], REFUSED),
+        }
+        Command::Abort { request } => match a.send_until_reply(&Ask::Abort { request: request.clone() }) {
+            None => no_answer(),
+            Some(Reply::Ended(ended)) => a.report_ended(&ended),
+            Some(Reply::Taken { .. }) => a.wait_for_outcome(request, Instant::now()),
+            Some(_) => a.report("not known here", request, &[], REFUSED),
         },
-        Command::Forget { member } => match a.insist(&Ask::Forget { member: member.clone() }) {
-            None => nobody(),
-            Some(Reply::Done) => a.tell("forgotten", member, &[], DONE),
-            Some(Reply::TurnedDown(faults)) => a.tell("refused", member, &faults, REFUSED),
-            Some(_) => a.tell("not known here", member, &[], REFUSED),
+        Command::Forget { member } => match a.send_until_reply(&Ask::Forget { member: member.clone() }) {
+            None => no_answer(),
+            Some(Reply::Done) => a.report("forgotten", member, &[], DONE),
+            Some(Reply::TurnedDown(faults)) => a.report("refused", member, &faults, REFUSED),
+            Some(_) => a.report("not known here", member, &[], REFUSED),
         },
         Command::Replace { number } => {
             let name = format!("coordinator {number}");
-            match a.insist(&Ask::Replace { seat: *number }) {
-                None => nobody(),
+            match a.send_until_reply(&Ask::Replace { seat: *number }) {
+                None => no_answer(),
                 Some(Reply::Seat { number: seat }) if a.json => {
                     println!("{}", json!({"coordinator": number, "replacement": seat}));
                     DONE
                 }
                 Some(Reply::Seat { number: seat }) => {
-                    let how = format!("start it, with an empty folder, by --replacement {seat}");
-                    a.tell("replaced", &name, &[how], DONE)
+                    let advice = format!("start it, with an empty folder, by --replacement {seat}");
+                    a.report("replaced", &name, &[advice], DONE)
                 }
-                Some(Reply::TurnedDown(faults)) => a.tell("refused", &name, &faults, REFUSED),
-                Some(_) => a.tell("unknown", &name, &[], UNKNOWN),
+                Some(Reply::TurnedDown(faults)) => a.report("refused", &name, &faults, REFUSED),
+                Some(_) => a.report("unknown", &name, &[], UNKNOWN),
             }
         }
-        Command::Status | Command::History => match a.insist(&Ask::Status) {
+        Command::Status | Command::History => match a.send_until_reply(&Ask::Status) {
             Some(Reply::Status(status)) => {
                 if matches!(a.command, Command::History) {
                     for ended in &status.ended {
-                        a.ended(ended);
+                        a.report_ended(ended);
                     }
                 } else {
-                    a.status(&status);
+                    a.print_status(&status);
                 }
                 DONE
             }
-            _ => nobody(),
+            _ => no_answer(),
         },
     };
     let _ = std::io::stdout().flush();
--- a/crates/node/src/fleet/policy.rs
+++ b/crates/node/src/fleet/policy.rs
@@ -1,18 +1,18 @@
-//! What a policy says: the settings of a node but for its own place, as JSON text.
+//! The policy of a fleet: the settings of its nodes as JSON text, without the zone, which is each node's own.
 
 use linestack_settings::Settings;
 use serde_json::Value;
 
-/// The settings that a policy makes for a node in this zone.
+/// Parses a policy into the settings of a node in this zone.
 ///
 /// # Errors
 ///
-/// The first fault, by its key.
+/// The first fault, with its key.
 pub fn settings_for_zone(text: &str, zone: u16, seed: u64) -> Result<Settings, String> {
     let mut value: Value = serde_json::from_str(text).map_err(|e| format!("policy: {e}"))?;
     let Some(table) = value.as_object_mut() else { return Err("policy: not an object".into()) };
     if table.contains_key("az") {
-        return Err("settings.az: is each node's own, and no part of a policy".into());
+        return Err("settings.az: not allowed in a policy, because each node has its own".into());
     }
     table.insert("az".into(), zone.into());
     let text = value.to_string();
@@ -24,17 +24,19 @@
     Ok(settings)
 }
 
-/// Whether a fleet that goes by one policy can go on by another.
+/// Checks whether a fleet that runs under the policy `present` can change to the policy `newer`.
 ///
 /// # Errors
 ///
 /// One line for each fault.
 pub fn check_change(present: &str, newer: &str) -> Result<(), Vec<String>> {
     let newer = settings_for_zone(newer, 0, 0).map_err(|e| vec![e])?;
-    // What holds was checked when it came.
+    // The present policy was checked when it was proposed, so it is not checked again.
     let Ok(present) = settings_for_zone(present, 0, 0) else { return Ok(()) };
     match present.restart_for(&newer) {
         None => Ok(()),
-        Some(key) => Err(vec![format!("{key}: wants new processes, and can't change in running ones")]),
+        Some(key) => {
+            Err(vec![format!("{key}: can't be changed while processes run; they must be restarted")])
+        }
     }
 }
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -1,5 +1,5 @@
-//! A node's session with the coordinators: a thread of its own that asks for leave, keeps changes, and tells the
-//! reducer by what it goes and until when.
+//! The session of a node with the coordinators: a thread of its own that renews the node's lease, stores policy changes,
+//! and tells the reducer which settings are active and until when the node may serve.
 
 use std::io::Write as _;
 use std::net::TcpStream;
@@ -22,38 +22,43 @@
 use crate::net::Node;
 use crate::tries;
 
-/// Thousandths by which clocks may differ in rate, and how long a leave is taken to last before the first.
+/// By how much the rates of two clocks may differ, in thousandths.
 const DRIFT: u64 = 10;
-const SPAN: u64 = 1_500_000_000;
-/// After one that does not answer, before the next is tried.
-const AGAIN: Duration = Duration::from_millis(20);
-/// A line of the same kind is logged so often at most.
-const QUIET: Duration = Duration::from_secs(1);
-/// Starts in a row that died while they read what was kept, before it is set aside.
-const TRIES: u32 = 3;
+/// How long a lease is assumed to last before the first one arrives, in nanoseconds.
+const INITIAL_LEASE_NS: u64 = 1_500_000_000;
+/// The shortest pause between two attempts to open a session.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
+/// The shortest time between two log lines of the same kind.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// The number of consecutive starts that may die while they read the store, before it is set aside.
+const MAX_FAILED_STARTS: u32 = 3;
 
-/// What a member must not forget.
+/// The state of a member that must survive a restart.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MemberRecord {
+    /// The run of this process.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
+    /// The policy that is active at this member.
     pub active: Policy,
+    /// The change that is stored but not decided.
     pub staged: Option<Policy>,
 }
 
-/// What a node of a fleet begins with.
+/// A node as a member of a fleet, with its opened store, before its session begins.
 pub struct FleetMember {
     fleet: FleetConfig,
     store: RecordStore,
+    /// What was stored, with this run counted.
     pub record: MemberRecord,
 }
 
 impl FleetMember {
-    /// Opens the node's store, and counts this run in it.
+    /// Opens the member's store, creating it if there is none, and counts this run in it.
     ///
     /// # Errors
     ///
-    /// It is another's, damaged, or can't be written.
+    /// The store belongs to another process, is damaged, or can't be written.
     pub fn open(fleet: FleetConfig) -> Result<Self, StoreError> {
         let owner = format!("member {} of {}", fleet.member, fleet.id);
         let open = |folder: &Path| match RecordStore::open(folder, &owner, false) {
@@ -61,11 +66,11 @@
             other => other,
         };
         let mut store = open(&fleet.folder)?;
-        if tries::enter(&fleet.folder)? >= TRIES {
-            // It comes back as a new run that knows nothing: coordinators tell it all again.
+        if tries::enter(&fleet.folder)? >= MAX_FAILED_STARTS {
+            // The member starts with an empty store as a new run, and learns everything from the coordinators again.
             drop(store);
             let aside = tries::set_aside(&fleet.folder, |name| name.ends_with(".redb"))?;
-            tracing::error!(aside = %aside.display(), "starts died reading what this member kept: set aside");
+            tracing::error!(aside = %aside.display(), "repeated starts died while reading this member's store; it was set aside");
             store = open(&fleet.folder)?;
         }
         let loaded = store.load();
@@ -74,11 +79,12 @@
         }
         let mut record: MemberRecord = match loaded {
             Ok(record) => record.unwrap_or_default(),
-            // What it had kept is asked for again; but it may be the second of its kind.
+            // The policies are fetched again. The run gets a new identity, because the member that this store was copied
+            // from may still be running.
             Err(StoreError::Copied) => MemberRecord::default(),
-            Err(why) => {
+            Err(error) => {
                 tries::leave(&fleet.folder);
-                return Err(why);
+                return Err(error);
             }
         };
         if record.incarnation.home == 0 {
@@ -89,24 +95,27 @@
         Ok(Self { fleet, store, record })
     }
 
+    /// Returns the fleet configuration of the node.
     #[must_use]
     pub fn config(&self) -> &FleetConfig {
         &self.fleet
     }
 
-    /// The terms that it went by last, if it can still go by them.
+    /// Returns the settings of the policy that was active last, if there was one and the node can run under it. `own` are
+    /// the settings in the node's own configuration.
     #[must_use]
     pub fn last_settings(&self, own: &Settings, seed: u64) -> Option<Settings> {
-        let known = &self.record.active;
+        let policy = &self.record.active;
         let settings =
-            settings_for_zone(&known.text, own.orders.zone, seed).ok().filter(|_| known.version > 0);
+            settings_for_zone(&policy.text, own.orders.zone, seed).ok().filter(|_| policy.version > 0);
         tries::leave(&self.fleet.folder);
         let settings = settings?;
         own.restart_for(&settings).is_none().then_some(settings)
     }
 
-    /// Runs the session for as long as the program does.
-    pub fn run(self, node: Arc<Node>, present: Settings, seed: u64, active: u64, bounds: Option<Terms>) {
+    /// Starts the thread of the session, which runs for as long as the program does. `settings` are those that the node
+    /// runs under, of the policy version `active`. `limits` bound how fast nodes that start may open sessions.
+    pub fn run(self, node: Arc<Node>, settings: Settings, seed: u64, active: u64, limits: Option<Terms>) {
         let Self { fleet, store, record } = self;
         let broken = super::injected_fault().and_then(|f| match f.as_str() {
             "early" => Some(Broken::Early),
@@ -115,128 +124,147 @@
             _ => None,
         });
         let staged = record.staged.clone();
-        let member = Member::new(record.incarnation, DRIFT, SPAN, active, staged).broken(broken);
-        let own = SenderInfo {
+        let member = Member::new(record.incarnation, DRIFT, INITIAL_LEASE_NS, active, staged).broken(broken);
+        let sender = SenderInfo {
             fleet: fleet.id.clone(),
             identity: Identity::Member(fleet.member.clone()),
             incarnation: record.incarnation,
         };
-        let session =
-            Session { node, fleet, store, record, member, present, seed, own, told: None, broken, bounds };
+        let session = Session {
+            node,
+            fleet,
+            store,
+            record,
+            member,
+            settings,
+            seed,
+            sender,
+            last_notice: None,
+            broken,
+            limits,
+        };
         std::thread::spawn(move || session.run());
     }
 }
 
+/// The state of the session's thread.
 struct Session {
     node: Arc<Node>,
     fleet: FleetConfig,
     store: RecordStore,
     record: MemberRecord,
     member: Member,
-    present: Settings,
+    /// The settings that the node runs under.
+    settings: Settings,
     seed: u64,
-    own: SenderInfo,
-    told: Option<(Told, Instant)>,
+    sender: SenderInfo,
+    /// The notice that was logged last, and when.
+    last_notice: Option<(Told, Instant)>,
+    /// A fault that a test has injected.
     broken: Option<Broken>,
-    /// What the fleet's coordinators bear, where that is bounded.
-    bounds: Option<Terms>,
+    /// How fast nodes may open sessions with the coordinators, if that is bounded.
+    limits: Option<Terms>,
 }
 
-/// Far over what two readings of the clocks lie apart, and far under any sleep.
-const READING: u64 = 50_000_000;
+/// By how many nanoseconds the total time of suspension may grow before a lease counts as interrupted. It is far above
+/// the inaccuracy of [`super::time_suspended`], and far below any suspension of the machine.
+const SUSPEND_TOLERANCE_NS: u64 = 50_000_000;
 
 impl Session {
-    /// The member's clock: the node's, and it goes on while the machine sleeps. By the node's alone a leave would
-    /// outlast a sleep, and coordinators would take the member's clock for a slow one ever after.
+    /// Returns the time of the member's clock: the node's clock plus the time for which the machine was suspended. By the
+    /// node's clock alone a lease would outlast a suspension, and from then on the coordinators would treat the member's
+    /// clock as slow.
     fn now(&self) -> u64 {
         self.node.clock.now() + super::time_suspended()
     }
 
     fn run(mut self) {
-        let mut at = self.seed as usize % self.fleet.coordinators.len();
-        let mut quiet = Instant::now() - QUIET;
-        // Others may have started in the same instant.
-        let mut chance = fastrand::Rng::with_seed(self.seed ^ super::random_u64());
-        let mut turn = |terms: &Option<Terms>, again: Duration| {
-            let wait = terms.map_or(0, |terms| session_after(&terms, chance.f64()));
-            std::thread::sleep(again.max(Duration::from_nanos(wait)));
+        let mut index = self.seed as usize % self.fleet.coordinators.len();
+        let mut last_logged = Instant::now() - LOG_INTERVAL;
+        // The seed alone is not enough, because other nodes may have started at the same instant.
+        let mut rng = fastrand::Rng::with_seed(self.seed ^ super::random_u64());
+        let mut wait_for_turn = |limits: &Option<Terms>, pause: Duration| {
+            let wait = limits.map_or(0, |limits| session_after(&limits, rng.f64()));
+            std::thread::sleep(pause.max(Duration::from_nanos(wait)));
         };
-        turn(&self.bounds, Duration::ZERO);
+        wait_for_turn(&self.limits, Duration::ZERO);
         loop {
-            let to = self.fleet.coordinators[at];
-            match wire::connect_session(to, &self.own) {
+            let address = self.fleet.coordinators[index];
+            match wire::connect_session(address, &self.sender) {
                 Ok((socket, reader, encoder)) => {
-                    let why = self.converse(socket, reader, encoder);
-                    tracing::info!(coordinator = %to, why, "session ended");
+                    let reason = self.serve_connection(socket, reader, encoder);
+                    tracing::info!(coordinator = %address, why = reason, "session ended");
                 }
-                Err(why) if quiet.elapsed() >= QUIET => {
-                    quiet = Instant::now();
-                    tracing::warn!(coordinator = %to, %why, "no session");
+                Err(error) if last_logged.elapsed() >= LOG_INTERVAL => {
+                    last_logged = Instant::now();
+                    tracing::warn!(coordinator = %address, why = %error, "no session");
                 }
                 Err(_) => {}
             }
-            let mut none = Vec::new();
-            self.member.take(self.now(), Input::Down, &mut none);
-            at = (at + 1) % self.fleet.coordinators.len();
-            turn(&self.bounds, AGAIN);
+            let mut outputs = Vec::new();
+            self.member.take(self.now(), Input::Down, &mut outputs);
+            index = (index + 1) % self.fleet.coordinators.len();
+            wait_for_turn(&self.limits, RECONNECT_PAUSE);
         }
     }
 
-    /// Returns why it is over.
-    fn converse(
+    /// Runs a session until it ends, and returns the reason.
+    fn serve_connection(
         &mut self,
         mut socket: TcpStream,
         mut reader: FrameReader,
         mut encoder: FrameEncoder,
     ) -> String {
-        let mut outs = Vec::new();
-        self.member.take(self.now(), Input::Up, &mut outs);
+        let mut outputs = Vec::new();
+        self.member.take(self.now(), Input::Up, &mut outputs);
         loop {
-            let mut at = 0;
-            while at < outs.len() {
-                match self.carry_out(outs[at].clone(), &mut socket, &mut encoder) {
+            // Carrying out an output may add more.
+            let mut next = 0;
+            while next < outputs.len() {
+                match self.carry_out(outputs[next].clone(), &mut socket, &mut encoder) {
                     Ok(None) => {}
-                    Ok(Some(input)) => self.member.take(self.now(), input, &mut outs),
-                    Err(why) => return why,
+                    Ok(Some(input)) => self.member.take(self.now(), input, &mut outputs),
+                    Err(reason) => return reason,
                 }
-                at += 1;
+                next += 1;
             }
-            outs.clear();
+            outputs.clear();
             match reader.next_frame() {
                 Ok(Some(frame)) => {
                     if let Body::Reply(reply) = frame.body {
-                        self.member.take(self.now(), Input::Reply(reply), &mut outs);
+                        self.member.take(self.now(), Input::Reply(reply), &mut outputs);
                         continue;
                     }
-                    return "not what was due".into();
+                    return "unexpected frame".into();
                 }
                 Ok(None) => {}
-                Err(why) => return why.to_string(),
+                Err(error) => return error.to_string(),
             }
             if let Some(stage) = self.node.stage() {
                 self.member.at_stage(stage.word());
             }
             let wait = self.member.next_due().saturating_sub(self.now());
-            // A time limit of nothing would be none.
+            // A read timeout of zero is not allowed.
             let wait = Duration::from_nanos(wait).clamp(Duration::from_millis(1), Duration::from_secs(1));
-            if let Err(why) = socket.set_read_timeout(Some(wait)) {
-                return why.to_string();
+            if let Err(error) = socket.set_read_timeout(Some(wait)) {
+                return error.to_string();
             }
-            if let Err(why) = reader.read(&mut socket) {
-                return why.to_string();
+            if let Err(error) = reader.read(&mut socket) {
+                return error.to_string();
             }
-            self.member.take(self.now(), Input::Tick, &mut outs);
+            self.member.take(self.now(), Input::Tick, &mut outputs);
         }
     }
 
+    /// Carries out an output of the member. Returns the input that follows from it, or the reason why the session ends.
     fn carry_out(
         &mut self,
-        out: Out,
+        output: Out,
         socket: &mut TcpStream,
         encoder: &mut FrameEncoder,
     ) -> Result<Option<Input>, String> {
         let now = self.node.clock.now();
-        match out {
+        match output {
             Out::Send(renew) => {
                 let bytes =
                     encoder.encode(Body::Request(Request::Renew(renew))).map_err(|e| e.to_string())?;
@@ -247,10 +275,10 @@
                 let version = policy.version;
                 let result = self.stage(policy);
                 match &result {
-                    Ok(()) => tracing::info!(version, "change kept, not decided"),
+                    Ok(()) => tracing::info!(version, "change stored, not decided yet"),
                     Err(key) => {
-                        tracing::error!(version, key, "change can't be taken");
-                        self.write(now, What::Declined { version, key: key.clone() });
+                        tracing::error!(version, key, "change declined: this node can't run under it");
+                        self.write_audit(now, What::Declined { version, key: key.clone() });
                     }
                 }
                 return Ok(Some(Input::Staged { version, result }));
@@ -259,93 +287,98 @@
                 let version = policy.version;
                 let result = self.activate(policy);
                 if let Err(key) = &result {
-                    self.tell(Told::Unable { version, key: key.clone() });
+                    self.log_notice(Told::Unable { version, key: key.clone() });
                 }
                 return Ok(Some(Input::Activated { version, result }));
             }
             Out::Serve { version, until } => {
                 if self.fleet.mode == Mode::Strict {
-                    // On the node's clock it lasts for as long as the machine does not sleep again.
+                    // On the node's clock the lease ends at this time, unless the machine is suspended again.
                     let suspended = super::time_suspended();
                     let until = until.saturating_sub(suspended);
-                    // Told to the history first: what is taken by this leave must not come before it there.
-                    if let Some(trail) = &self.node.trail {
-                        trail.write(now, What::Leased { version, until: trail.machine_time(until) });
+                    // Written to the audit log first: what is taken under this lease must not precede it there.
+                    if let Some(audit_log) = &self.node.trail {
+                        audit_log.write(now, What::Leased { version, until: audit_log.machine_time(until) });
                     }
                     let until = if self.broken == Some(Broken::Unfenced) { u64::MAX } else { until };
-                    self.node.count_from(suspended + READING);
+                    self.node.count_from(suspended + SUSPEND_TOLERANCE_NS);
                     self.node.feed(CoreInput::Leave { until });
                 }
             }
-            Out::Tell(told) => self.tell(told),
+            Out::Tell(notice) => self.log_notice(notice),
         }
         Ok(None)
     }
 
-    fn write(&self, now: u64, what: What) {
-        if let Some(trail) = &self.node.trail {
-            trail.write(now, what);
+    fn write_audit(&self, now: u64, what: What) {
+        if let Some(audit_log) = &self.node.trail {
+            audit_log.write(now, what);
         }
     }
 
-    fn tell(&mut self, told: Told) {
-        if self.told.as_ref().is_some_and(|(last, at)| *last == told && at.elapsed() < QUIET) {
+    /// Logs a notice, unless the same one was logged within [`LOG_INTERVAL`].
+    fn log_notice(&mut self, notice: Told) {
+        if self.last_notice.as_ref().is_some_and(|(last, at)| *last == notice && at.elapsed() < LOG_INTERVAL)
+        {
             return;
         }
-        match &told {
-            Told::Refused(why) => tracing::warn!(why, "not let in by the coordinators"),
+        match &notice {
+            Told::Refused(reason) => tracing::warn!(why = reason, "refused by the coordinators"),
             Told::Ahead { mine, theirs } => {
                 tracing::error!(
                     mine,
                     theirs,
-                    "the coordinators have lost what was decided; nothing is taken"
+                    "the coordinators have lost decided changes: their policy is older than this node's; it takes no submissions"
                 );
             }
             Told::Unable { version, key } => {
                 tracing::error!(
                     version,
                     key,
-                    "what was decided can't be taken by this node; nothing is taken"
+                    "this node can't run under the decided policy; it takes no submissions"
                 );
             }
         }
-        self.told = Some((told, Instant::now()));
+        self.last_notice = Some((notice, Instant::now()));
     }
 
-    fn read(&self, policy: &Policy) -> Result<Settings, String> {
-        let settings = settings_for_zone(&policy.text, self.present.orders.zone, self.seed)?;
-        match self.present.restart_for(&settings) {
+    /// Returns the settings of a policy, or the key because of which the node can't run under it.
+    fn settings_of(&self, policy: &Policy) -> Result<Settings, String> {
+        let settings = settings_for_zone(&policy.text, self.settings.orders.zone, self.seed)?;
+        match self.settings.restart_for(&settings) {
             None => Ok(settings),
             Some(key) => Err(key.to_owned()),
         }
     }
 
+    /// Stores a change that is not decided.
     fn stage(&mut self, policy: Policy) -> Result<(), String> {
-        self.read(&policy)?;
+        self.settings_of(&policy)?;
         let (version, digest) = (policy.version, policy.digest());
         let record = MemberRecord { staged: Some(policy), ..self.record.clone() };
         self.store.save(&record).map_err(|e| format!("store: {e}"))?;
         self.record = record;
-        self.write(self.node.clock.now(), What::Staged { version, digest });
+        self.write_audit(self.node.clock.now(), What::Staged { version, digest });
         Ok(())
     }
 
+    /// Stores a decided policy, and applies it to the node.
     fn activate(&mut self, policy: Policy) -> Result<(), String> {
-        let settings = self.read(&policy)?;
+        let settings = self.settings_of(&policy)?;
         let (version, digest) = (policy.version, policy.digest());
         let staged = self.record.staged.clone().filter(|s| s.version > version);
         let record = MemberRecord { active: policy, staged, ..self.record.clone() };
         self.store.save(&record).map_err(|e| format!("store: {e}"))?;
         self.record = record;
-        self.present = settings.clone();
-        self.write(self.node.clock.now(), What::Active { version, digest });
+        self.settings = settings.clone();
+        self.write_audit(self.node.clock.now(), What::Active { version, digest });
         self.node.feed(CoreInput::Terms { settings: Box::new(settings), version });
-        tracing::info!(version, digest, "policy taken over");
+        tracing::info!(version, digest, "policy activated");
         Ok(())
     }
 }
 
-/// Who asks, to the coordinators.
+/// Returns the client that a session belongs to; `None` if it is another coordinator's.
 #[must_use]
 pub fn client_session(identity: &Identity, connection: u64) -> Option<Guest> {
     match identity {
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -1,6 +1,6 @@
-//! Sessions between processes of a fleet: frames with a JSON body each. Whoever connects says who it is; the other
-//! gives the session a number, which every later frame carries beside its own. What does not fit ends the
-//! connection: another fleet, another session's frames, a frame that came before.
+//! Sessions between processes of a fleet: frames with a JSON body each. The process that connects identifies itself;
+//! the other one assigns a session number, which every later frame carries beside its own frame number. A frame of
+//! another fleet or another session, and a frame that is replayed, end the connection.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -11,47 +11,62 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Connecting, and writing a frame, take no longer.
+/// The longest time for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest time for writing a frame.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// From connecting to having said who it is.
+/// The longest time from the connection to the end of the handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Who a process says that it is.
+/// The identity that a process claims in its frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Identity {
+    /// A node, by its name in the fleet.
     Member(String),
+    /// A coordinator, by its number.
     Coordinator(u8),
+    /// An operator's command.
     Operator,
 }
 
+/// A frame of a session. The names of the fields are the wire format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Frame {
+    /// The id of the sender's fleet.
     pub fleet: String,
+    /// The sender.
     pub from: Identity,
+    /// The run of the sender's process.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Given by the one that was connected to; 0 before that.
+    /// The session number that the accepting process has assigned; 0 before that.
     pub session: u64,
-    /// Counts the frames of the sender in this session, from 1.
+    /// The number of this frame among those of the sender in this session, from 1.
     pub number: u64,
+    /// The message.
     pub body: Body,
 }
 
+/// The message of a frame. The names of the variants are the wire format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// Brings a number of the sender's choice, which the welcome brings back.
+    /// Begins a session, with a random number that the welcome repeats.
     Hello(u64),
+    /// Accepts a session, and repeats the number of the hello.
     Welcome(u64),
+    /// A message between coordinators.
     #[serde(rename = "letter")]
     Envelope(Letter),
+    /// A request of a member or an operator.
     Request(Request),
+    /// The reply to a request.
     Reply(Reply),
 }
 
 impl Body {
+    /// Returns the name of the frame kind.
     fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
@@ -73,30 +88,40 @@
     }
 }
 
+/// Why a session ends or does not begin.
 #[derive(Debug, Error)]
 pub enum WireError {
+    /// An error of the connection.
     #[error(transparent)]
     Io(#[from] io::Error),
+    /// The bytes are no valid frame.
     #[error(transparent)]
     Frame(#[from] linestack_frames::Fault),
-    #[error("a body that is not understood: {0}")]
+    /// The body of the frame can't be parsed.
+    #[error("invalid frame body: {0}")]
     Body(#[from] serde_json::Error),
-    #[error("of fleet {0:?}")]
+    /// The sender belongs to the fleet that is given.
+    #[error("a frame of another fleet, {0:?}")]
     WrongFleet(String),
-    #[error("of another session")]
+    /// The frame belongs to another session.
+    #[error("a frame of another session")]
     WrongSession,
-    #[error("a frame that came before")]
+    /// The number of the frame is not higher than that of the one before it.
+    #[error("a repeated frame")]
     Replayed,
-    #[error("from somebody else than who began the session")]
+    /// The sender is not the one that sent the first frame of the session.
+    #[error("a frame of another sender than the one that began the session")]
     WrongSender,
-    #[error("not what was due")]
+    /// The kind of the frame does not fit its body or the state of the session.
+    #[error("an unexpected frame")]
     Unexpected,
+    /// The other end has closed the connection.
     #[error("closed")]
     Closed,
 }
 
 impl WireError {
-    /// For counting.
+    /// Returns the short name under which the error is counted and logged.
     #[must_use]
     pub fn reason(&self) -> &'static str {
         match self {
@@ -116,70 +141,78 @@
     }
 }
 
-/// What a process says of itself in all that it sends.
+/// What a process tells about itself in every frame.
 #[derive(Clone, Debug)]
 pub struct SenderInfo {
+    /// The id of its fleet.
     pub fleet: String,
+    /// Its identity in the fleet.
     pub identity: Identity,
+    /// The run of the process.
     pub incarnation: Incarnation,
 }
 
-/// What one end sends in a session.
+/// Encodes the frames that one end sends in a session.
 #[derive(Clone, Debug)]
 pub struct FrameEncoder {
-    own: SenderInfo,
+    sender: SenderInfo,
     session: u64,
+    /// The number of the last frame.
     number: u64,
 }
 
 impl FrameEncoder {
+    /// Creates an encoder for a session, 0 before the session has a number.
     #[must_use]
-    pub fn new(own: SenderInfo, session: u64) -> Self {
-        Self { own, session, number: 0 }
+    pub fn new(sender: SenderInfo, session: u64) -> Self {
+        Self { sender, session, number: 0 }
     }
 
+    /// Returns the bytes of the next frame.
+    ///
     /// # Errors
     ///
-    /// It is too large for a frame.
+    /// The body is too large for a frame.
     pub fn encode(&mut self, body: Body) -> Result<Vec<u8>, WireError> {
         self.number += 1;
         let kind = kind(body.kind()).unwrap_or_default();
-        let SenderInfo { fleet, identity, incarnation } = self.own.clone();
+        let SenderInfo { fleet, identity, incarnation } = self.sender.clone();
         let frame =
             Frame { fleet, from: identity, incarnation, session: self.session, number: self.number, body };
         Ok(encode(kind, &serde_json::to_vec(&frame)?)?)
     }
 }
 
-/// What one end takes in a session.
+/// Reads and checks the frames that one end receives in a session.
 #[derive(Debug)]
 pub struct FrameReader {
     fleet: String,
-    /// From the first frame on nobody else speaks in it.
-    from: Option<Identity>,
+    /// The sender of the first frame. All later frames must come from it, too.
+    sender: Option<Identity>,
     session: Option<u64>,
+    /// The number of the last frame.
     number: u64,
     reader: Reader,
 }
 
 impl FrameReader {
-    /// `session` is known to whoever was connected to, and is learned by the other.
+    /// Creates a reader. `session` is `None` at the end that connects, which learns the number from the welcome.
     #[must_use]
     pub fn new(fleet: &str, session: Option<u64>) -> Self {
-        Self { fleet: fleet.to_owned(), from: None, session, number: 0, reader: Reader::default() }
+        Self { fleet: fleet.to_owned(), sender: None, session, number: 0, reader: Reader::default() }
     }
 
-    /// Reads what the socket has, within its time limit; none if nothing has come.
+    /// Reads what the socket has, waiting at most for its read timeout. Returns whether anything was read.
     ///
     /// # Errors
     ///
-    /// The connection is to be closed.
+    /// The connection has failed or is closed at the other end.
     pub fn read(&mut self, socket: &mut TcpStream) -> Result<bool, WireError> {
-        let mut piece = [0; 16 * 1024];
-        match socket.read(&mut piece) {
+        let mut buffer = [0; 16 * 1024];
+        match socket.read(&mut buffer) {
             Ok(0) => Err(WireError::Closed),
             Ok(length) => {
-                self.reader.push(&piece[..length]);
+                self.reader.push(&buffer[..length]);
                 Ok(true)
             }
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => Ok(false),
@@ -188,11 +221,11 @@
         }
     }
 
-    /// The next whole frame, if there is one.
+    /// Returns the next complete frame, if there is one.
     ///
     /// # Errors
     ///
-    /// The connection is to be closed.
+    /// The frame is not valid in this session; the connection must be closed.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, WireError> {
         let Some(raw) = self.reader.take()? else { return Ok(None) };
         let frame: Frame = serde_json::from_slice(&raw.body)?;
@@ -202,48 +235,49 @@
         if kind(frame.body.kind()) != Some(raw.kind) {
             return Err(WireError::Unexpected);
         }
-        // A greeting has no session yet.
-        let greets = matches!(frame.body, Body::Hello(_));
+        // A hello is sent before the session has a number.
+        let is_hello = matches!(frame.body, Body::Hello(_));
         match self.session {
-            Some(session) if !greets && frame.session != session => return Err(WireError::WrongSession),
+            Some(session) if !is_hello && frame.session != session => return Err(WireError::WrongSession),
             None if matches!(frame.body, Body::Welcome(_)) => self.session = Some(frame.session),
-            None if !greets => return Err(WireError::WrongSession),
+            None if !is_hello => return Err(WireError::WrongSession),
             _ => {}
         }
-        if frame.number <= self.number || (greets && frame.number != 1) {
+        if frame.number <= self.number || (is_hello && frame.number != 1) {
             return Err(WireError::Replayed);
         }
         self.number = frame.number;
-        if *self.from.get_or_insert(frame.from.clone()) != frame.from {
+        if *self.sender.get_or_insert(frame.from.clone()) != frame.from {
             return Err(WireError::WrongSender);
         }
         Ok(Some(frame))
     }
 
+    /// Returns the number of the session, 0 if it is not known yet.
     #[must_use]
     pub fn session(&self) -> u64 {
         self.session.unwrap_or_default()
     }
 }
 
-/// Connects, says who it is, and waits to be welcome. What is to be sent later goes by the encoder.
+/// Connects to a process and begins a session. Returns the reader and the encoder for its further frames.
 ///
 /// # Errors
 ///
-/// Nobody is there, or it is not a process of this fleet.
+/// The process can't be reached, does not answer in time, or does not belong to this fleet.
 pub fn connect_session(
     to: SocketAddr,
-    own: &SenderInfo,
+    sender: &SenderInfo,
 ) -> Result<(TcpStream, FrameReader, FrameEncoder), WireError> {
     let mut socket = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT)?;
     socket.set_nodelay(true)?;
     socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
     socket.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
-    let number = super::random_u64();
-    let mut encoder = FrameEncoder::new(own.clone(), 0);
-    socket.write_all(&encoder.encode(Body::Hello(number))?)?;
-    let mut reader = FrameReader::new(&own.fleet, None);
-    let accept_session = loop {
+    let nonce = super::random_u64();
+    let mut encoder = FrameEncoder::new(sender.clone(), 0);
+    socket.write_all(&encoder.encode(Body::Hello(nonce))?)?;
+    let mut reader = FrameReader::new(&sender.fleet, None);
+    let welcome = loop {
         if let Some(frame) = reader.next_frame()? {
             break frame;
         }
@@ -251,8 +285,8 @@
             return Err(io::Error::from(io::ErrorKind::TimedOut).into());
         }
     };
-    match accept_session.body {
-        Body::Welcome(back) if back == number => {
+    match welcome.body {
+        Body::Welcome(echo) if echo == nonce => {
             encoder.session = reader.session();
             Ok((socket, reader, encoder))
         }
@@ -260,32 +294,33 @@
     }
 }
 
-/// Waits for who connects to say who it is, and welcomes it.
+/// Accepts a session on a new connection. Returns the identity and the run of the process that has connected, and the
+/// reader and the encoder for further frames.
 ///
 /// # Errors
 ///
-/// It is not a process of this fleet, or takes too long.
+/// The process does not belong to this fleet, or does not identify itself in time.
 pub fn accept_session(
     socket: &mut TcpStream,
-    own: &SenderInfo,
+    sender: &SenderInfo,
 ) -> Result<(Identity, Incarnation, FrameReader, FrameEncoder), WireError> {
     socket.set_nodelay(true)?;
     socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
     socket.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
     let session = super::random_u64();
-    let mut reader = FrameReader::new(&own.fleet, Some(session));
-    let begin = std::time::Instant::now();
+    let mut reader = FrameReader::new(&sender.fleet, Some(session));
+    let started = std::time::Instant::now();
     let hello = loop {
         if let Some(frame) = reader.next_frame()? {
             break frame;
         }
-        // A byte now and then buys no time.
-        if !reader.read(socket)? || begin.elapsed() > HANDSHAKE_TIMEOUT {
+        // The limit is on the whole handshake: a process that sends single bytes does not extend it.
+        if !reader.read(socket)? || started.elapsed() > HANDSHAKE_TIMEOUT {
             return Err(io::Error::from(io::ErrorKind::TimedOut).into());
         }
     };
-    let Body::Hello(number) = hello.body else { return Err(WireError::Unexpected) };
-    let mut encoder = FrameEncoder::new(own.clone(), session);
-    socket.write_all(&encoder.encode(Body::Welcome(number))?)?;
+    let Body::Hello(nonce) = hello.body else { return Err(WireError::Unexpected) };
+    let mut encoder = FrameEncoder::new(sender.clone(), session);
+    socket.write_all(&encoder.encode(Body::Welcome(nonce))?)?;
     Ok((hello.from, hello.incarnation, reader, encoder))
 }
