--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -81,7 +81,7 @@
     History,
     /// Replace a coordinator that is down and has lost its store: give its number to another one with an empty store.
     Replace { number: u8 },
-    /// Remove a member that is away from the list.
+    /// Remove from the list a member that is away.
     Forget { member: String },
 }
 
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -70,7 +70,10 @@
             // The member starts with an empty store as a new run, and learns everything from the coordinators again.
             drop(store);
             let aside = tries::set_aside(&fleet.folder, |name| name.ends_with(".redb"))?;
-            tracing::error!(aside = %aside.display(), "repeated starts died while reading this member's store; it was set aside");
+            tracing::error!(
+                aside = %aside.display(),
+                "repeated starts died while reading this member's store; it was set aside"
+            );
             store = open(&fleet.folder)?;
         }
         let loaded = store.load();
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -37,7 +37,7 @@
     /// The record has another format version.
     #[error("format version {0}, but this program reads version {VERSION}")]
     FormatVersion(u32),
-    /// The record belongs to the process that is given.
+    /// The record belongs to another process, which is given.
     #[error("the store belongs to {0}, not to this process")]
     WrongOwner(String),
     /// The record, the database, or the file that a first record is made from can't be read.
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -100,7 +100,7 @@
     /// The body of the frame can't be parsed.
     #[error("invalid frame body: {0}")]
     Body(#[from] serde_json::Error),
-    /// The sender belongs to the fleet that is given.
+    /// The sender belongs to another fleet, which is given.
     #[error("a frame of another fleet, {0:?}")]
     WrongFleet(String),
     /// The frame belongs to another session.
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -157,7 +157,7 @@
     ListConfirmed,
 }
 
-/// The node that the store belongs to, and the identity of the folder that it was created in, by which a copy is detected.
+/// The node that the store belongs to, and the identity of the lock file in its folder, by which a copy is detected.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
     node: String,
