--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -302,7 +302,12 @@
 }
 
 /// Passes the settings and the lease of a fleet's node to the reducer before the node serves clients.
-fn init_fleet_member(node: &Arc<Node>, start: &FleetMember, active: u64, settings: &linestack_settings::Settings) {
+fn init_fleet_member(
+    node: &Arc<Node>,
+    start: &FleetMember,
+    active: u64,
+    settings: &linestack_settings::Settings,
+) {
     if active > 0 {
         let what = What::Active { version: active, digest: start.record.active.digest() };
         if let Some(audit_log) = node.audit_log() {
