--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -141,7 +141,7 @@
             executions,
         });
         self.set_timer(deadline, Timer::Deadline(submission, serial));
-        let job = Job { product, tenant, deadline: cut_off: deadline, slots, memory };
+        let job = Job { product, tenant, deadline, slots, memory };
         self.pending_events.push_back(Event::Submitted { submission, job });
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -303,7 +303,7 @@
     /// The longest retry delay that clients may be given; `None` if they are given none.
     max_retry_after: Option<Nanos>,
     outcome_store: Option<outcomes::OutcomeStore>,
-    staged_start: Option<staged_start::StagedStart>,
+    staged_start: Option<staged_start::StartProgress>,
     /// How long the node may go on after it was told to stop.
     stop_duration: Nanos,
     /// When a stopping node must have answered everything.
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -136,7 +136,8 @@
         if worker_state.address != address {
             return Err(Refusal::ExecutorMoved);
         }
-        let entry = WorkerEntry { kind: worker_state.kind, zone: worker_state.zone, ..WorkerEntry::default() };
+        let entry =
+            WorkerEntry { kind: worker_state.kind, zone: worker_state.zone, ..WorkerEntry::default() };
         if !self.products.get(usize::from(accepted.product)).is_none_or(|product| product.allows(&entry)) {
             return Err(Refusal::NotOpen);
         }
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 
-/// The state of a staged start.
-pub(crate) struct StagedStart {
+/// The state of a staged start, with what the reducer needs to carry it out.
+pub(crate) struct StartProgress {
     start: StagedStart,
     /// A list of unknown age, which is used if discovery does not answer.
     old_list: Vec<Endpoint>,
@@ -19,7 +19,7 @@
     pub fn start_in_stages(&mut self, now: Nanos, start: StagedStart, old_list: Vec<Endpoint>) {
         self.now = self.now.max(now);
         self.effects.push(Effect::Stage(start.stage()));
-        self.staged_start = Some(StagedStart { start, old_list, armed: 0 });
+        self.staged_start = Some(StartProgress { start, old_list, armed: 0 });
     }
 
     /// The stage that the start has reached; `None` if the node does not start in stages.
@@ -38,7 +38,7 @@
 
     /// Moves the start to the stages that it has reached, and uses the old list where the start allows it.
     pub(crate) fn advance_start(&mut self) {
-        let Some(StagedStart { start, old_list, armed }) = &mut self.staged_start else { return };
+        let Some(StartProgress { start, old_list, armed }) = &mut self.staged_start else { return };
         while let Some(stage) = start.advance(self.now) {
             self.effects.push(Effect::Stage(stage));
         }
@@ -69,7 +69,7 @@
 
     /// Informs the staged start of the outcome of an execution.
     pub(crate) fn start_execution_ended(&mut self, worker: Worker, outcome: Outcome) {
-        let Some(StagedStart { start, .. }) = &mut self.staged_start else { return };
+        let Some(StartProgress { start, .. }) = &mut self.staged_start else { return };
         match outcome {
             Outcome::Completed | Outcome::Error | Outcome::InvalidSubmission => {
                 start.executor_answered(worker)
