--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -1,6 +1,6 @@
 //! Client connections and the submissions that arrive on them.
 
-use linestack_recovery::Fate;
+use linestack_recovery::StoredOutcome;
 
 use super::*;
 
@@ -68,7 +68,7 @@
             if let Some(accepted) = self.accepted.get_mut(submission as usize).and_then(Option::as_mut) {
                 accepted.client_left = true;
             }
-            self.pending_events.push_back(Event::Left { submission });
+            self.pending_events.push_back(Event::ClientLeft { submission });
         }
     }
 
@@ -141,7 +141,7 @@
             executions,
         });
         self.set_timer(deadline, Timer::Deadline(submission, serial));
-        let job = Job { product, tenant, cut_off: deadline, slots, memory };
+        let job = Job { product, tenant, deadline, slots, memory };
         self.pending_events.push_back(Event::Submitted { submission, job });
     }
 
@@ -169,7 +169,7 @@
             Answer::DuplicateId => {}
         }
         if matches!(answer, Answer::Dismissed(_)) {
-            self.record_outcome(submission, Fate::Unsent);
+            self.record_outcome(submission, StoredOutcome::NeverSent);
         }
         self.client_phase(client, Phase::Answering);
         self.effects.push(Effect::Answer { client, answer, last: self.closing_clients, version });
--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -215,7 +215,7 @@
             self.stats.stale += 1;
             return match (exchange, disconnect.request_written) {
                 (Exchange::Execution(submission, execution), true) => {
-                    self.execution_ended(submission, execution, Outcome::Stale, None, None);
+                    self.execution_ended(submission, execution, Outcome::StaleConnection, None, None);
                 }
                 _ if self.permit(Occasion::Reconnect, state.worker, state.address, exchange).is_ok() => {
                     self.open_connection(state.worker, exchange)
@@ -256,7 +256,7 @@
         if lost && signs.established == 0 {
             (signs.recent_disconnects, signs.failed_connects) = (0, 0);
             self.stats.died += 1;
-            self.pending_events.push_back(Event::Died { worker: state.worker });
+            self.pending_events.push_back(Event::ProcessLost { worker: state.worker });
         }
     }
 
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -1,6 +1,6 @@
 //! Executions of submissions, from the dispatcher's action to the outcome.
 
-use linestack_recovery::Fate;
+use linestack_recovery::StoredOutcome;
 
 use super::*;
 
@@ -18,7 +18,7 @@
         self.stats.executions += 1;
         let exchange = Exchange::Execution(submission, execution);
         let address = self.workers[worker as usize].address;
-        let permission = self.permit(Occasion::Order, worker, address, exchange);
+        let permission = self.permit(Occasion::Requested, worker, address, exchange);
         // The dispatcher's periodic work runs before the event that triggers it, so it may start a copy of a submission that
         // this very event completes.
         let completed_by_event = matches!(permission, Err(Refusal::Answered | Refusal::ClientLeft));
@@ -72,7 +72,7 @@
         let (worker, duration) = (attempt.worker, now - attempt.started_at);
         self.start_execution_ended(worker, outcome);
         match outcome {
-            Outcome::Satisfied | Outcome::Full => {
+            Outcome::Completed | Outcome::Overloaded => {
                 self.workers[worker as usize].last_observation = Some((now, true, report))
             }
             Outcome::TimedOut => self.workers[worker as usize].last_observation = Some((now, false, None)),
@@ -85,12 +85,12 @@
             Outcome::NotSent => self.stats.not_sent += 1,
             _ => {}
         }
-        if let (Outcome::Satisfied, Some(result)) = (outcome, &result) {
-            self.record_outcome(submission, Fate::Satisfied(result.clone()));
+        if let (Outcome::Completed, Some(result)) = (outcome, &result) {
+            self.record_outcome(submission, StoredOutcome::Completed(result.clone()));
         }
         let client_waits =
             |core: &Self| core.accepted[submission as usize].as_ref().is_some_and(|a| a.client.is_some());
-        if let (Outcome::Satisfied, Some(result), true) = (outcome, result, client_waits(self)) {
+        if let (Outcome::Completed, Some(result), true) = (outcome, result, client_waits(self)) {
             self.answer(submission, Answer::Completed(result));
         }
         let closed = !client_waits(self);
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use linestack_dispatch::types::{Health, ListKind, Nanos, Outcome, Report};
-use linestack_peers::Heard;
-use linestack_recovery::Keep;
+use linestack_peers::Observation;
+use linestack_recovery::OutcomeRecord;
 use linestack_recovery::start::Stage;
 use linestack_settings::Settings;
 
@@ -90,7 +90,7 @@
 /// An input of the reducer.
 #[derive(Debug)]
 pub enum Input {
-    /// Other settings are in force from now on; [`Settings::restart_for`] has found that no restart is needed. Submissions
+    /// Other settings are in force from now on; [`Settings::key_needing_restart`] has found that no restart is needed. Submissions
     /// accepted before keep the version under which they were accepted.
     SettingsChanged { settings: Box<Settings>, version: u64 },
     /// Submissions may be accepted until this time, unless the lease is renewed. A node that never gets this input may accept
@@ -112,7 +112,7 @@
         overloaded: bool,
     },
     /// The usable part of what a running peer has reported about executors.
-    PeerObservations { observations: Vec<Heard> },
+    PeerObservations { observations: Vec<Observation> },
     /// A client has connected.
     ClientConnected { client: ClientId },
     /// A client's connection has entered another phase.
@@ -198,7 +198,7 @@
     /// Ask discovery for the list, or watch it for changes.
     RequestList,
     /// Make this record durable. With a ticket, an execution waits for it: report with [`Input::Persisted`].
-    Persist { record: Keep, ticket: Option<PersistTicket> },
+    Persist { record: OutcomeRecord, ticket: Option<PersistTicket> },
     /// The staged start has reached this stage.
     Stage(Stage),
     /// An execution was not begun. The refusal has been counted.
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -64,7 +64,7 @@
             (worker_state.kind, worker_state.zone, worker_state.cell, worker_state.weight) =
                 (kind, zone, e.cell, e.weight);
             let (health, cell, weight) = (e.health, e.cell, e.weight);
-            entries.push(Listing { worker, health, kind, zone, cell, started, weight });
+            entries.push(WorkerEntry { worker, health, kind, zone, cell, started, weight });
         }
         // An executor that a whole list lacks has left. The idle connections of all that have left are closed.
         self.present_workers = 0;
@@ -80,7 +80,7 @@
             }
             idle.into_iter().for_each(|connection| self.close_connection(connection));
         }
-        self.dispatch_event(Event::Listed { kind, entries: &entries });
+        self.dispatch_event(Event::ListReceived { kind, entries: &entries });
         self.process_events();
         self.retire_workers();
     }
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -3,8 +3,8 @@
 //! That a one-shot may have run is durable before the first byte of its first execution is sent. A repeated submission with
 //! the same key is answered from the stored outcome and never runs twice.
 
-use linestack_dispatch::types::Repeats;
-use linestack_recovery::{Age, Fate, Fates};
+use linestack_dispatch::types::RepeatPolicy;
+use linestack_recovery::{OutcomeTable, StoreTime, StoredOutcome};
 
 use super::*;
 
@@ -14,9 +14,9 @@
 /// The outcomes that a node has restored from its store when it starts.
 pub struct StoredOutcomes {
     /// The outcomes by key.
-    pub outcomes: Fates,
-    /// The age of the store when the node starts; the times of records are ages of the store.
-    pub age: Age,
+    pub outcomes: OutcomeTable,
+    /// The time of the store when the node starts. The times of records are times of the store.
+    pub age: StoreTime,
     /// The time of the start on the node's clock.
     pub now: Nanos,
     /// Whether a repeated submission is recognized by `Idempotency-Key`, which clients keep in a retry, or else by `Req-Id`.
@@ -26,8 +26,8 @@
 }
 
 pub(crate) struct OutcomeStore {
-    outcomes: Fates,
-    age: Age,
+    outcomes: OutcomeTable,
+    age: StoreTime,
     since: Nanos,
     by_stamp: bool,
     incomplete_until: Nanos,
@@ -72,8 +72,8 @@
 
     /// The stored outcome of the submission with this key.
     #[must_use]
-    pub fn stored_outcome(&self, key: &[u8]) -> Option<&Fate> {
-        self.outcome_store.as_ref()?.outcomes.fate(key)
+    pub fn stored_outcome(&self, key: &[u8]) -> Option<&StoredOutcome> {
+        self.outcome_store.as_ref()?.outcomes.outcome(key)
     }
 
     /// Whether one-shots can be accepted: their outcomes can be stored, or need not be.
@@ -89,7 +89,7 @@
     }
 
     fn is_one_shot(&self, product: u8) -> bool {
-        self.products.get(usize::from(product)).is_some_and(|p| p.repeats == Repeats::OneShot)
+        self.products.get(usize::from(product)).is_some_and(|p| p.repeat_policy == RepeatPolicy::OneShot)
     }
 
     /// The answer to a one-shot that is repeated or whose outcome can't be stored; `None` if it is to be accepted.
@@ -102,15 +102,15 @@
             // Neither has an outcome yet, so both would be sent.
             return Some(Answer::DuplicateId);
         }
-        match store.outcomes.fate(&key) {
-            Some(Fate::Satisfied(result)) => Some(Answer::Completed(result.clone())),
-            Some(Fate::MayHaveRun) => Some(Answer::Aborted),
+        match store.outcomes.outcome(&key) {
+            Some(StoredOutcome::Completed(result)) => Some(Answer::Completed(result.clone())),
+            Some(StoredOutcome::MayHaveRun) => Some(Answer::Aborted),
             // Dismissing it would promise that a retry is harmless.
             None if self.now < store.incomplete_until => Some(Answer::Aborted),
-            _ if store.failed || store.pending_records >= MAX_PENDING_RECORDS || store.outcomes.full() => {
+            _ if store.failed || store.pending_records >= MAX_PENDING_RECORDS || store.outcomes.is_full() => {
                 Some(dismissed)
             }
-            Some(Fate::Unsent) | None => None,
+            Some(StoredOutcome::NeverSent) | None => None,
         }
     }
 
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The age of the store now.
-    fn store_age(&self) -> Age {
+    /// The time of the store now.
+    fn store_time(&self) -> StoreTime {
         self.outcome_store.as_ref().map_or(0, |store| store.age + self.now.saturating_sub(store.since))
     }
 
@@ -148,10 +148,10 @@
             return false;
         }
         let (serial, request) = (accepted.serial, Arc::clone(&accepted.request));
-        let (Some(key), now) = (self.outcome_key(&request), self.store_age()) else { return false };
+        let (Some(key), now) = (self.outcome_key(&request), self.store_time()) else { return false };
         let Some(store) = &mut self.outcome_store else { return false };
         store.pending_records += 1;
-        let record = store.outcomes.sending(&key, now);
+        let record = store.outcomes.record_sending(&key, now);
         let ticket = Some(PersistTicket { connection, submission, serial, execution });
         self.effects.push(Effect::Persist { record, ticket });
         true
@@ -195,23 +195,23 @@
     }
 
     /// Stores the outcome of a one-shot, if it says more than the record that is there.
-    pub(crate) fn record_outcome(&mut self, submission: Submission, outcome: Fate) {
+    pub(crate) fn record_outcome(&mut self, submission: Submission, outcome: StoredOutcome) {
         let Some(accepted) = self.accepted.get(submission as usize).and_then(Option::as_ref) else { return };
         if !self.is_one_shot(accepted.product) {
             return;
         }
-        let (Some(key), now) = (self.outcome_key(&accepted.request), self.store_age()) else { return };
+        let (Some(key), now) = (self.outcome_key(&accepted.request), self.store_time()) else { return };
         let store = self.outcome_store.as_mut();
-        if let Some(record) = store.and_then(|store| store.outcomes.ended(&key, outcome, now)) {
+        if let Some(record) = store.and_then(|store| store.outcomes.record_outcome(&key, outcome, now)) {
             self.effects.push(Effect::Persist { record, ticket: None });
         }
     }
 
     /// Forgets the outcomes that are past their retention time.
     pub(crate) fn expire_outcomes(&mut self) {
-        let now = self.store_age();
+        let now = self.store_time();
         if let Some(store) = &mut self.outcome_store {
-            store.outcomes.forget(now);
+            store.outcomes.expire(now);
         }
     }
 }
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -1,33 +1,33 @@
 //! Observations of executors that nodes exchange: a running node reports them to one that starts.
 
-use linestack_peers::{Figures, Heard, Item, Own};
+use linestack_peers::{ExecutorObservation, LoadFigures, LocalKnowledge, Observation};
 
 use super::*;
 
 impl Core {
     /// The latest observation of each ready executor, with its age.
     #[must_use]
-    pub fn peer_snapshot(&self, now: Nanos) -> Vec<Item> {
+    pub fn peer_snapshot(&self, now: Nanos) -> Vec<ExecutorObservation> {
         let ready = self.workers.iter().filter(|w| w.health == Health::Ready);
-        let items = ready.filter_map(|w| {
+        let observations = ready.filter_map(|w| {
             let (at, answered, report) = w.last_observation?;
-            let figures = report.map(|r| Figures {
+            let figures = report.map(|r| LoadFigures {
                 free_slots: r.free_slots,
                 free_memory: r.free_memory,
-                waiting: r.waiting,
-                in_hand: r.in_hand,
+                queued_jobs: r.queued_jobs,
+                active_jobs: r.active_jobs,
             });
             let age_ms = now.saturating_sub(at) / 1_000_000;
-            Some(Item { name: w.name.to_string(), age_ms, silent: !answered, figures })
+            Some(ExecutorObservation { name: w.name.to_string(), age_ms, unresponsive: !answered, figures })
         });
-        items.collect()
+        observations.collect()
     }
 
     /// What this node knows about the executor with this name.
     #[must_use]
-    pub fn local_knowledge(&self, name: &str) -> Own {
+    pub fn local_knowledge(&self, name: &str) -> LocalKnowledge {
         let worker_state = self.workers_by_name.get(name).and_then(|w| self.workers.get(*w as usize));
-        worker_state.map_or(Own::default(), |w| Own {
+        worker_state.map_or(LocalKnowledge::default(), |w| LocalKnowledge {
             ready: w.health == Health::Ready,
             seen: w.last_observation.map(|(at, ..)| at),
         })
@@ -42,8 +42,8 @@
     /// Passes the observations of a peer to the dispatcher, each like the result of a probe.
     ///
     /// That the peer got an answer is not passed on: it does not prove that this node would get one.
-    pub(crate) fn peer_observations(&mut self, items: Vec<Heard>) {
-        for Heard { name, silent, figures } in items {
+    pub(crate) fn peer_observations(&mut self, observations: Vec<Observation>) {
+        for Observation { name, unresponsive, figures } in observations {
             let Some(worker) = self.workers_by_name.get(name.as_str()).copied() else { continue };
             if self.workers[worker as usize].health != Health::Ready {
                 continue;
@@ -51,10 +51,10 @@
             let report = figures.map(|f| Report {
                 free_slots: f.free_slots,
                 free_memory: f.free_memory,
-                waiting: f.waiting,
-                in_hand: f.in_hand,
+                queued_jobs: f.queued_jobs,
+                active_jobs: f.active_jobs,
             });
-            let answered = silent.then_some(false);
+            let answered = unresponsive.then_some(false);
             self.pending_events.push_back(Event::Probed { worker, answered, report });
         }
     }
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Occasion {
     /// The dispatcher starts an execution.
-    Order,
+    Requested,
     /// A connection is available for it.
     Connected,
     /// The record that it may have run is durable.
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Order => "order",
+            Self::Requested => "order",
             Self::Connected => "connected",
             Self::Durable => "durable",
             Self::Reconnect => "reconnect",
@@ -136,8 +136,9 @@
         if worker_state.address != address {
             return Err(Refusal::ExecutorMoved);
         }
-        let entry = Listing { kind: worker_state.kind, zone: worker_state.zone, ..Listing::default() };
-        if !self.products.get(usize::from(accepted.product)).is_none_or(|product| product.open_to(&entry)) {
+        let entry =
+            WorkerEntry { kind: worker_state.kind, zone: worker_state.zone, ..WorkerEntry::default() };
+        if !self.products.get(usize::from(accepted.product)).is_none_or(|product| product.allows(&entry)) {
             return Err(Refusal::NotOpen);
         }
         let others = accepted.executions.iter().enumerate().filter(|(i, _)| *i != usize::from(execution));
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -1,13 +1,13 @@
 //! The staged start of a node, which operators may ask for. It limits how many submissions are accepted, and schedules
 //! connections and list calls. Without it a node accepts submissions as soon as it has a list.
 
-use linestack_recovery::start::{Stage, Start};
+use linestack_recovery::start::{Stage, StagedStart};
 
 use super::*;
 
-/// The state of a staged start.
-pub(crate) struct StagedStart {
-    start: Start,
+/// A staged start, with what the reducer needs to carry it out.
+pub(crate) struct StartState {
+    start: StagedStart,
     /// A list of unknown age, which is used if discovery does not answer.
     old_list: Vec<Endpoint>,
     /// When the timer that was set last fires.
@@ -16,10 +16,10 @@
 
 impl Core {
     /// Makes the node start in stages; `old_list` is a list of unknown age. Must be called before anything else.
-    pub fn start_in_stages(&mut self, now: Nanos, start: Start, old_list: Vec<Endpoint>) {
+    pub fn start_in_stages(&mut self, now: Nanos, start: StagedStart, old_list: Vec<Endpoint>) {
         self.now = self.now.max(now);
         self.effects.push(Effect::Stage(start.stage()));
-        self.staged_start = Some(StagedStart { start, old_list, armed: 0 });
+        self.staged_start = Some(StartState { start, old_list, armed: 0 });
     }
 
     /// The stage that the start has reached; `None` if the node does not start in stages.
@@ -32,14 +32,14 @@
     pub(crate) fn lease_received(&mut self) {
         let (now, lease_until) = (self.now, self.lease_until);
         if let Some(s) = self.staged_start.as_mut().filter(|_| now < lease_until) {
-            s.start.proved();
+            s.start.confirm_settings();
         }
     }
 
     /// Moves the start to the stages that it has reached, and uses the old list where the start allows it.
     pub(crate) fn advance_start(&mut self) {
-        let Some(StagedStart { start, old_list, armed }) = &mut self.staged_start else { return };
-        while let Some(stage) = start.step(self.now) {
+        let Some(StartState { start, old_list, armed }) = &mut self.staged_start else { return };
+        while let Some(stage) = start.advance(self.now) {
             self.effects.push(Effect::Stage(stage));
         }
         let due = start.next_due();
@@ -48,7 +48,7 @@
             *armed = due.max(self.now + 1);
         }
         let fires_at = *armed;
-        let old_list = if start.by_old() { std::mem::take(old_list) } else { Vec::new() };
+        let old_list = if start.should_use_old_list() { std::mem::take(old_list) } else { Vec::new() };
         if rearm {
             self.set_timer(fires_at, Timer::StagedStart);
         }
@@ -63,17 +63,21 @@
     /// Informs the staged start of a list with this many ready executors.
     pub(crate) fn start_list_received(&mut self, kind: ListKind, ready: usize) {
         if let Some(s) = &mut self.staged_start {
-            s.start.listed(kind != ListKind::Cached, ready);
+            s.start.list_received(kind != ListKind::Cached, ready);
         }
     }
 
     /// Informs the staged start of the outcome of an execution.
     pub(crate) fn start_execution_ended(&mut self, worker: Worker, outcome: Outcome) {
-        let Some(StagedStart { start, .. }) = &mut self.staged_start else { return };
+        let Some(StartState { start, .. }) = &mut self.staged_start else { return };
         match outcome {
-            Outcome::Satisfied | Outcome::Error | Outcome::Unusable => start.answered(worker),
-            Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => start.refused(),
-            Outcome::Stale | Outcome::Cancelled | Outcome::NotSent => {}
+            Outcome::Completed | Outcome::Error | Outcome::InvalidSubmission => {
+                start.executor_answered(worker)
+            }
+            Outcome::Overloaded | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
+                start.execution_rejected()
+            }
+            Outcome::StaleConnection | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
@@ -95,7 +99,7 @@
 
     /// When the next connection may be opened.
     pub(crate) fn next_connect_time(&mut self) -> Nanos {
-        self.staged_start.as_mut().map_or(self.now, |s| s.start.connect_at(self.now))
+        self.staged_start.as_mut().map_or(self.now, |s| s.start.schedule_connect(self.now))
     }
 
     /// Opens a connection that had to wait, unless it has been removed.
@@ -108,7 +112,7 @@
 
     /// When the list may be asked for, if a staged start puts the call off.
     pub(crate) fn postponed_list_call(&mut self) -> Option<Nanos> {
-        let at = self.staged_start.as_mut()?.start.list_at(self.now);
+        let at = self.staged_start.as_mut()?.start.schedule_list_request(self.now);
         (at > self.now).then_some(at)
     }
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -44,7 +44,7 @@
     /// Does what is due at a timer that was set for `at`.
     pub(crate) fn timer_fired(&mut self, at: Nanos, timer: Timer) {
         match timer {
-            Timer::Dispatcher(token) => self.pending_events.push_back(Event::Rang { token }),
+            Timer::Dispatcher(timer_id) => self.pending_events.push_back(Event::TimerFired { timer_id }),
             Timer::Connection(connection) => {
                 let Some(state) = self.connections.get_mut(&connection).filter(|c| c.limit.armed == at)
                 else {
@@ -80,7 +80,7 @@
                 {
                     check_invariant!(self, false, "submission unanswered at its deadline");
                     self.answer(submission, Answer::Aborted);
-                    self.pending_events.push_back(Event::Left { submission });
+                    self.pending_events.push_back(Event::ClientLeft { submission });
                 }
             }
             // The call may have been rescheduled since the timer was set.
@@ -103,7 +103,7 @@
                 let open = (0..).zip(&self.accepted).filter_map(|(i, a)| Some((i, a.as_ref()?.client?)));
                 for (submission, _) in open.collect::<Vec<(Submission, ClientId)>>() {
                     self.answer(submission, Answer::Aborted);
-                    self.pending_events.push_back(Event::Left { submission });
+                    self.pending_events.push_back(Event::ClientLeft { submission });
                 }
             }
             Timer::Exit => self.effects.push(Effect::Exit),
--- a/crates/core/tests/fleet_size.rs
+++ b/crates/core/tests/fleet_size.rs
@@ -33,7 +33,7 @@
         // No tenant exceeds its quota in these tests.
         let settings = settings.replace("\"quotaPerS\": 50.0", "\"quotaPerS\": 1000000.0");
         let settings = linestack_settings::read(settings.as_bytes(), 7).unwrap();
-        assert_eq!(settings.orders.nodes, 350);
+        assert_eq!(settings.dispatch.nodes, 350);
         Self { core: Core::new(settings, SOCKETS, MEMORY_BYTES), now: 100_000 * MS }
     }
 
@@ -109,7 +109,7 @@
             assert_eq!(address, executor(last, Health::Ready).address);
             node.handle(Input::Ended {
                 connection,
-                outcome: Outcome::Satisfied,
+                outcome: Outcome::Completed,
                 result: Bytes::from_static(b"r"),
                 report: None,
             });
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use linestack_core::*;
-use linestack_dispatch::types::{Event, Health, ListKind, Nanos, Order, Outcome, Report};
+use linestack_dispatch::types::{Action, Event, Health, ListKind, Nanos, Outcome, Report};
 use rstest::rstest;
 
 const MS: Nanos = 1_000_000;
@@ -168,7 +168,7 @@
     fn with_idle_connection() -> (Self, ConnectionId) {
         let mut node = Self::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
         let (_, connection) = node.start_execution(PAY);
-        node.end_execution(connection, Outcome::Satisfied);
+        node.end_execution(connection, Outcome::Completed);
         node.handle(Input::ConnectionReusable { connection, identified: true });
         (node, connection)
     }
@@ -209,10 +209,10 @@
 }
 
 #[rstest]
-#[case::turned_away(Outcome::Full, None, true)]
+#[case::turned_away(Outcome::Overloaded, None, true)]
 #[case::lost(Outcome::Reset, Some(Answer::Aborted), false)]
 #[case::error(Outcome::Error, Some(Answer::Aborted), false)]
-#[case::done(Outcome::Satisfied, Some(Answer::Completed(Bytes::from_static(b"r"))), false)]
+#[case::done(Outcome::Completed, Some(Answer::Completed(Bytes::from_static(b"r"))), false)]
 fn what_follows_an_answer_to_a_one_shot(
     #[case] outcome: Outcome,
     #[case] answer: Option<Answer>,
@@ -252,7 +252,7 @@
         }
     }
     node.now += 400 * MS;
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     assert_eq!(node.answers(), [(client, Answer::Completed(Bytes::from_static(b"r")))]);
     let stats = node.core.stats();
     assert_eq!((stats.refused.over, stats.broken), (1, 0));
@@ -294,7 +294,7 @@
     node.handle(Input::ClientDisconnected { client });
     assert!(node.has_closed(connection));
     // Inputs of the closed connection that were already on the way have no effect.
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     node.handle(Input::ExecutorDisconnected { connection, disconnect: WRITTEN });
     assert_eq!((node.answers().len(), node.core.stats().open), (0, 0));
 }
@@ -318,7 +318,7 @@
     if let Some((connection, _)) = node.opened_connection() {
         node.handle(Input::ExecutorConnected { connection });
         assert_eq!(node.sent_over(), Some(connection));
-        node.end_execution(connection, Outcome::Satisfied);
+        node.end_execution(connection, Outcome::Completed);
     }
     node.submit(PAY, 5_000 * MS);
     assert!(node.opened_connection().is_some());
@@ -328,7 +328,7 @@
 fn a_probe_on_a_closed_idle_connection_is_sent_again() {
     let mut node = Node::new(1);
     let (_, connection) = node.start_execution(PAY);
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     node.handle(Input::ConnectionReusable { connection, identified: true });
     let mut waits = 0;
     while !node.effects.iter().any(|e| matches!(e, Effect::Probe { connection: c } if *c == connection)) {
@@ -363,7 +363,7 @@
             connection = node.opened_connection().unwrap().0;
             node.handle(Input::ExecutorConnected { connection });
         }
-        node.end_execution(connection, Outcome::Satisfied);
+        node.end_execution(connection, Outcome::Completed);
         node.handle(Input::ConnectionReusable { connection, identified: true });
     }
     assert_eq!(reused, [true, false, true, true, false, true]);
@@ -387,7 +387,7 @@
     let settings = common::SETTINGS.replace("\"balancers\": 2", &format!("\"balancers\": {nodes}"));
     let mut node = Node::with(&settings.replace("\"mayProbe\": true", "\"mayProbe\": false"), 60);
     let (_, connection) = node.start_execution(PAY);
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     assert!(!node.has_closed(connection));
     node.handle(Input::ConnectionReusable { connection, identified: true });
     assert_eq!(node.has_closed(connection), closed);
@@ -622,7 +622,7 @@
     node.advance(100 * MS);
     assert!(closed(&node, 900) && !closed(&node, busy));
     node.handle(Input::ClientDisconnected { client: 900 });
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     assert!(node.effects.iter().any(|e| matches!(e, Effect::Answer { last: true, .. })));
     assert!(!node.effects.iter().any(|e| matches!(e, Effect::Exit)));
     node.handle(Input::ClientDisconnected { client: busy });
@@ -646,7 +646,7 @@
     assert_eq!((node.answers(), node.opened_connection()), (vec![(other, Answer::DuplicateId)], None));
     // That the other client disconnects has no effect.
     node.handle(Input::ClientDisconnected { client: other });
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     assert_eq!(node.answers(), [(first, Answer::Completed(Bytes::from_static(b"r")))]);
     let later = submit(&mut node);
     assert_ne!(node.answers(), [(later, Answer::DuplicateId)]);
@@ -659,7 +659,7 @@
     let mut node = Node::new(2);
     let (busy, connection) = node.start_execution(PAY);
     let (usual, other) = node.start_execution(PAY);
-    node.end_execution(other, Outcome::Satisfied);
+    node.end_execution(other, Outcome::Completed);
     node.handle(Input::ClientPhase { client: usual, phase: Phase::Idle });
     let mut evicted = Vec::new();
     for client in 100..400 {
@@ -671,7 +671,7 @@
         assert!(!node.core.is_at_client_limit());
     }
     assert!(evicted.len() > 200 && evicted.iter().all(|c| ![busy, usual].contains(c)));
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     assert_eq!(node.answers().len(), 1);
 }
 
@@ -695,7 +695,7 @@
     let mut node = Node::new(1);
     let client = if usual {
         let (client, connection) = node.start_execution(PAY);
-        node.end_execution(connection, Outcome::Satisfied);
+        node.end_execution(connection, Outcome::Completed);
         client
     } else {
         node.handle(Input::ClientConnected { client: 1 });
@@ -730,7 +730,7 @@
     let with_deadline = format!("\"cutOffMs\": {deadline}, \"agreedTimeMs\"");
     let mut node = Node::with(&common::SETTINGS.replace("\"agreedTimeMs\"", &with_deadline), 1);
     let (usual, connection) = node.start_execution(PAY);
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     node.handle(Input::ClientPhase { client: usual, phase: Phase::Idle });
     node.handle(Input::Stop);
     node.advance(MS);
@@ -786,7 +786,7 @@
     let remembered =
         (0..most as u32).filter(|w| node.core.address(*w).is_some_and(|a| a.port() < 104)).count();
     assert_eq!(remembered, 1, "only the executor that still runs the job");
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     assert_eq!(node.answers(), [(client, Answer::Completed(Bytes::from_static(b"r")))]);
     assert_eq!(node.core.stats().broken, 0);
 }
@@ -804,9 +804,9 @@
     #[case] lost: bool,
 ) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
-    let report = Some(Report { free_slots: Some(8.0), in_hand: Some(0.0), ..Report::default() });
+    let report = Some(Report { free_slots: Some(8.0), active_jobs: Some(0.0), ..Report::default() });
     let end = |node: &mut Node, connection| {
-        node.handle(Input::Ended { connection, outcome: Outcome::Satisfied, result: Bytes::new(), report });
+        node.handle(Input::Ended { connection, outcome: Outcome::Completed, result: Bytes::new(), report });
         node.handle(Input::ConnectionReusable { connection, identified: true });
     };
     let (_, first) = node.start_execution(LOOK);
@@ -838,11 +838,11 @@
 struct AlwaysFirstWorker;
 
 impl linestack_dispatch::types::Decide for AlwaysFirstWorker {
-    fn go_on_under(&mut self, _: linestack_dispatch::types::StandingOrders) {}
+    fn reconfigure(&mut self, _: linestack_dispatch::types::DispatchConfig) {}
 
-    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Order] {
+    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Action] {
         match event {
-            Event::Submitted { .. } => &[Order::Execute { submission: 0, worker: 0, timeout: 1_000 * MS }],
+            Event::Submitted { .. } => &[Action::Execute { submission: 0, worker: 0, timeout: 1_000 * MS }],
             _ => &[],
         }
     }
@@ -912,7 +912,7 @@
     node.handle(Input::ExecutorDisconnected { connection: pay_connection, disconnect: WRITTEN });
     assert_eq!(node.answers(), [(pay, Answer::Aborted)], "it may have run");
     assert!(node.opened_connection().is_none() && node.sent_over().is_none());
-    node.end_execution(look_connection, Outcome::Satisfied);
+    node.end_execution(look_connection, Outcome::Completed);
     assert!(matches!(node.answers()[..], [(client, Answer::Completed(_))] if client == look));
     let probes = node.core.stats().probes;
     for _ in 0..40 {
@@ -948,7 +948,7 @@
     assert!(node.opened_connection().is_none() && node.sent_over().is_none());
     let stats = node.core.stats();
     assert_eq!((stats.taken, stats.fenced, stats.open), (1, 1, 1));
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     let answered_under = node.effects.iter().find_map(|e| match e {
         Effect::Answer { client, version, .. } if *client == accepted => Some(*version),
         _ => None,
@@ -959,7 +959,7 @@
 }
 
 /// A node with an outcome store, in which submissions are recognized by their ids.
-fn with_outcome_store(outcomes: linestack_recovery::Fates) -> Node {
+fn with_outcome_store(outcomes: linestack_recovery::OutcomeTable) -> Node {
     let mut node = Node::new(2);
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes,
@@ -971,8 +971,8 @@
     node
 }
 
-fn no_outcomes() -> linestack_recovery::Fates {
-    linestack_recovery::Fates::new(1_000_000 * MS, 100, 1 << 20)
+fn no_outcomes() -> linestack_recovery::OutcomeTable {
+    linestack_recovery::OutcomeTable::new(1_000_000 * MS, 100, 1 << 20)
 }
 
 // An earlier store was lost. A one-shot that is not in the new store may have run, until everything that the old store knew is
@@ -1001,14 +1001,14 @@
 
 // A response without a report is a response: only an executor that did not answer is reported to peers as unresponsive.
 #[rstest]
-#[case::answered(Outcome::Satisfied, false)]
-#[case::full(Outcome::Full, false)]
+#[case::answered(Outcome::Completed, false)]
+#[case::full(Outcome::Overloaded, false)]
 #[case::silent(Outcome::TimedOut, true)]
 fn executors_without_an_answer_are_reported_to_peers(#[case] outcome: Outcome, #[case] silent: bool) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
     let (_, connection) = node.start_execution(LOOK);
     node.end_execution(connection, outcome);
-    let reported: Vec<bool> = node.core.peer_snapshot(node.now).iter().map(|i| i.silent).collect();
+    let reported: Vec<bool> = node.core.peer_snapshot(node.now).iter().map(|i| i.unresponsive).collect();
     assert_eq!(reported, [silent]);
 }
 
@@ -1029,22 +1029,27 @@
 
 /// A node in a staged start, with an old list of four executors.
 fn in_staged_start(per_s: f64) -> Node {
-    use linestack_recovery::start::{Found, Start, Terms};
+    use linestack_recovery::start::{StagedStart, StartConditions, StartLimits};
     let settings = linestack_settings::read(common::SETTINGS.as_bytes(), 7).unwrap();
     let core = Core::new(settings, 64, 32 << 20);
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), last_client: 0 };
     let within = 500 * MS;
     let (nodes, connects_per_s, lists_per_s, sessions_per_s) = (1, per_s, per_s, per_s);
-    let terms = Terms {
+    let terms = StartLimits {
         nodes,
         connects_per_s,
         lists_per_s,
         sessions_per_s,
-        list_within: within,
-        known_within: within,
-        share_within: within,
+        list_timeout: within,
+        known_timeout: within,
+        share_timeout: within,
     };
-    let start = Start::new(terms, Found { proved: true, fresh: false, old: true }, [0.0; 2], node.now);
+    let start = StagedStart::new(
+        terms,
+        StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: true },
+        [0.0; 2],
+        node.now,
+    );
     node.core.start_in_stages(node.now, start, (0..4).map(|w| endpoint(w, Health::Ready)).collect());
     node.receive_list(ListKind::Cached, Vec::new());
     node
@@ -1099,9 +1104,9 @@
     assert!(opened_at.windows(2).all(|w| w[1] - w[0] >= 90 * MS), "{opened_at:?}");
 }
 
-fn persisted_records(node: &Node) -> Vec<(linestack_recovery::Fate, Option<PersistTicket>)> {
+fn persisted_records(node: &Node) -> Vec<(linestack_recovery::StoredOutcome, Option<PersistTicket>)> {
     let records = node.effects.iter().filter_map(|e| match e {
-        Effect::Persist { record, ticket } => Some((record.fate.clone(), *ticket)),
+        Effect::Persist { record, ticket } => Some((record.outcome.clone(), *ticket)),
         _ => None,
     });
     records.collect()
@@ -1119,7 +1124,7 @@
     let (connection, _) = node.opened_connection().unwrap();
     node.handle(Input::ExecutorConnected { connection });
     assert_eq!(node.sent_over(), None);
-    let [(linestack_recovery::Fate::MayHaveRun, Some(ticket))] = persisted_records(&node)[..] else {
+    let [(linestack_recovery::StoredOutcome::MayHaveRun, Some(ticket))] = persisted_records(&node)[..] else {
         panic!()
     };
     if !in_time {
@@ -1144,11 +1149,15 @@
 // never ran.
 #[test]
 fn one_shots_repeated_after_a_restart_are_answered_from_the_store() {
-    use linestack_recovery::{Fate, Keep};
+    use linestack_recovery::{OutcomeRecord, StoredOutcome};
     let result = Bytes::from_static(b"done");
     let mut outcomes = no_outcomes();
-    let records = [("1", Fate::MayHaveRun), ("2", Fate::Satisfied(result.clone())), ("3", Fate::Unsent)];
-    outcomes.restore(records.map(|(key, fate)| Keep { key: key.into(), fate, at: 0 }));
+    let records = [
+        ("1", StoredOutcome::MayHaveRun),
+        ("2", StoredOutcome::Completed(result.clone())),
+        ("3", StoredOutcome::NeverSent),
+    ];
+    outcomes.restore(records.map(|(key, outcome)| OutcomeRecord { key: key.into(), outcome, at: 0 }));
     let mut node = with_outcome_store(outcomes);
     let first = node.submit(PAY, 5_000 * MS);
     assert_eq!(node.answers(), [(first, Answer::Aborted)]);
@@ -1201,20 +1210,20 @@
     node.handle(Input::ExecutorConnected { connection });
     let ticket = persisted_records(&node)[0].1.unwrap();
     node.handle(Input::Persisted { ticket, durable: true });
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     assert_eq!(
         persisted_records(&node),
-        [(linestack_recovery::Fate::Satisfied(Bytes::from_static(b"r")), None)]
+        [(linestack_recovery::StoredOutcome::Completed(Bytes::from_static(b"r")), None)]
     );
 }
 
 /// A dispatcher that takes the same action for each submission, whatever the settings allow.
-struct SameAction(Order);
+struct SameAction(Action);
 
 impl linestack_dispatch::types::Decide for SameAction {
-    fn go_on_under(&mut self, _: linestack_dispatch::types::StandingOrders) {}
+    fn reconfigure(&mut self, _: linestack_dispatch::types::DispatchConfig) {}
 
-    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Order] {
+    fn decide(&mut self, _: Nanos, event: Event<'_>) -> &[Action] {
         if matches!(event, Event::Submitted { .. }) { std::slice::from_ref(&self.0) } else { &[] }
     }
 }
@@ -1229,8 +1238,8 @@
 ) {
     let text = common::SETTINGS.replace(&format!("\"{key}\": true"), &format!("\"{key}\": {allowed}"));
     let action = match key {
-        "mayProbe" => Order::Probe { worker: 0 },
-        _ => Order::Execute { submission: 0, worker: 0, timeout: 1_000 * MS },
+        "mayProbe" => Action::Probe { worker: 0 },
+        _ => Action::Execute { submission: 0, worker: 0, timeout: 1_000 * MS },
     };
     let settings = linestack_settings::read(text.as_bytes(), 7).unwrap();
     let core = Core::with_dispatcher(Box::new(SameAction(action)), settings, 64, 32 << 20);
@@ -1402,7 +1411,7 @@
 ) {
     let mut node = Node::with(&common::SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false"), 1);
     let (_, connection) = node.start_execution(PAY);
-    node.end_execution(connection, Outcome::Satisfied);
+    node.end_execution(connection, Outcome::Completed);
     node.handle(Input::ConnectionReusable { connection, identified });
     node.now += after * MS;
     node.submit(PAY, 5_000 * MS);
--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -111,7 +111,12 @@
     fn report(&self, worker: usize) -> Report {
         let in_hand = self.workers[worker] as f64;
         let (free, in_hand) = ((self.slots - in_hand).max(0.0) as f32, in_hand as f32);
-        Report { free_slots: Some(free), free_memory: None, waiting: Some(0.0), in_hand: Some(in_hand) }
+        Report {
+            free_slots: Some(free),
+            free_memory: None,
+            queued_jobs: Some(0.0),
+            active_jobs: Some(in_hand),
+        }
     }
 
     /// Takes an input, and all that follows from it at once.
@@ -200,7 +205,7 @@
         let report = Some(self.report(worker));
         self.feed(Input::Ended {
             connection: link,
-            outcome: Outcome::Satisfied,
+            outcome: Outcome::Completed,
             result: Bytes::new(),
             report,
         });
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -7,21 +7,21 @@
 use std::time::Duration;
 
 use clap::Parser;
-use linestack::begin;
-use linestack::cause::{START_PATIENCE, may_pass, persist};
-use linestack::config::{self, Config, FaultKind};
+use linestack::config::{self, Config, ConfigErrorKind};
 use linestack::fleet;
+use linestack::fleet::audit_log::AuditLog;
 use linestack::fleet::config::Mode;
-use linestack::fleet::coordinate::Start as Begin;
-use linestack::fleet::session::Start;
-use linestack::fleet::trail::Trail;
-use linestack::keep::{self, Keeper};
-use linestack::net::{Node, Parts, clients, clock::Clock, spawn};
+use linestack::fleet::coordinate::StartMode;
+use linestack::fleet::session::FleetMember;
+use linestack::io_failure::{START_RETRY_TIMEOUT, is_transient, retry_transient};
+use linestack::net::{Node, NodeParts, clients, clock::Clock, spawn};
 use linestack::peers;
+use linestack::persistence::{self, NodeStore};
+use linestack::staged_start;
 use linestack_core::{Core, Input};
-use linestack_dispatch::types::{ListKind, Repeats};
+use linestack_dispatch::types::{ListKind, RepeatPolicy};
 use linestack_history::What;
-use linestack_recovery::start::{Found, Start as Starting};
+use linestack_recovery::start::{StagedStart as Starting, StartConditions};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
@@ -32,8 +32,8 @@
 /// Stacks that are kept for the next connection.
 const KEPT_STACKS: usize = 64;
 /// How long to wait for an address that is taken: 2 s in all.
-const LISTEN_TRIES: u32 = 40;
-const LISTEN_AGAIN: Duration = Duration::from_millis(50);
+const LISTEN_ATTEMPTS: u32 = 40;
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Log lines that wait to be written, at most.
 const LOG_LINES: usize = 4096;
 
@@ -67,7 +67,7 @@
     /// Look after a node's store.
     Store {
         #[command(subcommand)]
-        command: keep::Command,
+        command: persistence::Command,
     },
 }
 
@@ -77,7 +77,7 @@
         return fleet::operate::run(arguments);
     }
     if let Some(Command::Store { command }) = &command {
-        return match keep::run(command) {
+        return match persistence::run(command) {
             Ok(()) => ExitCode::SUCCESS,
             Err(why) => {
                 eprintln!("linestack: {why}");
@@ -89,35 +89,35 @@
     let writer = NonBlockingBuilder::default().buffered_lines_limit(LOG_LINES).lossy(true);
     let (writer, guard) = writer.finish(std::io::stderr());
     let variable = |key: &str| std::env::var(key).ok();
-    let level = config::level(variable);
+    let level = config::log_level(variable);
     let most = *level.as_ref().unwrap_or(&tracing::Level::INFO);
     tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_max_level(most).init();
     std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panicked")));
     if let Some(Command::Coordinate { file, first, replacement, refound, lost, refounded }) = &command {
         let how = match (replacement, refound, refounded) {
-            (Some(seat), ..) => Begin::Replacement(*seat),
-            (_, Some(out), _) => Begin::Refound(out.clone(), lost.clone()),
-            (.., Some(from)) => Begin::Refounded(from.clone()),
-            _ if *first => Begin::First,
-            _ => Begin::Again,
+            (Some(seat), ..) => StartMode::Replacement(*seat),
+            (_, Some(out), _) => StartMode::Refound(out.clone(), lost.clone()),
+            (.., Some(from)) => StartMode::Refounded(from.clone()),
+            _ if *first => StartMode::NewFleet,
+            _ => StartMode::FromStore,
         };
         let code = fleet::coordinate::run(file, how);
         drop(guard);
         return code;
     }
-    if let Err(fault) = config::descriptors() {
+    if let Err(fault) = config::check_descriptors() {
         tracing::error!(fault, "descriptors");
         return ExitCode::FAILURE;
     }
     // Taken over before anything is served, so that no signal finds them missing.
-    let mut signals = match persist(START_PATIENCE, || Signals::new([SIGTERM, SIGINT, SIGHUP])) {
+    let mut signals = match retry_transient(START_RETRY_TIMEOUT, || Signals::new([SIGTERM, SIGINT, SIGHUP])) {
         Ok(signals) => signals,
         Err(why) => {
             tracing::error!(%why, "signals");
             return ExitCode::FAILURE;
         }
     };
-    let file = |path: &str| persist(START_PATIENCE, || std::fs::read_to_string(path));
+    let file = |path: &str| retry_transient(START_RETRY_TIMEOUT, || std::fs::read_to_string(path));
     let mut config = match level.and_then(|_| config::read(variable, file)) {
         Ok(config) => config,
         Err(fault) => {
@@ -139,7 +139,9 @@
     let (done, finished) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
     let memory = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX);
-    let opened = |path: String| keep::config(Path::new(&path)).and_then(|config| Keeper::open(config, &name));
+    let opened = |path: String| {
+        persistence::read_config(Path::new(&path)).and_then(|config| NodeStore::open(config, &name))
+    };
     let keeper = variable("PROXY_STORE").map(opened);
     let mut keeper = match keeper.transpose() {
         Ok(keeper) => keeper,
@@ -148,8 +150,9 @@
             return ExitCode::FAILURE;
         }
     };
-    let nodes = settings.orders.nodes;
-    let stages = variable("PROXY_START").map(|path| begin::config(Path::new(&path), nodes)).transpose();
+    let nodes = settings.dispatch.nodes;
+    let stages =
+        variable("PROXY_START").map(|path| staged_start::read_config(Path::new(&path), nodes)).transpose();
     let stages = match stages {
         Ok(stages) => stages,
         Err(why) => {
@@ -157,7 +160,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let peers = match variable("PROXY_PEERS").map(|path| peers::config(Path::new(&path))).transpose() {
+    let peers = match variable("PROXY_PEERS").map(|path| peers::read_config(Path::new(&path))).transpose() {
         Ok(peers) => peers,
         Err(why) => {
             why.lines().for_each(|fault| tracing::error!(fault, "peers"));
@@ -165,12 +168,13 @@
         }
     };
     let clock = Clock::start();
-    let trail =
-        fleet.as_ref().and_then(|(start, _)| start.fleet().history.as_ref().map(|path| (start, path)));
-    let trail = trail
-        .map(|(start, path)| Trail::open(path, &start.fleet().member, start.record.life.life, clock.now()));
-    let trail = match trail.transpose() {
-        Ok(trail) => trail,
+    let audit_log =
+        fleet.as_ref().and_then(|(start, _)| start.config().history.as_ref().map(|path| (start, path)));
+    let audit_log = audit_log.map(|(start, path)| {
+        AuditLog::open(path, &start.config().member, start.record.incarnation.life, clock.now())
+    });
+    let audit_log = match audit_log.transpose() {
+        Ok(audit_log) => audit_log,
         Err(why) => {
             tracing::error!(fault = %format!("fleet.history: {why}"), "fleet");
             return ExitCode::FAILURE;
@@ -187,33 +191,37 @@
         }
         // Of no age that is known: it waits for discovery's word, or for discovery's silence.
         let old = known.take_if(|_| !fresh).map_or_else(Vec::new, |list| list.endpoints);
-        let proved = !fleet.as_ref().is_some_and(|(start, _)| start.fleet().mode == Mode::Strict);
-        let mut chance = fastrand::Rng::with_seed(config.seed ^ fleet::draw());
-        let found = Found { proved, fresh, old: !old.is_empty() };
+        let proved = !fleet.as_ref().is_some_and(|(start, _)| start.config().mode == Mode::Strict);
+        let mut chance = fastrand::Rng::with_seed(config.seed ^ fleet::random_u64());
+        let found = StartConditions {
+            settings_confirmed: proved,
+            list_is_fresh: fresh,
+            has_old_list: !old.is_empty(),
+        };
         let start = Starting::new(stages.terms, found, [chance.f64(), chance.f64()], clock.now());
         core.start_in_stages(clock.now(), start, old);
     }
     let index = known.as_ref().map(|known| known.index).filter(|_| !whole);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
     if let Some(keeper) = &mut keeper {
-        keeper.tell(&mut core, memory, clock.now(), settings.longest_cut_off);
+        keeper.restore_into(&mut core, memory, clock.now(), settings.longest_deadline);
     }
-    let (keeper, writer) = keeper.map(Keeper::run).unzip();
-    let parts = Parts {
+    let (keeper, writer) = keeper.map(NodeStore::into_writer).unzip();
+    let parts = NodeParts {
         clock,
         names: settings.names.clone(),
         layout: settings.layout,
         stamped: settings
-            .orders
+            .dispatch
             .products
             .iter()
-            .map(|p| matches!(p.repeats, Repeats::Stamped { .. }))
+            .map(|p| matches!(p.repeat_policy, RepeatPolicy::Stamped { .. }))
             .collect(),
         discovery,
         index,
         memory,
-        trail,
-        keeper,
+        audit_log,
+        store_records: keeper,
         exit: Box::new(move || {
             let _ = done.send(());
         }),
@@ -230,17 +238,19 @@
             tracing::error!(fault = %format!("peers.listen: {why}"), "peers");
             return ExitCode::FAILURE;
         }
-        peers::ask(peers, name.clone(), Arc::clone(&node));
+        peers::query(peers, name.clone(), Arc::clone(&node));
     }
     // Told even if there is none: it is what makes the node ask for the list.
-    node.feed(Input::ListReceived { kind: ListKind::Cached, endpoints });
-    let mut tries = 0..LISTEN_TRIES;
+    node.handle_input(Input::ListReceived { kind: ListKind::Cached, endpoints });
+    let mut tries = 0..LISTEN_ATTEMPTS;
     let listen = loop {
         match clients::accept(&node, listen) {
             Ok(address) => break address,
             // The one before it may not be quite gone, or this machine has nothing left for a moment.
-            Err(why) if (why.kind() == ErrorKind::AddrInUse || may_pass(&why)) && tries.next().is_some() => {
-                std::thread::sleep(LISTEN_AGAIN);
+            Err(why)
+                if (why.kind() == ErrorKind::AddrInUse || is_transient(&why)) && tries.next().is_some() =>
+            {
+                std::thread::sleep(LISTEN_RETRY_INTERVAL);
             }
             Err(why) => {
                 tracing::error!(%listen, %why, "listen");
@@ -249,7 +259,7 @@
         }
     };
     let timed = Arc::clone(&node);
-    spawn(move || timed.keep_time());
+    spawn(move || timed.run_timers());
     tracing::info!(name, %listen, %discovery, sockets, memory_mb, "started");
     untold(&config);
     let of_fleet = fleet.is_some();
@@ -262,7 +272,7 @@
             continue;
         }
         tracing::info!(signal, "stopping");
-        node.feed(Input::Stop);
+        node.handle_input(Input::Stop);
         // A second Ctrl-C ends it at once, as users expect; SIGTERM may come twice, to it and to its group.
         std::thread::spawn(move || {
             if signals.forever().any(|signal| signal == SIGINT) {
@@ -278,10 +288,10 @@
 }
 
 /// Reads the fleet's file, and goes on by the terms that this node went by last. Returns their version.
-fn join(path: &str, config: &mut Config) -> Result<(Start, u64), String> {
-    let fleet = fleet::config::fleet(Path::new(path))?;
-    let start = Start::open(fleet).map_err(|why| format!("{path}: fleet.folder: {why}"))?;
-    let kept = start.terms(&config.settings, config.seed);
+fn join(path: &str, config: &mut Config) -> Result<(FleetMember, u64), String> {
+    let fleet = fleet::config::read_fleet(Path::new(path))?;
+    let start = FleetMember::open(fleet).map_err(|why| format!("{path}: fleet.folder: {why}"))?;
+    let kept = start.last_settings(&config.settings, config.seed);
     let active = if kept.is_some() { start.record.active.version } else { 0 };
     if let Some(settings) = kept {
         config.settings = settings;
@@ -290,22 +300,22 @@
 }
 
 /// What a node of a fleet is told before it serves.
-fn begin(node: &Arc<Node>, start: &Start, active: u64, settings: &linestack_settings::Settings) {
+fn begin(node: &Arc<Node>, start: &FleetMember, active: u64, settings: &linestack_settings::Settings) {
     if active > 0 {
         let what = What::Active { version: active, digest: start.record.active.digest() };
-        if let Some(trail) = node.trail() {
-            trail.write(node.clock.now(), what);
+        if let Some(audit_log) = node.audit_log() {
+            audit_log.write(node.clock.now(), what);
         }
-        node.feed(Input::SettingsChanged { settings: Box::new(settings.clone()), version: active });
+        node.handle_input(Input::SettingsChanged { settings: Box::new(settings.clone()), version: active });
     }
-    if start.fleet().mode == Mode::Strict {
-        node.feed(Input::Lease { until: 0 });
+    if start.config().mode == Mode::Strict {
+        node.handle_input(Input::Lease { until: 0 });
     }
 }
 
 /// No page gives a protocol for messages between nodes.
 fn untold(config: &Config) {
-    if config.settings.may_tell {
+    if config.settings.may_message_peers {
         tracing::warn!("mayTell: nodes on sockets have no messages, so this one works as if all were lost");
     }
 }
@@ -329,9 +339,9 @@
 /// Reads the configuration again. A file with a fault changes nothing; what is right is taken over, as far as
 /// that can be done in a running node.
 fn reload(node: &Arc<Node>, present: &mut Config, of_fleet: bool, variable: impl Fn(&str) -> Option<String>) {
-    match config::again(present, variable, |path| std::fs::read_to_string(path)) {
+    match config::reread(present, variable, |path| std::fs::read_to_string(path)) {
         Ok(newer) => {
-            let mut keys = present.restart_for(&newer);
+            let mut keys = present.keys_requiring_restart(&newer);
             keys.retain(|key| !of_fleet || !key.starts_with("settings."));
             if let Some(key) = keys.iter().find(|key| key.starts_with("settings.")) {
                 // Half of a change would be neither the old terms nor the new ones.
@@ -344,8 +354,11 @@
                     "configuration read again: settings are the fleet's, and are not taken from here"
                 );
             } else if present.differs_in_settings(&newer) {
-                present.take_settings(&newer);
-                node.feed(Input::SettingsChanged { settings: Box::new(newer.settings.clone()), version: 0 });
+                present.apply_settings(&newer);
+                node.handle_input(Input::SettingsChanged {
+                    settings: Box::new(newer.settings.clone()),
+                    version: 0,
+                });
                 tracing::info!("settings taken over; reports, shares, limits and answer times start afresh");
                 untold(&newer);
             }
@@ -354,9 +367,9 @@
             }
             tracing::info!(from = %present.discovery, discovery = %newer.discovery, "configuration read again");
             present.discovery = newer.discovery;
-            node.rediscover(newer.discovery);
+            node.change_discovery(newer.discovery);
         }
-        Err(fault) if fault.kind == FaultKind::Passing => {
+        Err(fault) if fault.kind == ConfigErrorKind::Transient => {
             tracing::warn!(%fault, "configuration can't be read now, and is tried again");
             read_again_soon();
         }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use linestack_core::Input;
-use linestack_frames::{Reader, encode, kind};
-use linestack_peers::{FORM, Tale};
+use linestack_frames::{Reader, encode, kind_number};
+use linestack_peers::{FORMAT_VERSION, PeerSnapshot};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
 
@@ -32,8 +32,8 @@
 pub struct Config {
     pub fleet: String,
     pub listen: Option<SocketAddr>,
-    pub ask: Vec<SocketAddr>,
-    pub young: u64,
+    pub addresses: Vec<SocketAddr>,
+    pub max_age: u64,
 }
 
 #[derive(Deserialize)]
@@ -62,9 +62,9 @@
 /// # Errors
 ///
 /// What is wrong with it, by its key.
-pub fn config(path: &Path) -> Result<Config, String> {
+pub fn read_config(path: &Path) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let File { peers: t } = crate::fleet::config::table(path, &text)?;
+    let File { peers: t } = crate::fleet::config::parse_table(path, &text)?;
     let mut faults = Vec::new();
     let mut must = |fine: bool, key: &str, why: &str| {
         if !fine {
@@ -75,7 +75,7 @@
     must(t.ask.len() <= MOST_PEERS, "ask", "1,024 at most");
     must((10..=10_000).contains(&t.young_ms), "young-ms", "from 10 to 10,000");
     if faults.is_empty() {
-        Ok(Config { fleet: t.fleet, listen: t.listen, ask: t.ask, young: t.young_ms * 1_000_000 })
+        Ok(Config { fleet: t.fleet, listen: t.listen, addresses: t.ask, max_age: t.young_ms * 1_000_000 })
     } else {
         Err(faults.join("\n"))
     }
@@ -90,7 +90,7 @@
 
 fn send(socket: &mut TcpStream, word: &str, body: &impl Serialize) -> io::Result<()> {
     let body = serde_json::to_vec(body)?;
-    let kind = kind(word).ok_or(io::ErrorKind::InvalidInput)?;
+    let kind = kind_number(word).ok_or(io::ErrorKind::InvalidInput)?;
     socket.write_all(&encode(kind, &body).map_err(io::Error::other)?)
 }
 
@@ -98,8 +98,8 @@
 fn receive<T: for<'a> Deserialize<'a>>(socket: &mut TcpStream, word: &str) -> io::Result<T> {
     let (begin, mut reader, mut piece) = (Instant::now(), Reader::default(), [0; 16 * 1024]);
     loop {
-        if let Some(frame) = reader.take().map_err(io::Error::other)? {
-            if Some(frame.kind) != kind(word) {
+        if let Some(frame) = reader.next_frame().map_err(io::Error::other)? {
+            if Some(frame.kind) != kind_number(word) {
                 return Err(io::Error::other("not what was due"));
             }
             return Ok(serde_json::from_slice(&frame.body)?);
@@ -126,7 +126,7 @@
     let listener = TcpListener::bind(listen)?;
     SockRef::from(&listener).listen(BACKLOG)?;
     tracing::info!(peers_at = %listener.local_addr()?, "peers");
-    let known: Vec<_> = config.ask.iter().map(SocketAddr::ip).collect();
+    let known: Vec<_> = config.addresses.iter().map(SocketAddr::ip).collect();
     let (fleet, name, node) = (config.fleet.clone(), name.to_owned(), Arc::clone(node));
     let open = Arc::new(AtomicUsize::new(0));
     std::thread::spawn(move || {
@@ -148,11 +148,19 @@
             std::thread::spawn(move || {
                 let _ = socket.set_write_timeout(Some(PATIENCE));
                 if let Ok(ask) = receive::<Ask>(&mut socket, "ask")
-                    && ask.form == FORM
+                    && ask.form == FORMAT_VERSION
                     && ask.fleet == fleet
                     && ask.node != name
                 {
-                    let _ = send(&mut socket, "tale", &Tale { form: FORM, teller: name, items: node.tale() });
+                    let _ = send(
+                        &mut socket,
+                        "tale",
+                        &PeerSnapshot {
+                            format_version: FORMAT_VERSION,
+                            sender: name,
+                            observations: node.peer_snapshot(),
+                        },
+                    );
                 }
                 gone.fetch_sub(1, Ordering::Relaxed);
             });
@@ -162,17 +170,17 @@
 }
 
 /// Asks peers, one after the other in an order by chance, until one has told.
-pub fn ask(config: Config, name: String, node: Arc<Node>) {
+pub fn query(config: Config, name: String, node: Arc<Node>) {
     std::thread::spawn(move || {
-        let mut order = config.ask.clone();
-        fastrand::Rng::with_seed(crate::fleet::draw()).shuffle(&mut order);
+        let mut order = config.addresses.clone();
+        fastrand::Rng::with_seed(crate::fleet::random_u64()).shuffle(&mut order);
         for peer in order.into_iter().take(TRIES) {
             let asked = node.clock.now();
             let told = TcpStream::connect_timeout(&peer, PATIENCE).and_then(|mut socket| {
                 socket.set_write_timeout(Some(PATIENCE))?;
-                let ask = Ask { form: FORM, fleet: config.fleet.clone(), node: name.clone() };
+                let ask = Ask { form: FORMAT_VERSION, fleet: config.fleet.clone(), node: name.clone() };
                 send(&mut socket, "ask", &ask)?;
-                receive::<Tale>(&mut socket, "tale")
+                receive::<PeerSnapshot>(&mut socket, "tale")
             });
             match told {
                 Ok(tale) => return take(&config, &name, &node, &tale, asked),
@@ -183,20 +191,20 @@
 }
 
 /// Takes what may be taken, as soon as there is a list to hold it against.
-fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &Tale, asked: u64) {
-    while node.clock.now() < asked + config.young {
+fn take(config: &Config, name: &str, node: &Arc<Node>, tale: &PeerSnapshot, asked: u64) {
+    while node.clock.now() < asked + config.max_age {
         if node.ready() {
-            match node.learn(tale, name, asked, config.young) {
+            match node.evaluate_peer_snapshot(tale, name, asked, config.max_age) {
                 Ok(heard) => {
                     tracing::info!(
-                        teller = tale.teller,
-                        told = tale.items.len(),
+                        teller = tale.sender,
+                        told = tale.observations.len(),
                         taken = heard.len(),
                         "heard from a peer"
                     );
-                    node.feed(Input::PeerObservations { observations: heard });
+                    node.handle_input(Input::PeerObservations { observations: heard });
                 }
-                Err(why) => tracing::warn!(teller = tale.teller, %why, "a peer's words are not taken"),
+                Err(why) => tracing::warn!(teller = tale.sender, %why, "a peer's words are not taken"),
             }
             return;
         }
--- a/crates/node/src/keep.rs
+++ b/crates/node/src/persistence.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 use linestack_core::{Core, Input, Nanos, PersistTicket, StoredOutcomes};
-use linestack_recovery::start::{Kept, fresh};
-use linestack_recovery::{Age, Fate, Fates, Keep};
+use linestack_recovery::start::{BootTimestamp, is_fresh};
+use linestack_recovery::{OutcomeRecord, OutcomeTable, StoreTime, StoredOutcome};
 use linestack_store::{Damage, Fault, Folder, LARGEST, Limits, Op, Store, repair};
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::store::{Identity, identity, same};
+use crate::fleet::store::{FileIdentity, file_identity, same_file};
 use crate::net::Node;
 use crate::net::discovery::List;
-use crate::{begin, http, tries};
+use crate::{http, staged_start, start_attempts};
 
 /// Kinds of record: a one-shot's fate, the list of executors, when discovery was heard last, whose store it is, and
 /// that one before it was lost. But for fates there is one of each.
@@ -29,13 +29,13 @@
 /// Records that go in one commit, at most.
 const GROUP: usize = 512;
 /// A result that did not fit would fail the store.
-const _: () = assert!(http::HEAD + 2 * http::BODY < LARGEST);
+const _: () = assert!(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES < LARGEST);
 /// Of the memory, what fates may take.
 const MEMORY_PART: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SameBy {
+pub enum DedupKey {
     ReqId,
     IdempotencyKey,
 }
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     pub folder: PathBuf,
-    pub same_by: SameBy,
+    pub dedup_key: DedupKey,
     pub remember_s: u64,
     pub budget_mb: u64,
     pub sync: Sync,
@@ -78,7 +78,8 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Table {
     folder: PathBuf,
-    same_by: SameBy,
+    #[serde(rename = "same-by")]
+    dedup_key: DedupKey,
     #[serde(default = "remember_s")]
     remember_s: u64,
     #[serde(default = "budget_mb")]
@@ -110,39 +111,39 @@
 /// # Errors
 ///
 /// What is wrong with it, by its key.
-pub fn config(path: &Path) -> Result<Config, String> {
+pub fn read_config(path: &Path) -> Result<Config, String> {
     let fault = |why: String| format!("{}: {why}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
-    let File { store: t } = crate::fleet::config::table(path, &text)?;
+    let File { store: t } = crate::fleet::config::parse_table(path, &text)?;
     if !(10..=1_000_000).contains(&t.remember_s) {
         return Err(fault("store.remember-s: from 10 to 1,000,000".into()));
     }
     if !(16..=1_000_000).contains(&t.budget_mb) {
         return Err(fault("store.budget-mb: from 16 to 1,000,000".into()));
     }
-    let Table { folder, same_by, remember_s, budget_mb, sync, when_failed } = t;
-    Ok(Config { folder, same_by, remember_s, budget_mb, sync, when_failed })
+    let Table { folder, dedup_key, remember_s, budget_mb, sync, when_failed } = t;
+    Ok(Config { folder, dedup_key, remember_s, budget_mb, sync, when_failed })
 }
 
-fn limits(span: Age, budget_mb: u64, sync: Sync) -> Limits {
+fn limits(span: StoreTime, budget_mb: u64, sync: Sync) -> Limits {
     let sync = sync == Sync::Group;
     Limits { budget: budget_mb << 20, spans: vec![(FATE, span)], sync, ..Limits::default() }
 }
 
 /// What is to be kept.
-pub enum Note {
-    Fate(Keep, Option<PersistTicket>),
+pub enum StoreRecord {
+    Outcome(OutcomeRecord, Option<PersistTicket>),
     /// The list as it stands now.
     List(List),
     /// Discovery was heard, and the list stands.
-    Heard,
+    ListConfirmed,
 }
 
 /// Whose store it is, and which folder it was made in: a copy is another.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
     node: String,
-    place: Identity,
+    place: FileIdentity,
 }
 
 /// When something was kept.
@@ -154,18 +155,18 @@
 
 impl Stamp {
     fn now() -> Vec<u8> {
-        let Kept { boot, at } = begin::stamp();
+        let BootTimestamp { boot, at } = staged_start::boot_timestamp();
         serde_json::to_vec(&Self { boot, at }).unwrap_or_default()
     }
 }
 
-pub struct Keeper {
+pub struct NodeStore {
     store: Store<Folder>,
     config: Config,
-    age: Age,
-    fates: Vec<Keep>,
+    age: StoreTime,
+    fates: Vec<OutcomeRecord>,
     list: Option<List>,
-    heard: Option<Kept>,
+    heard: Option<BootTimestamp>,
     /// One before it was lost: what that one sent is not known.
     lost: bool,
 }
@@ -175,7 +176,7 @@
     Op::Put { kind: LOST, key: b"lost".to_vec(), value: Vec::new(), at: 0 }
 }
 
-fn owner_mark(node: &str, place: Identity) -> Op {
+fn owner_mark(node: &str, place: FileIdentity) -> Op {
     let value = serde_json::to_vec(&Owner { node: node.to_owned(), place }).unwrap_or_default();
     Op::Put { kind: OWNER, key: b"owner".to_vec(), value, at: 0 }
 }
@@ -186,7 +187,7 @@
     store.get(kind, &entry.key).ok().flatten()
 }
 
-impl Keeper {
+impl NodeStore {
     /// Opens the store, and reads what it holds.
     ///
     /// # Errors
@@ -205,26 +206,29 @@
         let path = config.folder.clone();
         let folder = Folder::open(&path).map_err(|e| fault(&e.into()))?;
         let limits = || limits(config.remember_s * 1_000_000_000, config.budget_mb, config.sync);
-        let died = tries::enter(&path).map_err(|e| fault(&e.into()))?;
+        let died = start_attempts::record_attempt(&path).map_err(|e| fault(&e.into()))?;
         let (mut store, mut fates) = if died >= TRIES {
             let whole = |name: &str| name != "lock" && name != "tries";
-            let aside = tries::set_aside(&path, whole).map_err(|e| fault(&e.into()))?;
+            let aside = start_attempts::quarantine_files(&path, whole).map_err(|e| fault(&e.into()))?;
             tracing::error!(aside = %aside.display(), "starts died reading the store: set aside, a new one is begun");
             let mut store =
-                Store::open(folder, limits(), true, crate::fleet::draw()).map_err(|e| fault(&e))?;
+                Store::open(folder, limits(), true, crate::fleet::random_u64()).map_err(|e| fault(&e))?;
             store.commit(&[lost_mark()], 0).map_err(|e| fault(&e))?;
             (store, Vec::new())
         } else {
             let opened = Store::open(folder, limits(), false, 0);
-            let store = opened.inspect_err(|_| tries::leave(&path)).map_err(|e| fault(&e))?;
-            let fates = fates_of(&store).inspect_err(|_| tries::leave(&path)).map_err(|e| fault(&e))?;
+            let store =
+                opened.inspect_err(|_| start_attempts::clear_attempts(&path)).map_err(|e| fault(&e))?;
+            let fates = fates_of(&store)
+                .inspect_err(|_| start_attempts::clear_attempts(&path))
+                .map_err(|e| fault(&e))?;
             (store, fates)
         };
-        tries::leave(&path);
-        let place_now = identity(&path.join("lock")).map_err(|e| fault(&e.into()))?;
+        start_attempts::clear_attempts(&path);
+        let place_now = file_identity(&path.join("lock")).map_err(|e| fault(&e.into()))?;
         match only(&store, OWNER).map(|known| serde_json::from_slice::<Owner>(&known).ok()) {
             None => store.commit(&[owner_mark(node, place_now)], 0).map_err(|e| fault(&e))?,
-            Some(Some(o)) if o.node == node && same(&o.place, &place_now) => {}
+            Some(Some(o)) if o.node == node && same_file(&o.place, &place_now) => {}
             Some(known) => {
                 let whose = match known {
                     Some(o) if o.node == node => {
@@ -241,7 +245,7 @@
         fates.sort_by_key(|k| k.at);
         let list = only(&store, LIST).and_then(|text| List::read(&text).ok());
         let heard: Option<Stamp> = only(&store, HEARD).and_then(|text| serde_json::from_slice(&text).ok());
-        let heard = heard.map(|Stamp { boot, at }| Kept { boot, at });
+        let heard = heard.map(|Stamp { boot, at }| BootTimestamp { boot, at });
         let lost = only(&store, LOST).is_some();
         // No clock of day is asked: only the time in which nodes ran makes anything old.
         let age = fates.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
@@ -252,19 +256,19 @@
     #[must_use]
     pub fn list(&self, within: u64) -> Option<(List, bool)> {
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
-        let age = self.heard.and_then(|kept| kept.age(&begin::stamp()));
+        let age = self.heard.and_then(|kept| kept.age(&staged_start::boot_timestamp()));
         tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
-        Some((list, fresh(age, within)))
+        Some((list, is_fresh(age, within)))
     }
 
     /// What the reducer is to know of it. `memory` is what the program may have, in bytes.
-    pub fn tell(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
+    pub fn restore_into(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
         let span = self.config.remember_s * 1_000_000_000;
-        let mut fates = Fates::new(span, usize::MAX, memory / MEMORY_PART);
+        let mut fates = OutcomeTable::new(span, usize::MAX, memory / MEMORY_PART);
         fates.restore(std::mem::take(&mut self.fates));
-        fates.forget(self.age);
+        fates.expire(self.age);
         tracing::info!(known = fates.len(), folder = %self.config.folder.display(), "store read");
-        let by_stamp = self.config.same_by == SameBy::IdempotencyKey;
+        let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
         // Whoever waits for what the one before had taken notices at once, and asks again within its own cut-off.
         let doubtful = if self.lost { now + longest_cut_off + LOST_SLACK } else { 0 };
         if self.lost {
@@ -280,15 +284,15 @@
     }
 
     /// Runs the thread that writes, and returns where to send what is to be written.
-    pub fn run(self) -> (Sender<Note>, Writer) {
+    pub fn into_writer(self) -> (Sender<StoreRecord>, StoreWriter) {
         let (to, from) = channel();
-        (to, Writer { keeper: self, from })
+        (to, StoreWriter { keeper: self, from })
     }
 }
 
-pub struct Writer {
-    keeper: Keeper,
-    from: Receiver<Note>,
+pub struct StoreWriter {
+    keeper: NodeStore,
+    from: Receiver<StoreRecord>,
 }
 
 /// Beyond the longest cut-off, for clients and networks.
@@ -297,8 +301,9 @@
 const STAMPED: Duration = Duration::from_millis(500);
 
 /// The fates that are kept.
-fn fates_of(store: &Store<Folder>) -> Result<Vec<Keep>, Fault> {
-    let poisoned = crate::fleet::fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
+fn fates_of(store: &Store<Folder>) -> Result<Vec<OutcomeRecord>, Fault> {
+    let poisoned =
+        crate::fleet::injected_fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
     let mut fates = Vec::new();
     store.each(|entry, value| {
         if poisoned.as_ref().is_some_and(|key| entry.kind == FATE && entry.key.starts_with(key.as_bytes())) {
@@ -306,14 +311,14 @@
         }
         if entry.kind == FATE {
             // Of a later version: it may have run, for all that this one can tell.
-            let fate = Fate::from_bytes(&value).unwrap_or(Fate::MayHaveRun);
-            fates.push(Keep { key: entry.key.into(), fate, at: entry.at });
+            let fate = StoredOutcome::from_bytes(&value).unwrap_or(StoredOutcome::MayHaveRun);
+            fates.push(OutcomeRecord { key: entry.key.into(), outcome: fate, at: entry.at });
         }
     })?;
     Ok(fates)
 }
 
-impl Writer {
+impl StoreWriter {
     /// Writes for as long as the program runs; nothing in a coroutine waits for it.
     pub fn start(self, node: Arc<Node>) {
         std::thread::spawn(move || self.work(&node));
@@ -328,10 +333,10 @@
             if failure.as_mut().is_some_and(|failure| failure.may_be_over(&mut keeper.store, record.last)) {
                 tracing::info!("store takes records again");
                 failure = None;
-                node.feed(Input::StoreRecovered);
+                node.handle_input(Input::StoreRecovered);
             }
             let mut ops: Vec<Op> = group.iter().filter_map(|note| record.op(note)).collect();
-            if keeper.lost && failure.is_none() && node.sure() {
+            if keeper.lost && failure.is_none() && node.outcomes_complete() {
                 keeper.lost = false;
                 ops.push(Op::Remove { kind: LOST, key: b"lost".to_vec() });
             }
@@ -347,15 +352,15 @@
             }
             for note in group {
                 match note {
-                    Note::Fate(_, Some(ticket)) => {
-                        node.feed(Input::Persisted { ticket, durable: failure.is_none() });
+                    StoreRecord::Outcome(_, Some(ticket)) => {
+                        node.handle_input(Input::Persisted { ticket, durable: failure.is_none() });
                     }
-                    Note::Fate(keep, None) => {
+                    StoreRecord::Outcome(keep, None) => {
                         if let Some(failure) = &mut failure {
                             failure.owe(&keep);
                         }
                     }
-                    Note::List(_) | Note::Heard => {}
+                    StoreRecord::List(_) | StoreRecord::ListConfirmed => {}
                 }
             }
         }
@@ -364,7 +369,7 @@
 
 /// All that came while the group before was at the disk goes together. While the store has failed it may be empty: then it
 /// is time to look whether the disk is back. None once nobody is left who writes.
-fn next_group(from: &Receiver<Note>, failure: Option<&Failure>) -> Option<Vec<Note>> {
+fn next_group(from: &Receiver<StoreRecord>, failure: Option<&Failure>) -> Option<Vec<StoreRecord>> {
     let first = match failure {
         None => from.recv().ok()?,
         Some(failure) => match from.recv_timeout(failure.pause) {
@@ -376,26 +381,26 @@
     Some(std::iter::once(first).chain(from.try_iter().take(GROUP - 1)).collect())
 }
 
-fn put(kind: u8, key: &[u8], value: Vec<u8>, at: Age) -> Op {
+fn put(kind: u8, key: &[u8], value: Vec<u8>, at: StoreTime) -> Op {
     Op::Put { kind, key: key.to_vec(), value, at }
 }
 
 /// Makes records of notes.
 struct Record {
     /// The age of the youngest.
-    last: Age,
+    last: StoreTime,
     /// When it was last written down that discovery was heard.
     stamped: Option<Instant>,
 }
 
 impl Record {
-    fn op(&mut self, note: &Note) -> Option<Op> {
+    fn op(&mut self, note: &StoreRecord) -> Option<Op> {
         match note {
-            Note::Fate(keep, _) => {
+            StoreRecord::Outcome(keep, _) => {
                 self.last = self.last.max(keep.at);
-                Some(put(FATE, &keep.key, keep.fate.to_bytes(), keep.at))
+                Some(put(FATE, &keep.key, keep.outcome.to_bytes(), keep.at))
             }
-            Note::List(list) => {
+            StoreRecord::List(list) => {
                 let text = list.write();
                 if text.len() + 64 < LARGEST {
                     return Some(put(LIST, b"list", text, self.last));
@@ -403,8 +408,8 @@
                 tracing::warn!(bytes = text.len(), "the list is too long to be kept");
                 None
             }
-            Note::Heard if self.stamped.is_some_and(|at| at.elapsed() < STAMPED) => None,
-            Note::Heard => {
+            StoreRecord::ListConfirmed if self.stamped.is_some_and(|at| at.elapsed() < STAMPED) => None,
+            StoreRecord::ListConfirmed => {
                 self.stamped = Some(Instant::now());
                 Some(put(HEARD, b"heard", Stamp::now(), self.last))
             }
@@ -431,14 +436,14 @@
         Self { pause: TRY_AGAIN, tried: Instant::now(), owed: Vec::new() }
     }
 
-    fn owe(&mut self, keep: &Keep) {
+    fn owe(&mut self, keep: &OutcomeRecord) {
         if self.owed.len() < MOST_OWED {
-            self.owed.push(put(FATE, &keep.key, keep.fate.to_bytes(), keep.at));
+            self.owed.push(put(FATE, &keep.key, keep.outcome.to_bytes(), keep.at));
         }
     }
 
     /// Tries whether the disk takes what came meanwhile, if it is time. True if it does.
-    fn may_be_over(&mut self, store: &mut Store<Folder>, now: Age) -> bool {
+    fn may_be_over(&mut self, store: &mut Store<Folder>, now: StoreTime) -> bool {
         if self.tried.elapsed() < self.pause {
             return false;
         }
@@ -481,7 +486,7 @@
 /// What went wrong, for people.
 pub fn run(command: &Command) -> Result<(), String> {
     let any = || limits(u64::MAX, 1 << 20, Sync::Group);
-    let seed = crate::fleet::draw();
+    let seed = crate::fleet::random_u64();
     let folder = |path: &Path| Folder::open(path).map_err(|e| format!("{}: {e}", path.display()));
     let told = |path: &Path, e: &Fault| format!("{}: {e}", path.display());
     match command {
@@ -516,7 +521,9 @@
             for (entry, value) in entries {
                 let key = String::from_utf8_lossy(&entry.key);
                 let word = match entry.kind {
-                    FATE => Fate::from_bytes(&value).map_or("not understood", |f| f.word()).to_owned(),
+                    FATE => {
+                        StoredOutcome::from_bytes(&value).map_or("not understood", |f| f.as_str()).to_owned()
+                    }
                     _ => String::from_utf8_lossy(&value).into_owned(),
                 };
                 println!("{:.3} {} {key} {word}", entry.at as f64 / 1e9, entry.kind);
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -18,7 +18,7 @@
     text.replace(change.0, change.1)
 }
 
-fn read(path: Option<&str>, listen: Option<&str>, text: &str) -> Result<config::Config, config::Fault> {
+fn read(path: Option<&str>, listen: Option<&str>, text: &str) -> Result<config::Config, config::ConfigError> {
     let variable = |key: &str| match key {
         "PROXY_CONFIG" => path.map(str::to_owned),
         "PROXY_LISTEN" => listen.map(str::to_owned),
@@ -36,7 +36,7 @@
 #[case(Some("debug"), Some("DEBUG"))]
 #[case(Some("loud"), None)]
 fn the_log_s_level_is_read(#[case] set: Option<&str>, #[case] level: Option<&str>) {
-    let found = config::level(|key| set.filter(|_| key == "PROXY_LOG").map(str::to_owned));
+    let found = config::log_level(|key| set.filter(|_| key == "PROXY_LOG").map(str::to_owned));
     assert_eq!(found.as_ref().ok().map(ToString::to_string).as_deref(), level);
     assert!(found.err().is_none_or(|fault| fault.key == "PROXY_LOG"));
 }
@@ -84,9 +84,12 @@
     };
     let present = config::read(variable, |_| Ok(file(("n0", "n0")))).unwrap();
     assert_eq!(present.discovery.port(), 3);
-    let newer = config::again(&present, variable, |_| Ok(file(change))).unwrap();
-    assert_eq!((newer.discovery.port(), present.restart_for(&newer).as_slice()), (discovery, keys));
-    let fault = config::again(&present, variable, |_| Ok(file(("127.0.0.1:2", "here")))).unwrap_err();
+    let newer = config::reread(&present, variable, |_| Ok(file(change))).unwrap();
+    assert_eq!(
+        (newer.discovery.port(), present.keys_requiring_restart(&newer).as_slice()),
+        (discovery, keys)
+    );
+    let fault = config::reread(&present, variable, |_| Ok(file(("127.0.0.1:2", "here")))).unwrap_err();
     assert_eq!(fault.key, "discovery");
 }
 
@@ -144,7 +147,7 @@
     let id = if keys.contains(&"fleet.id") { "a b" } else { "f" };
     let folder = if lines.contains("folder") { "" } else { "folder = \"x\"\n" };
     let (_held, path) = written(&format!("[fleet]\nid = \"{id}\"\nmember = \"n0\"\n{folder}{lines}\n"));
-    let why = linestack::fleet::config::fleet(&path).unwrap_err();
+    let why = linestack::fleet::config::read_fleet(&path).unwrap_err();
     assert!(keys.iter().all(|key| why.contains(key)), "{why}");
 }
 
@@ -157,7 +160,7 @@
     let peers = "peers = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]";
     let text = "[coordinator]\nfleet = \"f\"\nlisten = \"127.0.0.1:0\"\nfolder = \"x\"\nfirst-policy = \"y\"";
     let (_held, path) = written(&format!("{text}\n{peers}\n{lines}\n"));
-    let why = linestack::fleet::config::coordinator(&path).unwrap_err();
+    let why = linestack::fleet::config::read_coordinator(&path).unwrap_err();
     assert!(keys.iter().all(|key| why.contains(key)), "{why}");
 }
 
@@ -165,7 +168,7 @@
 #[test]
 fn shipped_files_are_read() {
     let deploy = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    linestack::fleet::config::fleet(&deploy.join("fleet.toml")).unwrap();
-    linestack::fleet::config::coordinator(&deploy.join("coordinator.toml")).unwrap();
-    linestack::keep::config(&deploy.join("store.toml")).unwrap();
+    linestack::fleet::config::read_fleet(&deploy.join("fleet.toml")).unwrap();
+    linestack::fleet::config::read_coordinator(&deploy.join("coordinator.toml")).unwrap();
+    linestack::persistence::read_config(&deploy.join("store.toml")).unwrap();
 }
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -1,76 +1,90 @@
-//! The simulator's wire: batches of events in, replies out.
+//! The binary protocol of the simulator: batches of events come in, replies with actions go out. Numbers are big-endian.
 //!
-//! Ids stay as the wire gives them here; the host maps them to linestack's small indices.
+//! A batch has a header, event records of a fixed length and a tail, to which records refer by offset and length. A reply
+//! has a header and action records of a fixed length. Ids are passed on as the wire has them, also `call`, the
+//! simulator's id of a submission; the host maps them to linestack's small indices.
 
 use std::io::{self, Read, Write};
 
 use linestack_dispatch::types::{Health, Job, ListKind, Nanos, Outcome};
-use linestack_settings::{Settings, nanos};
+use linestack_settings::{Settings, nanos_from_millis};
 use thiserror::Error;
 
-const HEADER: usize = 20;
-const EVENT: usize = 56;
-const ACTION: usize = 24;
-const ENTRY: usize = 23;
+/// The length of a batch's header, in bytes.
+const BATCH_HEADER_LENGTH: usize = 20;
+/// The length of an event record, in bytes.
+const EVENT_LENGTH: usize = 56;
+/// The length of an action record, in bytes.
+const ACTION_LENGTH: usize = 24;
+/// The length of a list entry in the tail, in bytes.
+const LIST_ENTRY_LENGTH: usize = 23;
 
+/// The input is not valid.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum WireError {
     #[error("the frame after batch {after} is cut short: {found} of {wanted} bytes")]
-    CutShort { after: u32, found: usize, wanted: usize },
+    Truncated { after: u32, found: usize, wanted: usize },
     #[error("batch {batch}: {records} records do not fit in {length} bytes")]
-    Length { batch: u32, records: u32, length: u32 },
+    RecordsTooLong { batch: u32, records: u32, length: u32 },
     #[error("batch {batch}: record {record} has the unknown event code {code}")]
-    Code { batch: u32, record: u32, code: u8 },
+    UnknownEvent { batch: u32, record: u32, code: u8 },
     #[error("batch {batch}: record {record} points outside the tail ({offset} + {length} of {tail} bytes)")]
-    Tail { batch: u32, record: u32, offset: u32, length: u64, tail: usize },
-    #[error("batch {batch}: the start text is not usable: {why}")]
-    Start { batch: u32, why: linestack_settings::Fault },
-    #[error("batch {batch}: record {record} has the unknown {what} {value}")]
-    Value { batch: u32, record: u32, what: &'static str, value: u8 },
-    #[error("after batch {after}: {why}")]
-    Io { after: u32, why: io::Error },
+    OutsideTail { batch: u32, record: u32, offset: u32, length: u64, tail: usize },
+    #[error("batch {batch}: the start text is not usable: {error}")]
+    Settings { batch: u32, error: linestack_settings::SettingsError },
+    #[error("batch {batch}: record {record} has the unknown {field} {value}")]
+    UnknownValue { batch: u32, record: u32, field: &'static str, value: u8 },
+    #[error("after batch {after}: {error}")]
+    Io { after: u32, error: io::Error },
 }
 
-/// A line of a list, with the wire's own id.
+/// An entry of a list of executors, with the executor's id on the wire.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListEntry {
     pub executor: u32,
     pub health: Health,
     pub kind: u16,
     pub zone: u16,
     pub cell: u16,
+    /// The time of the last start.
     pub started: Nanos,
-    /// What the list calls scale; 0 where it makes no sense.
+    /// The entry's `scale` on the wire; 0 if that is negative or not finite.
     pub weight: f32,
 }
 
-/// Up to four figures of a load report, in the order of the site's fields.
+/// Up to four figures of a load report, in the order of the report fields in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct ReportFigures {
     count: u8,
     values: [f32; 4],
 }
 
+/// An event from the simulator.
 #[derive(Debug)]
 pub enum Incoming {
-    Begin(Box<Settings>),
+    /// The instance starts with these settings.
+    Start(Box<Settings>),
+    /// The instance was killed; its state is dropped.
     Killed,
-    Listed {
+    ListReceived {
         kind: ListKind,
-        entries: Vec<Entry>,
+        entries: Vec<ListEntry>,
     },
     Submitted {
         call: u64,
         job: Job,
     },
-    Left {
+    /// The client left, or was answered by others.
+    ClientLeft {
         call: u64,
     },
+    /// The answer has begun; the deadline does not apply any longer.
     Streaming {
         call: u64,
         execution: u16,
     },
-    Noted {
+    /// The job has started or made progress.
+    Progressed {
         call: u64,
         execution: u16,
     },
@@ -81,43 +95,72 @@
         outcome: Outcome,
         closed: bool,
         took: Nanos,
-        figures: Figures,
+        figures: ReportFigures,
     },
     Probed {
         executor: u32,
+        /// None if the executor rejected the probe because it gets too many.
         answered: Option<bool>,
-        figures: Figures,
+        figures: ReportFigures,
     },
-    Rang {
-        token: u64,
+    TimerFired {
+        timer_id: u64,
     },
-    /// A message from another node; nothing here acts on one.
-    Peer,
+    /// A message from another node. It is not handled.
+    PeerMessage,
 }
 
+/// An action for the simulator.
 #[derive(Clone, Copy, Debug)]
 pub enum Outgoing {
-    Cancel { call: u64, execution: u16 },
-    Ring { at: Nanos, token: u64 },
-    Probe { executor: u32 },
-    Abort { call: u64 },
-    Execute { call: u64, timeout: Nanos, executor: u32 },
-    Release { executor: u32 },
+    Cancel {
+        call: u64,
+        execution: u16,
+    },
+    SetTimer {
+        at: Nanos,
+        timer_id: u64,
+    },
+    Probe {
+        executor: u32,
+    },
+    Abort {
+        call: u64,
+    },
+    Execute {
+        call: u64,
+        timeout: Nanos,
+        executor: u32,
+    },
+    CloseIdleConnections {
+        executor: u32,
+    },
+    /// Request the changes of the list from now on.
     Subscribe,
-    Dismiss { call: u64, come_back: Nanos },
+    Dismiss {
+        call: u64,
+        retry_after: Nanos,
+    },
 }
 
+/// A batch of events at one time of the simulator's clock.
 #[derive(Default)]
 pub struct Batch {
+    /// The simulator's time.
     pub clock: Nanos,
+    /// The number of the batch, which its reply repeats.
     pub number: u32,
     records: u32,
     body: Vec<u8>,
 }
 
 impl Batch {
-    /// Reads the next batch in place of this one. False at a clean end of the input.
-    pub fn read(&mut self, input: &mut impl Read) -> Result<bool, Fault> {
+    /// Replaces this batch by the next one of the input. Returns false at the regular end of the input.
+    ///
+    /// # Errors
+    ///
+    /// The input fails or ends within a batch, or the lengths in the header contradict each other.
+    pub fn read(&mut self, input: &mut impl Read) -> Result<bool, WireError> {
         let after = self.number;
         let mut fill = |body: &mut Vec<u8>, wanted: usize| {
             body.clear();
@@ -125,46 +168,46 @@
                 .by_ref()
                 .take(wanted as u64)
                 .read_to_end(body)
-                .map_err(|why| Fault::Io { after, why })?;
+                .map_err(|error| WireError::Io { after, error })?;
             Ok(found)
         };
-        let found = fill(&mut self.body, HEADER)?;
+        let found = fill(&mut self.body, BATCH_HEADER_LENGTH)?;
         if found == 0 {
             return Ok(false);
         }
-        if found < HEADER {
-            return Err(Fault::CutShort { after, found, wanted: HEADER });
+        if found < BATCH_HEADER_LENGTH {
+            return Err(WireError::Truncated { after, found, wanted: BATCH_HEADER_LENGTH });
         }
         let header = Fields(&self.body);
         let (clock, length, records, number) = (header.f64(0), header.u32(8), header.u32(12), header.u32(16));
-        (self.clock, self.records, self.number) = (nanos(clock), records, number);
-        if u64::from(records) * EVENT as u64 > u64::from(length) {
-            return Err(Fault::Length { batch: number, records, length });
+        (self.clock, self.records, self.number) = (nanos_from_millis(clock), records, number);
+        if u64::from(records) * EVENT_LENGTH as u64 > u64::from(length) {
+            return Err(WireError::RecordsTooLong { batch: number, records, length });
         }
         let found = fill(&mut self.body, length as usize)?;
         if found < length as usize {
-            return Err(Fault::CutShort { after, found, wanted: length as usize });
+            return Err(WireError::Truncated { after, found, wanted: length as usize });
         }
         Ok(true)
     }
 
-    /// The events with the numbers of the instances that they are for.
-    pub fn events(&self) -> impl Iterator<Item = Result<(u16, Incoming), Fault>> {
+    /// Decodes the events. Each comes with the number of the instance that it is for.
+    pub fn events(&self) -> impl Iterator<Item = Result<(u16, Incoming), WireError>> {
         (0..self.records).map(|record| self.event(record))
     }
 
-    fn event(&self, record: u32) -> Result<(u16, Incoming), Fault> {
-        let f = Fields(&self.body[record as usize * EVENT..][..EVENT]);
-        let value = |what, value| Fault::Value { batch: self.number, record, what, value };
+    fn event(&self, record: u32) -> Result<(u16, Incoming), WireError> {
+        let f = Fields(&self.body[record as usize * EVENT_LENGTH..][..EVENT_LENGTH]);
+        let unknown = |field, value| WireError::UnknownValue { batch: self.number, record, field, value };
         let event = match f.u8(0) {
             1 => Incoming::Submitted {
                 call: f.u64(3),
                 job: Job {
                     product: f.u8(11),
                     tenant: f.u16(12),
-                    cut_off: nanos(f.f64(22)),
-                    slots: positive(f.f32(38)).filter(|s| *s > 0.0).unwrap_or(1.0).into(),
-                    memory: positive(f.f32(42)).unwrap_or(0.0).into(),
+                    deadline: nanos_from_millis(f.f64(22)),
+                    slots: non_negative(f.f32(38)).filter(|s| *s > 0.0).unwrap_or(1.0).into(),
+                    memory: non_negative(f.f32(42)).unwrap_or(0.0).into(),
                 },
             },
             2 => Incoming::Probed {
@@ -183,71 +226,77 @@
                 executor: f.u32(28),
                 outcome: outcome(f.u16(13)),
                 closed: f.u8(19) != 0,
-                took: nanos(f.f64(20)),
+                took: nanos_from_millis(f.f64(20)),
                 figures: f.figures(32),
             },
-            5 => Incoming::Noted { call: f.u64(3), execution: f.u16(11) },
+            5 => Incoming::Progressed { call: f.u64(3), execution: f.u16(11) },
             6 => {
                 let kind = match f.u8(3) {
                     0 => ListKind::Changes,
                     1 => ListKind::Whole,
                     2 => ListKind::Cached,
                     3 => ListKind::Failed,
-                    other => return Err(value("kind of list", other)),
+                    other => return Err(unknown("kind of list", other)),
                 };
-                let bytes = self.tail(record, f.u32(8), u64::from(f.u32(12)) * ENTRY as u64)?;
-                let entries = bytes.chunks_exact(ENTRY).map(|entry| {
+                let bytes = self.tail(record, f.u32(8), u64::from(f.u32(12)) * LIST_ENTRY_LENGTH as u64)?;
+                let entries = bytes.chunks_exact(LIST_ENTRY_LENGTH).map(|entry| {
                     let e = Fields(entry);
                     let health = match e.u8(6) {
                         1 => Health::Draining,
                         2 => Health::Ready,
                         3 => Health::Gone,
-                        other => return Err(value("health", other)),
+                        other => return Err(unknown("health", other)),
                     };
-                    Ok(Entry {
+                    Ok(ListEntry {
                         executor: e.u32(15),
                         health,
                         kind: e.u16(4),
                         zone: e.u16(21),
                         cell: e.u16(19),
-                        started: nanos(e.f64(7)),
-                        weight: positive(e.f32(0)).unwrap_or(0.0),
+                        started: nanos_from_millis(e.f64(7)),
+                        weight: non_negative(e.f32(0)).unwrap_or(0.0),
                     })
                 });
-                Incoming::Listed { kind, entries: entries.collect::<Result<_, _>>()? }
+                Incoming::ListReceived { kind, entries: entries.collect::<Result<_, _>>()? }
             }
             7 => {
                 let text = self.tail(record, f.u32(11), u64::from(f.u32(15)))?;
                 let start = linestack_settings::read(text, f.u64(3));
-                let start = start.map_err(|why| Fault::Start { batch: self.number, why })?;
-                Incoming::Begin(Box::new(start))
+                let start = start.map_err(|error| WireError::Settings { batch: self.number, error })?;
+                Incoming::Start(Box::new(start))
             }
             8 => {
                 self.tail(record, f.u32(7), u64::from(f.u32(11)))?;
-                Incoming::Peer
+                Incoming::PeerMessage
             }
             9 => Incoming::Streaming { call: f.u64(3), execution: f.u16(15) },
-            10 => Incoming::Rang { token: f.u64(3) },
-            11 => Incoming::Left { call: f.u64(3) },
-            code => return Err(Fault::Code { batch: self.number, record, code }),
+            10 => Incoming::TimerFired { timer_id: f.u64(3) },
+            11 => Incoming::ClientLeft { call: f.u64(3) },
+            code => return Err(WireError::UnknownEvent { batch: self.number, record, code }),
         };
         Ok((f.u16(1), event))
     }
 
-    fn tail(&self, record: u32, offset: u32, length: u64) -> Result<&[u8], Fault> {
-        let tail = &self.body[self.records as usize * EVENT..];
+    fn tail(&self, record: u32, offset: u32, length: u64) -> Result<&[u8], WireError> {
+        let tail = &self.body[self.records as usize * EVENT_LENGTH..];
         let (from, to) = (u64::from(offset), u64::from(offset) + length);
         if length == 0 {
             return Ok(&[]);
         }
         if to > tail.len() as u64 {
-            return Err(Fault::Tail { batch: self.number, record, offset, length, tail: tail.len() });
+            return Err(WireError::OutsideTail {
+                batch: self.number,
+                record,
+                offset,
+                length,
+                tail: tail.len(),
+            });
         }
         Ok(&tail[from as usize..to as usize])
     }
 }
 
-/// The reply to one batch; it is written whole or not at all.
+/// The reply to one batch: the actions of all instances, collected before they are written.
 #[derive(Default)]
 pub struct Reply {
     records: u32,
@@ -255,8 +304,9 @@
 }
 
 impl Reply {
+    /// Adds an action of an instance.
     pub fn push(&mut self, node: u16, action: Outgoing) {
-        let mut record = [0; ACTION];
+        let mut record = [0; ACTION_LENGTH];
         record[1..3].copy_from_slice(&node.to_be_bytes());
         let mut put = |at: usize, bytes: &[u8]| record[at..at + bytes.len()].copy_from_slice(bytes);
         let code = match action {
@@ -265,9 +315,9 @@
                 put(11, &execution.to_be_bytes());
                 1
             }
-            Outgoing::Ring { at, token } => {
+            Outgoing::SetTimer { at, timer_id } => {
                 put(3, &millis(at).to_be_bytes());
-                put(11, &token.to_be_bytes());
+                put(11, &timer_id.to_be_bytes());
                 2
             }
             Outgoing::Probe { executor } => {
@@ -278,7 +328,7 @@
                 put(3, &call.to_be_bytes());
                 5
             }
-            Outgoing::Release { executor } => {
+            Outgoing::CloseIdleConnections { executor } => {
                 put(3, &executor.to_be_bytes());
                 7
             }
@@ -292,9 +342,9 @@
                 put(3, &[1]);
                 10
             }
-            Outgoing::Dismiss { call, come_back } => {
+            Outgoing::Dismiss { call, retry_after } => {
                 put(3, &call.to_be_bytes());
-                put(11, &millis(come_back).to_be_bytes());
+                put(11, &millis(retry_after).to_be_bytes());
                 12
             }
         };
@@ -303,7 +353,11 @@
         self.body.extend_from_slice(&record);
     }
 
-    /// Writes the reply to the batch of this number and empties it for the next.
+    /// Writes the reply to the batch with this number and clears it for the next one.
+    ///
+    /// # Errors
+    ///
+    /// The output fails.
     pub fn write(&mut self, batch: u32, output: &mut impl Write) -> io::Result<()> {
         output.write_all(&self.records.to_be_bytes())?;
         output.write_all(&(self.body.len() as u32).to_be_bytes())?;
@@ -316,6 +370,7 @@
     }
 }
 
+/// Reads big-endian numbers at byte offsets of a record.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
@@ -347,34 +402,36 @@
         f64::from_be_bytes(self.bytes(at))
     }
 
-    fn figures(&self, at: usize) -> Figures {
-        Figures { count: self.u8(at), values: std::array::from_fn(|i| self.f32(at + 1 + 4 * i)) }
+    fn figures(&self, at: usize) -> ReportFigures {
+        ReportFigures { count: self.u8(at), values: std::array::from_fn(|i| self.f32(at + 1 + 4 * i)) }
     }
 }
 
-impl Figures {
+impl ReportFigures {
+    /// Returns the figure at this index, if the report has it.
     #[must_use]
-    pub fn get(&self, place: usize) -> Option<f32> {
-        self.values.get(place).filter(|_| place < usize::from(self.count)).copied()
+    pub fn get(&self, index: usize) -> Option<f32> {
+        self.values.get(index).filter(|_| index < usize::from(self.count)).copied()
     }
 }
 
-fn outcome(reason: u16) -> Outcome {
-    match reason {
-        200 => Outcome::Satisfied,
-        429 => Outcome::Full,
+/// Returns the outcome for a status of the wire.
+fn outcome(status: u16) -> Outcome {
+    match status {
+        200 => Outcome::Completed,
+        429 => Outcome::Overloaded,
         408 => Outcome::TimedOut,
         521 => Outcome::ConnectFailed,
         520 => Outcome::Reset,
         444 => Outcome::Cancelled,
         409 => Outcome::NotSent,
-        // What is not known may have run.
+        // After an unknown status the execution may have run.
         _ => Outcome::Error,
     }
 }
 
-fn positive(figure: f32) -> Option<f32> {
-    (figure.is_finite() && figure >= 0.0).then_some(figure)
+fn non_negative(number: f32) -> Option<f32> {
+    (number.is_finite() && number >= 0.0).then_some(number)
 }
 
 fn millis(nanos: Nanos) -> f64 {
