--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -25,6 +25,7 @@
     pub incomplete_until: Nanos,
 }
 
+/// The outcomes of one-shots, and the state of their store.
 pub(crate) struct OutcomeStore {
     outcomes: OutcomeTable,
     age: StoreTime,
