--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -18,7 +18,7 @@
         self.stats.executions += 1;
         let exchange = Exchange::Execution(submission, execution);
         let address = self.workers[worker as usize].address;
-        let permission = self.permit(Occasion::Order, worker, address, exchange);
+        let permission = self.permit(Occasion::Requested, worker, address, exchange);
         // The dispatcher's periodic work runs before the event that triggers it, so it may start a copy of a submission that
         // this very event completes.
         let completed_by_event = matches!(permission, Err(Refusal::Answered | Refusal::ClientLeft));
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -15,7 +15,7 @@
 pub struct StoredOutcomes {
     /// The outcomes by key.
     pub outcomes: OutcomeTable,
-    /// The age of the store when the node starts; the times of records are ages of the store.
+    /// The time of the store when the node starts. The times of records are times of the store.
     pub age: StoreTime,
     /// The time of the start on the node's clock.
     pub now: Nanos,
@@ -25,6 +25,7 @@
     pub incomplete_until: Nanos,
 }
 
+/// The outcomes of one-shots, and the state of their store.
 pub(crate) struct OutcomeStore {
     outcomes: OutcomeTable,
     age: StoreTime,
@@ -128,8 +129,8 @@
         }
     }
 
-    /// The age of the store now.
-    fn store_age(&self) -> StoreTime {
+    /// The time of the store now.
+    fn store_time(&self) -> StoreTime {
         self.outcome_store.as_ref().map_or(0, |store| store.age + self.now.saturating_sub(store.since))
     }
 
@@ -148,7 +149,7 @@
             return false;
         }
         let (serial, request) = (accepted.serial, Arc::clone(&accepted.request));
-        let (Some(key), now) = (self.outcome_key(&request), self.store_age()) else { return false };
+        let (Some(key), now) = (self.outcome_key(&request), self.store_time()) else { return false };
         let Some(store) = &mut self.outcome_store else { return false };
         store.pending_records += 1;
         let record = store.outcomes.record_sending(&key, now);
@@ -200,7 +201,7 @@
         if !self.is_one_shot(accepted.product) {
             return;
         }
-        let (Some(key), now) = (self.outcome_key(&accepted.request), self.store_age()) else { return };
+        let (Some(key), now) = (self.outcome_key(&accepted.request), self.store_time()) else { return };
         let store = self.outcome_store.as_mut();
         if let Some(record) = store.and_then(|store| store.outcomes.record_outcome(&key, outcome, now)) {
             self.effects.push(Effect::Persist { record, ticket: None });
@@ -209,7 +210,7 @@
 
     /// Forgets the outcomes that are past their retention time.
     pub(crate) fn expire_outcomes(&mut self) {
-        let now = self.store_age();
+        let now = self.store_time();
         if let Some(store) = &mut self.outcome_store {
             store.outcomes.expire(now);
         }
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -9,7 +9,7 @@
     #[must_use]
     pub fn peer_snapshot(&self, now: Nanos) -> Vec<ExecutorObservation> {
         let ready = self.workers.iter().filter(|w| w.health == Health::Ready);
-        let items = ready.filter_map(|w| {
+        let observations = ready.filter_map(|w| {
             let (at, answered, report) = w.last_observation?;
             let figures = report.map(|r| LoadFigures {
                 free_slots: r.free_slots,
@@ -20,7 +20,7 @@
             let age_ms = now.saturating_sub(at) / 1_000_000;
             Some(ExecutorObservation { name: w.name.to_string(), age_ms, unresponsive: !answered, figures })
         });
-        items.collect()
+        observations.collect()
     }
 
     /// What this node knows about the executor with this name.
@@ -42,8 +42,8 @@
     /// Passes the observations of a peer to the dispatcher, each like the result of a probe.
     ///
     /// That the peer got an answer is not passed on: it does not prove that this node would get one.
-    pub(crate) fn peer_observations(&mut self, items: Vec<Observation>) {
-        for Observation { name, unresponsive, figures } in items {
+    pub(crate) fn peer_observations(&mut self, observations: Vec<Observation>) {
+        for Observation { name, unresponsive, figures } in observations {
             let Some(worker) = self.workers_by_name.get(name.as_str()).copied() else { continue };
             if self.workers[worker as usize].health != Health::Ready {
                 continue;
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Occasion {
     /// The dispatcher starts an execution.
-    Order,
+    Requested,
     /// A connection is available for it.
     Connected,
     /// The record that it may have run is durable.
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Order => "order",
+            Self::Requested => "order",
             Self::Connected => "connected",
             Self::Durable => "durable",
             Self::Reconnect => "reconnect",
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -44,7 +44,7 @@
     /// Does what is due at a timer that was set for `at`.
     pub(crate) fn timer_fired(&mut self, at: Nanos, timer: Timer) {
         match timer {
-            Timer::Dispatcher(token) => self.pending_events.push_back(Event::TimerFired { timer_id: token }),
+            Timer::Dispatcher(timer_id) => self.pending_events.push_back(Event::TimerFired { timer_id }),
             Timer::Connection(connection) => {
                 let Some(state) = self.connections.get_mut(&connection).filter(|c| c.limit.armed == at)
                 else {
