--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -136,7 +136,7 @@
     scheduler.set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(STACK_POOL_SIZE);
     // With pinning, all nodes on one machine would be pinned to its first core.
     scheduler.set_worker_pin(false);
-    let (done, finished) = std::sync::mpsc::channel();
+    let (exit_sender, exit_receiver) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
     let memory = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX);
     let opened = |path: String| keep::config(Path::new(&path)).and_then(|config| Keeper::open(config, &name));
@@ -216,7 +216,7 @@
         audit_log,
         store_records: keeper,
         exit: Box::new(move || {
-            let _ = done.send(());
+            let _ = exit_sender.send(());
         }),
     };
     let node = Node::new(core, parts);
@@ -274,7 +274,7 @@
                 std::process::exit(1);
             }
         });
-        let _ = finished.recv();
+        let _ = exit_receiver.recv();
         tracing::info!("stopped");
         break;
     }
