--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,24 +7,24 @@
         if !$holds {
             debug_assert!(false, $what);
             $core.stats.broken += 1;
-            $core.effects.push(Effect::Fault($what));
+            $core.effects.push(Effect::InvariantBroken($what));
         }
     };
 }
 
 mod clients;
+mod connections;
 mod eviction;
 mod executions;
-mod fates;
 mod first_list;
-mod hearsay;
 mod io;
-mod limits;
-mod links;
 mod list;
+mod outcomes;
+mod peer_observations;
 mod permission;
-mod started;
-mod starting;
+mod staged_start;
+mod start_times;
+mod timers;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -34,8 +34,8 @@
 use bytes::Bytes;
 use linestack_dispatch::decide::Dispatcher;
 use linestack_dispatch::types::{
-    Decide, Ending, Event, Execution, Health, Job, ListKind, Listing, Order, Product, Report, Submission,
-    Worker,
+    Action, Decide, Ending, Event, Execution, Health, Job, ListKind, Product, Report, Submission, Worker,
+    WorkerEntry,
 };
 use linestack_settings::Settings;
 
@@ -43,11 +43,11 @@
 
 use first_list::ListState;
 
-pub use fates::{Remembered, Ticket};
 pub use io::*;
 pub use linestack_dispatch::types::{Nanos, Outcome};
+pub use outcomes::{PersistTicket, StoredOutcomes};
 pub use permission::{Occasion, Refusal, Refusals};
-pub use started::ListClocks;
+pub use start_times::ListClocks;
 
 const SECOND: Nanos = 1_000_000_000;
 const DAY: Nanos = 86_400 * SECOND;
@@ -105,8 +105,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Ring(u64),
-    Link(Link),
-    Client(Client),
+    Link(ConnectionId),
+    Client(ClientId),
     CutOff(Submission, u64),
     Watch,
     Refuse,
@@ -119,7 +119,7 @@
     /// The start may go on by time alone.
     Stage,
     /// A connection's turn has come.
-    Open(Link),
+    Open(ConnectionId),
     /// Clients hold all the room.
     Room,
 }
@@ -151,7 +151,7 @@
 struct Taken {
     /// Told apart from those that had this index before.
     number: u64,
-    client: Option<Client>,
+    client: Option<ClientId>,
     /// It left before it was answered.
     client_left: bool,
     /// Of the terms that held when it was taken; it keeps it to its end.
@@ -160,7 +160,7 @@
     kept: bool,
     product: u8,
     cut_off: Nanos,
-    shipment: Arc<Shipment>,
+    request: Arc<ForwardedRequest>,
     executions: Vec<Sent>,
 }
 
@@ -169,7 +169,7 @@
     worker: Worker,
     at: Nanos,
     until: Nanos,
-    link: Option<Link>,
+    connection: Option<ConnectionId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -213,10 +213,10 @@
     health: Health,
     kind: u16,
     zone: u16,
-    group: u16,
+    cell: u16,
     weight: f32,
-    started: started::Started,
-    idle: Vec<Link>,
+    started: start_times::Started,
+    idle: Vec<ConnectionId>,
     /// Connections to it, and executions there of submissions that are still known: while there are any, its
     /// index can mean no other.
     lines: usize,
@@ -259,8 +259,8 @@
     leave: Nanos,
     /// The longest come-back time that may be named.
     come_back: Option<Nanos>,
-    book: Option<fates::Book>,
-    start: Option<starting::Starting>,
+    book: Option<outcomes::Book>,
+    start: Option<staged_start::Starting>,
     /// How long it may go on after it was told to stop.
     last_span: Nanos,
     /// When all that is taken from now on must be answered.
@@ -283,9 +283,9 @@
     /// Those taken, by their ids.
     ids: HashSet<Bytes>,
     free: Vec<Submission>,
-    clients: HashMap<Client, ClientState>,
-    links: HashMap<Link, Line>,
-    next_link: Link,
+    clients: HashMap<ClientId, ClientState>,
+    links: HashMap<ConnectionId, Line>,
+    next_link: ConnectionId,
     timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
     next_timer: u64,
     pending: VecDeque<Event<'static>>,
@@ -319,20 +319,20 @@
     /// `sockets` is the limit on descriptors, `memory` that on bytes.
     #[must_use]
     pub fn new(settings: Settings, sockets: usize, memory: usize) -> Self {
-        let dispatcher = Box::new(Dispatcher::new(settings.orders.clone()));
-        Self::with(dispatcher, settings, sockets, memory)
+        let dispatcher = Box::new(Dispatcher::new(settings.dispatch.clone()));
+        Self::with_dispatcher(dispatcher, settings, sockets, memory)
     }
 
     /// With decisions of another's making: for comparison, and for tests.
     #[must_use]
-    pub fn with(
+    pub fn with_dispatcher(
         dispatcher: Box<dyn Decide + Send>,
         settings: Settings,
         sockets: usize,
         memory: usize,
     ) -> Self {
-        let (orders, names) = (settings.orders, settings.names);
-        let (idle, last_span, longest_wait) = spans(orders.idle, settings.longest_cut_off);
+        let (orders, names) = (settings.dispatch, settings.names);
+        let (idle, last_span, longest_wait) = spans(orders.idle_timeout, settings.longest_deadline);
         // The rest is for the listener, the watch, the signals, and what is just being closed.
         let spare = sockets.saturating_sub(16);
         // An eighth of the memory for what each client's connection takes, as much for executors'.
@@ -341,7 +341,7 @@
             connect_timeout: orders.connect_timeout,
             idle,
             kept: idle,
-            asks: orders.ask_within.is_some(),
+            asks: orders.list_refresh_limit.is_some(),
             may_probe: orders.may_probe,
             may_duplicate: orders.may_duplicate,
             products: orders.products,
@@ -349,7 +349,7 @@
             longest_wait,
             version: 0,
             leave: Nanos::MAX,
-            come_back: orders.come_back,
+            come_back: orders.retry_after,
             book: None,
             start: None,
             last_call: Nanos::MAX,
@@ -396,12 +396,13 @@
 
     /// What is held, in flight and known stays; see the dispatcher's `go_on_under`.
     fn go_on_under(&mut self, settings: Settings) {
-        let orders = settings.orders;
-        self.dispatcher.go_on_under(orders.clone());
+        let orders = settings.dispatch;
+        self.dispatcher.reconfigure(orders.clone());
         (self.connect_timeout, self.may_probe) = (orders.connect_timeout, orders.may_probe);
         self.may_duplicate = orders.may_duplicate;
-        self.come_back = orders.come_back;
-        (self.idle, self.last_span, self.longest_wait) = spans(orders.idle, settings.longest_cut_off);
+        self.come_back = orders.retry_after;
+        (self.idle, self.last_span, self.longest_wait) =
+            spans(orders.idle_timeout, settings.longest_deadline);
         self.kept = self.kept.min(self.idle);
         self.products = orders.products;
     }
@@ -417,19 +418,19 @@
 
     /// Submissions taken since the start.
     #[must_use]
-    pub fn taken(&self) -> u64 {
+    pub fn submissions_accepted(&self) -> u64 {
         self.stats.taken
     }
 
     /// The version of the terms that hold.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn settings_version(&self) -> u64 {
         self.version
     }
 
     /// Whether no further client can be let in.
     #[must_use]
-    pub fn crowded(&self) -> bool {
+    pub fn is_at_client_limit(&self) -> bool {
         self.clients.len() >= self.most_clients
     }
 
@@ -445,55 +446,55 @@
     }
 
     /// Takes one input and adds to `effects` what is to be done, in order.
-    pub fn take(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
+    pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match input {
-            Input::Terms { settings, version } => {
+            Input::SettingsChanged { settings, version } => {
                 self.version = version;
                 self.go_on_under(*settings);
             }
-            Input::Leave { until } => {
+            Input::Lease { until } => {
                 self.leave = until;
                 self.proved();
             }
-            Input::Kept { ticket, lasts } => self.kept(ticket, lasts),
-            Input::StoreBack => self.store_back(),
+            Input::Persisted { ticket, durable: lasts } => self.kept(ticket, lasts),
+            Input::StoreRecovered => self.store_back(),
             Input::ListClocks(clocks) => self.list_clocks = clocks,
-            Input::Listed { kind, endpoints } => self.listed(kind, endpoints),
-            Input::Unheard { lost, busy } => self.unheard(lost, busy),
-            Input::Heard { items } => self.heard(items),
-            Input::ClientUp { client } => self.client_up(client),
+            Input::ListReceived { kind, endpoints } => self.listed(kind, endpoints),
+            Input::ListFailed { silent_for: lost, overloaded: busy } => self.unheard(lost, busy),
+            Input::PeerObservations { observations: items } => self.heard(items),
+            Input::ClientConnected { client } => self.client_up(client),
             Input::ClientPhase { client, phase } => self.client_phase(client, phase),
-            Input::ClientGone { client } => self.client_gone(client),
-            Input::TurnedDown { client } => {
+            Input::ClientDisconnected { client } => self.client_gone(client),
+            Input::RequestRejected { client } => {
                 self.stats.turned_down += 1;
                 self.client_phase(client, Phase::Answering);
             }
-            Input::Submitted { client, intake } => self.submitted(client, intake),
-            Input::LinkUp { link } => self.link_up(link),
-            Input::LinkDown { link, broken } => self.link_down(link, broken),
-            Input::Noted { link } => {
+            Input::Submitted { client, submission: intake } => self.submitted(client, intake),
+            Input::ExecutorConnected { connection } => self.link_up(connection),
+            Input::ExecutorDisconnected { connection, disconnect } => self.link_down(connection, disconnect),
+            Input::Progressed { connection } => {
                 if let Some(Load::Execution(submission, execution)) =
-                    self.links.get(&link).and_then(|l| l.load)
+                    self.links.get(&connection).and_then(|l| l.load)
                 {
-                    self.pending.push_back(Event::Noted { submission, execution });
+                    self.pending.push_back(Event::Progressed { submission, execution });
                 }
             }
-            Input::Ended { link, outcome, result, report } => {
-                if let Some(Load::Execution(submission, execution)) = self.unload(link) {
+            Input::Ended { connection, outcome, result, report } => {
+                if let Some(Load::Execution(submission, execution)) = self.unload(connection) {
                     self.ended(submission, execution, outcome, Some(result), report);
                 }
             }
-            Input::Probed { link, answered, report } => {
-                let worker = self.links.get(&link).map(|l| l.worker);
-                if let (Some(worker), Some(Load::Probe)) = (worker, self.unload(link)) {
+            Input::Probed { connection, answered, report } => {
+                let worker = self.links.get(&connection).map(|l| l.worker);
+                if let (Some(worker), Some(Load::Probe)) = (worker, self.unload(connection)) {
                     self.probed(worker, answered, report);
                 }
             }
-            Input::Freed { link, named } => {
-                if let Some(line) = self.links.get_mut(&link).filter(|l| l.stage == Stage::Finishing) {
+            Input::ConnectionReusable { connection, identified: named } => {
+                if let Some(line) = self.links.get_mut(&connection).filter(|l| l.stage == Stage::Finishing) {
                     line.doubtful = if named { 0 } else { self.now + SECOND_ANSWER };
-                    self.rest(link);
+                    self.rest(connection);
                 }
             }
             Input::Tick => self.tick(),
@@ -538,51 +539,51 @@
         }
     }
 
-    pub(crate) fn carry_out(&mut self, order: Order) {
+    pub(crate) fn carry_out(&mut self, order: Action) {
         match order {
-            Order::Execute { submission, worker, timeout } => self.execute(submission, worker, timeout),
-            Order::Cancel { submission, execution } => self.cancel(submission, execution),
-            Order::Dismiss { submission, come_back } => {
+            Action::Execute { submission, worker, timeout } => self.execute(submission, worker, timeout),
+            Action::Cancel { submission, execution } => self.cancel(submission, execution),
+            Action::Dismiss { submission, retry_after: come_back } => {
                 self.answer(submission, Answer::Dismissed(come_back));
             }
-            Order::Abort { submission } => self.answer(submission, Answer::Aborted),
-            Order::Probe { worker } => {
+            Action::Abort { submission } => self.answer(submission, Answer::Aborted),
+            Action::Probe { worker } => {
                 must!(self, self.may_probe, "a probe where none may be sent");
                 if !self.may_probe {
                     return;
                 }
                 self.stats.probes += 1;
                 match self.pooled(worker, Load::Probe) {
-                    Some(link) => self.hand(link, Load::Probe),
+                    Some(connection) => self.hand(connection, Load::Probe),
                     None => self.open(worker, Load::Probe),
                 }
             }
-            Order::Release { worker } => {
+            Action::CloseIdleConnections { worker } => {
                 let idle = self.workers.get_mut(worker as usize).map(|w| std::mem::take(&mut w.idle));
-                idle.into_iter().flatten().for_each(|link| self.close_link(link));
+                idle.into_iter().flatten().for_each(|connection| self.close_link(connection));
                 // The one whose end led to this is not idle yet: its last bytes are not in.
                 let here = self.links.values_mut().filter(|l| l.worker == worker);
                 here.filter(|l| l.stage == Stage::Finishing).for_each(|l| l.last = true);
             }
             // The reducer times the next call itself where it knows how the last one ended.
-            Order::Subscribe if self.call_at.is_some() => {}
-            Order::Subscribe => self.effects.push(Effect::Watch),
-            Order::Forget { submission } => {
+            Action::Subscribe if self.call_at.is_some() => {}
+            Action::Subscribe => self.effects.push(Effect::RequestList),
+            Action::Forget { submission } => {
                 let taken = self.taken.get_mut(submission as usize).and_then(Option::take);
                 if let Some(taken) = &taken {
-                    self.ids.remove(&taken.shipment.id);
-                    self.hold_key(taken.product, &taken.shipment, false);
+                    self.ids.remove(&taken.request.id);
+                    self.hold_key(taken.product, &taken.request, false);
                 }
-                let over = taken
-                    .as_ref()
-                    .is_some_and(|t| t.client.is_none() && t.executions.iter().all(|a| a.link.is_none()));
+                let over = taken.as_ref().is_some_and(|t| {
+                    t.client.is_none() && t.executions.iter().all(|a| a.connection.is_none())
+                });
                 must!(self, over, "forgotten while something was owed or out");
                 for sent in taken.iter().flat_map(|t| &t.executions) {
                     self.workers[sent.worker as usize].known -= 1;
                 }
                 self.free.push(submission);
             }
-            Order::Ring { at, token } => self.arm(at, Timer::Ring(token)),
+            Action::SetTimer { at, timer_id: token } => self.arm(at, Timer::Ring(token)),
         }
     }
 }
--- a/crates/node/src/fleet/audit_log.rs
+++ b/crates/node/src/fleet/audit_log.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{Sender, channel};
 
 use bytes::Bytes;
-use linestack_core::{Answer, Client, Effect, Input};
+use linestack_core::{Answer, ClientId, Effect, Input};
 use linestack_history::{Ended, Line, What};
 
 use crate::net::lock;
@@ -48,7 +48,7 @@
 pub struct AuditLog {
     lines: Sender<(u64, What)>,
     /// The submission that each client waits for.
-    pending: Mutex<HashMap<Client, Bytes>>,
+    pending: Mutex<HashMap<ClientId, Bytes>>,
     /// The reading of the node's clock minus that of the machine's monotonic clock, in nanoseconds.
     offset: u64,
 }
@@ -77,9 +77,9 @@
     }
 
     /// Returns the client and the id of the submission, if this input of the reducer is one.
-    pub(crate) fn pending_submission(&self, input: &Input) -> Option<(Client, Bytes)> {
+    pub(crate) fn pending_submission(&self, input: &Input) -> Option<(ClientId, Bytes)> {
         match input {
-            Input::Submitted { client, intake } => Some((*client, intake.shipment.id.clone())),
+            Input::Submitted { client, submission: intake } => Some((*client, intake.request.id.clone())),
             _ => None,
         }
     }
@@ -89,7 +89,7 @@
     pub(crate) fn record_effects(
         &self,
         now: u64,
-        submission: Option<(Client, Bytes)>,
+        submission: Option<(ClientId, Bytes)>,
         taken: Option<u64>,
         effects: &[Effect],
     ) {
@@ -106,16 +106,16 @@
         }
         for effect in effects {
             match effect {
-                Effect::Send { shipment, version, .. } => {
+                Effect::Send { request: shipment, version, .. } => {
                     self.write(now, What::Sent { id: text(&shipment.id), version: *version });
                 }
                 Effect::Answer { client, answer, version, .. } => {
                     let Some(id) = pending.remove(client) else { continue };
                     let ended = match answer {
-                        Answer::Satisfied(_) => Ended::Satisfied,
+                        Answer::Completed(_) => Ended::Satisfied,
                         Answer::Dismissed(_) => Ended::Dismissed,
                         Answer::Aborted => Ended::Aborted,
-                        Answer::Repeated => Ended::Repeated,
+                        Answer::DuplicateId => Ended::Repeated,
                     };
                     self.write(now, What::Answered { id: text(&id), version: *version, ended });
                 }
--- a/crates/node/src/fleet/policy.rs
+++ b/crates/node/src/fleet/policy.rs
@@ -33,7 +33,7 @@
     let newer = settings_for_zone(newer, 0, 0).map_err(|e| vec![e])?;
     // The present policy was checked when it was proposed, so it is not checked again.
     let Ok(present) = settings_for_zone(present, 0, 0) else { return Ok(()) };
-    match present.restart_for(&newer) {
+    match present.key_needing_restart(&newer) {
         None => Ok(()),
         Some(key) => {
             Err(vec![format!("{key}: can't be changed while processes run; they must be restarted")])
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -10,8 +10,8 @@
 use linestack_accord::{Guest, Incarnation, Policy, Request};
 use linestack_core::Input as CoreInput;
 use linestack_history::What;
-use linestack_member::{Broken, Input, Member, Out, Told};
-use linestack_recovery::start::{Terms, session_after};
+use linestack_member::{InjectedFault, Input, Member, Notice, Output};
+use linestack_recovery::start::{StartLimits, session_delay};
 use linestack_settings::Settings;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
 use super::store::{RecordStore, StoreError};
 use super::wire::{self, Body, FrameEncoder, FrameReader, Identity, SenderInfo};
 use crate::net::Node;
-use crate::tries;
+use crate::start_attempts;
 
 /// By how much the rates of two clocks may differ, in thousandths.
 const DRIFT: u64 = 10;
@@ -66,10 +66,10 @@
             other => other,
         };
         let mut store = open(&fleet.folder)?;
-        if tries::enter(&fleet.folder)? >= MAX_FAILED_STARTS {
+        if start_attempts::record_attempt(&fleet.folder)? >= MAX_FAILED_STARTS {
             // The member starts with an empty store as a new run, and learns everything from the coordinators again.
             drop(store);
-            let aside = tries::set_aside(&fleet.folder, |name| name.ends_with(".redb"))?;
+            let aside = start_attempts::quarantine_files(&fleet.folder, |name| name.ends_with(".redb"))?;
             tracing::error!(
                 aside = %aside.display(),
                 "repeated starts died while reading this member's store; it was set aside"
@@ -86,7 +86,7 @@
             // from may still be running.
             Err(StoreError::Copied) => MemberRecord::default(),
             Err(error) => {
-                tries::leave(&fleet.folder);
+                start_attempts::clear_attempts(&fleet.folder);
                 return Err(error);
             }
         };
@@ -110,24 +110,32 @@
     pub fn last_settings(&self, own: &Settings, seed: u64) -> Option<Settings> {
         let policy = &self.record.active;
         let settings =
-            settings_for_zone(&policy.text, own.orders.zone, seed).ok().filter(|_| policy.version > 0);
-        tries::leave(&self.fleet.folder);
+            settings_for_zone(&policy.text, own.dispatch.zone, seed).ok().filter(|_| policy.version > 0);
+        start_attempts::clear_attempts(&self.fleet.folder);
         let settings = settings?;
-        own.restart_for(&settings).is_none().then_some(settings)
+        own.key_needing_restart(&settings).is_none().then_some(settings)
     }
 
     /// Starts the thread of the session, which runs for as long as the program does. `settings` are those that the node
     /// runs under, of the policy version `active`. `limits` bound how fast nodes that start may open sessions.
-    pub fn run(self, node: Arc<Node>, settings: Settings, seed: u64, active: u64, limits: Option<Terms>) {
+    pub fn run(
+        self,
+        node: Arc<Node>,
+        settings: Settings,
+        seed: u64,
+        active: u64,
+        limits: Option<StartLimits>,
+    ) {
         let Self { fleet, store, record } = self;
         let broken = super::injected_fault().and_then(|f| match f.as_str() {
-            "early" => Some(Broken::Early),
-            "from-receipt" => Some(Broken::FromReceipt),
-            "unfenced" => Some(Broken::Unfenced),
+            "early" => Some(InjectedFault::ActivateUndecided),
+            "from-receipt" => Some(InjectedFault::LeaseFromReceipt),
+            "unfenced" => Some(InjectedFault::LeaseNeverEnds),
             _ => None,
         });
         let staged = record.staged.clone();
-        let member = Member::new(record.incarnation, DRIFT, INITIAL_LEASE_NS, active, staged).broken(broken);
+        let member = Member::new(record.incarnation, DRIFT, INITIAL_LEASE_NS, active, staged)
+            .with_injected_fault(broken);
         let sender = SenderInfo {
             fleet: fleet.id.clone(),
             identity: Identity::Member(fleet.member.clone()),
@@ -162,11 +170,11 @@
     seed: u64,
     sender: SenderInfo,
     /// The notice that was logged last, and when.
-    last_notice: Option<(Told, Instant)>,
+    last_notice: Option<(Notice, Instant)>,
     /// A fault that a test has injected.
-    broken: Option<Broken>,
+    broken: Option<InjectedFault>,
     /// How fast nodes may open sessions with the coordinators, if that is bounded.
-    limits: Option<Terms>,
+    limits: Option<StartLimits>,
 }
 
 /// By how many nanoseconds the total time of suspension may grow before a lease counts as interrupted. It is far above
@@ -186,8 +194,8 @@
         let mut last_logged = Instant::now() - LOG_INTERVAL;
         // The seed alone is not enough, because other nodes may have started at the same instant.
         let mut rng = fastrand::Rng::with_seed(self.seed ^ super::random_u64());
-        let mut wait_for_turn = |limits: &Option<Terms>, pause: Duration| {
-            let wait = limits.map_or(0, |limits| session_after(&limits, rng.f64()));
+        let mut wait_for_turn = |limits: &Option<StartLimits>, pause: Duration| {
+            let wait = limits.map_or(0, |limits| session_delay(&limits, rng.f64()));
             std::thread::sleep(pause.max(Duration::from_nanos(wait)));
         };
         wait_for_turn(&self.limits, Duration::ZERO);
@@ -205,7 +213,7 @@
                 Err(_) => {}
             }
             let mut outputs = Vec::new();
-            self.member.take(self.now(), Input::Down, &mut outputs);
+            self.member.handle(self.now(), Input::SessionClosed, &mut outputs);
             index = (index + 1) % self.fleet.coordinators.len();
             wait_for_turn(&self.limits, RECONNECT_PAUSE);
         }
@@ -219,14 +227,14 @@
         mut encoder: FrameEncoder,
     ) -> String {
         let mut outputs = Vec::new();
-        self.member.take(self.now(), Input::Up, &mut outputs);
+        self.member.handle(self.now(), Input::SessionOpened, &mut outputs);
         loop {
             // Carrying out an output may add more.
             let mut next = 0;
             while next < outputs.len() {
                 match self.carry_out(outputs[next].clone(), &mut socket, &mut encoder) {
                     Ok(None) => {}
-                    Ok(Some(input)) => self.member.take(self.now(), input, &mut outputs),
+                    Ok(Some(input)) => self.member.handle(self.now(), input, &mut outputs),
                     Err(reason) => return reason,
                 }
                 next += 1;
@@ -235,7 +243,7 @@
             match reader.next_frame() {
                 Ok(Some(frame)) => {
                     if let Body::Reply(reply) = frame.body {
-                        self.member.take(self.now(), Input::Reply(reply), &mut outputs);
+                        self.member.handle(self.now(), Input::Reply(reply), &mut outputs);
                         continue;
                     }
                     return "unexpected frame".into();
@@ -244,7 +252,7 @@
                 Err(error) => return error.to_string(),
             }
             if let Some(stage) = self.node.stage() {
-                self.member.at_stage(stage.word());
+                self.member.set_start_stage(stage.as_str());
             }
             let wait = self.member.next_due().saturating_sub(self.now());
             // A read timeout of zero is not allowed.
@@ -255,26 +263,26 @@
             if let Err(error) = reader.read(&mut socket) {
                 return error.to_string();
             }
-            self.member.take(self.now(), Input::Tick, &mut outputs);
+            self.member.handle(self.now(), Input::Tick, &mut outputs);
         }
     }
 
     /// Carries out an output of the member. Returns the input that follows from it, or the reason why the session ends.
     fn carry_out(
         &mut self,
-        output: Out,
+        output: Output,
         socket: &mut TcpStream,
         encoder: &mut FrameEncoder,
     ) -> Result<Option<Input>, String> {
         let now = self.node.clock.now();
         match output {
-            Out::Send(renew) => {
+            Output::Send(renew) => {
                 let bytes =
                     encoder.encode(Body::Request(Request::Renew(renew))).map_err(|e| e.to_string())?;
                 socket.write_all(&bytes).map_err(|e| e.to_string())?;
             }
-            Out::Elsewhere => return Err("no answer in time".into()),
-            Out::Stage(policy) => {
+            Output::TryAnotherCoordinator => return Err("no answer in time".into()),
+            Output::Stage(policy) => {
                 let version = policy.version;
                 let result = self.stage(policy);
                 match &result {
@@ -286,55 +294,56 @@
                 }
                 return Ok(Some(Input::Staged { version, result }));
             }
-            Out::Activate(policy) => {
+            Output::Activate(policy) => {
                 let version = policy.version;
                 let result = self.activate(policy);
                 if let Err(key) = &result {
-                    self.log_notice(Told::Unable { version, key: key.clone() });
+                    self.log_notice(Notice::CannotActivate { version, key: key.clone() });
                 }
                 return Ok(Some(Input::Activated { version, result }));
             }
-            Out::Serve { version, until } => {
+            Output::Serve { version, until } => {
                 if self.fleet.mode == Mode::Strict {
                     // On the node's clock the lease ends at this time, unless the machine is suspended again.
                     let suspended = super::time_suspended();
                     let until = until.saturating_sub(suspended);
                     // Written to the audit log first: what is taken under this lease must not precede it there.
-                    if let Some(audit_log) = &self.node.trail {
+                    if let Some(audit_log) = &self.node.audit_log {
                         audit_log.write(now, What::Leased { version, until: audit_log.machine_time(until) });
                     }
-                    let until = if self.broken == Some(Broken::Unfenced) { u64::MAX } else { until };
-                    self.node.count_from(suspended + SUSPEND_TOLERANCE_NS);
-                    self.node.feed(CoreInput::Leave { until });
+                    let until =
+                        if self.broken == Some(InjectedFault::LeaseNeverEnds) { u64::MAX } else { until };
+                    self.node.end_lease_after_sleep(suspended + SUSPEND_TOLERANCE_NS);
+                    self.node.handle_input(CoreInput::Lease { until });
                 }
             }
-            Out::Tell(notice) => self.log_notice(notice),
+            Output::Notify(notice) => self.log_notice(notice),
         }
         Ok(None)
     }
 
     fn write_audit(&self, now: u64, what: What) {
-        if let Some(audit_log) = &self.node.trail {
+        if let Some(audit_log) = &self.node.audit_log {
             audit_log.write(now, what);
         }
     }
 
     /// Logs a notice, unless the same one was logged within [`LOG_INTERVAL`].
-    fn log_notice(&mut self, notice: Told) {
+    fn log_notice(&mut self, notice: Notice) {
         if self.last_notice.as_ref().is_some_and(|(last, at)| *last == notice && at.elapsed() < LOG_INTERVAL)
         {
             return;
         }
         match &notice {
-            Told::Refused(reason) => tracing::warn!(why = reason, "refused by the coordinators"),
-            Told::Ahead { mine, theirs } => {
+            Notice::Refused(reason) => tracing::warn!(why = reason, "refused by the coordinators"),
+            Notice::CoordinatorsBehind { own: mine, theirs } => {
                 tracing::error!(
                     mine,
                     theirs,
                     "the coordinators have lost decided changes: their policy is older than this node's; it takes no submissions"
                 );
             }
-            Told::Unable { version, key } => {
+            Notice::CannotActivate { version, key } => {
                 tracing::error!(
                     version,
                     key,
@@ -347,8 +356,8 @@
 
     /// Returns the settings of a policy, or the key because of which the node can't run under it.
     fn settings_of(&self, policy: &Policy) -> Result<Settings, String> {
-        let settings = settings_for_zone(&policy.text, self.settings.orders.zone, self.seed)?;
-        match self.settings.restart_for(&settings) {
+        let settings = settings_for_zone(&policy.text, self.settings.dispatch.zone, self.seed)?;
+        match self.settings.key_needing_restart(&settings) {
             None => Ok(settings),
             Some(key) => Err(key.to_owned()),
         }
@@ -375,7 +384,7 @@
         self.record = record;
         self.settings = settings.clone();
         self.write_audit(self.node.clock.now(), What::Active { version, digest });
-        self.node.feed(CoreInput::Terms { settings: Box::new(settings), version });
+        self.node.handle_input(CoreInput::SettingsChanged { settings: Box::new(settings), version });
         tracing::info!(version, digest, "policy activated");
         Ok(())
     }
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use linestack_accord::{Incarnation, Letter, Peer, Reply, Request};
-use linestack_frames::{Reader, encode, kind};
+use linestack_frames::{Reader, encode, kind_number};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -96,7 +96,7 @@
     Io(#[from] io::Error),
     /// The bytes are no valid frame.
     #[error(transparent)]
-    Frame(#[from] linestack_frames::Fault),
+    Frame(#[from] linestack_frames::FrameError),
     /// The body of the frame can't be parsed.
     #[error("invalid frame body: {0}")]
     Body(#[from] serde_json::Error),
@@ -126,10 +126,10 @@
     pub fn reason(&self) -> &'static str {
         match self {
             Self::Io(_) => "io",
-            Self::Frame(linestack_frames::Fault::Magic) => "no frame",
-            Self::Frame(linestack_frames::Fault::Version(_)) => "wire version",
-            Self::Frame(linestack_frames::Fault::Oversized(_)) => "oversized",
-            Self::Frame(linestack_frames::Fault::Checksum) => "checksum",
+            Self::Frame(linestack_frames::FrameError::Magic) => "no frame",
+            Self::Frame(linestack_frames::FrameError::Version(_)) => "wire version",
+            Self::Frame(linestack_frames::FrameError::Oversized(_)) => "oversized",
+            Self::Frame(linestack_frames::FrameError::Checksum) => "checksum",
             Self::Body(_) => "body",
             Self::WrongFleet(_) => "fleet",
             Self::WrongSession => "session",
@@ -175,7 +175,7 @@
     /// The body is too large for a frame.
     pub fn encode(&mut self, body: Body) -> Result<Vec<u8>, WireError> {
         self.number += 1;
-        let kind = kind(body.kind()).unwrap_or_default();
+        let kind = kind_number(body.kind()).unwrap_or_default();
         let SenderInfo { fleet, identity, incarnation } = self.sender.clone();
         let frame =
             Frame { fleet, from: identity, incarnation, session: self.session, number: self.number, body };
@@ -227,12 +227,12 @@
     ///
     /// The frame is not valid in this session; the connection must be closed.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, WireError> {
-        let Some(raw) = self.reader.take()? else { return Ok(None) };
+        let Some(raw) = self.reader.next_frame()? else { return Ok(None) };
         let frame: Frame = serde_json::from_slice(&raw.body)?;
         if frame.fleet != self.fleet {
             return Err(WireError::WrongFleet(frame.fleet));
         }
-        if kind(frame.body.kind()) != Some(raw.kind) {
+        if kind_number(frame.body.kind()) != Some(raw.kind) {
             return Err(WireError::Unexpected);
         }
         // A hello is sent before the session has a number.
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -16,17 +16,17 @@
 use serde_json::value::RawValue;
 
 use super::connect::{ConnectError, connect};
-use super::{Mailbox, Node, TURN, object};
-use crate::http::{self, Body, Out, Response};
-use linestack_core::{Broken, Input, Link, Shipment};
+use super::{Mailbox, Node, YIELD_PAUSE, parse_object};
+use crate::http::{self, BodyDecoder, Response, WriteQueue};
+use linestack_core::{ConnectionId, Disconnect, ForwardedRequest, Input};
 
 /// The longest line or probe's answer.
-const LINE: usize = 2 * http::BODY;
+const LINE: usize = 2 * http::MAX_BODY_BYTES;
 /// What may wait to be parsed: a whole answer.
-const UNREAD: usize = http::HEAD + http::BODY;
+const UNREAD: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
 pub(crate) enum Message {
-    Send { shipment: Arc<Shipment> },
+    Send { shipment: Arc<ForwardedRequest> },
     Probe,
     Close,
 }
@@ -34,17 +34,17 @@
 /// What is on the connection.
 struct Exchange {
     /// What is to be executed; none for a probe.
-    shipment: Option<Arc<Shipment>>,
+    shipment: Option<Arc<ForwardedRequest>>,
     /// The submission's id; none for a probe.
     id: Option<Bytes>,
     /// That of the one before, which may be answered a second time.
     before: Option<Bytes>,
     /// The answer that is coming in is that second one.
     stale: bool,
-    out: Out,
+    out: WriteQueue,
     written: bool,
     head: Option<Response>,
-    body: Option<Body>,
+    body: Option<BodyDecoder>,
     text: BytesMut,
     /// The reducer has the outcome.
     told: bool,
@@ -60,55 +60,62 @@
 /// Tells the reducer that the connection is down, however that came: after a panic too, and then the worst.
 struct Down<'a> {
     node: &'a Arc<Node>,
-    link: Link,
-    broken: Option<Broken>,
+    link: ConnectionId,
+    broken: Option<Disconnect>,
 }
 
 impl Drop for Down<'_> {
     fn drop(&mut self) {
-        self.node.forget_link(self.link);
+        self.node.remove_connection(self.link);
         if let Some(broken) = self.broken {
-            self.node.feed(Input::LinkDown { link: self.link, broken });
+            self.node.handle_input(Input::ExecutorDisconnected { connection: self.link, disconnect: broken });
         }
     }
 }
 
 pub(crate) fn run(
     node: &Arc<Node>,
-    link: Link,
+    link: ConnectionId,
     address: SocketAddr,
     limit: Nanos,
     mailbox: &Mailbox<Message>,
 ) {
-    let worst = Broken { begun: true, written: true, answered: true, here: false, spoilt: false };
+    let worst = Disconnect {
+        request_started: true,
+        request_written: true,
+        response_started: true,
+        local_fault: false,
+        unexpected_data: false,
+    };
     let mut down = Down { node, link, broken: Some(worst) };
     // The reducer forgets a connection that it closes.
-    let wanted = || node.knows_link(link);
+    let wanted = || node.has_connection(link);
     let mut socket = match connect(node, address, Duration::from_nanos(limit), link, wanted) {
         Ok(socket) => socket,
         Err(why) => {
             tracing::debug!(link, %address, %why, "no connection");
             let here = matches!(why, ConnectError::Local(_));
-            down.broken = Some(Broken { here, ..Broken::default() });
+            down.broken = Some(Disconnect { local_fault: here, ..Disconnect::default() });
             return;
         }
     };
     mailbox.wake(&socket);
     let _ = socket.set_nodelay(true);
-    node.feed(Input::LinkUp { link });
+    node.handle_input(Input::ExecutorConnected { connection: link });
     let mut exchange: Option<Exchange> = None;
     let (wanted, spoilt) = match converse(node, link, &mut socket, mailbox, &mut exchange) {
         End::Wanted => (true, false),
         End::Broke => (false, false),
         End::Spoilt => (false, true),
     };
-    let broken = exchange.map_or(Broken { spoilt, ..Broken::default() }, |e| Broken {
-        begun: e.out.written > 0,
-        written: e.written,
-        answered: e.head.is_some(),
-        here: false,
-        spoilt,
-    });
+    let broken =
+        exchange.map_or(Disconnect { unexpected_data: spoilt, ..Disconnect::default() }, |e| Disconnect {
+            request_started: e.out.written > 0,
+            request_written: e.written,
+            response_started: e.head.is_some(),
+            local_fault: false,
+            unexpected_data: spoilt,
+        });
     if !wanted {
         tracing::debug!(%address, ?broken, "connection closed at the other end");
     }
@@ -128,19 +135,19 @@
 
 fn converse(
     node: &Arc<Node>,
-    link: Link,
+    link: ConnectionId,
     socket: &mut TcpStream,
     mailbox: &Mailbox<Message>,
     exchange: &mut Option<Exchange>,
 ) -> End {
     let mut input = BytesMut::new();
-    let mut holding = node.link_room.holding();
+    let mut holding = node.executor_memory.holding();
     let mut before: Option<Bytes> = None;
     loop {
         while let Some(message) = mailbox.next() {
             let (shipment, out) = match message {
                 Message::Close => return End::Wanted,
-                Message::Send { shipment } => (Some(shipment), Out::default()),
+                Message::Send { shipment } => (Some(shipment), WriteQueue::default()),
                 Message::Probe => (None, probe(node)),
             };
             let id = shipment.as_ref().map(|shipment| shipment.id.clone());
@@ -172,7 +179,7 @@
             if current.out.written == 0
                 && let Some(shipment) = &current.shipment
             {
-                match node.begin(link) {
+                match node.begin_execution(link) {
                     Ok(left) => current.out = request(shipment, left),
                     Err(_) => {
                         before = exchange.take().and_then(|exchange| exchange.before);
@@ -188,7 +195,7 @@
         match current.take(node, link, &mut input, ended) {
             Step::More if ended => return End::Broke,
             // What was left in the socket makes no event; the others have their turn first.
-            Step::More if full => node.alarm.sleep(TURN),
+            Step::More if full => node.alarm.sleep(YIELD_PAUSE),
             Step::More => {
                 socket.wait_io();
             }
@@ -196,7 +203,7 @@
                 let named = current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
                 before = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
-                node.feed(Input::Freed { link, named });
+                node.handle_input(Input::ConnectionReusable { connection: link, identified: named });
             }
             Step::Free | Step::Close => return End::Broke,
         }
@@ -223,14 +230,14 @@
 impl Exchange {
     /// Goes through what has come. What is not understood ends the connection; the reducer then counts
     /// the execution as one that may have run.
-    fn take(&mut self, node: &Arc<Node>, link: Link, input: &mut BytesMut, ended: bool) -> Step {
+    fn take(&mut self, node: &Arc<Node>, link: ConnectionId, input: &mut BytesMut, ended: bool) -> Step {
         if self.head.is_none() {
             loop {
-                match http::response(input) {
+                match http::parse_response(input) {
                     Ok(Some(head)) if head.status / 100 == 1 => drop(input.split_to(head.length)),
                     Ok(Some(head)) => {
                         let _ = input.split_to(head.length);
-                        self.body = Some(Body::new(head.framing));
+                        self.body = Some(BodyDecoder::new(head.framing));
                         self.head = Some(head);
                         break;
                     }
@@ -240,7 +247,7 @@
             }
         }
         let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Step::Close };
-        let Ok(whole) = body.take(input, &mut self.text) else { return Step::Close };
+        let Ok(whole) = body.decode(input, &mut self.text) else { return Step::Close };
         let whole = whole || (ended && body.ends_with_connection());
         let close = head.close;
         let fine = if self.id.is_none() {
@@ -270,31 +277,32 @@
     fn tell(
         &mut self,
         node: &Arc<Node>,
-        link: Link,
+        link: ConnectionId,
         outcome: Outcome,
         result: Bytes,
         report: Option<Report>,
     ) {
         if !std::mem::replace(&mut self.told, true) {
-            node.feed(Input::Ended { link, outcome, result, report });
+            node.handle_input(Input::Ended { connection: link, outcome, result, report });
         }
     }
 
     /// An answer that ended the execution by its head.
-    fn turned_away(&mut self, node: &Arc<Node>, link: Link) {
+    fn turned_away(&mut self, node: &Arc<Node>, link: ConnectionId) {
         let Some(head) = &self.head else { return };
         let report = head.load.as_deref().and_then(|text| text_report(node, text));
         let outcome = match head.status {
-            503 | 504 if head.declined => Outcome::Full,
-            400..500 => Outcome::Unusable,
+            503 | 504 if head.declined => Outcome::Overloaded,
+            400..500 => Outcome::InvalidSubmission,
             _ => Outcome::Error,
         };
         self.tell(node, link, outcome, Bytes::new(), report);
     }
 
-    fn probed(&mut self, node: &Arc<Node>, link: Link, whole: bool) -> bool {
+    fn probed(&mut self, node: &Arc<Node>, link: ConnectionId, whole: bool) -> bool {
         let Some(head) = self.head.as_ref().filter(|_| whole) else { return self.text.len() <= LINE };
-        let line = self.text[..].split(|b| *b == b'\n').next().and_then(|line| object::<Line>(line).ok());
+        let line =
+            self.text[..].split(|b| *b == b'\n').next().and_then(|line| parse_object::<Line>(line).ok());
         if line.is_some_and(|line| self.before.as_deref() == Some(line.id.as_bytes())) {
             self.stale = true;
             return true;
@@ -309,13 +317,13 @@
             let body = std::str::from_utf8(&self.text).unwrap_or("");
             let report = json_report(node, body).or_else(|| text_report(node, body));
             let report = report.or_else(|| head.load.as_deref().and_then(|text| text_report(node, text)));
-            node.feed(Input::Probed { link, answered, report });
+            node.handle_input(Input::Probed { connection: link, answered, report });
         }
         true
     }
 
     /// Goes through the whole lines. False if one is not understood.
-    fn lines(&mut self, node: &Arc<Node>, link: Link, whole: bool) -> bool {
+    fn lines(&mut self, node: &Arc<Node>, link: ConnectionId, whole: bool) -> bool {
         loop {
             let line = match self.text.iter().position(|b| *b == b'\n') {
                 Some(end) => self.text.split_to(end + 1),
@@ -325,7 +333,7 @@
             if line.trim_ascii().is_empty() || self.told {
                 continue;
             }
-            let Ok(line) = object::<Line>(&line) else { return false };
+            let Ok(line) = parse_object::<Line>(&line) else { return false };
             if Some(line.id.as_bytes()) != self.id.as_deref() {
                 self.stale = self.before.as_deref() == Some(line.id.as_bytes());
                 if self.stale {
@@ -338,16 +346,16 @@
                 return false;
             }
             let outcome = match &*line.state {
-                "done" => Outcome::Satisfied,
+                "done" => Outcome::Completed,
                 "failed" => Outcome::Error,
-                "returned" => Outcome::Full,
+                "returned" => Outcome::Overloaded,
                 "lost" => Outcome::Reset,
                 _ => {
-                    node.feed(Input::Noted { link });
+                    node.handle_input(Input::Progressed { connection: link });
                     continue;
                 }
             };
-            let Some(result) = line.result.or_else(|| (outcome != Outcome::Satisfied).then(String::new))
+            let Some(result) = line.result.or_else(|| (outcome != Outcome::Completed).then(String::new))
             else {
                 return false;
             };
@@ -383,7 +391,7 @@
 
 fn text_report(node: &Node, text: &str) -> Option<Report> {
     node.layout.report(|place| {
-        let name = node.names.figures.get(place)?;
+        let name = node.names.report_fields.get(place)?;
         http::text_figure(text, name).or_else(|| http::text_figure(text, plain(name)))
     })
 }
@@ -391,16 +399,16 @@
 /// The figures stay text until they are asked for: read as a tree, what is nested a hundred levels deep
 /// would fill the stack.
 fn json_report(node: &Node, load: &str) -> Option<Report> {
-    let load: BTreeMap<Cow<'_, str>, &RawValue> = object(load.as_bytes()).ok()?;
+    let load: BTreeMap<Cow<'_, str>, &RawValue> = parse_object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
-        let name = node.names.figures.get(place)?;
+        let name = node.names.report_fields.get(place)?;
         let figure = load.get(name.as_str()).or_else(|| load.get(plain(name)))?;
         figure.get().parse().ok()
     })
 }
 
-fn request(shipment: &Shipment, wait: Nanos) -> Out {
-    let mut out = Out::default();
+fn request(shipment: &ForwardedRequest, wait: Nanos) -> WriteQueue {
+    let mut out = WriteQueue::default();
     let mut push = |piece: &Bytes| out.push(piece.clone());
     push(&shipment.method);
     push(&Bytes::from_static(b" "));
@@ -419,9 +427,9 @@
     out
 }
 
-fn probe(node: &Node) -> Out {
-    let path = if node.names.figures.is_empty() { "/healthz" } else { "/load" };
-    let mut out = Out::default();
+fn probe(node: &Node) -> WriteQueue {
+    let path = if node.names.report_fields.is_empty() { "/healthz" } else { "/load" };
+    let mut out = WriteQueue::default();
     out.push(Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: executor\r\n\r\n")));
     out
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use linestack_core::Input;
-use linestack_frames::{Reader, encode, kind};
-use linestack_peers::{FORM, Tale};
+use linestack_frames::{Reader, encode, kind_number};
+use linestack_peers::{FORMAT_VERSION, PeerSnapshot};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
 
@@ -104,7 +104,7 @@
 /// Sends a frame of the kind of this name.
 fn send(socket: &mut TcpStream, kind_name: &str, body: &impl Serialize) -> io::Result<()> {
     let body = serde_json::to_vec(body)?;
-    let kind = kind(kind_name).ok_or(io::ErrorKind::InvalidInput)?;
+    let kind = kind_number(kind_name).ok_or(io::ErrorKind::InvalidInput)?;
     socket.write_all(&encode(kind, &body).map_err(io::Error::other)?)
 }
 
@@ -113,8 +113,8 @@
 fn receive<T: for<'a> Deserialize<'a>>(socket: &mut TcpStream, kind_name: &str) -> io::Result<T> {
     let (started, mut reader, mut buffer) = (Instant::now(), Reader::default(), [0; 16 * 1024]);
     loop {
-        if let Some(frame) = reader.take().map_err(io::Error::other)? {
-            if Some(frame.kind) != kind(kind_name) {
+        if let Some(frame) = reader.next_frame().map_err(io::Error::other)? {
+            if Some(frame.kind) != kind_number(kind_name) {
                 return Err(io::Error::other("unexpected kind of frame"));
             }
             return Ok(serde_json::from_slice(&frame.body)?);
@@ -164,11 +164,19 @@
             std::thread::spawn(move || {
                 let _ = socket.set_write_timeout(Some(IO_TIMEOUT));
                 if let Ok(request) = receive::<SnapshotRequest>(&mut socket, "ask")
-                    && request.format_version == FORM
+                    && request.format_version == FORMAT_VERSION
                     && request.fleet == fleet
                     && request.node != name
                 {
-                    let _ = send(&mut socket, "tale", &Tale { form: FORM, teller: name, items: node.tale() });
+                    let _ = send(
+                        &mut socket,
+                        "tale",
+                        &PeerSnapshot {
+                            format_version: FORMAT_VERSION,
+                            sender: name,
+                            observations: node.peer_snapshot(),
+                        },
+                    );
                 }
                 counter.fetch_sub(1, Ordering::Relaxed);
             });
@@ -186,10 +194,13 @@
             let asked_at = node.clock.now();
             let answer = TcpStream::connect_timeout(&peer, IO_TIMEOUT).and_then(|mut socket| {
                 socket.set_write_timeout(Some(IO_TIMEOUT))?;
-                let request =
-                    SnapshotRequest { format_version: FORM, fleet: config.fleet.clone(), node: name.clone() };
+                let request = SnapshotRequest {
+                    format_version: FORMAT_VERSION,
+                    fleet: config.fleet.clone(),
+                    node: name.clone(),
+                };
                 send(&mut socket, "ask", &request)?;
-                receive::<Tale>(&mut socket, "tale")
+                receive::<PeerSnapshot>(&mut socket, "tale")
             });
             match answer {
                 Ok(snapshot) => return apply(&config, &name, &node, &snapshot, asked_at),
@@ -200,21 +211,21 @@
 }
 
 /// Applies the observations of a peer as soon as the node has a list of executors, unless they are outdated by then.
-fn apply(config: &Config, name: &str, node: &Arc<Node>, snapshot: &Tale, asked_at: u64) {
+fn apply(config: &Config, name: &str, node: &Arc<Node>, snapshot: &PeerSnapshot, asked_at: u64) {
     while node.clock.now() < asked_at + config.max_age {
         if node.ready() {
-            match node.learn(snapshot, name, asked_at, config.max_age) {
+            match node.evaluate_peer_snapshot(snapshot, name, asked_at, config.max_age) {
                 Ok(observations) => {
                     tracing::info!(
-                        teller = snapshot.teller,
-                        told = snapshot.items.len(),
+                        teller = snapshot.sender,
+                        told = snapshot.observations.len(),
                         taken = observations.len(),
                         "heard from a peer"
                     );
-                    node.feed(Input::Heard { items: observations });
+                    node.handle_input(Input::PeerObservations { observations: observations });
                 }
                 Err(error) => {
-                    tracing::warn!(teller = snapshot.teller, why = %error, "observations of a peer rejected");
+                    tracing::warn!(teller = snapshot.sender, why = %error, "observations of a peer rejected");
                 }
             }
             return;
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -6,16 +6,16 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
 
-use linestack_core::{Core, Input, Nanos, Remembered, Ticket};
-use linestack_recovery::start::{Kept, fresh};
-use linestack_recovery::{Age, Fate, Fates, Keep};
+use linestack_core::{Core, Input, Nanos, PersistTicket, StoredOutcomes};
+use linestack_recovery::start::{BootTimestamp, is_fresh};
+use linestack_recovery::{OutcomeRecord, OutcomeTable, StoreTime, StoredOutcome};
 use linestack_store::{Damage, Fault, Folder, LARGEST, Limits, Op, Store, repair};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::store::{FileIdentity, file_identity, same_file};
 use crate::net::Node;
 use crate::net::discovery::List;
-use crate::{begin, http, tries};
+use crate::{http, staged_start, start_attempts};
 
 /// The kind of a record with the outcome of a one-shot. There is one record for each one-shot, and at most one record of
 /// each other kind.
@@ -33,7 +33,7 @@
 /// The largest number of records in one commit.
 const GROUP_SIZE: usize = 512;
 // The largest result must fit into a record, because a record that is too large would fail the store.
-const _: () = assert!(http::HEAD + 2 * http::BODY < LARGEST);
+const _: () = assert!(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES < LARGEST);
 /// Stored outcomes may take one part in so many of the program's memory.
 const OUTCOMES_MEMORY_DIVISOR: usize = 8;
 
@@ -142,7 +142,7 @@
     Ok(Config { folder, dedup_key, remember_s, budget_mb, sync, when_failed })
 }
 
-fn limits(retention: Age, budget_mb: u64, sync: Sync) -> Limits {
+fn limits(retention: StoreTime, budget_mb: u64, sync: Sync) -> Limits {
     let sync = sync == Sync::Group;
     Limits { budget: budget_mb << 20, spans: vec![(KIND_OUTCOME, retention)], sync, ..Limits::default() }
 }
@@ -150,7 +150,7 @@
 /// A record to be written to the store.
 pub enum StoreRecord {
     /// The outcome of a one-shot, and the ticket by which the reducer is told whether it is durable, if it waits for that.
-    Outcome(Keep, Option<Ticket>),
+    Outcome(OutcomeRecord, Option<PersistTicket>),
     /// The current list of executors.
     List(List),
     /// Discovery has confirmed that the list is current.
@@ -173,7 +173,7 @@
 
 impl Stamp {
     fn now() -> Vec<u8> {
-        let Kept { boot, at } = begin::stamp();
+        let BootTimestamp { boot, at } = staged_start::boot_timestamp();
         serde_json::to_vec(&Self { boot, at }).unwrap_or_default()
     }
 }
@@ -183,11 +183,11 @@
     store: Store<Folder>,
     config: Config,
     /// The age from which the node goes on, just above that of the newest outcome. It counts only time in which a node runs.
-    age: Age,
-    outcomes: Vec<Keep>,
+    age: StoreTime,
+    outcomes: Vec<OutcomeRecord>,
     list: Option<List>,
     /// When discovery last confirmed the list.
-    list_confirmed: Option<Kept>,
+    list_confirmed: Option<BootTimestamp>,
     /// The store replaces one that was lost, so it is not known what the node had sent before.
     lost: bool,
 }
@@ -229,10 +229,11 @@
         let path = config.folder.clone();
         let folder = Folder::open(&path).map_err(|e| message(&e.into()))?;
         let limits = || limits(config.remember_s * 1_000_000_000, config.budget_mb, config.sync);
-        let failed_starts = tries::enter(&path).map_err(|e| message(&e.into()))?;
+        let failed_starts = start_attempts::record_attempt(&path).map_err(|e| message(&e.into()))?;
         let (mut store, mut outcomes) = if failed_starts >= MAX_FAILED_STARTS {
             let is_content = |name: &str| name != "lock" && name != "tries";
-            let aside = tries::set_aside(&path, is_content).map_err(|e| message(&e.into()))?;
+            let aside =
+                start_attempts::quarantine_files(&path, is_content).map_err(|e| message(&e.into()))?;
             tracing::error!(
                 aside = %aside.display(),
                 "repeated starts died while reading the store; it was set aside and a new one created"
@@ -243,12 +244,14 @@
             (store, Vec::new())
         } else {
             let opened = Store::open(folder, limits(), false, 0);
-            let store = opened.inspect_err(|_| tries::leave(&path)).map_err(|e| message(&e))?;
-            let outcomes =
-                read_outcomes(&store).inspect_err(|_| tries::leave(&path)).map_err(|e| message(&e))?;
+            let store =
+                opened.inspect_err(|_| start_attempts::clear_attempts(&path)).map_err(|e| message(&e))?;
+            let outcomes = read_outcomes(&store)
+                .inspect_err(|_| start_attempts::clear_attempts(&path))
+                .map_err(|e| message(&e))?;
             (store, outcomes)
         };
-        tries::leave(&path);
+        start_attempts::clear_attempts(&path);
         let identity = file_identity(&path.join("lock")).map_err(|e| message(&e.into()))?;
         match only_record(&store, KIND_OWNER).map(|text| serde_json::from_slice::<Owner>(&text).ok()) {
             None => store.commit(&[owner_mark(node, identity)], 0).map_err(|e| message(&e))?,
@@ -270,7 +273,7 @@
         let list = only_record(&store, KIND_LIST).and_then(|text| List::read(&text).ok());
         let stamp: Option<Stamp> =
             only_record(&store, KIND_LIST_CONFIRMED).and_then(|text| serde_json::from_slice(&text).ok());
-        let list_confirmed = stamp.map(|Stamp { boot, at }| Kept { boot, at });
+        let list_confirmed = stamp.map(|Stamp { boot, at }| BootTimestamp { boot, at });
         let lost = only_record(&store, KIND_LOST).is_some();
         // Ages do not depend on the time of day: records age only while a node runs.
         let age = outcomes.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
@@ -282,17 +285,17 @@
     #[must_use]
     pub fn list(&self, within: u64) -> Option<(List, bool)> {
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
-        let age = self.list_confirmed.and_then(|stamp| stamp.age(&begin::stamp()));
+        let age = self.list_confirmed.and_then(|stamp| stamp.age(&staged_start::boot_timestamp()));
         tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
-        Some((list, fresh(age, within)))
+        Some((list, is_fresh(age, within)))
     }
 
     /// Restores the outcomes into the reducer. `memory` is the memory that the program may use, in bytes.
     pub fn restore_into(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
         let retention = self.config.remember_s * 1_000_000_000;
-        let mut fates = Fates::new(retention, usize::MAX, memory / OUTCOMES_MEMORY_DIVISOR);
+        let mut fates = OutcomeTable::new(retention, usize::MAX, memory / OUTCOMES_MEMORY_DIVISOR);
         fates.restore(std::mem::take(&mut self.outcomes));
-        fates.forget(self.age);
+        fates.expire(self.age);
         tracing::info!(known = fates.len(), folder = %self.config.folder.display(), "store read");
         let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
         // Clients of the process before this one notice at once that it is gone, and retry within their own deadlines. So
@@ -303,7 +306,13 @@
                 "an earlier store was lost; one-shots are aborted until all its executions are over"
             );
         }
-        core.remember(Remembered { fates, age: self.age, now, by_stamp, doubtful });
+        core.enable_outcome_store(StoredOutcomes {
+            outcomes: fates,
+            age: self.age,
+            now,
+            by_stamp,
+            incomplete_until: doubtful,
+        });
     }
 
     /// Returns the writer of the store, and the channel to send it records.
@@ -326,7 +335,7 @@
 const LIST_CONFIRMED_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads all stored outcomes.
-fn read_outcomes(store: &Store<Folder>) -> Result<Vec<Keep>, Fault> {
+fn read_outcomes(store: &Store<Folder>) -> Result<Vec<OutcomeRecord>, Fault> {
     // The key of a record at which a test makes the process die.
     let fatal_key =
         crate::fleet::injected_fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
@@ -340,8 +349,8 @@
         }
         if entry.kind == KIND_OUTCOME {
             // An outcome in a newer format can't be read; the submission may have run.
-            let fate = Fate::from_bytes(&value).unwrap_or(Fate::MayHaveRun);
-            outcomes.push(Keep { key: entry.key.into(), fate, at: entry.at });
+            let fate = StoredOutcome::from_bytes(&value).unwrap_or(StoredOutcome::MayHaveRun);
+            outcomes.push(OutcomeRecord { key: entry.key.into(), outcome: fate, at: entry.at });
         }
     })?;
     Ok(outcomes)
@@ -365,10 +374,10 @@
             {
                 tracing::info!("store takes records again");
                 failure = None;
-                node.feed(Input::StoreBack);
+                node.handle_input(Input::StoreRecovered);
             }
             let mut ops: Vec<Op> = group.iter().filter_map(|record| encoder.encode(record)).collect();
-            if node_store.lost && failure.is_none() && node.sure() {
+            if node_store.lost && failure.is_none() && node.outcomes_complete() {
                 node_store.lost = false;
                 ops.push(Op::Remove { kind: KIND_LOST, key: b"lost".to_vec() });
             }
@@ -385,7 +394,7 @@
             for record in group {
                 match record {
                     StoreRecord::Outcome(_, Some(ticket)) => {
-                        node.feed(Input::Kept { ticket, lasts: failure.is_none() });
+                        node.handle_input(Input::Persisted { ticket, durable: failure.is_none() });
                     }
                     StoreRecord::Outcome(outcome, None) => {
                         if let Some(failure) = &mut failure {
@@ -414,14 +423,14 @@
     Some(std::iter::once(first).chain(records.try_iter().take(GROUP_SIZE - 1)).collect())
 }
 
-fn put(kind: u8, key: &[u8], value: Vec<u8>, at: Age) -> Op {
+fn put(kind: u8, key: &[u8], value: Vec<u8>, at: StoreTime) -> Op {
     Op::Put { kind, key: key.to_vec(), value, at }
 }
 
 /// Turns records into operations of the store.
 struct RecordEncoder {
     /// The highest age of a record so far.
-    newest_age: Age,
+    newest_age: StoreTime,
     /// When [`KIND_LIST_CONFIRMED`] was last written.
     list_confirmed: Option<Instant>,
 }
@@ -432,7 +441,7 @@
         match record {
             StoreRecord::Outcome(outcome, _) => {
                 self.newest_age = self.newest_age.max(outcome.at);
-                Some(put(KIND_OUTCOME, &outcome.key, outcome.fate.to_bytes(), outcome.at))
+                Some(put(KIND_OUTCOME, &outcome.key, outcome.outcome.to_bytes(), outcome.at))
             }
             StoreRecord::List(list) => {
                 let text = list.write();
@@ -477,14 +486,14 @@
     }
 
     /// Holds an outcome until the store works again.
-    fn defer(&mut self, outcome: &Keep) {
+    fn defer(&mut self, outcome: &OutcomeRecord) {
         if self.deferred.len() < MAX_DEFERRED {
-            self.deferred.push(put(KIND_OUTCOME, &outcome.key, outcome.fate.to_bytes(), outcome.at));
+            self.deferred.push(put(KIND_OUTCOME, &outcome.key, outcome.outcome.to_bytes(), outcome.at));
         }
     }
 
     /// Tries to write the deferred outcomes, if the pause is over. Returns whether the store works again.
-    fn try_recover(&mut self, store: &mut Store<Folder>, now: Age) -> bool {
+    fn try_recover(&mut self, store: &mut Store<Folder>, now: StoreTime) -> bool {
         if self.last_try.elapsed() < self.retry_pause {
             return false;
         }
@@ -569,7 +578,7 @@
                 let key = String::from_utf8_lossy(&entry.key);
                 let text = match entry.kind {
                     KIND_OUTCOME => {
-                        Fate::from_bytes(&value).map_or("not understood", |f| f.word()).to_owned()
+                        StoredOutcome::from_bytes(&value).map_or("not understood", |f| f.as_str()).to_owned()
                     }
                     _ => String::from_utf8_lossy(&value).into_owned(),
                 };
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -3,10 +3,10 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use linestack_core::{Input, Link, Nanos, Remembered, Ticket};
+use linestack_core::{ConnectionId as CoreConnectionId, Input, Nanos, PersistTicket, StoredOutcomes};
 use linestack_dispatch::types::ListKind;
-use linestack_recovery::start::{Found, Start, Terms};
-use linestack_recovery::{Fates, Keep};
+use linestack_recovery::start::{StagedStart, StartConditions, StartLimits};
+use linestack_recovery::{OutcomeRecord, OutcomeTable};
 use rand::Rng as _;
 
 use super::event::{ClientOutcome, Event};
@@ -60,7 +60,7 @@
     /// Nanoseconds of processor time that each input takes.
     pub(super) cpu_per_input: f64,
     /// The records on its disk, oldest first.
-    persisted: Vec<Keep>,
+    persisted: Vec<OutcomeRecord>,
 }
 
 impl NodeState {
@@ -163,7 +163,7 @@
         let Some(machine) = &mut state.machine else { return };
         state.busy_until = self.now + state.cpu_per_input as Nanos;
         let incarnation = state.incarnation;
-        let lists_executors = matches!(input, Input::Listed { .. });
+        let lists_executors = matches!(input, Input::ListReceived { .. });
         if let Input::Submitted { client, .. } = &input {
             self.attempts[*client as usize].read_at = Some(self.now);
         }
@@ -216,33 +216,33 @@
             truth: Arc::clone(&self.truth),
         };
         self.nodes[node].machine = Some((self.make_node)(seat));
-        let input = Input::Listed { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
+        let input = Input::ListReceived { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
         self.give_input(node, self.nodes[node].incarnation, input);
         self.schedule_after(HEALTH_CHECK_AFTER_START, Event::HealthChecked { node });
     }
 
-    fn start_in_stages(&mut self) -> Start {
+    fn start_in_stages(&mut self) -> StagedStart {
         let starts = &self.scenario.nodes.starts;
-        let terms = Terms {
+        let terms = StartLimits {
             nodes: self.scenario.nodes.count,
             connects_per_s: starts.connects_per_s,
             lists_per_s: starts.lists_per_s,
             sessions_per_s: 0.0,
-            list_within: LIST_WITHIN,
-            known_within: KNOWN_WITHIN,
-            share_within: SHARE_WITHIN,
+            list_timeout: LIST_WITHIN,
+            known_timeout: KNOWN_WITHIN,
+            share_timeout: SHARE_WITHIN,
         };
-        let found = Found { proved: true, fresh: true, old: false };
-        Start::new(terms, found, [self.rng.random(), self.rng.random()], self.now)
+        let found = StartConditions { settings_confirmed: true, list_is_fresh: true, has_old_list: false };
+        StagedStart::new(terms, found, [self.rng.random(), self.rng.random()], self.now)
     }
 
     /// What a node's disk has of earlier incarnations.
-    fn remembered(&self, node: usize) -> Remembered {
+    fn remembered(&self, node: usize) -> StoredOutcomes {
         let persisted = &self.nodes[node].persisted;
-        let mut fates = Fates::new(RECORDS_REMEMBERED_FOR, usize::MAX, usize::MAX);
+        let mut fates = OutcomeTable::new(RECORDS_REMEMBERED_FOR, usize::MAX, usize::MAX);
         fates.restore(persisted.iter().cloned());
         let age = persisted.iter().map(|k| k.at + 1).max().unwrap_or(0);
-        Remembered { fates, age, now: self.now, by_stamp: true, doubtful: 0 }
+        StoredOutcomes { outcomes: fates, age, now: self.now, by_stamp: true, incomplete_until: 0 }
     }
 
     /// A record is on a node's disk. One that was under way when the node was killed is lost.
@@ -250,15 +250,15 @@
         &mut self,
         node: usize,
         incarnation: u32,
-        record: Keep,
-        ticket: Option<Ticket>,
+        record: OutcomeRecord,
+        ticket: Option<PersistTicket>,
     ) {
         if !self.nodes[node].runs(incarnation) {
             return;
         }
         self.nodes[node].persisted.push(record);
         if let Some(ticket) = ticket {
-            self.give_input(node, incarnation, Input::Kept { ticket, lasts: true });
+            self.give_input(node, incarnation, Input::Persisted { ticket, durable: true });
         }
     }
 
@@ -303,7 +303,7 @@
 
     fn close_connections_of(&mut self, node: usize, incarnation: u32) {
         let first = ConnectionId { node, incarnation, link: 0 };
-        let last = ConnectionId { node, incarnation, link: Link::MAX };
+        let last = ConnectionId { node, incarnation, link: CoreConnectionId::MAX };
         let ids: Vec<ConnectionId> = self.connections.range(first..=last).map(|(id, _)| *id).collect();
         for connection in ids {
             if let Some(state) = self.connections.get_mut(&connection) {
