--- a/crates/node/src/fleet/audit_log.rs
+++ b/crates/node/src/fleet/audit_log.rs
@@ -79,7 +79,7 @@
     /// Returns the client and the id of the submission, if this input of the reducer is one.
     pub(crate) fn pending_submission(&self, input: &Input) -> Option<(ClientId, Bytes)> {
         match input {
-            Input::Submitted { client, submission: intake } => Some((*client, intake.request.id.clone())),
+            Input::Submitted { client, submission } => Some((*client, submission.request.id.clone())),
             _ => None,
         }
     }
@@ -106,8 +106,8 @@
         }
         for effect in effects {
             match effect {
-                Effect::Send { request: shipment, version, .. } => {
-                    self.write(now, What::Sent { id: text(&shipment.id), version: *version });
+                Effect::Send { request, version, .. } => {
+                    self.write(now, What::Sent { id: text(&request.id), version: *version });
                 }
                 Effect::Answer { client, answer, version, .. } => {
                     let Some(id) = pending.remove(client) else { continue };
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -127,7 +127,7 @@
         limits: Option<StartLimits>,
     ) {
         let Self { fleet, store, record } = self;
-        let broken = super::injected_fault().and_then(|f| match f.as_str() {
+        let injected_fault = super::injected_fault().and_then(|f| match f.as_str() {
             "early" => Some(InjectedFault::ActivateUndecided),
             "from-receipt" => Some(InjectedFault::LeaseFromReceipt),
             "unfenced" => Some(InjectedFault::LeaseNeverEnds),
@@ -135,7 +135,7 @@
         });
         let staged = record.staged.clone();
         let member = Member::new(record.incarnation, DRIFT, INITIAL_LEASE_NS, active, staged)
-            .with_injected_fault(broken);
+            .with_injected_fault(injected_fault);
         let sender = SenderInfo {
             fleet: fleet.id.clone(),
             identity: Identity::Member(fleet.member.clone()),
@@ -151,7 +151,7 @@
             seed,
             sender,
             last_notice: None,
-            broken,
+            injected_fault,
             limits,
         };
         std::thread::spawn(move || session.run());
@@ -172,7 +172,7 @@
     /// The notice that was logged last, and when.
     last_notice: Option<(Notice, Instant)>,
     /// A fault that a test has injected.
-    broken: Option<InjectedFault>,
+    injected_fault: Option<InjectedFault>,
     /// How fast nodes may open sessions with the coordinators, if that is bounded.
     limits: Option<StartLimits>,
 }
@@ -311,8 +311,11 @@
                     if let Some(audit_log) = &self.node.audit_log {
                         audit_log.write(now, What::Leased { version, until: audit_log.machine_time(until) });
                     }
-                    let until =
-                        if self.broken == Some(InjectedFault::LeaseNeverEnds) { u64::MAX } else { until };
+                    let until = if self.injected_fault == Some(InjectedFault::LeaseNeverEnds) {
+                        u64::MAX
+                    } else {
+                        until
+                    };
                     self.node.end_lease_after_sleep(suspended + SUSPEND_TOLERANCE_NS);
                     self.node.handle_input(CoreInput::Lease { until });
                 }
@@ -336,9 +339,9 @@
         }
         match &notice {
             Notice::Refused(reason) => tracing::warn!(why = reason, "refused by the coordinators"),
-            Notice::CoordinatorsBehind { own: mine, theirs } => {
+            Notice::CoordinatorsBehind { own, theirs } => {
                 tracing::error!(
-                    mine,
+                    mine = own,
                     theirs,
                     "the coordinators have lost decided changes: their policy is older than this node's; it takes no submissions"
                 );
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -222,7 +222,7 @@
                         taken = observations.len(),
                         "heard from a peer"
                     );
-                    node.handle_input(Input::PeerObservations { observations: observations });
+                    node.handle_input(Input::PeerObservations { observations });
                 }
                 Err(error) => {
                     tracing::warn!(teller = snapshot.sender, why = %error, "observations of a peer rejected");
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -182,8 +182,8 @@
 pub struct NodeStore {
     store: Store<Folder>,
     config: Config,
-    /// The age from which the node goes on, just above that of the newest outcome. It counts only time in which a node runs.
-    age: StoreTime,
+    /// The time from which the node goes on, just after that of the newest outcome.
+    time: StoreTime,
     outcomes: Vec<OutcomeRecord>,
     list: Option<List>,
     /// When discovery last confirmed the list.
@@ -275,9 +275,9 @@
             only_record(&store, KIND_LIST_CONFIRMED).and_then(|text| serde_json::from_slice(&text).ok());
         let list_confirmed = stamp.map(|Stamp { boot, at }| BootTimestamp { boot, at });
         let lost = only_record(&store, KIND_LOST).is_some();
-        // Ages do not depend on the time of day: records age only while a node runs.
-        let age = outcomes.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
-        Ok(Self { store, config, age, outcomes, list, list_confirmed, lost })
+        // The wall clock is not used: the store's time advances only while a node runs.
+        let time = outcomes.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
+        Ok(Self { store, config, time, outcomes, list, list_confirmed, lost })
     }
 
     /// Returns the stored list, unless it is empty, and whether discovery confirmed it less than `within` nanoseconds ago,
@@ -291,27 +291,27 @@
     }
 
     /// Restores the outcomes into the reducer. `memory` is the memory that the program may use, in bytes.
-    pub fn restore_into(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_cut_off: Nanos) {
+    pub fn restore_into(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_deadline: Nanos) {
         let retention = self.config.remember_s * 1_000_000_000;
-        let mut fates = OutcomeTable::new(retention, usize::MAX, memory / OUTCOMES_MEMORY_DIVISOR);
-        fates.restore(std::mem::take(&mut self.outcomes));
-        fates.expire(self.age);
-        tracing::info!(known = fates.len(), folder = %self.config.folder.display(), "store read");
+        let mut outcomes = OutcomeTable::new(retention, usize::MAX, memory / OUTCOMES_MEMORY_DIVISOR);
+        outcomes.restore(std::mem::take(&mut self.outcomes));
+        outcomes.expire(self.time);
+        tracing::info!(known = outcomes.len(), folder = %self.config.folder.display(), "store read");
         let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
         // Clients of the process before this one notice at once that it is gone, and retry within their own deadlines. So
         // after the longest deadline nobody asks for a submission that the lost store may have known.
-        let doubtful = if self.lost { now + longest_cut_off + LOST_SLACK } else { 0 };
+        let incomplete_until = if self.lost { now + longest_deadline + LOST_SLACK } else { 0 };
         if self.lost {
             tracing::error!(
                 "an earlier store was lost; one-shots are aborted until all its executions are over"
             );
         }
         core.enable_outcome_store(StoredOutcomes {
-            outcomes: fates,
-            age: self.age,
+            outcomes,
+            age: self.time,
             now,
             by_stamp,
-            incomplete_until: doubtful,
+            incomplete_until,
         });
     }
 
@@ -349,8 +349,8 @@
         }
         if entry.kind == KIND_OUTCOME {
             // An outcome in a newer format can't be read; the submission may have run.
-            let fate = StoredOutcome::from_bytes(&value).unwrap_or(StoredOutcome::MayHaveRun);
-            outcomes.push(OutcomeRecord { key: entry.key.into(), outcome: fate, at: entry.at });
+            let outcome = StoredOutcome::from_bytes(&value).unwrap_or(StoredOutcome::MayHaveRun);
+            outcomes.push(OutcomeRecord { key: entry.key.into(), outcome, at: entry.at });
         }
     })?;
     Ok(outcomes)
@@ -364,13 +364,13 @@
 
     fn run(self, node: &Arc<Node>) {
         let Self { mut node_store, records } = self;
-        let mut encoder = RecordEncoder { newest_age: node_store.age, list_confirmed: None };
+        let mut encoder = RecordEncoder { newest_time: node_store.time, list_confirmed: None };
         let mut failure: Option<Failure> = None;
         loop {
             let Some(group) = next_group(&records, failure.as_ref()) else { return };
             if failure
                 .as_mut()
-                .is_some_and(|failure| failure.try_recover(&mut node_store.store, encoder.newest_age))
+                .is_some_and(|failure| failure.try_recover(&mut node_store.store, encoder.newest_time))
             {
                 tracing::info!("store takes records again");
                 failure = None;
@@ -383,7 +383,7 @@
             }
             if !ops.is_empty()
                 && failure.is_none()
-                && let Err(error) = node_store.store.commit(&ops, encoder.newest_age)
+                && let Err(error) = node_store.store.commit(&ops, encoder.newest_time)
             {
                 tracing::error!(why = %error, "store failed; one-shots are dismissed until it takes records again");
                 failure = Some(Failure::new());
@@ -429,8 +429,8 @@
 
 /// Turns records into operations of the store.
 struct RecordEncoder {
-    /// The highest age of a record so far.
-    newest_age: StoreTime,
+    /// The latest time of an outcome so far.
+    newest_time: StoreTime,
     /// When [`KIND_LIST_CONFIRMED`] was last written.
     list_confirmed: Option<Instant>,
 }
@@ -439,14 +439,14 @@
     /// Returns the operation for a record, or `None` if it is not to be written.
     fn encode(&mut self, record: &StoreRecord) -> Option<Op> {
         match record {
-            StoreRecord::Outcome(outcome, _) => {
-                self.newest_age = self.newest_age.max(outcome.at);
-                Some(put(KIND_OUTCOME, &outcome.key, outcome.outcome.to_bytes(), outcome.at))
+            StoreRecord::Outcome(record, _) => {
+                self.newest_time = self.newest_time.max(record.at);
+                Some(put(KIND_OUTCOME, &record.key, record.outcome.to_bytes(), record.at))
             }
             StoreRecord::List(list) => {
                 let text = list.write();
                 if text.len() + 64 < LARGEST {
-                    return Some(put(KIND_LIST, b"list", text, self.newest_age));
+                    return Some(put(KIND_LIST, b"list", text, self.newest_time));
                 }
                 tracing::warn!(bytes = text.len(), "the list is too long to be stored");
                 None
@@ -458,7 +458,7 @@
             }
             StoreRecord::ListConfirmed => {
                 self.list_confirmed = Some(Instant::now());
-                Some(put(KIND_LIST_CONFIRMED, b"heard", Stamp::now(), self.newest_age))
+                Some(put(KIND_LIST_CONFIRMED, b"heard", Stamp::now(), self.newest_time))
             }
         }
     }
@@ -486,9 +486,9 @@
     }
 
     /// Holds an outcome until the store works again.
-    fn defer(&mut self, outcome: &OutcomeRecord) {
+    fn defer(&mut self, record: &OutcomeRecord) {
         if self.deferred.len() < MAX_DEFERRED {
-            self.deferred.push(put(KIND_OUTCOME, &outcome.key, outcome.outcome.to_bytes(), outcome.at));
+            self.deferred.push(put(KIND_OUTCOME, &record.key, record.outcome.to_bytes(), record.at));
         }
     }
 
