--- a/crates/accord/src/config.rs
+++ b/crates/accord/src/config.rs
@@ -1,61 +1,62 @@
 //! The configuration of one coordinator, and the faults that tests can inject into it.
 
-use crate::state::{Id, Nanos};
+use crate::state::{CoordinatorId, Nanos};
 
-/// Validates a policy change: takes the active policy text and the proposed one, and returns one line for each fault.
-pub type Check = fn(&str, &str) -> Result<(), Vec<String>>;
+/// Validates a policy change: takes the active policy text and the proposed one, and returns one line for each error.
+pub type PolicyCheck = fn(&str, &str) -> Result<(), Vec<String>>;
 
 /// The configuration of one coordinator.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ConsensusConfig {
     /// The id of this coordinator.
-    pub me: Id,
-    /// How many coordinators there are, this one included.
-    pub count: u8,
+    pub id: CoordinatorId,
+    /// The number of coordinators, including this one.
+    pub coordinators: u8,
     /// How long a follower refuses to elect another leader after a heartbeat.
     pub hold: Nanos,
-    /// How long a member's lease lasts.
+    /// The duration of a member's lease.
     pub lease: Nanos,
-    /// By how much the rates of two clocks may differ, in thousandths.
+    /// The maximum difference between the rates of two clocks, in thousandths.
     pub drift: u64,
     /// Validates a proposed policy.
-    pub check: Check,
-    /// A deliberate fault, for the tests that must detect it.
-    pub broken: Option<Broken>,
+    pub check: PolicyCheck,
+    /// The fault that is injected, for tests that must detect it.
+    pub injected_fault: Option<InjectedFault>,
 }
 
-/// Deliberate faults. Each is detected by the state-space search over these state machines, or by the rig.
+/// Faults that can be injected. Each is detected by the state-space search over these state machines, or by the
+/// fault-injection rig.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Broken {
+pub enum InjectedFault {
     /// A promise is sent before it is persisted.
-    Forgets,
-    /// A change is decided once a majority of the members has staged it, whoever else holds a lease.
-    Majority,
-    /// A leader grants leases although its followers may have elected another by now.
-    OldSpeaker,
-    /// A new leader treats members that it has not heard of as if their leases were over.
-    NotBlind,
+    UnpersistedPromise,
+    /// A change is decided once a majority of the members has staged it, even if other members hold leases.
+    MajorityDecides,
+    /// A leader grants leases although its followers may have elected another leader since.
+    StaleLeader,
+    /// A new leader treats members that have not reported to it as if their leases had expired.
+    NoGracePeriod,
 }
 
-impl Terms {
-    /// The number of coordinators that make a quorum.
+impl ConsensusConfig {
+    /// Returns the number of coordinators that form a quorum.
     pub(crate) fn majority(&self) -> usize {
-        usize::from(self.count) / 2 + 1
+        usize::from(self.coordinators) / 2 + 1
     }
 
-    /// The ids of the other coordinators.
-    pub(crate) fn peers(&self) -> impl Iterator<Item = Id> + use<> {
-        let me = self.me;
-        (0..self.count).filter(move |id| *id != me)
+    /// Returns the ids of the other coordinators.
+    pub(crate) fn peers(&self) -> impl Iterator<Item = CoordinatorId> + use<> {
+        let own_id = self.id;
+        (0..self.coordinators).filter(move |id| *id != own_id)
     }
 
-    /// The time between two heartbeats of a leader.
+    /// Returns the interval between two heartbeats of a leader.
     pub(crate) fn heartbeat_interval(&self) -> Nanos {
         (self.hold / 4).max(1)
     }
 
-    /// Whether this fault is injected.
-    pub(crate) fn injects(&self, fault: Broken) -> bool {
-        self.broken == Some(fault)
+    /// Returns whether this fault is injected.
+    pub(crate) fn injects(&self, fault: InjectedFault) -> bool {
+        self.injected_fault == Some(fault)
     }
 }
--- a/crates/accord/src/coordinator/apply.rs
+++ b/crates/accord/src/coordinator/apply.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use crate::message::{Guest, Reply};
-use crate::state::{End, Id, Nanos, State};
-use crate::step::{Note, Out};
+use crate::message::{ClientSession, Reply};
+use crate::state::{CoordinatorId, End, Nanos, State};
+use crate::step::{AuditEntry, Output};
 
 use super::Coordinator;
 use super::leadership::Leadership;
@@ -26,12 +26,12 @@
 impl Coordinator {
     /// Applies the write in progress once a quorum has accepted it.
     pub(super) fn commit_if_accepted(&mut self, now: Nanos) {
-        let majority = self.terms.majority();
+        let majority = self.config.majority();
         let Role::Leader(leadership) = &mut self.role else { return };
         let Some(commit) = leadership.commit(majority) else { return };
         let responses = leadership.apply(now, &commit);
         let notes = commit.notes(leadership.ballot.round);
-        self.outputs.extend(notes.into_iter().map(Out::Note));
+        self.outputs.extend(notes.into_iter().map(Output::Audit));
         for response in responses {
             self.reply(response.to, response.reply);
         }
@@ -65,8 +65,8 @@
     fn nudges(&self, commit: &Commit) -> Vec<Response> {
         let nudge = |member: &String| {
             let session = self.sessions.get(member)?;
-            let to = ReplyTo { via: session.via, client: Guest::Member(member.clone()) };
-            Some(Response { to, reply: Reply::Nudge })
+            let to = ReplyTo { via: session.via, client: ClientSession::Member(member.clone()) };
+            Some(Response { to, reply: Reply::RenewNow })
         };
         if commit.changes_policy() || commit.changes_pending() {
             return self.sessions.keys().filter_map(nudge).collect();
@@ -95,7 +95,7 @@
     }
 
     /// Whether the coordinator was replaced.
-    pub(super) fn replaces(&self, coordinator: Id) -> bool {
+    pub(super) fn replaces(&self, coordinator: CoordinatorId) -> bool {
         let seat = self.state.seat(coordinator);
         self.previous.as_ref().is_some_and(|previous| previous.seat(coordinator) < seat)
     }
@@ -106,10 +106,10 @@
     }
 
     /// The audit log entries, in order.
-    fn notes(&self, round: u32) -> Vec<Note> {
+    fn notes(&self, round: u32) -> Vec<AuditEntry> {
         let mut notes = Vec::new();
         if self.previous.is_none() {
-            notes.push(Note::Established { round });
+            notes.push(AuditEntry::Established { round });
         }
         notes.extend(self.dropped());
         if self.changes_policy() {
@@ -118,27 +118,30 @@
         if self.changes_pending()
             && let Some(pending) = &self.state.pending
         {
-            notes.push(Note::Pending { request: pending.request.clone(), version: pending.policy.version });
+            notes.push(AuditEntry::Pending {
+                request: pending.request.clone(),
+                version: pending.policy.version,
+            });
         }
         notes
     }
 
     /// The changes that ended by this commit and were not decided.
-    fn dropped(&self) -> impl Iterator<Item = Note> {
+    fn dropped(&self) -> impl Iterator<Item = AuditEntry> {
         let ended_before = self.previous.iter().flat_map(|previous| &previous.ended);
         let known: BTreeSet<u64> = ended_before.map(|ended| ended.version).collect();
         let ended = self.state.ended.iter().filter(move |ended| !known.contains(&ended.version));
-        ended.filter(|ended| ended.end != End::Decided).map(|ended| Note::Dropped {
+        ended.filter(|ended| ended.end != End::Decided).map(|ended| AuditEntry::Dropped {
             request: ended.request.clone(),
             version: ended.version,
             end: ended.end.clone(),
         })
     }
 
-    fn decided(&self) -> Note {
+    fn decided(&self) -> AuditEntry {
         let policy = &self.state.policy;
         let decided = self.state.ended.iter().find(|e| e.version == policy.version && e.end == End::Decided);
-        Note::Decided {
+        AuditEntry::Decided {
             request: decided.map_or(String::new(), |ended| ended.request.clone()),
             version: policy.version,
             digest: policy.digest(),
--- a/crates/accord/src/coordinator/change.rs
+++ b/crates/accord/src/coordinator/change.rs
@@ -1,8 +1,8 @@
 //! Changes of the policy: a change is proposed, put before the members, staged by them, and decided or dropped.
 
-use crate::config::{Broken, Terms};
+use crate::config::{ConsensusConfig, InjectedFault};
 use crate::message::Reply;
-use crate::state::{End, Incarnation, LARGEST_TEXT, LONGEST_NAME, Nanos, Pending, Policy, State};
+use crate::state::{End, Incarnation, MAX_NAME_BYTES, MAX_POLICY_BYTES, Nanos, PendingChange, Policy, State};
 
 use super::Coordinator;
 use super::apply::{Commit, Response};
@@ -13,18 +13,18 @@
 pub(super) struct Proposal {
     pub(super) request: String,
     /// The version that the change builds on.
-    pub(super) base: u64,
+    pub(super) base_version: u64,
     pub(super) text: String,
     /// Members whose leases are over have to stage it, too.
-    pub(super) all: bool,
-    pub(super) give_up: Option<Nanos>,
+    pub(super) require_all: bool,
+    pub(super) give_up_after: Option<Nanos>,
 }
 
 /// A change that was checked, and is to be put before the members.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct ProposedChange {
     operator: ReplyTo,
-    change: Pending,
+    change: PendingChange,
 }
 
 /// When the leader first knew a change to be pending.
@@ -36,27 +36,27 @@
 
 impl Coordinator {
     pub(super) fn propose(&mut self, now: Nanos, operator: ReplyTo, proposal: Proposal) {
-        let terms = self.terms;
+        let config = self.config;
         let Role::Leader(leadership) = &mut self.role else { return };
         let Some(committed) = &leadership.committed else { return };
         if let Some(known) = leadership.outcome(&proposal.request) {
             return self.reply(operator, known);
         }
-        let faults = leadership.proposal_faults(committed, &proposal, &terms);
+        let faults = leadership.proposal_faults(committed, &proposal, &config);
         if !faults.is_empty() {
-            return self.reply(operator, Reply::TurnedDown(faults));
+            return self.reply(operator, Reply::Rejected(faults));
         }
-        let Proposal { request, text, all, give_up, .. } = proposal;
-        let policy = Policy { version: committed.last + 1, text };
-        let change = Pending { request, policy, all, give_up };
+        let Proposal { request, text, require_all, give_up_after, .. } = proposal;
+        let policy = Policy { version: committed.last_version + 1, text };
+        let change = PendingChange { request, policy, require_all, give_up_after };
         leadership.proposed = Some(ProposedChange { operator, change });
         self.write_next(now);
     }
 
     pub(super) fn abort(&mut self, now: Nanos, operator: ReplyTo, request: String) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        let outcome = leadership.outcome(&request).unwrap_or(Reply::Unheard);
-        let is_pending = matches!(outcome, Reply::Taken { .. });
+        let outcome = leadership.outcome(&request).unwrap_or(Reply::Unknown);
+        let is_pending = matches!(outcome, Reply::Pending { .. });
         if is_pending {
             leadership.abort = Some(request);
         }
@@ -75,7 +75,7 @@
             return Some(Reply::Ended(ended.clone()));
         }
         let pending = committed.pending.as_ref().filter(|pending| pending.request == request)?;
-        Some(Reply::Taken { version: pending.policy.version })
+        Some(Reply::Pending { version: pending.policy.version })
     }
 
     /// The name of the change that is proposed, being written or pending.
@@ -87,52 +87,63 @@
     }
 
     /// Why a proposal can't be put before the members; empty if it can.
-    fn proposal_faults(&self, committed: &State, proposal: &Proposal, terms: &Terms) -> Vec<String> {
+    fn proposal_faults(
+        &self,
+        committed: &State,
+        proposal: &Proposal,
+        config: &ConsensusConfig,
+    ) -> Vec<String> {
         let mut faults = Vec::new();
         if let Some(other) = self.change_under_way() {
             faults.push(format!("another change is under way: {other}"));
         }
-        let (base, version) = (proposal.base, committed.policy.version);
+        let (base, version) = (proposal.base_version, committed.policy.version);
         if base != version {
             faults.push(format!("base: {base}, and the fleet goes by {version}"));
         }
-        if proposal.request.is_empty() || proposal.request.len() > LONGEST_NAME {
-            faults.push(format!("request: from 1 to {LONGEST_NAME} characters"));
+        if proposal.request.is_empty() || proposal.request.len() > MAX_NAME_BYTES {
+            faults.push(format!("request: from 1 to {MAX_NAME_BYTES} characters"));
         }
         let size = proposal.text.len();
-        if size > LARGEST_TEXT {
-            faults.push(format!("the policy has {size} bytes, {LARGEST_TEXT} at most"));
-        } else if let Err(more) = (terms.check)(&committed.policy.text, &proposal.text) {
+        if size > MAX_POLICY_BYTES {
+            faults.push(format!("the policy has {size} bytes, {MAX_POLICY_BYTES} at most"));
+        } else if let Err(more) = (config.check)(&committed.policy.text, &proposal.text) {
             faults.extend(more);
         }
         faults
     }
 
     /// Writes the end of the pending change, or the proposed change, into the next state.
-    pub(super) fn write_change(&mut self, now: Nanos, terms: &Terms, state: &mut State) {
+    pub(super) fn write_change(&mut self, now: Nanos, config: &ConsensusConfig, state: &mut State) {
         if let Some(pending) = &state.pending {
-            if let Some(end) = self.end_of(now, terms, pending, state) {
-                state.end(end);
+            if let Some(end) = self.end_of(now, config, pending, state) {
+                state.end_pending(end);
             }
         } else if let Some(proposed) = &self.proposed {
             // Its base was checked when it came, and nothing has been decided since.
-            state.last = proposed.change.policy.version;
+            state.last_version = proposed.change.policy.version;
             state.pending = Some(proposed.change.clone());
         }
     }
 
     /// How the pending change ends now, if it does.
-    fn end_of(&mut self, now: Nanos, terms: &Terms, pending: &Pending, state: &State) -> Option<End> {
+    fn end_of(
+        &mut self,
+        now: Nanos,
+        config: &ConsensusConfig,
+        pending: &PendingChange,
+        state: &State,
+    ) -> Option<End> {
         if self.abort.take_if(|request| *request == pending.request).is_some() {
             return Some(End::Aborted);
         }
         if let Some(declined) = self.declined_by_member(pending.policy.version) {
             return Some(declined);
         }
-        if self.is_ready(now, terms, pending, state) {
+        if self.is_ready(now, config, pending, state) {
             return Some(End::Decided);
         }
-        let give_up_at = pending.give_up.map(|span| self.pending_since.at.saturating_add(span));
+        let give_up_at = pending.give_up_after.map(|span| self.pending_since.at.saturating_add(span));
         give_up_at.is_some_and(|at| now >= at).then_some(End::GivenUp)
     }
 
@@ -144,15 +155,15 @@
     }
 
     /// Whether every member has staged the change, or can't serve under the policy before it.
-    fn is_ready(&self, now: Nanos, terms: &Terms, pending: &Pending, state: &State) -> bool {
+    fn is_ready(&self, now: Nanos, config: &ConsensusConfig, pending: &PendingChange, state: &State) -> bool {
         let version = pending.policy.version;
         let mut members = state.members.iter();
-        if terms.injects(Broken::Majority) {
+        if config.injects(InjectedFault::MajorityDecides) {
             let staged = members.filter(|(name, run)| self.has_staged(name, run, version)).count();
             return staged * 2 > state.members.len();
         }
         members.all(|(name, run)| {
-            self.has_staged(name, run, version) || (!pending.all && self.is_away(now, name))
+            self.has_staged(name, run, version) || (!pending.require_all && self.is_away(now, name))
         })
     }
 
@@ -169,7 +180,7 @@
     /// When the pending change is given up.
     pub(super) fn give_up_at(&self) -> Option<Nanos> {
         let pending = self.committed.as_ref()?.pending.as_ref()?;
-        Some(self.pending_since.at.saturating_add(pending.give_up?))
+        Some(self.pending_since.at.saturating_add(pending.give_up_after?))
     }
 
     pub(super) fn track_pending(&mut self, now: Nanos, commit: &Commit) {
@@ -184,6 +195,6 @@
         let pending = commit.pending_version();
         let taken = self.proposed.take_if(|proposed| pending == Some(proposed.change.policy.version))?;
         let version = taken.change.policy.version;
-        Some(Response { to: taken.operator, reply: Reply::Taken { version } })
+        Some(Response { to: taken.operator, reply: Reply::Pending { version } })
     }
 }
--- a/crates/accord/src/coordinator/election.rs
+++ b/crates/accord/src/coordinator/election.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::config::Broken;
-use crate::message::Peer;
-use crate::state::{Ballot, Id, Nanos};
+use crate::config::InjectedFault;
+use crate::message::PeerMessage;
+use crate::state::{Ballot, CoordinatorId, Nanos};
 
 use super::Coordinator;
 use super::leadership::Leadership;
@@ -14,18 +14,18 @@
     /// When this coordinator stands for election unless it hears a leader. Coordinators do so one after the other, lest
     /// they outbid each other for ever.
     pub(super) fn election_due(&self) -> Nanos {
-        self.leader_lease.until + self.terms.hold / 4 * Nanos::from(self.terms.me)
+        self.leader_lease.until + self.config.hold / 4 * Nanos::from(self.config.id)
     }
 
     /// Stands for election, or asks again for promises that are missing.
     pub(super) fn campaign(&mut self, now: Nanos) {
-        let retry_at = now + self.terms.hold / 2 + self.terms.hold / 8 * Nanos::from(self.terms.me);
+        let retry_at = now + self.config.hold / 2 + self.config.hold / 8 * Nanos::from(self.config.id);
         let ballot = match self.continue_candidacy(retry_at) {
             Some(ballot) => ballot,
             None => self.begin_candidacy(retry_at),
         };
-        for peer in self.terms.peers() {
-            self.send(peer, Peer::Prepare { ballot });
+        for peer in self.config.peers() {
+            self.send(peer, PeerMessage::Prepare { ballot });
         }
         self.lead_if_elected(now);
     }
@@ -43,9 +43,9 @@
 
     /// Promises itself a ballot that is higher than all known ones.
     fn begin_candidacy(&mut self, retry_at: Nanos) -> Ballot {
-        let me = self.terms.me;
+        let me = self.config.id;
         let round = self.highest_round.max(self.record.promised.round) + 1;
-        let ballot = Ballot { round, by: me };
+        let ballot = Ballot { round, candidate: me };
         self.highest_round = round;
         self.record.promised = ballot;
         self.record_changed = true;
@@ -63,10 +63,10 @@
         let Role::Candidate(candidacy) = &self.role else { return };
         let ballot = candidacy.ballot;
         let state = candidacy.newest_state();
-        if candidacy.votes(&state) < self.terms.majority() {
+        if candidacy.votes(&state) < self.config.majority() {
             return;
         }
-        let grace = if self.terms.injects(Broken::NotBlind) { 0 } else { self.terms.lease };
+        let grace = if self.config.injects(InjectedFault::NoGracePeriod) { 0 } else { self.config.lease };
         let sessions = std::mem::take(&mut self.former_sessions);
         let leadership = Leadership::new(ballot, now, now + grace, sessions);
         self.role = Role::Leader(Box::new(leadership));
@@ -74,39 +74,39 @@
         self.replicate(now, state);
     }
 
-    pub(super) fn on_prepare(&mut self, now: Nanos, from: Id, ballot: Ballot) {
+    pub(super) fn on_prepare(&mut self, now: Nanos, from: CoordinatorId, ballot: Ballot) {
         self.observe_round(ballot);
         if self.record.learning || self.supports_another_leader(now, from) {
             return;
         }
         if ballot < self.record.promised {
-            return self.send(from, Peer::Behind { promised: self.record.promised });
+            return self.send(from, PeerMessage::OutdatedBallot { promised: self.record.promised });
         }
         if ballot > self.record.promised {
             self.promise(now, from, ballot);
         }
         let accepted = self.record.accepted;
         let state = self.record.state.clone();
-        self.send(from, Peer::Promise { ballot, accepted, state });
+        self.send(from, PeerMessage::Promise { ballot, accepted, state });
     }
 
     /// Whether a leader counts on this coordinator's vote, be it this one or another.
-    fn supports_another_leader(&self, now: Nanos, candidate: Id) -> bool {
+    fn supports_another_leader(&self, now: Nanos, candidate: CoordinatorId) -> bool {
         let leased = now < self.leader_lease.until && self.leader_lease.holder != Some(candidate);
-        self.speaks(now) || leased
+        self.is_leader(now) || leased
     }
 
-    fn promise(&mut self, now: Nanos, candidate: Id, ballot: Ballot) {
+    fn promise(&mut self, now: Nanos, candidate: CoordinatorId, ballot: Ballot) {
         self.record.promised = ballot;
         self.record_changed = true;
         if !matches!(self.role, Role::Follower) {
             self.step_down(now);
         }
         // Leaves the candidate the time to be heard.
-        self.leader_lease = LeaderLease { holder: Some(candidate), until: now + self.terms.hold / 2 };
+        self.leader_lease = LeaderLease { holder: Some(candidate), until: now + self.config.hold / 2 };
     }
 
-    pub(super) fn on_promise(&mut self, now: Nanos, from: Id, ballot: Ballot, promise: Promise) {
+    pub(super) fn on_promise(&mut self, now: Nanos, from: CoordinatorId, ballot: Ballot, promise: Promise) {
         if let Role::Candidate(candidacy) = &mut self.role
             && candidacy.ballot == ballot
         {
@@ -122,7 +122,7 @@
         if promised <= leadership.ballot {
             return;
         }
-        let still_valid = self.speaks(now);
+        let still_valid = self.is_leader(now);
         self.step_down(now);
         if still_valid {
             self.campaign(now);
@@ -138,7 +138,7 @@
         if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
             self.former_sessions = leadership.sessions;
         }
-        let until = self.leader_lease.until.max(now + self.terms.hold / 2);
+        let until = self.leader_lease.until.max(now + self.config.hold / 2);
         self.leader_lease = LeaderLease { holder: None, until };
     }
 }
--- a/crates/accord/src/coordinator/leadership.rs
+++ b/crates/accord/src/coordinator/leadership.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::config::Terms;
-use crate::message::Peer;
-use crate::state::{Ballot, Id, Incarnation, Nanos, State};
+use crate::config::ConsensusConfig;
+use crate::message::PeerMessage;
+use crate::state::{Ballot, CoordinatorId, Incarnation, Nanos, State};
 
 use super::change::{PendingSince, ProposedChange};
 use super::lease::Session;
@@ -20,7 +20,7 @@
     /// The write in progress.
     pub(super) in_flight: Option<InFlight>,
     /// For each follower, the newest of this coordinator's clock readings that it has acknowledged.
-    pub(super) acknowledged_at: BTreeMap<Id, Nanos>,
+    pub(super) acknowledged_at: BTreeMap<CoordinatorId, Nanos>,
     pub(super) elected_at: Nanos,
     /// Until then members may hold leases that an earlier leader has granted.
     pub(super) earlier_leases_until: Nanos,
@@ -33,7 +33,7 @@
     /// The coordinator to be replaced.
     pub(super) replacement: Option<Replacement>,
     /// For each follower, the newest write that it has accepted under this ballot.
-    pub(super) accepted_rev: BTreeMap<Id, u64>,
+    pub(super) accepted_revision: BTreeMap<CoordinatorId, u64>,
     /// The policy change to be put before the members.
     pub(super) proposed: Option<ProposedChange>,
     /// The name of the change to be aborted.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct InFlight {
     pub(super) state: State,
-    pub(super) accepted_by: BTreeSet<Id>,
+    pub(super) accepted_by: BTreeSet<CoordinatorId>,
 }
 
 impl Leadership {
@@ -68,7 +68,7 @@
             joining: BTreeMap::new(),
             removals: Vec::new(),
             replacement: None,
-            accepted_rev: BTreeMap::new(),
+            accepted_revision: BTreeMap::new(),
             proposed: None,
             abort: None,
             pending_since: PendingSince { version: 0, at: now },
@@ -76,57 +76,57 @@
     }
 
     /// Until when a quorum elects nobody else, by this coordinator's clock.
-    pub(super) fn valid_until(&self, terms: &Terms) -> Nanos {
-        let followers_needed = terms.majority() - 1;
+    pub(super) fn valid_until(&self, config: &ConsensusConfig) -> Nanos {
+        let followers_needed = config.majority() - 1;
         if followers_needed == 0 {
             return Nanos::MAX;
         }
         let mut acknowledged: Vec<Nanos> = self.acknowledged_at.values().copied().collect();
         acknowledged.sort_unstable_by(|a, b| b.cmp(a));
-        let hold = terms.hold - terms.hold * terms.drift / 1000;
+        let hold = config.hold - config.hold * config.drift / 1000;
         acknowledged.get(followers_needed - 1).map_or(0, |at| at + hold)
     }
 
     /// When the next tick is due: for a heartbeat, or to give a change up.
-    pub(super) fn next_due(&self, terms: &Terms) -> Nanos {
-        let last_heartbeat = self.next_heartbeat - terms.heartbeat_interval();
+    pub(super) fn next_due(&self, config: &ConsensusConfig) -> Nanos {
+        let last_heartbeat = self.next_heartbeat - config.heartbeat_interval();
         let give_up = self.give_up_at().filter(|at| *at > last_heartbeat);
         self.next_heartbeat.min(give_up.unwrap_or(Nanos::MAX))
     }
 
     /// What a follower is sent at each heartbeat.
-    pub(super) fn heartbeat_for(&self, follower: Id, now: Nanos) -> Peer {
+    pub(super) fn heartbeat_for(&self, follower: CoordinatorId, now: Nanos) -> PeerMessage {
         let ballot = self.ballot;
-        let heartbeat = Peer::Beat { ballot, at: now };
+        let heartbeat = PeerMessage::Heartbeat { ballot, at: now };
         if let Some(write) = &self.in_flight {
             if write.accepted_by.contains(&follower) {
                 return heartbeat;
             }
-            return Peer::Accept { ballot, state: write.state.clone(), at: now, agreed: false };
+            return PeerMessage::Accept { ballot, state: write.state.clone(), at: now, committed: false };
         }
         match &self.committed {
             // It has missed a write, or is another's replacement.
-            Some(state) if self.lags_behind(follower, state.rev) => {
-                Peer::Accept { ballot, state: state.clone(), at: now, agreed: true }
+            Some(state) if self.lags_behind(follower, state.revision) => {
+                PeerMessage::Accept { ballot, state: state.clone(), at: now, committed: true }
             }
             _ => heartbeat,
         }
     }
 
-    fn lags_behind(&self, follower: Id, rev: u64) -> bool {
-        self.accepted_rev.get(&follower).is_none_or(|accepted| *accepted < rev)
+    fn lags_behind(&self, follower: CoordinatorId, revision: u64) -> bool {
+        self.accepted_revision.get(&follower).is_none_or(|accepted| *accepted < revision)
     }
 
-    pub(super) fn acknowledge(&mut self, follower: Id, at: Nanos) {
+    pub(super) fn acknowledge(&mut self, follower: CoordinatorId, at: Nanos) {
         let acknowledged = self.acknowledged_at.entry(follower).or_default();
         *acknowledged = (*acknowledged).max(at);
     }
 
     /// Counts a follower's acceptance of a write. Returns whether it is of the write in progress.
-    pub(super) fn accept(&mut self, follower: Id, rev: u64) -> bool {
-        let accepted = self.accepted_rev.entry(follower).or_default();
-        *accepted = (*accepted).max(rev);
-        match self.in_flight.as_mut().filter(|write| write.state.rev == rev) {
+    pub(super) fn accept(&mut self, follower: CoordinatorId, revision: u64) -> bool {
+        let accepted = self.accepted_revision.entry(follower).or_default();
+        *accepted = (*accepted).max(revision);
+        match self.in_flight.as_mut().filter(|write| write.state.revision == revision) {
             Some(write) => {
                 write.accepted_by.insert(follower);
                 true
@@ -153,18 +153,18 @@
     }
 
     /// What is to be written next, if anything is and no write is in progress.
-    pub(super) fn next_state(&mut self, now: Nanos, terms: &Terms) -> Option<State> {
+    pub(super) fn next_state(&mut self, now: Nanos, config: &ConsensusConfig) -> Option<State> {
         if self.in_flight.is_some() {
             return None;
         }
         let committed = self.committed.clone()?;
         let mut state = committed.clone();
         self.write_memberships(now, &mut state);
-        self.write_change(now, terms, &mut state);
+        self.write_change(now, config, &mut state);
         if state == committed {
             return None;
         }
-        state.rev += 1;
+        state.revision += 1;
         Some(state)
     }
 }
--- a/crates/accord/src/coordinator/lease.rs
+++ b/crates/accord/src/coordinator/lease.rs
@@ -3,10 +3,10 @@
 //! A member counts its lease from when it asked, by its own clock; the leader counts it from when it answers. So the
 //! leader's end is never the earlier one, as long as the rates of both clocks differ by no more than the drift.
 
-use crate::config::Terms;
-use crate::message::{Grant, Guest, Renew, Reply};
-use crate::state::{Id, Incarnation, LONGEST_NAME, Nanos};
-use crate::step::{Note, Out};
+use crate::config::ConsensusConfig;
+use crate::message::{ClientSession, Grant, Renew, Reply};
+use crate::state::{CoordinatorId, Incarnation, MAX_NAME_BYTES, Nanos};
+use crate::step::{AuditEntry, Output};
 
 use super::Coordinator;
 use super::leadership::Leadership;
@@ -17,7 +17,7 @@
 pub(super) struct Session {
     pub(super) incarnation: Incarnation,
     /// The coordinator that the member is connected to, where that is another.
-    pub(super) via: Option<Id>,
+    pub(super) via: Option<CoordinatorId>,
     /// When the lease ends, by the leader's clock.
     lease_until: Nanos,
     /// The policy version that the member goes by.
@@ -49,34 +49,40 @@
 
 impl Coordinator {
     /// Grants or renews a member's lease, after it was registered.
-    pub(super) fn renew_lease(&mut self, now: Nanos, via: Option<Id>, name: String, mut renew: Renew) {
-        let terms = self.terms;
+    pub(super) fn renew_lease(
+        &mut self,
+        now: Nanos,
+        via: Option<CoordinatorId>,
+        name: String,
+        mut renew: Renew,
+    ) {
+        let config = self.config;
         let Role::Leader(leadership) = &mut self.role else { return };
-        renew.stage.truncate(renew.stage.floor_char_boundary(LONGEST_NAME));
+        renew.stage.truncate(renew.stage.floor_char_boundary(MAX_NAME_BYTES));
         if leadership.registered(&name) != Some(renew.incarnation) {
             return self.register(now, via, name, renew);
         }
         if leadership.is_being_registered_anew(&name) {
             return;
         }
-        let asked_at = renew.at;
+        let asked_at = renew.requested_at;
         let session = leadership.session_of_run(now, via, &name, &renew);
-        if session.clock_is_too_slow(now, asked_at, &terms) {
+        if session.clock_is_too_slow(now, asked_at, &config) {
             return self.refuse(via, name, "its clock is slower than the drift allowed");
         }
         session.update(via, renew);
-        let Some(grant) = leadership.extend_lease(now, &name, asked_at, terms.lease) else { return };
+        let Some(grant) = leadership.extend_lease(now, &name, asked_at, config.lease) else { return };
         let round = leadership.ballot.round;
         let version = grant.version;
-        self.outputs.push(Out::Note(Note::Granted { member: name.clone(), round, version }));
-        self.reply(ReplyTo { via, client: Guest::Member(name) }, Reply::Grant(grant));
+        self.outputs.push(Output::Audit(AuditEntry::Granted { member: name.clone(), round, version }));
+        self.reply(ReplyTo { via, client: ClientSession::Member(name) }, Reply::Grant(grant));
         self.write_next(now);
     }
 
-    pub(super) fn refuse(&mut self, via: Option<Id>, name: String, why: &'static str) {
-        self.outputs.push(Out::Note(Note::Refused { member: name.clone(), why }));
-        let to = ReplyTo { via, client: Guest::Member(name) };
-        self.reply(to, Reply::Refused(why.to_owned()));
+    pub(super) fn refuse(&mut self, via: Option<CoordinatorId>, name: String, reason: &'static str) {
+        self.outputs.push(Output::Audit(AuditEntry::Refused { member: name.clone(), reason }));
+        let to = ReplyTo { via, client: ClientSession::Member(name) };
+        self.reply(to, Reply::Refused(reason.to_owned()));
     }
 }
 
@@ -97,7 +103,13 @@
     }
 
     /// The session of the run that asks, which is the registered one.
-    fn session_of_run(&mut self, now: Nanos, via: Option<Id>, name: &str, renew: &Renew) -> &mut Session {
+    fn session_of_run(
+        &mut self,
+        now: Nanos,
+        via: Option<CoordinatorId>,
+        name: &str,
+        renew: &Renew,
+    ) -> &mut Session {
         let fresh = || Session::unreported(now, via, renew);
         let session = self.sessions.entry(name.to_owned()).or_insert_with(fresh);
         if session.incarnation != renew.incarnation {
@@ -124,8 +136,8 @@
         let policy = Some(&committed.policy).filter(|_| session.active != version);
         Some(Grant {
             incarnation: session.incarnation,
-            at: asked_at,
-            span: lease,
+            requested_at: asked_at,
+            duration: lease,
             version,
             policy: policy.cloned(),
             change: change.cloned(),
@@ -135,14 +147,14 @@
 
 impl Session {
     /// A session as the member reports itself, without a lease.
-    pub(super) fn new(now: Nanos, via: Option<Id>, renew: Renew) -> Self {
+    pub(super) fn new(now: Nanos, via: Option<CoordinatorId>, renew: Renew) -> Self {
         let mut session = Self::unreported(now, via, &renew);
         session.update(via, renew);
         session
     }
 
     /// A session without a lease, of a member whose report is still to be taken.
-    fn unreported(now: Nanos, via: Option<Id>, renew: &Renew) -> Self {
+    fn unreported(now: Nanos, via: Option<CoordinatorId>, renew: &Renew) -> Self {
         Self {
             incarnation: renew.incarnation,
             via,
@@ -151,11 +163,11 @@
             staged: renew.staged,
             declined: None,
             stage: String::new(),
-            first_heard: ClockPair { member: renew.at, leader: now },
+            first_heard: ClockPair { member: renew.requested_at, leader: now },
         }
     }
 
-    fn update(&mut self, via: Option<Id>, renew: Renew) {
+    fn update(&mut self, via: Option<CoordinatorId>, renew: Renew) {
         self.via = via;
         self.active = renew.active;
         self.staged = renew.staged;
@@ -177,9 +189,9 @@
     /// Whether the member's clock runs so slowly that its lease would outlast the leader's count.
     ///
     /// The time that a message takes is noise of one lease at most: after a longer one the lease is over anyway.
-    fn clock_is_too_slow(&self, now: Nanos, asked_at: Nanos, terms: &Terms) -> bool {
+    fn clock_is_too_slow(&self, now: Nanos, asked_at: Nanos, config: &ConsensusConfig) -> bool {
         let by_member = asked_at.saturating_sub(self.first_heard.member);
         let by_leader = now - self.first_heard.leader;
-        by_leader > by_member + terms.lease + by_leader / 1000 * terms.drift
+        by_leader > by_member + config.lease + by_leader / 1000 * config.drift
     }
 }
--- a/crates/accord/src/coordinator/membership.rs
+++ b/crates/accord/src/coordinator/membership.rs
@@ -1,7 +1,7 @@
 //! Membership: members that are registered and removed, and coordinators that are replaced.
 
 use crate::message::{Renew, Reply};
-use crate::state::{Id, Incarnation, LONGEST_NAME, MOST_MEMBERS, Nanos, State};
+use crate::state::{CoordinatorId, Incarnation, MAX_MEMBERS, MAX_NAME_BYTES, Nanos, State};
 
 use super::Coordinator;
 use super::apply::{Commit, Response};
@@ -23,15 +23,15 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Replacement {
     operator: ReplyTo,
-    coordinator: Id,
+    coordinator: CoordinatorId,
 }
 
 impl Coordinator {
     /// Registers a run of a member that is not registered, or refuses it.
-    pub(super) fn register(&mut self, now: Nanos, via: Option<Id>, name: String, renew: Renew) {
+    pub(super) fn register(&mut self, now: Nanos, via: Option<CoordinatorId>, name: String, renew: Renew) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        if let Some(why) = leadership.registration_fault(now, &name, &renew.incarnation) {
-            return self.refuse(via, name, why);
+        if let Some(reason) = leadership.registration_fault(now, &name, &renew.incarnation) {
+            return self.refuse(via, name, reason);
         }
         // Until the name is committed, the session grants nothing.
         let incarnation = renew.incarnation;
@@ -44,21 +44,21 @@
     pub(super) fn forget_member(&mut self, now: Nanos, operator: ReplyTo, member: String) {
         let Role::Leader(leadership) = &mut self.role else { return };
         if leadership.registered(&member).is_none() {
-            return self.reply(operator, Reply::Unheard);
+            return self.reply(operator, Reply::Unknown);
         }
         if leadership.holds_lease(now, &member) || leadership.in_grace_period(now) {
             let fault = format!("{member} may serve still");
-            return self.reply(operator, Reply::TurnedDown(vec![fault]));
+            return self.reply(operator, Reply::Rejected(vec![fault]));
         }
         leadership.removals.push(Removal { operator, member });
         self.write_next(now);
     }
 
     /// An operator gives the seat of a coordinator that is not heard to another.
-    pub(super) fn replace_coordinator(&mut self, now: Nanos, operator: ReplyTo, coordinator: Id) {
+    pub(super) fn replace_coordinator(&mut self, now: Nanos, operator: ReplyTo, coordinator: CoordinatorId) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        let silence = self.terms.hold * SILENT_HOLDS;
-        let is_another = coordinator < self.terms.count && coordinator != self.terms.me;
+        let silence = self.config.hold * SILENT_HOLDS;
+        let is_another = coordinator < self.config.coordinators && coordinator != self.config.id;
         let fault = if !is_another {
             "not one of the others"
         } else if leadership.heard_within(now, silence, coordinator) {
@@ -68,7 +68,7 @@
             return self.write_next(now);
         };
         let fault = format!("coordinator {coordinator}: {fault}");
-        self.reply(operator, Reply::TurnedDown(vec![fault]));
+        self.reply(operator, Reply::Rejected(vec![fault]));
     }
 }
 
@@ -84,14 +84,14 @@
             Some(known) if known.replaces(run) => Some("a later run of this member is known"),
             Some(known) if run.replaces(&known) => None,
             Some(_) if other_run_live || self.in_grace_period(now) => Some("the name is in use"),
-            None if members >= MOST_MEMBERS => Some("too many members"),
-            _ if name.is_empty() || name.len() > LONGEST_NAME => Some("no name"),
+            None if members >= MAX_MEMBERS => Some("too many members"),
+            _ if name.is_empty() || name.len() > MAX_NAME_BYTES => Some("no name"),
             _ => None,
         }
     }
 
     /// Whether a coordinator has acknowledged anything within this time, or this leader is not elected for so long.
-    fn heard_within(&self, now: Nanos, span: Nanos, coordinator: Id) -> bool {
+    fn heard_within(&self, now: Nanos, span: Nanos, coordinator: CoordinatorId) -> bool {
         let acknowledged = self.acknowledged_at.get(&coordinator);
         acknowledged.is_some_and(|at| now < at + span) || now < self.elected_at + span
     }
@@ -120,10 +120,10 @@
     pub(super) fn settle_replacement(&mut self, commit: &Commit) -> Option<Response> {
         let done = self.replacement.take_if(|replacement| commit.replaces(replacement.coordinator))?;
         // What was heard of the predecessor says nothing of the replacement.
-        self.accepted_rev.remove(&done.coordinator);
+        self.accepted_revision.remove(&done.coordinator);
         self.acknowledged_at.remove(&done.coordinator);
-        let number = commit.state.seat(done.coordinator);
-        Some(Response { to: done.operator, reply: Reply::Seat { number } })
+        let seat = commit.state.seat(done.coordinator);
+        Some(Response { to: done.operator, reply: Reply::Replaced { seat } })
     }
 
     pub(super) fn settle_removals(&mut self, commit: &Commit) -> Vec<Response> {
@@ -132,6 +132,6 @@
         for removal in &removed {
             self.sessions.remove(&removal.member);
         }
-        removed.into_iter().map(|removal| Response { to: removal.operator, reply: Reply::Done }).collect()
+        removed.into_iter().map(|removal| Response { to: removal.operator, reply: Reply::Removed }).collect()
     }
 }
--- a/crates/accord/src/coordinator/mod.rs
+++ b/crates/accord/src/coordinator/mod.rs
@@ -25,10 +25,10 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use crate::config::{Broken, Terms};
-use crate::message::{Guest, Letter, Peer, Reply, Request};
-use crate::state::{Id, Nanos, Record, State};
-use crate::step::{Input, Out, Step};
+use crate::config::{ConsensusConfig, InjectedFault};
+use crate::message::{ClientSession, Envelope, PeerMessage, Reply, Request};
+use crate::state::{CoordinatorId, Nanos, Record, State};
+use crate::step::{Input, Output, Step};
 
 use self::lease::Session;
 use self::role::{LeaderLease, Promise, Replica, ReplyTo, Role};
@@ -36,7 +36,7 @@
 /// A coordinator. Of its state only the [`Record`] outlives the process.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
-    terms: Terms,
+    config: ConsensusConfig,
     record: Record,
     /// The record differs from the one that was persisted last.
     record_changed: bool,
@@ -50,7 +50,7 @@
     /// The highest count of writes that each replica has reported.
     observed_writes: BTreeMap<Replica, u64>,
     halted: bool,
-    outputs: Vec<Out>,
+    outputs: Vec<Output>,
 }
 
 impl Hash for Coordinator {
@@ -68,14 +68,14 @@
     /// Starts a coordinator from the record that it persisted last. For a whole `hold` it elects nobody, since it may
     /// have promised so before it stopped.
     #[must_use]
-    pub fn new(terms: Terms, record: Record, now: Nanos) -> Self {
+    pub fn new(config: ConsensusConfig, record: Record, now: Nanos) -> Self {
         let highest_round = record.promised.round;
         Self {
-            terms,
+            config,
             record,
             record_changed: false,
             role: Role::Follower,
-            leader_lease: LeaderLease { holder: None, until: now + terms.hold },
+            leader_lease: LeaderLease { holder: None, until: now + config.hold },
             highest_round,
             former_sessions: BTreeMap::new(),
             observed_writes: BTreeMap::new(),
@@ -92,7 +92,7 @@
 
     /// The state that is known to be committed, if this coordinator leads.
     #[must_use]
-    pub fn chosen(&self) -> Option<&State> {
+    pub fn committed_state(&self) -> Option<&State> {
         match &self.role {
             Role::Leader(leadership) => leadership.committed.as_ref(),
             Role::Follower | Role::Candidate(_) => None,
@@ -101,10 +101,10 @@
 
     /// Whether this coordinator leads, and no other can have been elected by now.
     #[must_use]
-    pub fn speaks(&self, now: Nanos) -> bool {
+    pub fn is_leader(&self, now: Nanos) -> bool {
         match &self.role {
             Role::Leader(leadership) => {
-                leadership.committed.is_some() && now < leadership.valid_until(&self.terms)
+                leadership.committed.is_some() && now < leadership.valid_until(&self.config)
             }
             Role::Follower | Role::Candidate(_) => false,
         }
@@ -120,19 +120,19 @@
             Role::Follower if self.record.learning => Nanos::MAX,
             Role::Follower => self.election_due(),
             Role::Candidate(candidacy) => candidacy.retry_at,
-            Role::Leader(leadership) => leadership.next_due(&self.terms),
+            Role::Leader(leadership) => leadership.next_due(&self.config),
         }
     }
 
     /// Processes one input.
-    pub fn take(&mut self, now: Nanos, input: Input) -> Step {
+    pub fn handle(&mut self, now: Nanos, input: Input) -> Step {
         if !self.halted {
             self.dispatch(now, input);
         }
         let record = self.changed_record();
         let mut outputs = std::mem::take(&mut self.outputs);
         self.stamp(&mut outputs);
-        if self.terms.injects(Broken::Forgets) && outputs.iter().any(is_promise) {
+        if self.config.injects(InjectedFault::UnpersistedPromise) && outputs.iter().any(is_promise) {
             return Step::new(None, outputs);
         }
         Step::new(record, outputs)
@@ -140,9 +140,9 @@
 
     fn dispatch(&mut self, now: Nanos, input: Input) {
         match input {
-            Input::Letter { from, letter } => self.receive(now, from, letter),
-            Input::Guest { guest, request } => {
-                let client = ReplyTo { via: None, client: guest };
+            Input::Message { from, envelope } => self.receive(now, from, envelope),
+            Input::Request { client, request } => {
+                let client = ReplyTo { via: None, client };
                 self.handle_request(now, client, request);
             }
             Input::Tick => self.tick(now),
@@ -154,19 +154,19 @@
         if !std::mem::take(&mut self.record_changed) {
             return None;
         }
-        self.record.mark += 1;
+        self.record.write_count += 1;
         Some(self.record.clone())
     }
 
     /// Adds the counts of writes to messages, by which a record that was rolled back is detected.
-    fn stamp(&self, outputs: &mut [Out]) {
+    fn stamp(&self, outputs: &mut [Output]) {
         for output in outputs {
-            if let Out::Letter { to, letter } = output {
+            if let Output::Send { to, envelope } = output {
                 let receiver = Replica { id: *to, seat: self.record.state.seat(*to) };
-                letter.mark = self.record.mark;
-                letter.seat = self.record.seat;
-                letter.seen = self.observed_writes.get(&receiver).copied().unwrap_or(0);
-                letter.of = receiver.seat;
+                envelope.write_count = self.record.write_count;
+                envelope.seat = self.record.seat;
+                envelope.observed_write_count = self.observed_writes.get(&receiver).copied().unwrap_or(0);
+                envelope.observed_seat = receiver.seat;
             }
         }
     }
@@ -187,44 +187,48 @@
         }
     }
 
-    fn receive(&mut self, now: Nanos, from: Id, letter: Letter) {
-        if from >= self.terms.count || from == self.terms.me {
+    fn receive(&mut self, now: Nanos, from: CoordinatorId, envelope: Envelope) {
+        if from >= self.config.coordinators || from == self.config.id {
             return;
         }
-        if self.is_rolled_back(&letter) {
+        if self.is_rolled_back(&envelope) {
             return self.halt();
         }
-        if letter.seat < self.record.state.seat(from) {
+        if envelope.seat < self.record.state.seat(from) {
             // The sender was replaced. It learns so when the committed state is sent to it.
             return;
         }
-        let sender = Replica { id: from, seat: letter.seat };
-        self.observe_writes(sender, letter.mark);
-        match letter.peer {
-            Peer::Prepare { ballot } => self.on_prepare(now, from, ballot),
-            Peer::Promise { ballot, accepted, state } => {
+        let sender = Replica { id: from, seat: envelope.seat };
+        self.observe_writes(sender, envelope.write_count);
+        match envelope.message {
+            PeerMessage::Prepare { ballot } => self.on_prepare(now, from, ballot),
+            PeerMessage::Promise { ballot, accepted, state } => {
                 self.on_promise(now, from, ballot, Promise { accepted, state, seat: sender.seat });
             }
-            Peer::Accept { ballot, state, at, agreed } => {
-                self.on_accept(now, from, ballot, state, at, agreed);
+            PeerMessage::Accept { ballot, state, at, committed } => {
+                self.on_accept(now, from, ballot, state, at, committed);
             }
-            Peer::Accepted { ballot, rev, at } => self.on_accepted(now, sender, ballot, rev, at),
-            Peer::Beat { ballot, at } => self.on_heartbeat(now, from, ballot, at),
-            Peer::Beaten { ballot, at } => self.on_heartbeat_ack(sender, ballot, at),
-            Peer::Behind { promised } => self.on_outdated(now, promised),
-            Peer::Relay { guest, request } => {
-                let client = ReplyTo { via: Some(from), client: guest };
+            PeerMessage::Accepted { ballot, revision, at } => {
+                self.on_accepted(now, sender, ballot, revision, at)
+            }
+            PeerMessage::Heartbeat { ballot, at } => self.on_heartbeat(now, from, ballot, at),
+            PeerMessage::HeartbeatAck { ballot, at } => self.on_heartbeat_ack(sender, ballot, at),
+            PeerMessage::OutdatedBallot { promised } => self.on_outdated(now, promised),
+            PeerMessage::ForwardRequest { client, request } => {
+                let client = ReplyTo { via: Some(from), client };
                 self.handle_request(now, client, request);
             }
-            Peer::Back { guest, reply } => self.outputs.push(Out::Guest { guest, reply }),
+            PeerMessage::ForwardReply { client, reply } => self.outputs.push(Output::Reply { client, reply }),
         }
     }
 
     /// Whether the sender has seen a later write of this record than the one that was loaded.
-    fn is_rolled_back(&self, letter: &Letter) -> bool {
+    fn is_rolled_back(&self, envelope: &Envelope) -> bool {
         // What was seen of a predecessor in this seat says nothing of this record.
-        let of_this_replica = letter.of == self.record.seat;
-        of_this_replica && letter.seen > self.record.mark && !self.terms.injects(Broken::Forgets)
+        let of_this_replica = envelope.observed_seat == self.record.seat;
+        of_this_replica
+            && envelope.observed_write_count > self.record.write_count
+            && !self.config.injects(InjectedFault::UnpersistedPromise)
     }
 
     fn observe_writes(&mut self, sender: Replica, count: u64) {
@@ -234,7 +238,7 @@
 
     fn halt(&mut self) {
         self.halted = true;
-        self.outputs.push(Out::Halt);
+        self.outputs.push(Output::Halt);
     }
 
     fn handle_request(&mut self, now: Nanos, client: ReplyTo, request: Request) {
@@ -242,10 +246,10 @@
             return self.forward(now, client, request);
         }
         match (client.client, request) {
-            (Guest::Member(member), Request::Renew(renew)) => {
+            (ClientSession::Member(member), Request::Renew(renew)) => {
                 self.renew_lease(now, client.via, member, renew);
             }
-            (operator @ Guest::Operator(_), Request::Ask(ask)) => {
+            (operator @ ClientSession::Operator(_), Request::Operator(ask)) => {
                 self.handle_ask(now, ReplyTo { via: client.via, client: operator }, ask);
             }
             _ => {}
@@ -253,33 +257,37 @@
     }
 
     fn may_lead(&self, now: Nanos) -> bool {
-        self.speaks(now) || (self.terms.injects(Broken::OldSpeaker) && self.chosen().is_some())
+        self.is_leader(now)
+            || (self.config.injects(InjectedFault::StaleLeader) && self.committed_state().is_some())
     }
 
     /// Forwards a request to the leader. It is forwarded once: its receiver leads, or knows no better.
     fn forward(&mut self, now: Nanos, client: ReplyTo, request: Request) {
         match self.leader_lease.holder {
             Some(leader) if client.via.is_none() && now < self.leader_lease.until => {
-                self.send(leader, Peer::Relay { guest: client.client, request });
+                self.send(leader, PeerMessage::ForwardRequest { client: client.client, request });
             }
-            _ => self.reply(client, Reply::Nobody),
+            _ => self.reply(client, Reply::NoLeader),
         }
     }
 
-    fn send(&mut self, to: Id, peer: Peer) {
+    fn send(&mut self, to: CoordinatorId, message: PeerMessage) {
         // The counts are filled in by `stamp`.
-        let letter = Letter { mark: 0, seen: 0, of: 0, seat: 0, peer };
-        self.outputs.push(Out::Letter { to, letter });
+        let envelope =
+            Envelope { write_count: 0, observed_write_count: 0, observed_seat: 0, seat: 0, message };
+        self.outputs.push(Output::Send { to, envelope });
     }
 
     fn reply(&mut self, to: ReplyTo, reply: Reply) {
         match to.via {
-            None => self.outputs.push(Out::Guest { guest: to.client, reply }),
-            Some(coordinator) => self.send(coordinator, Peer::Back { guest: to.client, reply }),
+            None => self.outputs.push(Output::Reply { client: to.client, reply }),
+            Some(coordinator) => {
+                self.send(coordinator, PeerMessage::ForwardReply { client: to.client, reply })
+            }
         }
     }
 }
 
-fn is_promise(output: &Out) -> bool {
-    matches!(output, Out::Letter { letter, .. } if matches!(letter.peer, Peer::Promise { .. }))
+fn is_promise(output: &Output) -> bool {
+    matches!(output, Output::Send { envelope, .. } if matches!(envelope.message, PeerMessage::Promise { .. }))
 }
--- a/crates/accord/src/coordinator/operator.rs
+++ b/crates/accord/src/coordinator/operator.rs
@@ -1,7 +1,7 @@
 //! Requests of operators.
 
-use crate::message::{Ask, Reply, Standing, Status};
-use crate::state::{Id, Incarnation, Nanos};
+use crate::message::{MemberStatus, OperatorRequest, Reply, Status};
+use crate::state::{CoordinatorId, Incarnation, Nanos};
 
 use super::Coordinator;
 use super::change::Proposal;
@@ -10,41 +10,45 @@
 
 impl Coordinator {
     /// Handles an operator's request as the leader.
-    pub(super) fn handle_ask(&mut self, now: Nanos, operator: ReplyTo, ask: Ask) {
+    pub(super) fn handle_ask(&mut self, now: Nanos, operator: ReplyTo, ask: OperatorRequest) {
         match ask {
-            Ask::Propose { request, base, text, all, give_up } => {
-                self.propose(now, operator, Proposal { request, base, text, all, give_up });
+            OperatorRequest::Propose { request, base_version, text, require_all, give_up_after } => {
+                self.propose(
+                    now,
+                    operator,
+                    Proposal { request, base_version, text, require_all, give_up_after },
+                );
             }
-            Ask::Outcome { request } => self.tell_outcome(operator, &request),
-            Ask::Abort { request } => self.abort(now, operator, request),
-            Ask::Forget { member } => self.forget_member(now, operator, member),
-            Ask::Replace { seat } => self.replace_coordinator(now, operator, seat),
-            Ask::Status => self.tell_status(now, operator),
+            OperatorRequest::Outcome { request } => self.tell_outcome(operator, &request),
+            OperatorRequest::Abort { request } => self.abort(now, operator, request),
+            OperatorRequest::Forget { member } => self.forget_member(now, operator, member),
+            OperatorRequest::Replace { coordinator } => self.replace_coordinator(now, operator, coordinator),
+            OperatorRequest::Status => self.tell_status(now, operator),
         }
     }
 
     fn tell_outcome(&mut self, operator: ReplyTo, request: &str) {
         let Role::Leader(leadership) = &self.role else { return };
-        let outcome = leadership.outcome(request).unwrap_or(Reply::Unheard);
+        let outcome = leadership.outcome(request).unwrap_or(Reply::Unknown);
         self.reply(operator, outcome);
     }
 
     fn tell_status(&mut self, now: Nanos, operator: ReplyTo) {
         let Role::Leader(leadership) = &self.role else { return };
-        let Some(status) = leadership.status(now, self.terms.me) else { return };
+        let Some(status) = leadership.status(now, self.config.id) else { return };
         self.reply(operator, Reply::Status(Box::new(status)));
     }
 }
 
 impl Leadership {
-    fn status(&self, now: Nanos, me: Id) -> Option<Status> {
+    fn status(&self, now: Nanos, me: CoordinatorId) -> Option<Status> {
         let committed = self.committed.as_ref()?;
         let pending = committed.pending.as_ref();
         let members = committed.members.iter();
         Some(Status {
-            speaker: me,
+            leader: me,
             round: self.ballot.round,
-            rev: committed.rev,
+            revision: committed.revision,
             version: committed.policy.version,
             digest: committed.policy.digest(),
             pending: pending.map(|change| (change.request.clone(), change.policy.version)),
@@ -53,10 +57,10 @@
         })
     }
 
-    fn standing(&self, now: Nanos, name: &str, run: &Incarnation) -> Standing {
+    fn standing(&self, now: Nanos, name: &str, run: &Incarnation) -> MemberStatus {
         let session = self.sessions.get(name).filter(|session| session.incarnation == *run);
         let declined = session.and_then(|session| session.declined.clone());
-        Standing {
+        MemberStatus {
             name: name.to_owned(),
             incarnation: *run,
             live: session.is_some_and(|session| session.is_live(now)),
--- a/crates/accord/src/coordinator/replication.rs
+++ b/crates/accord/src/coordinator/replication.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use crate::config::Broken;
-use crate::message::Peer;
-use crate::state::{Ballot, Id, Nanos, State};
+use crate::config::InjectedFault;
+use crate::message::PeerMessage;
+use crate::state::{Ballot, CoordinatorId, Nanos, State};
 
 use super::Coordinator;
 use super::leadership::InFlight;
@@ -13,9 +13,9 @@
 impl Coordinator {
     pub(super) fn tick_as_leader(&mut self, now: Nanos) {
         let Role::Leader(leadership) = &self.role else { return };
-        let lost_quorum = now >= leadership.valid_until(&self.terms);
-        let had_time_to_begin = now >= leadership.elected_at + self.terms.hold;
-        if lost_quorum && had_time_to_begin && !self.terms.injects(Broken::OldSpeaker) {
+        let lost_quorum = now >= leadership.valid_until(&self.config);
+        let had_time_to_begin = now >= leadership.elected_at + self.config.hold;
+        if lost_quorum && had_time_to_begin && !self.config.injects(InjectedFault::StaleLeader) {
             return self.step_down(now);
         }
         if now >= leadership.next_heartbeat {
@@ -26,11 +26,11 @@
 
     /// Writes what is to be written next, if this coordinator leads and no write is in progress.
     pub(super) fn write_next(&mut self, now: Nanos) {
-        if !self.speaks(now) {
+        if !self.is_leader(now) {
             return;
         }
         let Role::Leader(leadership) = &mut self.role else { return };
-        if let Some(state) = leadership.next_state(now, &self.terms) {
+        if let Some(state) = leadership.next_state(now, &self.config) {
             self.replicate(now, state);
         }
     }
@@ -41,7 +41,7 @@
         self.record.accepted = leadership.ballot;
         self.record.state = state.clone();
         self.record_changed = true;
-        leadership.in_flight = Some(InFlight { state, accepted_by: BTreeSet::from([self.terms.me]) });
+        leadership.in_flight = Some(InFlight { state, accepted_by: BTreeSet::from([self.config.id]) });
         self.send_heartbeats(now);
         self.commit_if_accepted(now);
     }
@@ -49,9 +49,9 @@
     /// Sends each follower a heartbeat, or the write that it has not accepted yet.
     fn send_heartbeats(&mut self, now: Nanos) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        leadership.next_heartbeat = now + self.terms.heartbeat_interval();
-        let messages: Vec<(Id, Peer)> =
-            self.terms.peers().map(|follower| (follower, leadership.heartbeat_for(follower, now))).collect();
+        leadership.next_heartbeat = now + self.config.heartbeat_interval();
+        let messages: Vec<(CoordinatorId, PeerMessage)> =
+            self.config.peers().map(|follower| (follower, leadership.heartbeat_for(follower, now))).collect();
         for (follower, message) in messages {
             self.send(follower, message);
         }
@@ -60,13 +60,13 @@
     pub(super) fn on_accept(
         &mut self,
         now: Nanos,
-        from: Id,
+        from: CoordinatorId,
         ballot: Ballot,
         state: State,
         at: Nanos,
         committed: bool,
     ) {
-        let seat = state.seat(self.terms.me);
+        let seat = state.seat(self.config.id);
         if committed && seat > self.record.seat {
             // Another coordinator has taken this one's place.
             return self.halt();
@@ -86,34 +86,41 @@
     }
 
     /// Accepts a state unless a later one was accepted before.
-    fn accept(&mut self, from: Id, ballot: Ballot, state: State, at: Nanos) {
-        let rev = state.rev;
-        let present = (self.record.accepted, self.record.state.rev);
-        if (ballot, rev) > present {
+    fn accept(&mut self, from: CoordinatorId, ballot: Ballot, state: State, at: Nanos) {
+        let revision = state.revision;
+        let present = (self.record.accepted, self.record.state.revision);
+        if (ballot, revision) > present {
             self.record.promised = ballot;
             self.record.accepted = ballot;
             self.record.state = state;
             self.record_changed = true;
         }
-        if (ballot, rev) >= present {
-            self.send(from, Peer::Accepted { ballot, rev, at });
+        if (ballot, revision) >= present {
+            self.send(from, PeerMessage::Accepted { ballot, revision, at });
         }
     }
 
-    pub(super) fn on_accepted(&mut self, now: Nanos, from: Replica, ballot: Ballot, rev: u64, at: Nanos) {
+    pub(super) fn on_accepted(
+        &mut self,
+        now: Nanos,
+        from: Replica,
+        ballot: Ballot,
+        revision: u64,
+        at: Nanos,
+    ) {
         let Role::Leader(leadership) = &mut self.role else { return };
         if leadership.ballot != ballot || !leadership.has_vote(from) {
             return;
         }
         leadership.acknowledge(from.id, at);
-        if leadership.accept(from.id, rev) {
+        if leadership.accept(from.id, revision) {
             self.commit_if_accepted(now);
         }
     }
 
-    pub(super) fn on_heartbeat(&mut self, now: Nanos, from: Id, ballot: Ballot, at: Nanos) {
+    pub(super) fn on_heartbeat(&mut self, now: Nanos, from: CoordinatorId, ballot: Ballot, at: Nanos) {
         if self.follow(now, from, ballot) && !self.record.learning {
-            self.send(from, Peer::Beaten { ballot, at });
+            self.send(from, PeerMessage::HeartbeatAck { ballot, at });
         }
     }
 
@@ -129,16 +136,16 @@
     }
 
     /// Follows this leader for a whole `hold`, unless a higher ballot was promised. Returns whether it does.
-    fn follow(&mut self, now: Nanos, leader: Id, ballot: Ballot) -> bool {
+    fn follow(&mut self, now: Nanos, leader: CoordinatorId, ballot: Ballot) -> bool {
         self.observe_round(ballot);
         if ballot < self.record.promised {
-            self.send(leader, Peer::Behind { promised: self.record.promised });
+            self.send(leader, PeerMessage::OutdatedBallot { promised: self.record.promised });
             return false;
         }
         if !matches!(self.role, Role::Follower) {
             self.step_down(now);
         }
-        self.leader_lease = LeaderLease { holder: Some(leader), until: now + self.terms.hold };
+        self.leader_lease = LeaderLease { holder: Some(leader), until: now + self.config.hold };
         true
     }
 }
--- a/crates/accord/src/coordinator/role.rs
+++ b/crates/accord/src/coordinator/role.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::message::Guest;
-use crate::state::{Ballot, Id, Nanos, State};
+use crate::message::ClientSession;
+use crate::state::{Ballot, CoordinatorId, Nanos, State};
 
 use super::leadership::Leadership;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Candidacy {
     pub(super) ballot: Ballot,
-    pub(super) promises: BTreeMap<Id, Promise>,
+    pub(super) promises: BTreeMap<CoordinatorId, Promise>,
     /// When the promises that are missing are asked for again.
     pub(super) retry_at: Nanos,
 }
@@ -40,14 +40,14 @@
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct LeaderLease {
     /// The leader, where it is known.
-    pub(super) holder: Option<Id>,
+    pub(super) holder: Option<CoordinatorId>,
     pub(super) until: Nanos,
 }
 
 /// One of the coordinators that have had an id one after the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Replica {
-    pub(super) id: Id,
+    pub(super) id: CoordinatorId,
     pub(super) seat: u32,
 }
 
@@ -55,14 +55,14 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct ReplyTo {
     /// The coordinator that the client is connected to, where that is another.
-    pub(super) via: Option<Id>,
-    pub(super) client: Guest,
+    pub(super) via: Option<CoordinatorId>,
+    pub(super) client: ClientSession,
 }
 
 impl Candidacy {
     /// The newest state that any of the promises carries.
     pub(super) fn newest_state(&self) -> State {
-        let newest = self.promises.values().max_by_key(|promise| (promise.accepted, promise.state.rev));
+        let newest = self.promises.values().max_by_key(|promise| (promise.accepted, promise.state.revision));
         newest.map(|promise| promise.state.clone()).unwrap_or_default()
     }
 
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,16 +1,16 @@
-//! Agreement of a small, odd number of coordinators on one replicated register, and leases to the members of a fleet.
+//! Consensus among a small, odd number of coordinators on one replicated register, and leases for the members of a fleet.
 //!
 //! The register is Paxos with a stable leader and without a log (Lamport, "Paxos Made Simple", 2001; Rystsov, "CASPaxos",
 //! 2018): every write replaces the whole [`State`]. The leader grants members leases (Gray and Cheriton, 1989) to serve
-//! under the active policy. A member counts its lease from when it asked, the leader from when it answered.
+//! under the active policy. A member counts its lease from the time of its request, the leader from the time of its reply.
 //!
-//! The crate has no sockets, clocks or disks. A caller drives a [`Coordinator`] by these steps:
+//! The crate uses no sockets, clocks or disks. A caller drives a [`Coordinator`] in these steps:
 //!
-//! 1. Load the [`Record`] and build a [`Coordinator`] from it and the [`Terms`].
-//! 2. Pass each [`Input`] to [`Coordinator::take`] with the present time: messages, requests of clients, and a tick no
-//!    later than at [`Coordinator::next_due`].
-//! 3. Call [`Step::finish`] with the storage, a [`Keep`]. It persists the record before it returns the actions.
-//! 4. Carry out each [`Out`] in order. After an error or [`Out::Halt`] the coordinator must stop.
+//! 1. Load the [`Record`] and create a [`Coordinator`] from it and the [`ConsensusConfig`].
+//! 2. Pass each [`Input`] to [`Coordinator::handle`] with the current time: messages, client requests, and a tick no later
+//!    than at [`Coordinator::next_due`].
+//! 3. Call [`Step::finish`] with the [`Storage`]. It persists the record before it returns the actions.
+//! 4. Carry out each [`Output`] in order. After an error or [`Output::Halt`] the coordinator must stop.
 
 #![warn(missing_docs)]
 
@@ -20,11 +20,13 @@
 mod state;
 mod step;
 
-pub use config::{Broken, Check, Terms};
+pub use config::{ConsensusConfig, InjectedFault, PolicyCheck};
 pub use coordinator::Coordinator;
-pub use message::{Ask, Grant, Guest, Letter, Peer, Renew, Reply, Request, Standing, Status};
+pub use message::{
+    ClientSession, Envelope, Grant, MemberStatus, OperatorRequest, PeerMessage, Renew, Reply, Request, Status,
+};
 pub use state::{
-    Ballot, End, Ended, Id, Incarnation, LARGEST_TEXT, LONGEST_NAME, MOST_MEMBERS, Nanos, Pending, Policy,
-    REMEMBERED, Record, State,
+    Ballot, CoordinatorId, End, EndedChange, Incarnation, MAX_ENDED_CHANGES, MAX_MEMBERS, MAX_NAME_BYTES,
+    MAX_POLICY_BYTES, Nanos, PendingChange, Policy, Record, State,
 };
-pub use step::{Input, Keep, Note, Out, Step};
+pub use step::{AuditEntry, Input, Output, Step, Storage};
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -1,95 +1,109 @@
 //! Messages between coordinators, and between a coordinator and its clients: members and operators.
 //!
-//! The names of variants and fields are the wire format.
+//! The serialized names of variants and fields are the wire format. A `rename` attribute keeps the wire name where the
+//! Rust name differs.
 
 use serde::{Deserialize, Serialize};
 
-use crate::state::{Ballot, Ended, Id, Incarnation, Nanos, Policy, State};
+use crate::state::{Ballot, CoordinatorId, EndedChange, Incarnation, Nanos, Policy, State};
 
-/// A message between coordinators, with the counts by which a record that was rolled back is detected.
+/// A message between coordinators, with the write counts by which a rolled-back record is detected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Letter {
-    /// How often the sender has persisted its record.
-    pub mark: u64,
-    /// The highest such count that the sender has seen of the receiver.
-    pub seen: u64,
-    /// The receiver's seat that `seen` was reported for.
-    pub of: u32,
-    /// The sender's seat.
+pub struct Envelope {
+    /// The number of times that the sender has persisted its record.
+    #[serde(rename = "mark")]
+    pub write_count: u64,
+    /// The highest write count that the sender has received from the receiver.
+    #[serde(rename = "seen")]
+    pub observed_write_count: u64,
+    /// The seat of the receiver that reported `observed_write_count`.
+    #[serde(rename = "of")]
+    pub observed_seat: u32,
+    /// The seat of the sender.
     pub seat: u32,
     /// The message itself.
-    pub peer: Peer,
+    #[serde(rename = "peer")]
+    pub message: PeerMessage,
 }
 
-/// What coordinators tell each other.
+/// The messages between coordinators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Peer {
-    /// Phase 1 of Paxos: a candidate asks for a promise.
+pub enum PeerMessage {
+    /// Phase 1 of Paxos: a candidate requests a promise.
     Prepare {
         /// The candidate's ballot.
         ballot: Ballot,
     },
-    /// The sender votes for the candidate, and accepts no lower ballot from now on.
+    /// The sender votes for the candidate and rejects all lower ballots from now on.
     Promise {
         /// The candidate's ballot.
         ballot: Ballot,
         /// The ballot under which the sender has accepted `state`.
         accepted: Ballot,
-        /// The state that the sender has accepted last.
+        /// The state that the sender accepted last.
         state: State,
     },
-    /// Phase 2: the leader asks for a state to be accepted.
+    /// Phase 2: the leader requests the acceptance of a state.
     Accept {
         /// The leader's ballot.
         ballot: Ballot,
-        /// The state.
+        /// The state to be accepted.
         state: State,
-        /// The leader's clock, which the answer repeats.
+        /// The leader's clock, which the reply echoes.
         at: Nanos,
-        /// The state is committed already.
-        agreed: bool,
+        /// Whether the state is already committed.
+        #[serde(rename = "agreed")]
+        committed: bool,
     },
     /// The sender has accepted a state.
     Accepted {
         /// The leader's ballot.
         ballot: Ballot,
-        /// The state's revision.
-        rev: u64,
+        /// The revision of the state.
+        #[serde(rename = "rev")]
+        revision: u64,
         /// The leader's clock when it sent the state.
         at: Nanos,
     },
     /// A heartbeat of the leader.
-    Beat {
+    #[serde(rename = "beat")]
+    Heartbeat {
         /// The leader's ballot.
         ballot: Ballot,
-        /// The leader's clock, which the answer repeats.
+        /// The leader's clock, which the acknowledgement echoes.
         at: Nanos,
     },
-    /// The acknowledgement of a heartbeat: the sender elects nobody else for a whole `hold`.
-    Beaten {
+    /// The acknowledgement of a heartbeat: the sender votes for no other candidate during the next `hold`.
+    #[serde(rename = "beaten")]
+    HeartbeatAck {
         /// The leader's ballot.
         ballot: Ballot,
         /// The leader's clock when it sent the heartbeat.
         at: Nanos,
     },
-    /// The answer to an outdated ballot.
-    Behind {
+    /// The reply to a message with an outdated ballot.
+    #[serde(rename = "behind")]
+    OutdatedBallot {
         /// The higher ballot that the sender has promised.
         promised: Ballot,
     },
     /// A client's request, forwarded to the leader.
-    Relay {
+    #[serde(rename = "relay")]
+    ForwardRequest {
         /// The client, which is connected to the sender.
-        guest: Guest,
-        /// Its request.
+        #[serde(rename = "guest")]
+        client: ClientSession,
+        /// The client's request.
         request: Request,
     },
     /// The reply to a forwarded request.
-    Back {
+    #[serde(rename = "back")]
+    ForwardReply {
         /// The client, which is connected to the receiver.
-        guest: Guest,
-        /// The reply to it.
+        #[serde(rename = "guest")]
+        client: ClientSession,
+        /// The reply to the client.
         reply: Reply,
     },
 }
@@ -97,10 +111,10 @@
 /// A client with a session at a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Guest {
+pub enum ClientSession {
     /// A member, by its name.
     Member(String),
-    /// An operator's connection, by the number that its coordinator has given it.
+    /// An operator's connection, by the number that its coordinator has assigned to it.
     Operator(u64),
 }
 
@@ -108,26 +122,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Request {
-    /// A member asks for a lease.
+    /// A member requests a lease.
     Renew(Renew),
     /// An operator's request.
-    Ask(Ask),
+    #[serde(rename = "ask")]
+    Operator(OperatorRequest),
 }
 
-/// A member asks for a lease or its renewal, and reports its state.
+/// A member's request for a lease or its renewal, with a report of the member's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Renew {
-    /// The run of the member.
+    /// The member's incarnation.
     pub incarnation: Incarnation,
-    /// The member's clock when it asked, from which its lease counts.
-    pub at: Nanos,
-    /// The policy version that it goes by.
+    /// The member's clock when it sent the request. Its lease counts from this time.
+    #[serde(rename = "at")]
+    pub requested_at: Nanos,
+    /// The policy version that is active at the member.
     pub active: u64,
-    /// The change that it has staged, 0 for none.
+    /// The version of the change that the member has staged, 0 for none.
     pub staged: u64,
-    /// The change that it can't go by, and the key at which it fails.
+    /// The version of a change that the member can't apply, and the policy key that prevents it.
     pub declined: Option<(u64, String)>,
-    /// How far its start has come, for people; empty if there is nothing to tell.
+    /// The stage of the member's start, as shown to operators; empty if there is none to report.
     #[serde(default)]
     pub stage: String,
 }
@@ -135,41 +151,45 @@
 /// An operator's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ask {
-    /// Propose a change of the policy.
+pub enum OperatorRequest {
+    /// Proposes a change of the policy.
     Propose {
         /// The operator's name for the change.
         request: String,
-        /// The version that it builds on, which must be the active one.
-        base: u64,
-        /// The text of the policy.
+        /// The version that the change is based on, which must be the active one.
+        #[serde(rename = "base")]
+        base_version: u64,
+        /// The text of the new policy.
         text: String,
-        /// Members whose leases are over have to stage it, too.
-        all: bool,
-        /// After which time it is dropped if it is not decided.
-        give_up: Option<Nanos>,
+        /// Whether members whose leases have expired must stage the change, too.
+        #[serde(rename = "all")]
+        require_all: bool,
+        /// The time after which the change is dropped if it is not decided.
+        #[serde(rename = "give_up")]
+        give_up_after: Option<Nanos>,
     },
-    /// Tell how a change ended.
+    /// Asks for the outcome of a change.
     Outcome {
         /// The operator's name for the change.
         request: String,
     },
-    /// Drop a change that is pending.
+    /// Drops a change that is pending.
     Abort {
         /// The operator's name for the change.
         request: String,
     },
-    /// Remove a member whose lease is over.
+    /// Removes a member whose lease has expired.
     Forget {
-        /// The member.
+        /// The name of the member.
         member: String,
     },
-    /// Give the id of a coordinator that is down for good, or has lost its store, to another.
+    /// Assigns the id of a coordinator that is down for good, or has lost its store, to a replacement.
     Replace {
-        /// The id.
-        seat: Id,
+        /// The id of the coordinator.
+        #[serde(rename = "seat")]
+        coordinator: CoordinatorId,
     },
-    /// Tell the state of the fleet.
+    /// Asks for the state of the fleet.
     Status,
 }
 
@@ -179,48 +199,58 @@
 pub enum Reply {
     /// A lease.
     Grant(Grant),
-    /// Something has changed: the member is to renew its lease now.
-    Nudge,
-    /// No leader is known here; try another coordinator, or later.
-    Nobody,
-    /// The member is refused, and why.
+    /// The policy, the pending change or the membership has changed: the member must renew its lease now.
+    #[serde(rename = "nudge")]
+    RenewNow,
+    /// This coordinator knows no leader; the client tries another coordinator, or retries later.
+    #[serde(rename = "nobody")]
+    NoLeader,
+    /// The member was refused, for this reason.
     Refused(String),
-    /// The change was put before the members.
-    Taken {
-        /// The version that it becomes if it is decided.
+    /// The change is pending: it was proposed to the members and is not decided.
+    #[serde(rename = "taken")]
+    Pending {
+        /// The version that the change gets if it is decided.
         version: u64,
     },
-    /// The request was rejected, and why, one line a fault.
-    TurnedDown(Vec<String>),
-    /// The change ended.
-    Ended(Ended),
+    /// The request was rejected, with one line for each reason.
+    #[serde(rename = "turned-down")]
+    Rejected(Vec<String>),
+    /// The change has ended.
+    Ended(EndedChange),
     /// No change or member of this name is known.
-    Unheard,
+    #[serde(rename = "unheard")]
+    Unknown,
     /// The member was removed.
-    Done,
+    #[serde(rename = "done")]
+    Removed,
     /// The coordinator was replaced.
-    Seat {
-        /// The seat that the replacement is to be started with.
-        number: u32,
+    #[serde(rename = "seat")]
+    Replaced {
+        /// The seat that the replacement must be started with.
+        #[serde(rename = "number")]
+        seat: u32,
     },
     /// The state of the fleet.
     Status(Box<Status>),
 }
 
-/// A lease: the member may serve under this version.
+/// A lease: the member may serve under this policy version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// The run that it is for: two processes may claim one name.
+    /// The incarnation that the lease is for, since two processes may use one name.
     pub incarnation: Incarnation,
-    /// The member's clock when it asked, from which the lease counts.
-    pub at: Nanos,
-    /// How long the lease lasts.
-    pub span: Nanos,
+    /// The member's clock when it sent the request. The lease counts from this time.
+    #[serde(rename = "at")]
+    pub requested_at: Nanos,
+    /// The duration of the lease.
+    #[serde(rename = "span")]
+    pub duration: Nanos,
     /// The active version.
     pub version: u64,
-    /// The active policy, if the member goes by another.
+    /// The active policy, if another one is active at the member.
     pub policy: Option<Policy>,
-    /// A pending change, to be staged and not to be gone by yet.
+    /// A pending change, which the member must stage but not activate yet.
     pub change: Option<Policy>,
 }
 
@@ -228,39 +258,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Status {
     /// The leader.
-    pub speaker: Id,
-    /// The round of its ballot.
+    #[serde(rename = "speaker")]
+    pub leader: CoordinatorId,
+    /// The round of the leader's ballot.
     pub round: u32,
     /// The revision of the committed state.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     /// The active version.
     pub version: u64,
-    /// The digest of its text.
+    /// The digest of the active policy's text.
     pub digest: u32,
-    /// The name and the version of the change that is pending.
+    /// The name and the version of the pending change.
     pub pending: Option<(String, u64)>,
     /// All registered members.
-    pub members: Vec<Standing>,
-    /// How the latest changes ended, oldest first.
-    pub ended: Vec<Ended>,
+    pub members: Vec<MemberStatus>,
+    /// The outcomes of the latest changes, oldest first.
+    pub ended: Vec<EndedChange>,
 }
 
-/// The state of one member, as the leader knows it.
+/// The state of one member, as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
-    /// Its name.
+pub struct MemberStatus {
+    /// The name of the member.
     pub name: String,
-    /// The run that is registered.
+    /// The registered incarnation.
     pub incarnation: Incarnation,
-    /// It holds a lease of this leader.
+    /// Whether the member holds a lease of this leader.
     pub live: bool,
-    /// The version that it goes by; none if this leader has not heard it.
+    /// The version that is active at the member; none if it has not reported to this leader.
     pub active: Option<u64>,
-    /// The change that it has staged, 0 for none.
+    /// The version of the change that the member has staged, 0 for none.
     pub staged: u64,
-    /// The change that it can't go by, and the key at which it fails.
+    /// The version of a change that the member can't apply, and the policy key that prevents it.
     pub declined: Option<(u64, String)>,
-    /// How far its start has come, for people.
+    /// The stage of the member's start, as shown to operators.
     #[serde(default)]
     pub stage: String,
 }
--- a/crates/accord/src/state.rs
+++ b/crates/accord/src/state.rs
@@ -1,45 +1,47 @@
-//! The replicated register, which is bounded in all its parts, and the record that a coordinator persists.
+//! The replicated register, all parts of which are bounded, and the record that a coordinator persists.
 //!
-//! The names of variants and fields are the format on the wire and on disk.
+//! The serialized names of variants and fields are the format on the wire and on disk. A `rename` attribute keeps that
+//! name where the Rust name differs.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A clock reading or a span of time, in nanoseconds.
+/// A clock reading or a duration, in nanoseconds.
 pub type Nanos = u64;
-/// The number of a coordinator, from 0.
-pub type Id = u8;
-
-/// The largest text of a policy, in bytes. Two of them and all members fit into one frame.
-pub const LARGEST_TEXT: usize = 128 * 1024;
-/// The largest number of members.
-pub const MOST_MEMBERS: usize = 2048;
-/// The longest name of a member or a request, in bytes.
-pub const LONGEST_NAME: usize = 64;
-/// The number of changes whose end is remembered.
-pub const REMEMBERED: usize = 64;
+/// The id of a coordinator, counted from 0.
+pub type CoordinatorId = u8;
+
+/// The maximum size of a policy's text, in bytes. Two texts and all members fit into one frame.
+pub const MAX_POLICY_BYTES: usize = 128 * 1024;
+/// The maximum number of members.
+pub const MAX_MEMBERS: usize = 2048;
+/// The maximum length of the name of a member or a change, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// The maximum number of changes whose outcome is kept.
+pub const MAX_ENDED_CHANGES: usize = 64;
 
 /// A leader's term. A later leader has a higher ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Ordered first.
+    /// The round, by which ballots are ordered first.
     pub round: u32,
-    /// The coordinator that stands for election, which makes the ballot unique.
-    pub by: Id,
+    /// The candidate, which makes the ballot unique.
+    #[serde(rename = "by")]
+    pub candidate: CoordinatorId,
 }
 
-/// The settings that all members go by.
+/// The settings that apply to all members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
-    /// From 1, and never given twice; 0 stands for none.
+    /// The version, counted from 1 and never reused; 0 stands for none.
     pub version: u64,
-    /// The settings as their file has them.
+    /// The settings, as they are written in their file.
     pub text: String,
 }
 
 impl Policy {
-    /// A checksum of the text, for people to compare. The version alone identifies the policy.
+    /// Returns a checksum of the text, for people to compare. The version alone identifies the policy.
     #[must_use]
     pub fn digest(&self) -> u32 {
         crc32fast::hash(self.text.as_bytes())
@@ -49,60 +51,64 @@
 /// One run of a member's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Identifies the folder of its store, which one process holds at a time.
-    pub home: u64,
-    /// Counts the runs from this folder.
-    pub life: u64,
+    /// Identifies the member's store, which only one process can hold at a time.
+    #[serde(rename = "home")]
+    pub store_id: u64,
+    /// Counts the runs from this store.
+    #[serde(rename = "life")]
+    pub run_number: u64,
 }
 
 impl Incarnation {
-    /// Whether the other run is over, because this one holds its folder.
+    /// Returns whether the other run has ended, because this one holds its store.
     #[must_use]
     pub fn replaces(&self, other: &Self) -> bool {
-        self.home == other.home && self.life > other.life
+        self.store_id == other.store_id && self.run_number > other.run_number
     }
 }
 
-/// A change of the policy that was put before the members and has not ended.
+/// A change of the policy that was proposed to the members and has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pending {
+pub struct PendingChange {
     /// The operator's name for the change.
     pub request: String,
-    /// The policy that is active once the change is decided.
+    /// The policy that becomes active when the change is decided.
     pub policy: Policy,
-    /// Members whose leases are over have to stage it, too.
-    pub all: bool,
-    /// After which time it is dropped if it is not decided. Each leader counts it anew.
-    pub give_up: Option<Nanos>,
+    /// Whether members whose leases have expired must stage the change, too.
+    #[serde(rename = "all")]
+    pub require_all: bool,
+    /// The time after which the change is dropped if it is not decided. It starts again with each new leader.
+    #[serde(rename = "give_up")]
+    pub give_up_after: Option<Nanos>,
 }
 
-/// How a change ended.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum End {
-    /// It is the active policy, or was.
+    /// The change became the active policy.
     Decided,
-    /// A member can't go by it.
+    /// A member can't apply the change.
     Declined {
-        /// The member.
+        /// The name of the member.
         member: String,
-        /// The key at which it fails.
+        /// The policy key that the member can't apply.
         key: String,
     },
-    /// It was not decided in time.
+    /// The change was not decided in time.
     GivenUp,
-    /// An operator aborted it.
+    /// An operator aborted the change.
     Aborted,
 }
 
 /// A change that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedChange {
     /// The operator's name for the change.
     pub request: String,
-    /// The version that it had or would have had.
+    /// The version that the change got, or would have got.
     pub version: u64,
-    /// How it ended.
+    /// The outcome of the change.
     pub end: End,
 }
 
@@ -110,41 +116,44 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     /// The revision, which counts the writes.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     /// The active policy.
     pub policy: Policy,
-    /// The highest version that a change was ever given.
-    pub last: u64,
-    /// The change that is pending.
-    pub pending: Option<Pending>,
-    /// The registered run of each member.
+    /// The highest version that was ever assigned to a change.
+    #[serde(rename = "last")]
+    pub last_version: u64,
+    /// The pending change.
+    pub pending: Option<PendingChange>,
+    /// The registered incarnation of each member.
     pub members: BTreeMap<String, Incarnation>,
-    /// How the latest changes ended, oldest first, [`REMEMBERED`] at most.
-    pub ended: Vec<Ended>,
-    /// How often the coordinator of each id was replaced by another with an empty store; 0 where it is missing.
+    /// The outcomes of the latest changes, oldest first, at most [`MAX_ENDED_CHANGES`].
+    pub ended: Vec<EndedChange>,
+    /// The current seat of each coordinator id; an id without an entry has seat 0.
     #[serde(default)]
-    pub seats: BTreeMap<Id, u32>,
+    pub seats: BTreeMap<CoordinatorId, u32>,
 }
 
 impl State {
-    /// The seat of the coordinator that has the vote of this id: 0 for the first, and one more for each replacement.
+    /// Returns the seat of the coordinator that votes under this id. The seat counts the replacements of the id: 0 is the
+    /// first coordinator, and each replacement, which starts with an empty store, gets the next number.
     #[must_use]
-    pub fn seat(&self, id: Id) -> u32 {
+    pub fn seat(&self, id: CoordinatorId) -> u32 {
         self.seats.get(&id).copied().unwrap_or(0)
     }
 
-    /// The state that a new fleet begins with.
+    /// Returns the initial state of a new fleet.
     #[must_use]
-    pub fn first(text: String) -> Self {
-        Self { policy: Policy { version: 1, text }, last: 1, ..Self::default() }
+    pub fn initial(text: String) -> Self {
+        Self { policy: Policy { version: 1, text }, last_version: 1, ..Self::default() }
     }
 
-    /// Ends the pending change, and makes its policy the active one if it was decided.
-    pub(crate) fn end(&mut self, end: End) {
+    /// Ends the pending change, and activates its policy if the change was decided.
+    pub(crate) fn end_pending(&mut self, end: End) {
         let Some(pending) = self.pending.take() else { return };
-        let Pending { request, policy, .. } = pending;
-        self.ended.push(Ended { request, version: policy.version, end: end.clone() });
-        if self.ended.len() > REMEMBERED {
+        let PendingChange { request, policy, .. } = pending;
+        self.ended.push(EndedChange { request, version: policy.version, end: end.clone() });
+        if self.ended.len() > MAX_ENDED_CHANGES {
             self.ended.remove(0);
         }
         if end == End::Decided {
@@ -153,15 +162,16 @@
     }
 }
 
-/// What a coordinator persists. It must never be lost or rolled back.
+/// The persistent data of a coordinator. It must never be lost or rolled back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Counts the writes of this record. Other coordinators remember it, so that an older copy is detected.
-    pub mark: u64,
-    /// How many coordinators had this id before.
+    /// Counts the writes of this record. Other coordinators remember the count, so that an older copy is detected.
+    #[serde(rename = "mark")]
+    pub write_count: u64,
+    /// The seat of this coordinator: the number of coordinators that had its id before.
     #[serde(default)]
     pub seat: u32,
-    /// This coordinator replaces another, and has no vote until it is sent the committed state.
+    /// Whether this coordinator is a replacement that has not received the committed state, and so has no vote yet.
     #[serde(default)]
     pub learning: bool,
     /// The highest ballot that was promised.
--- a/crates/accord/src/step.rs
+++ b/crates/accord/src/step.rs
@@ -1,75 +1,75 @@
-//! The inputs and outputs of a coordinator, and the rule that state is persisted before anything is sent.
+//! The inputs and outputs of a coordinator, and the rule that the record is persisted before anything is sent.
 
-use crate::message::{Guest, Letter, Reply, Request};
-use crate::state::{End, Id, Record};
+use crate::message::{ClientSession, Envelope, Reply, Request};
+use crate::state::{CoordinatorId, End, Record};
 
 /// An event that a coordinator reacts to.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message of another coordinator.
-    Letter {
-        /// The coordinator that sent it.
-        from: Id,
+    /// A message from another coordinator.
+    Message {
+        /// The coordinator that sent the message.
+        from: CoordinatorId,
         /// The message.
-        letter: Letter,
+        envelope: Envelope,
     },
-    /// A request of a client that is connected to this coordinator.
-    Guest {
+    /// A request from a client that is connected to this coordinator.
+    Request {
         /// The client.
-        guest: Guest,
-        /// Its request.
+        client: ClientSession,
+        /// The client's request.
         request: Request,
     },
-    /// Time has passed.
+    /// The time of [`Coordinator::next_due`](crate::Coordinator::next_due) has come.
     Tick,
 }
 
-/// An action that the caller carries out once the record is persisted.
+/// An action that the caller carries out after the record is persisted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum Output {
     /// Send a message to another coordinator.
-    Letter {
+    Send {
         /// The receiver.
-        to: Id,
+        to: CoordinatorId,
         /// The message.
-        letter: Letter,
+        envelope: Envelope,
     },
     /// Send a reply to a client that is connected to this coordinator.
-    Guest {
+    Reply {
         /// The client.
-        guest: Guest,
+        client: ClientSession,
         /// The reply.
         reply: Reply,
     },
     /// Append an entry to the audit log.
-    Note(Note),
-    /// Stop: the stored record is older than what other coordinators have seen of it. Promises are lost, so this
+    Audit(AuditEntry),
+    /// Stop: the stored record is older than a version that other coordinators have observed. Promises are lost, so this
     /// coordinator must not vote.
     Halt,
 }
 
 /// An entry of the audit log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
-    /// This coordinator leads.
+pub enum AuditEntry {
+    /// This coordinator became the leader.
     Established {
         /// The round of its ballot.
         round: u32,
     },
     /// A member's lease was granted or renewed.
     Granted {
-        /// The member.
+        /// The name of the member.
         member: String,
         /// The round of the leader's ballot.
         round: u32,
         /// The policy version of the lease.
         version: u64,
     },
-    /// A change was put before the members.
+    /// A change was proposed to the members.
     Pending {
         /// The operator's name for the change.
         request: String,
-        /// The version that it becomes if it is decided.
+        /// The version that the change gets if it is decided.
         version: u64,
     },
     /// A change was decided.
@@ -78,38 +78,38 @@
         request: String,
         /// The version that is active from now on.
         version: u64,
-        /// The digest of its text.
+        /// The digest of the policy's text.
         digest: u32,
     },
     /// A change was dropped.
     Dropped {
         /// The operator's name for the change.
         request: String,
-        /// The version that it would have become.
+        /// The version that the change would have got.
         version: u64,
-        /// Why it was dropped.
+        /// The outcome of the change.
         end: End,
     },
     /// A member was refused.
     Refused {
-        /// The name that it gave.
+        /// The name that the member gave.
         member: String,
         /// The reason.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
-/// Persistent storage of a coordinator's record.
-pub trait Keep {
-    /// What storing can fail with.
-    type Fault;
+/// The persistent storage of a coordinator's record.
+pub trait Storage {
+    /// The error of a failed write.
+    type Error;
 
     /// Stores the record, and returns when it is durable.
     ///
     /// # Errors
     ///
-    /// The record may or may not be durable. The coordinator must not go on.
-    fn keep(&mut self, record: &Record) -> Result<(), Self::Fault>;
+    /// The record may or may not be durable. The coordinator must stop.
+    fn persist(&mut self, record: &Record) -> Result<(), Self::Error>;
 }
 
 /// The effect of one input. Its actions are available only through [`Step::finish`], which persists the record first.
@@ -117,12 +117,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Step {
     record: Option<Record>,
-    outputs: Vec<Out>,
+    outputs: Vec<Output>,
 }
 
 impl Step {
-    /// A step that persists `record`, if it has changed, and then yields `outputs`.
-    pub(crate) fn new(record: Option<Record>, outputs: Vec<Out>) -> Self {
+    /// Creates a step that persists `record`, if it has changed, and then returns `outputs`.
+    pub(crate) fn new(record: Option<Record>, outputs: Vec<Output>) -> Self {
         Self { record, outputs }
     }
 
@@ -130,10 +130,10 @@
     ///
     /// # Errors
     ///
-    /// The storage's. Nothing may be sent, and the coordinator must stop.
-    pub fn finish<K: Keep>(self, keep: &mut K) -> Result<Vec<Out>, K::Fault> {
+    /// The error of the storage. Nothing may be sent, and the coordinator must stop.
+    pub fn finish<S: Storage>(self, storage: &mut S) -> Result<Vec<Output>, S::Error> {
         if let Some(record) = &self.record {
-            keep.keep(record)?;
+            storage.persist(record)?;
         }
         Ok(self.outputs)
     }
--- a/crates/accord/tests/clocks.rs
+++ b/crates/accord/tests/clocks.rs
@@ -7,10 +7,10 @@
 
 struct Nowhere;
 
-impl Keep for Nowhere {
-    type Fault = Infallible;
+impl Storage for Nowhere {
+    type Error = Infallible;
 
-    fn keep(&mut self, _: &Record) -> Result<(), Infallible> {
+    fn persist(&mut self, _: &Record) -> Result<(), Infallible> {
         Ok(())
     }
 }
@@ -20,12 +20,13 @@
 }
 
 fn reply(c: &mut Coordinator, now: Nanos, at: Nanos) -> Option<Reply> {
-    let incarnation = Incarnation { home: 1, life: 1 };
-    let renew = Renew { incarnation, at, active: 1, staged: 0, declined: None, stage: String::new() };
-    let (guest, request) = (Guest::Member("n0".into()), Request::Renew(renew));
-    let Ok(outs) = c.take(now, Input::Guest { guest, request }).finish(&mut Nowhere);
+    let incarnation = Incarnation { store_id: 1, run_number: 1 };
+    let renew =
+        Renew { incarnation, requested_at: at, active: 1, staged: 0, declined: None, stage: String::new() };
+    let (client, request) = (ClientSession::Member("n0".into()), Request::Renew(renew));
+    let Ok(outs) = c.handle(now, Input::Request { client, request }).finish(&mut Nowhere);
     outs.into_iter().find_map(|o| match o {
-        Out::Guest { reply, .. } if reply != Reply::Nudge => Some(reply),
+        Output::Reply { reply, .. } if reply != Reply::RenewNow => Some(reply),
         _ => None,
     })
 }
@@ -38,10 +39,11 @@
 #[case::fast_is_no_harm(1100, true)]
 fn rates_are_compared(#[case] rate: u64, #[case] let_in: bool) {
     let (hold, lease) = (40, 120);
-    let terms = Terms { me: 0, count: 1, hold, lease, drift: 10, check: fine, broken: None };
-    let record = Record { state: State::first("1".into()), ..Record::default() };
+    let terms =
+        ConsensusConfig { id: 0, coordinators: 1, hold, lease, drift: 10, check: fine, injected_fault: None };
+    let record = Record { state: State::initial("1".into()), ..Record::default() };
     let mut c = Coordinator::new(terms, record, 0);
-    let Ok(_) = c.take(hold, Input::Tick).finish(&mut Nowhere);
+    let Ok(_) = c.handle(hold, Input::Tick).finish(&mut Nowhere);
     // Its name is written down first.
     reply(&mut c, 1_000, 5_000);
     for step in 1..=100 {
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -12,14 +12,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum To {
-    Coordinator(Id),
+    Coordinator(CoordinatorId),
     Member(usize),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Message {
-    Letter(Id, Letter),
-    Guest(Guest, Request),
+    Envelope(CoordinatorId, Envelope),
+    Request(ClientSession, Request),
     Reply(Reply),
 }
 
@@ -31,10 +31,10 @@
 
 struct Disk<'a>(&'a mut Record);
 
-impl Keep for Disk<'_> {
-    type Fault = Infallible;
+impl Storage for Disk<'_> {
+    type Error = Infallible;
 
-    fn keep(&mut self, record: &Record) -> Result<(), Infallible> {
+    fn persist(&mut self, record: &Record) -> Result<(), Infallible> {
         *self.0 = record.clone();
         Ok(())
     }
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Copy, Default)]
 pub struct Mistakes {
-    pub coordinator: Option<Broken>,
+    pub coordinator: Option<InjectedFault>,
     pub member: Option<member::InjectedFault>,
 }
 
@@ -53,7 +53,7 @@
     pub disks: Vec<Record>,
     pub members: Vec<Member>,
     /// Which coordinator each member asks.
-    pub asks: Vec<Id>,
+    pub asks: Vec<CoordinatorId>,
     pub net: Vec<Sent>,
     /// When each version was decided, and its digest.
     pub decided: BTreeMap<u64, (Nanos, u32)>,
@@ -71,7 +71,7 @@
 
 impl World {
     pub fn new(coordinators: usize, members: usize, mistakes: Mistakes) -> Self {
-        let disks = vec![Record { state: State::first("1".into()), ..Record::default() }; coordinators];
+        let disks = vec![Record { state: State::initial("1".into()), ..Record::default() }; coordinators];
         let mut world = Self {
             now: 1000,
             coordinators: vec![None; coordinators],
@@ -87,7 +87,7 @@
         };
         (0..coordinators).for_each(|c| world.start(c));
         for m in 0..members {
-            let incarnation = Incarnation { home: m as u64, life: 1 };
+            let incarnation = Incarnation { store_id: m as u64, run_number: 1 };
             world
                 .members
                 .push(Member::new(incarnation, 0, LEASE, 0, None).with_injected_fault(mistakes.member));
@@ -97,14 +97,14 @@
     }
 
     pub fn start(&mut self, c: usize) {
-        let terms = Terms {
-            me: c as Id,
-            count: self.coordinators.len() as u8,
+        let terms = ConsensusConfig {
+            id: c as CoordinatorId,
+            coordinators: self.coordinators.len() as u8,
             hold: HOLD,
             lease: LEASE,
             drift: 0,
             check: fine,
-            broken: self.mistakes.coordinator,
+            injected_fault: self.mistakes.coordinator,
         };
         self.coordinators[c] = Some(Coordinator::new(terms, self.disks[c].clone(), self.now));
     }
@@ -112,12 +112,19 @@
     /// Gives the number of one that is down to another with an empty store; returns whether that was agreed.
     pub fn replace(&mut self, c: usize) -> bool {
         let Some(speaker) = self.speaker() else { return false };
-        let before =
-            self.coordinators[speaker].as_ref().and_then(|s| s.chosen()).map_or(0, |s| s.seat(c as Id));
-        let ask = Ask::Replace { seat: c as Id };
-        self.coordinator(speaker, Input::Guest { guest: Guest::Operator(2), request: Request::Ask(ask) });
+        let before = self.coordinators[speaker]
+            .as_ref()
+            .and_then(|s| s.committed_state())
+            .map_or(0, |s| s.seat(c as CoordinatorId));
+        let ask = OperatorRequest::Replace { coordinator: c as CoordinatorId };
+        self.coordinator(
+            speaker,
+            Input::Request { client: ClientSession::Operator(2), request: Request::Operator(ask) },
+        );
         self.settle(HOLD / 2);
-        let after = self.speaker().and_then(|s| Some(self.coordinators[s].as_ref()?.chosen()?.seat(c as Id)));
+        let after = self
+            .speaker()
+            .and_then(|s| Some(self.coordinators[s].as_ref()?.committed_state()?.seat(c as CoordinatorId)));
         if after != Some(before + 1) || self.coordinators[c].is_some() {
             return false;
         }
@@ -152,19 +159,19 @@
     pub fn coordinator(&mut self, c: usize, input: Input) {
         let now = self.now;
         let Some(coordinator) = &mut self.coordinators[c] else { return };
-        let Ok(outs) = coordinator.take(now, input).finish(&mut Disk(&mut self.disks[c]));
+        let Ok(outs) = coordinator.handle(now, input).finish(&mut Disk(&mut self.disks[c]));
         for out in outs {
             match out {
-                Out::Letter { to, letter } => {
-                    self.send(To::Coordinator(to), Message::Letter(c as Id, letter));
+                Output::Send { to, envelope } => {
+                    self.send(To::Coordinator(to), Message::Envelope(c as CoordinatorId, envelope));
                 }
-                Out::Guest { guest: Guest::Member(name), reply } => {
+                Output::Reply { client: ClientSession::Member(name), reply } => {
                     let m: usize = name.parse().unwrap_or(0);
                     self.send(To::Member(m), Message::Reply(reply));
                 }
-                Out::Guest { reply, .. } => self.heard.push(reply),
-                Out::Note(note) => self.noted(note),
-                Out::Halt => self.crash(c),
+                Output::Reply { reply, .. } => self.heard.push(reply),
+                Output::Audit(note) => self.noted(note),
+                Output::Halt => self.crash(c),
             }
         }
         self.check();
@@ -174,9 +181,9 @@
         self.net.push(Sent { to, message });
     }
 
-    fn noted(&mut self, note: Note) {
+    fn noted(&mut self, note: AuditEntry) {
         match note {
-            Note::Decided { version, digest, .. } => {
+            AuditEntry::Decided { version, digest, .. } => {
                 let first = !self.decided.contains_key(&version);
                 let known = self.decided.entry(version).or_insert((self.now, digest));
                 if known.1 != digest {
@@ -194,7 +201,7 @@
                     }
                 }
             }
-            Note::Dropped { version, end, .. } => {
+            AuditEntry::Dropped { version, end, .. } => {
                 if self.decided.contains_key(&version) {
                     self.broken = Some(format!("version {version} was decided and dropped"));
                 }
@@ -213,7 +220,10 @@
             match outs[at].clone() {
                 Does::Send(renew) => {
                     let to = To::Coordinator(self.asks[m]);
-                    self.send(to, Message::Guest(Guest::Member(m.to_string()), Request::Renew(renew)));
+                    self.send(
+                        to,
+                        Message::Request(ClientSession::Member(m.to_string()), Request::Renew(renew)),
+                    );
                 }
                 Does::Stage(policy) => {
                     let done = member::Input::Staged { version: policy.version, result: Ok(()) };
@@ -224,7 +234,7 @@
                     self.members[m].handle(now, done, &mut outs);
                 }
                 Does::TryAnotherCoordinator => {
-                    self.asks[m] = (self.asks[m] + 1) % self.coordinators.len() as Id;
+                    self.asks[m] = (self.asks[m] + 1) % self.coordinators.len() as CoordinatorId;
                     self.members[m].handle(now, member::Input::SessionOpened, &mut outs);
                 }
                 Does::Serve { .. } | Does::Notify(_) => {}
@@ -236,11 +246,11 @@
 
     pub fn deliver(&mut self, sent: Sent) {
         match (sent.to, sent.message) {
-            (To::Coordinator(c), Message::Letter(from, letter)) => {
-                self.coordinator(c as usize, Input::Letter { from, letter });
+            (To::Coordinator(c), Message::Envelope(from, envelope)) => {
+                self.coordinator(c as usize, Input::Message { from, envelope });
             }
-            (To::Coordinator(c), Message::Guest(guest, request)) => {
-                self.coordinator(c as usize, Input::Guest { guest, request });
+            (To::Coordinator(c), Message::Request(client, request)) => {
+                self.coordinator(c as usize, Input::Request { client, request });
             }
             (To::Member(m), Message::Reply(reply)) => self.member(m, member::Input::Reply(reply)),
             _ => {}
@@ -248,11 +258,20 @@
     }
 
     pub fn propose(&mut self, c: usize, request: &str, text: &str, give_up: Option<Nanos>) {
-        let chosen = self.coordinators.iter().flatten().filter_map(|c| c.chosen());
-        let base = chosen.map(|s| s.policy.version).max().unwrap_or(0);
+        let committed_state = self.coordinators.iter().flatten().filter_map(|c| c.committed_state());
+        let base = committed_state.map(|s| s.policy.version).max().unwrap_or(0);
         let (request, text) = (request.to_owned(), text.to_owned());
-        let ask = Ask::Propose { request, base, text, all: false, give_up };
-        self.coordinator(c, Input::Guest { guest: Guest::Operator(1), request: Request::Ask(ask) });
+        let ask = OperatorRequest::Propose {
+            request,
+            base_version: base,
+            text,
+            require_all: false,
+            give_up_after: give_up,
+        };
+        self.coordinator(
+            c,
+            Input::Request { client: ClientSession::Operator(1), request: Request::Operator(ask) },
+        );
     }
 
     /// What must hold at every moment.
@@ -315,6 +334,6 @@
     }
 
     pub fn speaker(&self) -> Option<usize> {
-        self.coordinators.iter().position(|c| c.as_ref().is_some_and(|c| c.speaks(self.now)))
+        self.coordinators.iter().position(|c| c.as_ref().is_some_and(|c| c.is_leader(self.now)))
     }
 }
--- a/crates/accord/tests/search.rs
+++ b/crates/accord/tests/search.rs
@@ -7,7 +7,9 @@
 
 use common::{HOLD, LEASE, Mistakes, World};
 use fastrand::Rng;
-use linestack_accord::{Ask, Broken, Coordinator, Guest, Input, Record, Reply, Request, State};
+use linestack_accord::{
+    ClientSession, Coordinator, InjectedFault, Input, OperatorRequest, Record, Reply, Request, State,
+};
 use linestack_member as member;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -142,10 +144,10 @@
                 let again = rng.u32(0..30) == 0;
                 let sent = if again { world.net[at].clone() } else { world.net.remove(at) };
                 let ends = match (&sent.to, &sent.message) {
-                    (common::To::Coordinator(c), common::Message::Letter(from, _)) => {
+                    (common::To::Coordinator(c), common::Message::Envelope(from, _)) => {
                         (*from as usize, *c as usize)
                     }
-                    (common::To::Coordinator(_), common::Message::Guest(Guest::Member(m), _)) => {
+                    (common::To::Coordinator(_), common::Message::Request(ClientSession::Member(m), _)) => {
                         (10, m.parse().unwrap())
                     }
                     (common::To::Coordinator(c), _) => (30, *c as usize),
@@ -234,8 +236,10 @@
 /// Whether all came to rest: one speaks, all may serve under what is decided, and nothing is pending for ever.
 fn at_rest(world: &World) -> Result<(), String> {
     let speaker = world.speaker().ok_or("nobody speaks")?;
-    let state =
-        world.coordinators[speaker].as_ref().and_then(Coordinator::chosen).ok_or("nothing is agreed")?;
+    let state = world.coordinators[speaker]
+        .as_ref()
+        .and_then(Coordinator::committed_state)
+        .ok_or("nothing is agreed")?;
     if state.pending.is_some() {
         return Err(format!("pending: {:?}", state.pending));
     }
@@ -258,7 +262,7 @@
     }
 }
 
-fn coordinator(broken: Broken) -> Mistakes {
+fn coordinator(broken: InjectedFault) -> Mistakes {
     Mistakes { coordinator: Some(broken), member: None }
 }
 
@@ -284,7 +288,7 @@
     world.crash(knows);
     // Nothing is left on the way by which it would hear how much it had kept.
     world.net.clear();
-    world.disks[knows] = Record { learning, state: State::first("1".into()), ..Record::default() };
+    world.disks[knows] = Record { learning, state: State::initial("1".into()), ..Record::default() };
     world.start(knows);
     world.start(misses);
     world.settle(4 * LEASE);
@@ -364,19 +368,19 @@
     world.settle(4 * LEASE);
     let speaker = world.speaker().unwrap();
     let ask = |world: &mut World| {
-        let (guest, ask) = (Guest::Operator(3), Ask::Forget { member: "1".into() });
-        world.coordinator(speaker, Input::Guest { guest, request: Request::Ask(ask) });
+        let (client, ask) = (ClientSession::Operator(3), OperatorRequest::Forget { member: "1".into() });
+        world.coordinator(speaker, Input::Request { client, request: Request::Operator(ask) });
         world.heard.clone()
     };
-    assert!(matches!(ask(&mut world)[..], [Reply::TurnedDown(_)]), "it may serve");
+    assert!(matches!(ask(&mut world)[..], [Reply::Rejected(_)]), "it may serve");
     // It is never heard again.
     world.members[1].handle(world.now, member::Input::SessionClosed, &mut Vec::new());
     world.settle(2 * LEASE);
     world.heard.clear();
     assert_eq!(ask(&mut world), []);
     world.settle(HOLD);
-    assert_eq!(world.heard, [Reply::Done]);
-    let state = world.coordinators[speaker].as_ref().and_then(Coordinator::chosen).unwrap();
+    assert_eq!(world.heard, [Reply::Removed]);
+    let state = world.coordinators[speaker].as_ref().and_then(Coordinator::committed_state).unwrap();
     assert!(!state.members.contains_key("1") && state.members.contains_key("0"));
 }
 
@@ -407,7 +411,7 @@
     world.pass(world.now + HOLD, &[]);
     let only = |world: &mut World, from: usize, to: usize| {
         while let Some(at) = world.net.iter().position(|s| {
-            let letter = matches!(&s.message, common::Message::Letter(by, _) if *by as usize == from);
+            let letter = matches!(&s.message, common::Message::Envelope(by, _) if *by as usize == from);
             letter && s.to == common::To::Coordinator(to as u8)
         }) {
             let sent = world.net.remove(at);
@@ -452,14 +456,14 @@
     let sound = lower_after_a_death(Mistakes::default());
     assert_eq!(sound.broken, None);
     assert!(!sound.decided.is_empty());
-    let broken = lower_after_a_death(coordinator(Broken::Forgets)).broken;
+    let broken = lower_after_a_death(coordinator(InjectedFault::UnpersistedPromise)).broken;
     assert_eq!(broken.as_deref(), Some("version 2 has two texts"));
 }
 
 #[rstest]
-#[case::majority(coordinator(Broken::Majority))]
-#[case::old_speaker(coordinator(Broken::OldSpeaker))]
-#[case::not_blind(coordinator(Broken::NotBlind))]
+#[case::majority(coordinator(InjectedFault::MajorityDecides))]
+#[case::old_speaker(coordinator(InjectedFault::StaleLeader))]
+#[case::not_blind(coordinator(InjectedFault::NoGracePeriod))]
 #[case::from_receipt(by_member(member::InjectedFault::LeaseFromReceipt))]
 #[case::early(by_member(member::InjectedFault::ActivateUndecided))]
 #[case::unfenced(by_member(member::InjectedFault::LeaseNeverEnds))]
--- a/crates/lab/src/agree.rs
+++ b/crates/lab/src/agree.rs
@@ -6,8 +6,8 @@
 use std::convert::Infallible;
 
 use linestack_accord::{
-    Ask, Coordinator, Guest, Id, Incarnation, Input, Keep, Letter, Nanos, Note, Out, Record, Reply, Request,
-    State, Terms,
+    AuditEntry, ClientSession, ConsensusConfig, Coordinator, CoordinatorId, Envelope, Incarnation, Input,
+    Nanos, OperatorRequest, Output, Record, Reply, Request, State, Storage,
 };
 use linestack_member::{self as member, Member, Output as Does};
 use rand::{Rng as _, SeedableRng as _};
@@ -48,8 +48,8 @@
 }
 
 enum Message {
-    Letter(Id, Letter),
-    Guest(Guest, Request),
+    Envelope(CoordinatorId, Envelope),
+    Request(ClientSession, Request),
     Reply(Reply),
     TickCoordinator,
     TickMember,
@@ -62,10 +62,10 @@
 
 struct Kept(bool);
 
-impl Keep for Kept {
-    type Fault = Infallible;
+impl Storage for Kept {
+    type Error = Infallible;
 
-    fn keep(&mut self, _: &Record) -> Result<(), Infallible> {
+    fn persist(&mut self, _: &Record) -> Result<(), Infallible> {
         self.0 = true;
         Ok(())
     }
@@ -98,19 +98,19 @@
 impl<'a> World<'a> {
     fn new(size: &'a Size, seed: u64) -> Self {
         let count = usize::from(size.coordinators);
-        let record = Record { state: State::first("x".repeat(size.policy)), ..Record::default() };
-        let terms = |me| Terms {
-            me,
-            count: size.coordinators,
+        let record = Record { state: State::initial("x".repeat(size.policy)), ..Record::default() };
+        let config = |id| ConsensusConfig {
+            id,
+            coordinators: size.coordinators,
             hold: size.hold,
             lease: size.lease,
             drift: 10,
             check: fine,
-            broken: None,
+            injected_fault: None,
         };
         let coordinators =
-            (0..size.coordinators).map(|me| Coordinator::new(terms(me), record.clone(), 0)).collect();
-        let incarnation = |m| Incarnation { home: m as u64 + 1, life: 1 };
+            (0..size.coordinators).map(|id| Coordinator::new(config(id), record.clone(), 0)).collect();
+        let incarnation = |m| Incarnation { store_id: m as u64 + 1, run_number: 1 };
         let members =
             (0..size.members).map(|m| Member::new(incarnation(m), 10, size.lease, 1, None)).collect();
         let mut world = Self {
@@ -148,8 +148,8 @@
     fn send(&mut self, from: usize, to: usize, message: Message, after: Nanos) {
         // As on the wire: JSON in a frame, with what each frame says of its sender.
         let body = match &message {
-            Message::Letter(_, letter) => serde_json::to_vec(letter),
-            Message::Guest(_, request) => serde_json::to_vec(request),
+            Message::Envelope(_, letter) => serde_json::to_vec(letter),
+            Message::Request(_, request) => serde_json::to_vec(request),
             Message::Reply(reply) => serde_json::to_vec(reply),
             _ => Ok(Vec::new()),
         };
@@ -167,20 +167,20 @@
 
     fn coordinator(&mut self, c: usize, input: Input) {
         let mut kept = Kept(false);
-        let Ok(outs) = self.coordinators[c].take(self.now, input).finish(&mut kept);
+        let Ok(outs) = self.coordinators[c].handle(self.now, input).finish(&mut kept);
         let after = if kept.0 { self.now + self.size.sync } else { self.now };
         self.busy[c] = after;
         for out in outs {
             match out {
-                Out::Letter { to, letter } => {
-                    self.send(c, usize::from(to), Message::Letter(c as Id, letter), after);
+                Output::Send { to, envelope } => {
+                    self.send(c, usize::from(to), Message::Envelope(c as CoordinatorId, envelope), after);
                 }
-                Out::Guest { guest: Guest::Member(name), reply } => {
+                Output::Reply { client: ClientSession::Member(name), reply } => {
                     let m: usize = name.parse().unwrap_or(0);
                     let to = self.coordinators.len() + m;
                     self.send(c, to, Message::Reply(reply), after);
                 }
-                Out::Note(Note::Decided { version, .. }) => self.decided.push((version, after)),
+                Output::Audit(AuditEntry::Decided { version, .. }) => self.decided.push((version, after)),
                 _ => {}
             }
         }
@@ -198,8 +198,8 @@
         while at < outs.len() {
             match outs[at].clone() {
                 Does::Send(renew) => {
-                    let guest = Guest::Member(m.to_string());
-                    self.send(here, self.asks[m], Message::Guest(guest, Request::Renew(renew)), after);
+                    let guest = ClientSession::Member(m.to_string());
+                    self.send(here, self.asks[m], Message::Request(guest, Request::Renew(renew)), after);
                 }
                 Does::Stage(policy) => {
                     after += self.size.sync;
@@ -240,8 +240,8 @@
                 continue;
             }
             match message {
-                Message::Letter(from, letter) => self.coordinator(to, Input::Letter { from, letter }),
-                Message::Guest(guest, request) => self.coordinator(to, Input::Guest { guest, request }),
+                Message::Envelope(from, envelope) => self.coordinator(to, Input::Message { from, envelope }),
+                Message::Request(client, request) => self.coordinator(to, Input::Request { client, request }),
                 Message::Reply(reply) => self.member(to - count, member::Input::Reply(reply)),
                 Message::TickCoordinator if self.coordinators[to].next_due() <= at => {
                     self.coordinator(to, Input::Tick);
@@ -260,7 +260,7 @@
     }
 
     fn speaker(&self) -> Option<usize> {
-        self.coordinators.iter().position(|c| c.speaks(self.now))
+        self.coordinators.iter().position(|c| c.is_leader(self.now))
     }
 }
 
@@ -279,8 +279,17 @@
     }
     let (begin, messages, bytes, by) = (world.now, world.messages, world.bytes, world.by[speaker]);
     let text = "y".repeat(size.policy);
-    let ask = Ask::Propose { request: "r".into(), base: 1, text, all: false, give_up: None };
-    world.coordinator(speaker, Input::Guest { guest: Guest::Operator(1), request: Request::Ask(ask) });
+    let ask = OperatorRequest::Propose {
+        request: "r".into(),
+        base_version: 1,
+        text,
+        require_all: false,
+        give_up_after: None,
+    };
+    world.coordinator(
+        speaker,
+        Input::Request { client: ClientSession::Operator(1), request: Request::Operator(ask) },
+    );
     // Until nobody may serve under the version before, step by step.
     let old =
         |w: &World<'_>| w.until.iter().filter(|(version, until)| *version < 2 && *until > w.now).count();
--- a/crates/lab/src/scale/file.rs
+++ b/crates/lab/src/scale/file.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use linestack_accord::{LARGEST_TEXT, MOST_MEMBERS};
+use linestack_accord::{MAX_MEMBERS, MAX_POLICY_BYTES};
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 use toml::{Table, Value};
@@ -205,7 +205,7 @@
 
 fn read_members(table: Table, control_machines: usize, faults: &mut Vec<String>) -> Members {
     let mut keys = Keys { section: "members", table, faults };
-    let sizes = keys.sizes("sizes", &[], 1, MOST_MEMBERS);
+    let sizes = keys.sizes("sizes", &[], 1, MAX_MEMBERS);
     let voters: u8 = keys.or("voters", 5);
     if !matches!(voters, 1 | 3 | 5) {
         keys.fault("voters", format!("{voters}, and the coordinators' own bound is 1, 3 or 5"));
@@ -226,13 +226,13 @@
     let changes = keys.or("changes", 3);
     keys.within("changes", changes, 1, MOST_REPEATS);
     let dead = keys.or("dead", 0);
-    keys.within("dead", dead, 0, sizes.first().copied().unwrap_or(MOST_MEMBERS));
+    keys.within("dead", dead, 0, sizes.first().copied().unwrap_or(MAX_MEMBERS));
     let zones = keys.or("zones", 0);
-    keys.within("zones", zones, 0, MOST_MEMBERS);
+    keys.within("zones", zones, 0, MAX_MEMBERS);
     let real_nodes = keys.or("real-nodes", 0);
     keys.within("real-nodes", real_nodes, 0, MOST_PROCESSES);
     let policy_bytes = keys.or("policy-bytes", 0);
-    keys.within("policy-bytes", policy_bytes, 0, LARGEST_TEXT);
+    keys.within("policy-bytes", policy_bytes, 0, MAX_POLICY_BYTES);
     keys.end();
     let idle = Duration::from_secs(idle_s as u64);
     Members { sizes, voters, lease_ms, hold_ms, idle, changes, dead, zones, real_nodes, policy_bytes }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -109,7 +109,7 @@
 /// Bytes of what coordinators keep of a fleet of this size.
 #[must_use]
 pub fn state_bytes(members: usize, policy_bytes: usize) -> usize {
-    let mut state = State::first(policy::text(1, policy_bytes));
+    let mut state = State::initial(policy::text(1, policy_bytes));
     state.members = (0..members).map(|number| (name(number), incarnation(number))).collect();
     let record = Record { state, ..Record::default() };
     serde_json::to_vec(&record).map_or(0, |text| text.len())
--- a/crates/lab/src/scale/members.rs
+++ b/crates/lab/src/scale/members.rs
@@ -133,7 +133,7 @@
 #[must_use]
 pub fn incarnation(number: usize) -> Incarnation {
     // As large as numbers that are drawn.
-    Incarnation { home: u64::MAX / 2 + number as u64, life: 1 }
+    Incarnation { store_id: u64::MAX / 2 + number as u64, run_number: 1 }
 }
 
 fn milliseconds(from: Nanos, to: Nanos) -> f64 {
--- a/crates/lab/src/scale/operator.rs
+++ b/crates/lab/src/scale/operator.rs
@@ -7,7 +7,7 @@
 
 use linestack::fleet::boottime;
 use linestack::fleet::wire::{self, Body, FrameReader, Identity, SenderInfo};
-use linestack_accord::{Ask, Incarnation, Nanos, Reply, Request};
+use linestack_accord::{Incarnation, Nanos, OperatorRequest, Reply, Request};
 
 use super::coordinators::FLEET;
 
@@ -31,10 +31,16 @@
     let own = SenderInfo {
         fleet: FLEET.to_owned(),
         identity: Identity::Operator,
-        incarnation: Incarnation { home: 1, life: base },
+        incarnation: Incarnation { store_id: 1, run_number: base },
     };
     let request = format!("to-{}", base + 1);
-    let ask = Ask::Propose { request, base, text: text.to_owned(), all: false, give_up: None };
+    let ask = OperatorRequest::Propose {
+        request,
+        base_version: base,
+        text: text.to_owned(),
+        require_all: false,
+        give_up_after: None,
+    };
     let started = Instant::now();
     for to in coordinators.iter().cycle() {
         if started.elapsed() > PATIENCE {
@@ -42,12 +48,13 @@
         }
         let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(*to, &own) else { continue };
         socket.set_read_timeout(Some(PATIENCE))?;
-        let bytes = encoder.encode(Body::Request(Request::Ask(ask.clone()))).map_err(io::Error::other)?;
+        let bytes =
+            encoder.encode(Body::Request(Request::Operator(ask.clone()))).map_err(io::Error::other)?;
         let begin = boottime();
         socket.write_all(&bytes)?;
         match answer(&mut socket, &mut reader)? {
-            Reply::Taken { .. } => return Ok(Put { begin, taken: boottime() }),
-            Reply::Nobody => std::thread::sleep(AGAIN),
+            Reply::Pending { .. } => return Ok(Put { begin, taken: boottime() }),
+            Reply::NoLeader => std::thread::sleep(AGAIN),
             other => return Err(io::Error::other(format!("the change was not put: {other:?}"))),
         }
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -229,7 +229,7 @@
         let (active, declined) = (self.active, self.declined.clone());
         let staged = self.staged.as_ref().map_or(0, |s| s.version);
         let (incarnation, stage) = (self.incarnation, self.start_stage.clone());
-        outputs.push(Output::Send(Renew { incarnation, at: now, active, staged, declined, stage }));
+        outputs.push(Output::Send(Renew { incarnation, requested_at: now, active, staged, declined, stage }));
     }
 
     fn serve(&mut self, until: Nanos, outputs: &mut Vec<Output>) {
@@ -240,8 +240,8 @@
     fn handle_reply(&mut self, now: Nanos, reply: Reply, outputs: &mut Vec<Output>) {
         match reply {
             Reply::Grant(grant) => self.handle_grant(now, grant, outputs),
-            Reply::Nudge => self.request_lease(now, outputs),
-            Reply::Nobody => {
+            Reply::RenewNow => self.request_lease(now, outputs),
+            Reply::NoLeader => {
                 // There is no leader. The next one may be reachable through this coordinator, too, so another
                 // connection is not tried at once.
                 self.answered = true;
@@ -257,7 +257,7 @@
     }
 
     fn handle_grant(&mut self, now: Nanos, grant: Grant, outputs: &mut Vec<Output>) {
-        let Grant { incarnation, at, span, version, policy, change } = grant;
+        let Grant { incarnation, requested_at: at, duration: span, version, policy, change } = grant;
         // A grant for another incarnation, or for a request already answered by a newer grant, is out of date.
         if incarnation != self.incarnation
             || at > now
--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -17,7 +17,7 @@
 
 impl Fixture {
     fn new(active: u64) -> Self {
-        let incarnation = Incarnation { home: 1, life: 2 };
+        let incarnation = Incarnation { store_id: 1, run_number: 2 };
         Self { member: Member::new(incarnation, 10, LEASE_DURATION, active, None), outputs: Vec::new() }
     }
 
@@ -28,11 +28,11 @@
     }
 
     fn grant(at: u64, version: u64, with: Option<u64>, change: Option<u64>) -> Grant {
-        let incarnation = Incarnation { home: 1, life: 2 };
+        let incarnation = Incarnation { store_id: 1, run_number: 2 };
         Grant {
             incarnation,
-            at,
-            span: LEASE_DURATION,
+            requested_at: at,
+            duration: LEASE_DURATION,
             version,
             policy: with.map(policy),
             change: change.map(policy),
@@ -60,7 +60,7 @@
 }
 
 #[rstest]
-#[case::for_another_incarnation(Grant { incarnation: Incarnation { home: 1, life: 1 }, ..Fixture::grant(1_000, 1, None, None) })]
+#[case::for_another_incarnation(Grant { incarnation: Incarnation { store_id: 1, run_number: 1 }, ..Fixture::grant(1_000, 1, None, None) })]
 #[case::from_the_future(Fixture::grant(5_000, 1, None, None))]
 #[case::version_without_its_text(Fixture::grant(1_000, 2, None, None))]
 fn an_unusable_grant_gives_no_lease(#[case] grant: Grant) {
@@ -88,7 +88,7 @@
     let staged = |outputs: &[Output]| {
         outputs.iter().find_map(|o| if let Output::Send(r) = o { Some(r.staged) } else { None })
     };
-    assert_eq!(staged(fixture.handle(1_200, Input::Reply(Reply::Nudge))), Some(0));
+    assert_eq!(staged(fixture.handle(1_200, Input::Reply(Reply::RenewNow))), Some(0));
     let stored = Input::Staged { version: 2, result: Ok(()) };
     assert_eq!(staged(fixture.handle(1_300, stored)), Some(2));
     assert_eq!(fixture.member.active(), 1);
@@ -105,7 +105,7 @@
     let mut fixture = Fixture::new(1);
     fixture.handle(1_000, Input::SessionOpened);
     fixture.granted(1_100, Fixture::grant(1_000, 1, None, None));
-    fixture.handle(1_200, Input::Reply(Reply::Nudge));
+    fixture.handle(1_200, Input::Reply(Reply::RenewNow));
     fixture.granted(1_300, Fixture::grant(1_200, 2, Some(2), None));
     let outputs =
         fixture.handle(1_310, Input::Activated { version: 2, result: Err("settings.kinds".into()) }).to_vec();
--- a/crates/node/src/fleet/config.rs
+++ b/crates/node/src/fleet/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use linestack_accord::LONGEST_NAME;
+use linestack_accord::MAX_NAME_BYTES;
 use serde::Deserialize;
 
 /// What a node is told of its fleet.
@@ -121,7 +121,7 @@
 
     fn name(&mut self, key: &str, name: &str) {
         let fine = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        self.must(!name.is_empty() && name.len() <= LONGEST_NAME, key, "from 1 to 64 characters");
+        self.must(!name.is_empty() && name.len() <= MAX_NAME_BYTES, key, "from 1 to 64 characters");
         self.must(name.chars().all(fine), key, "letters, digits, '-', '_' and '.' only");
     }
 
--- a/crates/node/src/fleet/coordinate/mod.rs
+++ b/crates/node/src/fleet/coordinate/mod.rs
@@ -19,7 +19,7 @@
 use std::sync::mpsc::{Sender, channel};
 use std::thread;
 
-use linestack_accord::{Broken, Coordinator, Id, Terms};
+use linestack_accord::{ConsensusConfig, Coordinator, CoordinatorId, InjectedFault};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use socket2::SockRef;
@@ -48,7 +48,7 @@
     Replacement(u32),
     /// From its store, after most of the others were lost: write the file that they start from, and end. The file, and
     /// the coordinators whose stores are lost.
-    Refound(PathBuf, Vec<Id>),
+    Refound(PathBuf, Vec<CoordinatorId>),
     /// Without a store, from the file that [`StartMode::Refound`] wrote.
     Refounded(PathBuf),
 }
@@ -83,8 +83,9 @@
         .and_then(|listener| SockRef::from(&listener).listen(BACKLOG).map(|()| listener))
         .map_err(|e| format!("{}: coordinator.listen: {}: {e}", path.display(), config.listen))?;
     let listen = listener.local_addr().map_err(|e| e.to_string())?;
-    let audit_log = AuditWriter::open(config.history.as_deref(), &format!("c{me}"), disk.incarnation.life)
-        .map_err(|e| format!("{}: coordinator.history: {e}", path.display()))?;
+    let audit_log =
+        AuditWriter::open(config.history.as_deref(), &format!("c{me}"), disk.incarnation.run_number)
+            .map_err(|e| format!("{}: coordinator.history: {e}", path.display()))?;
     let (events, incoming) = channel();
     watch_signals(events.clone())?;
     let allowed: Vec<IpAddr> = config.peers.iter().flatten().map(SocketAddr::ip).collect();
@@ -116,25 +117,25 @@
     Ok(())
 }
 
-fn terms(config: &config::CoordinatorConfig) -> Terms {
-    Terms {
-        me: config.number,
-        count: u8::try_from(config.peers.len()).unwrap_or(u8::MAX),
+fn terms(config: &config::CoordinatorConfig) -> ConsensusConfig {
+    ConsensusConfig {
+        id: config.number,
+        coordinators: u8::try_from(config.peers.len()).unwrap_or(u8::MAX),
         hold: config.hold_ms * NANOS_PER_MILLISECOND,
         lease: config.lease_ms * NANOS_PER_MILLISECOND,
         drift: config.drift,
         check: check_change,
-        broken: super::injected_fault().as_deref().and_then(accord_fault),
+        injected_fault: super::injected_fault().as_deref().and_then(accord_fault),
     }
 }
 
 /// The deliberate fault of this name, in a build for tests.
-fn accord_fault(name: &str) -> Option<Broken> {
+fn accord_fault(name: &str) -> Option<InjectedFault> {
     match name {
-        "forgets" => Some(Broken::Forgets),
-        "majority" => Some(Broken::Majority),
-        "old-speaker" => Some(Broken::OldSpeaker),
-        "not-blind" => Some(Broken::NotBlind),
+        "forgets" => Some(InjectedFault::UnpersistedPromise),
+        "majority" => Some(InjectedFault::MajorityDecides),
+        "old-speaker" => Some(InjectedFault::StaleLeader),
+        "not-blind" => Some(InjectedFault::NoGracePeriod),
         _ => None,
     }
 }
--- a/crates/node/src/fleet/coordinate/peers.rs
+++ b/crates/node/src/fleet/coordinate/peers.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use linestack_accord::Letter;
+use linestack_accord::Envelope;
 
 use crate::fleet::wire::{self, Body, FrameEncoder, SenderInfo};
 
@@ -20,8 +20,8 @@
 
 /// Starts the thread that sends to another coordinator. Messages that can't be sent are dropped: the protocol repeats
 /// them for as long as they matter.
-pub(super) fn connect(to: SocketAddr, own: SenderInfo) -> SyncSender<Letter> {
-    let (letters, queue) = sync_channel::<Letter>(QUEUED_MESSAGES);
+pub(super) fn connect(to: SocketAddr, own: SenderInfo) -> SyncSender<Envelope> {
+    let (letters, queue) = sync_channel::<Envelope>(QUEUED_MESSAGES);
     thread::spawn(move || {
         loop {
             let Ok((socket, _, encoder)) = wire::connect_session(to, &own) else {
@@ -42,7 +42,7 @@
 fn send_all(
     mut socket: TcpStream,
     mut encoder: FrameEncoder,
-    queue: &Receiver<Letter>,
+    queue: &Receiver<Envelope>,
 ) -> Result<(), Stopped> {
     loop {
         let letter = queue.recv().map_err(|_| Stopped)?;
--- a/crates/node/src/fleet/coordinate/refound.rs
+++ b/crates/node/src/fleet/coordinate/refound.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Write as _};
 use std::path::Path;
 
-use linestack_accord::{Ballot, Id, Incarnation, Keep as _, Policy, Record, State};
+use linestack_accord::{Ballot, CoordinatorId, Incarnation, Policy, Record, State, Storage as _};
 
 use crate::fleet::config;
 use crate::fleet::random_u64;
@@ -19,7 +19,11 @@
 const SKIPPED: u32 = 1_000_000;
 
 /// Makes the store of this coordinator the beginning of the fleet, and writes the file for the others.
-pub(super) fn refound(config: &config::CoordinatorConfig, file: &Path, lost: &[Id]) -> Result<(), String> {
+pub(super) fn refound(
+    config: &config::CoordinatorConfig,
+    file: &Path,
+    lost: &[CoordinatorId],
+) -> Result<(), String> {
     check_majority_lost(config, lost).map_err(option_fault)?;
     check_all_stopped(config).map_err(option_fault)?;
     let (mut disk, record) = storage::open(config, &StartMode::FromStore).map_err(|e| e.to_string())?;
@@ -32,7 +36,7 @@
     let foundation = Foundation { fleet: config.fleet.clone(), record };
     let text = serde_json::to_vec(&foundation).map_err(|e| e.to_string())?;
     write_new(file, &text).map_err(|e| format!("{}: {e}", file.display()))?;
-    disk.keep(&foundation.record).map_err(|e| e.to_string())?;
+    disk.persist(&foundation.record).map_err(|e| e.to_string())?;
     println!("the fleet goes on from version {previous_version}, now as version {version}");
     println!(
         "lost, if they were: changes that were decided or put since this store was written, and members that joined"
@@ -49,7 +53,7 @@
 }
 
 /// Fails unless the coordinators that are left are no majority: a majority replaces the lost ones one by one.
-fn check_majority_lost(config: &config::CoordinatorConfig, lost: &[Id]) -> Result<(), String> {
+fn check_majority_lost(config: &config::CoordinatorConfig, lost: &[CoordinatorId]) -> Result<(), String> {
     let count = config.peers.len();
     let mut lost = lost.to_vec();
     lost.sort_unstable();
@@ -68,7 +72,7 @@
 
 /// Fails if another coordinator answers.
 fn check_all_stopped(config: &config::CoordinatorConfig) -> Result<(), String> {
-    let incarnation = Incarnation { home: random_u64(), life: 1 };
+    let incarnation = Incarnation { store_id: random_u64(), run_number: 1 };
     let own = SenderInfo { fleet: config.fleet.clone(), identity: Identity::Operator, incarnation };
     for (id, to) in config.peers.iter().enumerate() {
         if let Some(to) = to
@@ -84,10 +88,10 @@
 fn founding_record(config: &config::CoordinatorConfig, record: Record) -> Record {
     let me = config.number;
     let round = record.promised.round.max(record.accepted.round) + SKIPPED;
-    let ballot = Ballot { round, by: me };
+    let ballot = Ballot { round, candidate: me };
     let state = founding_state(config, record.state);
     Record {
-        mark: record.mark,
+        write_count: record.write_count,
         seat: state.seat(me),
         learning: false,
         promised: ballot,
@@ -97,17 +101,17 @@
 }
 
 fn founding_state(config: &config::CoordinatorConfig, state: State) -> State {
-    let State { policy, last, members, ended, mut seats, rev, .. } = state;
-    for id in (0..config.peers.len()).filter_map(|id| Id::try_from(id).ok()) {
+    let State { policy, last_version, members, ended, mut seats, revision, .. } = state;
+    for id in (0..config.peers.len()).filter_map(|id| CoordinatorId::try_from(id).ok()) {
         // A coordinator that still has an earlier store has no vote.
         *seats.entry(id).or_insert(0) += 1;
     }
     // The same text under another version: members may have gone by a later policy that is lost.
-    let version = last + u64::from(SKIPPED);
+    let version = last_version + u64::from(SKIPPED);
     State {
-        rev: rev + u64::from(SKIPPED),
+        revision: revision + u64::from(SKIPPED),
         policy: Policy { version, text: policy.text },
-        last: version,
+        last_version: version,
         pending: None,
         members,
         ended,
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -5,7 +5,9 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::{Duration, Instant};
 
-use linestack_accord::{Coordinator, Guest, Id, Input, Letter, Note, Out, Reply, Request};
+use linestack_accord::{
+    AuditEntry, ClientSession, Coordinator, CoordinatorId, Envelope, Input, Output, Reply, Request,
+};
 use linestack_history::What;
 
 use crate::fleet::audit_log::AuditWriter;
@@ -27,11 +29,11 @@
     disk: Disk,
     audit_log: AuditWriter,
     /// The queues of messages to the other coordinators, by their ids.
-    peers: Vec<Option<SyncSender<Letter>>>,
+    peers: Vec<Option<SyncSender<Envelope>>>,
     /// The open sessions, by their connections.
     sessions: HashMap<u64, Session>,
     /// The connection over which each client has sent its last request.
-    routes: HashMap<Guest, u64>,
+    routes: HashMap<ClientSession, u64>,
     counts: Counts,
 }
 
@@ -55,7 +57,7 @@
         coordinator: Coordinator,
         disk: Disk,
         audit_log: AuditWriter,
-        peers: Vec<Option<SyncSender<Letter>>>,
+        peers: Vec<Option<SyncSender<Envelope>>>,
     ) -> Self {
         Self {
             coordinator,
@@ -115,9 +117,9 @@
 
     fn log_counts(&self) {
         let Counts { frames, granted, kept, refused, .. } = &self.counts;
-        let speaks = self.coordinator.speaks(boottime());
+        let is_leader = self.coordinator.is_leader(boottime());
         let sessions = self.sessions.len();
-        tracing::info!(speaks, sessions, frames, granted, kept, ?refused, "counts");
+        tracing::info!(speaks = is_leader, sessions, frames, granted, kept, ?refused, "counts");
     }
 
     /// What an event means to the state machine, if anything.
@@ -144,8 +146,8 @@
         self.counts.frames += 1;
         let session = self.sessions.get(&connection)?;
         match (&session.identity, body) {
-            (Identity::Coordinator(from), Body::Envelope(letter)) => {
-                Some(Input::Letter { from: *from, letter })
+            (Identity::Coordinator(from), Body::Envelope(envelope)) => {
+                Some(Input::Message { from: *from, envelope })
             }
             (_, Body::Request(request)) => self.receive_request(connection, request),
             _ => {
@@ -164,16 +166,16 @@
             self.refuse_session(connection, "name");
             return None;
         }
-        let guest = client_session(&session.identity, connection)?;
-        self.routes.insert(guest.clone(), connection);
-        Some(Input::Guest { guest, request })
+        let client = client_session(&session.identity, connection)?;
+        self.routes.insert(client.clone(), connection);
+        Some(Input::Request { client, request })
     }
 
     fn close(&mut self, connection: u64) {
         let Some(session) = self.sessions.remove(&connection) else { return };
-        let Some(guest) = client_session(&session.identity, connection) else { return };
-        if self.routes.get(&guest) == Some(&connection) {
-            self.routes.remove(&guest);
+        let Some(client) = client_session(&session.identity, connection) else { return };
+        if self.routes.get(&client) == Some(&connection) {
+            self.routes.remove(&client);
         }
     }
 
@@ -192,25 +194,25 @@
 
     /// Passes an input to the state machine, persists the record, and carries out the actions.
     fn step(&mut self, input: Input) -> Result<(), ExitCode> {
-        let writes_before = self.coordinator.record().mark;
+        let writes_before = self.coordinator.record().write_count;
         // Leases go by the clock that counts while the machine sleeps; the audit log by the one that does not.
         let (log_time, now) = (monotonic(), boottime());
-        let step = self.coordinator.take(now, input);
+        let step = self.coordinator.handle(now, input);
         let outputs = step.finish(&mut self.disk).map_err(|why| {
             // Whether the record is durable is not known, and nobody was told that it is.
             tracing::error!(%why, "store failed; this coordinator ends");
             ExitCode::FAILURE
         })?;
-        self.counts.kept += self.coordinator.record().mark - writes_before;
+        self.counts.kept += self.coordinator.record().write_count - writes_before;
         outputs.into_iter().try_for_each(|output| self.carry_out(log_time, output))
     }
 
-    fn carry_out(&mut self, log_time: u64, output: Out) -> Result<(), ExitCode> {
+    fn carry_out(&mut self, log_time: u64, output: Output) -> Result<(), ExitCode> {
         match output {
-            Out::Letter { to, letter } => self.send_to_peer(to, letter),
-            Out::Guest { guest, reply } => self.reply(&guest, reply),
-            Out::Note(note) => self.log_note(log_time, note),
-            Out::Halt => {
+            Output::Send { to, envelope } => self.send_to_peer(to, envelope),
+            Output::Reply { client, reply } => self.reply(&client, reply),
+            Output::Audit(note) => self.log_note(log_time, note),
+            Output::Halt => {
                 tracing::error!(
                     "what is stored here is older than what others have seen of it; it must not vote"
                 );
@@ -220,16 +222,16 @@
         Ok(())
     }
 
-    fn send_to_peer(&self, to: Id, letter: Letter) {
+    fn send_to_peer(&self, to: CoordinatorId, envelope: Envelope) {
         if let Some(Some(peer)) = self.peers.get(usize::from(to)) {
             // If the queue is full, the peer is slow; the protocol repeats the message.
-            let _ = peer.try_send(letter);
+            let _ = peer.try_send(envelope);
         }
     }
 
     /// Replies to a client. A session whose queue is full is closed.
-    fn reply(&mut self, guest: &Guest, reply: Reply) {
-        let Some(connection) = self.routes.get(guest).copied() else { return };
+    fn reply(&mut self, client: &ClientSession, reply: Reply) {
+        let Some(connection) = self.routes.get(client).copied() else { return };
         let Some(session) = self.sessions.get_mut(&connection) else { return };
         let frame = session.encoder.encode(Body::Reply(reply));
         let is_queued = frame.is_ok_and(|bytes| session.frames.try_send(bytes).is_ok());
@@ -241,38 +243,38 @@
 
     /// Writes an entry of the audit log, with the time of the step: a process that is stopped just then writes it when it
     /// goes on.
-    fn log_note(&mut self, time: u64, note: Note) {
+    fn log_note(&mut self, time: u64, note: AuditEntry) {
         if let Some(what) = self.describe(note) {
             self.audit_log.write(time, what);
         }
     }
 
     /// Logs and counts what was noted, and returns the entry of the audit log, if there is to be one.
-    fn describe(&mut self, note: Note) -> Option<What> {
+    fn describe(&mut self, note: AuditEntry) -> Option<What> {
         Some(match note {
-            Note::Established { round } => {
+            AuditEntry::Established { round } => {
                 tracing::info!(round, "speaks for the fleet");
                 What::Established { round: u64::from(round) }
             }
-            Note::Granted { member, round, version } => {
+            AuditEntry::Granted { member, round, version } => {
                 self.counts.granted += 1;
                 What::Granted { member, round: u64::from(round), version }
             }
-            Note::Pending { request, version } => {
+            AuditEntry::Pending { request, version } => {
                 tracing::info!(request, version, "change put before the members");
                 What::Pending { request, version }
             }
-            Note::Decided { request, version, digest } => {
+            AuditEntry::Decided { request, version, digest } => {
                 tracing::info!(request, version, digest, "decided");
                 What::Decided { request, version, digest }
             }
-            Note::Dropped { request, version, end } => {
+            AuditEntry::Dropped { request, version, end } => {
                 tracing::warn!(request, version, ?end, "change dropped");
                 What::Dropped { request, version, why: format!("{end:?}") }
             }
-            Note::Refused { member, why } => {
+            AuditEntry::Refused { member, reason } => {
                 self.count_refusal("member");
-                tracing::debug!(member, why, "member refused");
+                tracing::debug!(member, why = reason, "member refused");
                 return None;
             }
         })
--- a/crates/node/src/fleet/coordinate/storage.rs
+++ b/crates/node/src/fleet/coordinate/storage.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use linestack_accord::{Incarnation, Keep, LARGEST_TEXT, Record, State};
+use linestack_accord::{Incarnation, MAX_POLICY_BYTES, Record, State, Storage};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::config;
@@ -33,10 +33,10 @@
     pub(super) incarnation: Incarnation,
 }
 
-impl Keep for Disk {
-    type Fault = StoreError;
+impl Storage for Disk {
+    type Error = StoreError;
 
-    fn keep(&mut self, record: &Record) -> Result<(), StoreError> {
+    fn persist(&mut self, record: &Record) -> Result<(), StoreError> {
         self.store.save(&Stored { incarnation: self.incarnation, record: record.clone() })
     }
 }
@@ -62,17 +62,17 @@
 
 fn create(config: &config::CoordinatorConfig, record: Record) -> Result<(Disk, Record), StoreError> {
     let store = RecordStore::open(&config.folder, &owner(config), true)?;
-    let mut disk = Disk { store, incarnation: Incarnation { home: random_u64(), life: 1 } };
-    disk.keep(&record)?;
+    let mut disk = Disk { store, incarnation: Incarnation { store_id: random_u64(), run_number: 1 } };
+    disk.persist(&record)?;
     Ok((disk, record))
 }
 
 fn reopen(config: &config::CoordinatorConfig) -> Result<(Disk, Record), StoreError> {
     let store = RecordStore::open(&config.folder, &owner(config), false)?;
     let Some(Stored { mut incarnation, record }) = store.load()? else { return Err(StoreError::Missing) };
-    incarnation.life += 1;
+    incarnation.run_number += 1;
     let mut disk = Disk { store, incarnation };
-    disk.keep(&record)?;
+    disk.persist(&record)?;
     Ok((disk, record))
 }
 
@@ -81,11 +81,11 @@
     let damaged =
         |why: String| StoreError::Damaged(format!("first-policy: {}: {why}", first_policy.display()));
     let text = std::fs::read_to_string(first_policy).map_err(|e| damaged(e.to_string()))?;
-    if text.len() > LARGEST_TEXT {
-        return Err(damaged(format!("{} bytes, {LARGEST_TEXT} at most", text.len())));
+    if text.len() > MAX_POLICY_BYTES {
+        return Err(damaged(format!("{} bytes, {MAX_POLICY_BYTES} at most", text.len())));
     }
     policy::settings_for_zone(&text, 0, 0).map_err(damaged)?;
-    Ok(Record { state: State::first(text), ..Record::default() })
+    Ok(Record { state: State::initial(text), ..Record::default() })
 }
 
 /// The record that a coordinator begins with after the fleet was founded again.
@@ -97,8 +97,8 @@
         return Err(damaged(format!("of fleet {fleet:?}")));
     }
     let me = config.number;
-    if record.accepted.by == me {
+    if record.accepted.candidate == me {
         return Err(damaged(format!("it was written by coordinator {me}, which has its store")));
     }
-    Ok(Record { mark: 0, seat: record.state.seat(me), ..record })
+    Ok(Record { write_count: 0, seat: record.state.seat(me), ..record })
 }
--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
-use linestack_accord::{Ask, End, Ended, Incarnation, Reply, Request, Status};
+use linestack_accord::{End, EndedChange, Incarnation, OperatorRequest, Reply, Request, Status};
 use serde_json::json;
 
 use super::random_u64;
@@ -88,15 +88,15 @@
 }
 
 impl Arguments {
-    fn ask(&self, at: &mut usize, ask: &Ask) -> Heard {
-        let incarnation = Incarnation { home: random_u64(), life: 1 };
+    fn ask(&self, at: &mut usize, ask: &OperatorRequest) -> Heard {
+        let incarnation = Incarnation { store_id: random_u64(), run_number: 1 };
         let own = SenderInfo { fleet: self.fleet.clone(), identity: Identity::Operator, incarnation };
         let to = self.coordinators[*at % self.coordinators.len()];
         let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(to, &own) else {
             *at += 1;
             return Heard::Nobody;
         };
-        let Ok(bytes) = encoder.encode(Body::Request(Request::Ask(ask.clone()))) else {
+        let Ok(bytes) = encoder.encode(Body::Request(Request::Operator(ask.clone()))) else {
             return Heard::Nobody;
         };
         let begin = Instant::now();
@@ -105,7 +105,7 @@
             while begin.elapsed() < PATIENCE {
                 match reader.next_frame() {
                     Ok(Some(frame)) => match frame.body {
-                        Body::Reply(Reply::Nobody) => {
+                        Body::Reply(Reply::NoLeader) => {
                             *at += 1;
                             return Heard::Nobody;
                         }
@@ -125,7 +125,7 @@
     }
 
     /// Asks until somebody answers, or the time is over. Only for what may be asked twice.
-    fn insist(&self, ask: &Ask) -> Option<Reply> {
+    fn insist(&self, ask: &OperatorRequest) -> Option<Reply> {
         let (begin, mut at) = (Instant::now(), 0);
         while begin.elapsed() < Duration::from_millis(self.wait_ms) {
             if let Heard::Reply(reply) = self.ask(&mut at, ask) {
@@ -136,20 +136,20 @@
         None
     }
 
-    fn propose(&self, ask: &Ask, request: &str) -> u8 {
+    fn propose(&self, ask: &OperatorRequest, request: &str) -> u8 {
         let (begin, mut at, mut lost) = (Instant::now(), 0, false);
         loop {
             if begin.elapsed() >= Duration::from_millis(self.wait_ms) {
                 return self.tell("unknown", request, &[], UNKNOWN);
             }
             match self.ask(&mut at, ask) {
-                Heard::Reply(Reply::Taken { .. }) => return self.outcome(request, begin),
+                Heard::Reply(Reply::Pending { .. }) => return self.outcome(request, begin),
                 Heard::Reply(Reply::Ended(ended)) => return self.ended(&ended),
                 // One that was lost may still come: only what was refused at once is refused for good.
-                Heard::Reply(Reply::TurnedDown(faults)) if lost => {
+                Heard::Reply(Reply::Rejected(faults)) if lost => {
                     return self.tell("unknown", request, &faults, UNKNOWN);
                 }
-                Heard::Reply(Reply::TurnedDown(faults)) => {
+                Heard::Reply(Reply::Rejected(faults)) => {
                     return self.tell("refused", request, &faults, REFUSED);
                 }
                 Heard::Reply(_) | Heard::Lost => lost = true,
@@ -161,7 +161,7 @@
 
     /// Waits until it has ended.
     fn outcome(&self, request: &str, begin: Instant) -> u8 {
-        let (mut at, ask) = (0, Ask::Outcome { request: request.to_owned() });
+        let (mut at, ask) = (0, OperatorRequest::Outcome { request: request.to_owned() });
         while begin.elapsed() < Duration::from_millis(self.wait_ms) {
             if let Heard::Reply(Reply::Ended(ended)) = self.ask(&mut at, &ask) {
                 return self.ended(&ended);
@@ -171,7 +171,7 @@
         self.tell("unknown", request, &[], UNKNOWN)
     }
 
-    fn ended(&self, ended: &Ended) -> u8 {
+    fn ended(&self, ended: &EndedChange) -> u8 {
         match &ended.end {
             End::Decided => {
                 self.tell("decided", &ended.request, &[format!("version {}", ended.version)], DONE)
@@ -204,7 +204,7 @@
         }
         println!(
             "version {} (digest {:08x}), told by coordinator {} in round {}",
-            s.version, s.digest, s.speaker, s.round
+            s.version, s.digest, s.leader, s.round
         );
         if let Some((request, version)) = &s.pending {
             println!("pending: {request}, version {version}");
@@ -254,47 +254,55 @@
             Ok(text) => {
                 let request = request.clone().unwrap_or_else(|| format!("{:x}", random_u64()));
                 let give_up = give_up_ms.map(|ms| ms.saturating_mul(1_000_000));
-                let ask = Ask::Propose { request: request.clone(), base: *base, text, all: *all, give_up };
+                let ask = OperatorRequest::Propose {
+                    request: request.clone(),
+                    base_version: *base,
+                    text,
+                    require_all: *all,
+                    give_up_after: give_up,
+                };
                 a.propose(&ask, &request)
             }
         },
-        Command::Outcome { request } => match a.insist(&Ask::Outcome { request: request.clone() }) {
-            None => nobody(),
-            Some(Reply::Ended(ended)) => a.ended(&ended),
-            Some(Reply::Taken { version }) => {
-                a.tell("pending", request, &[format!("version {version}")], UNKNOWN)
+        Command::Outcome { request } => {
+            match a.insist(&OperatorRequest::Outcome { request: request.clone() }) {
+                None => nobody(),
+                Some(Reply::Ended(ended)) => a.ended(&ended),
+                Some(Reply::Pending { version }) => {
+                    a.tell("pending", request, &[format!("version {version}")], UNKNOWN)
+                }
+                Some(_) => a.tell("not known here", request, &[], UNKNOWN),
             }
-            Some(_) => a.tell("not known here", request, &[], UNKNOWN),
-        },
-        Command::Abort { request } => match a.insist(&Ask::Abort { request: request.clone() }) {
+        }
+        Command::Abort { request } => match a.insist(&OperatorRequest::Abort { request: request.clone() }) {
             None => nobody(),
             Some(Reply::Ended(ended)) => a.ended(&ended),
-            Some(Reply::Taken { .. }) => a.outcome(request, Instant::now()),
+            Some(Reply::Pending { .. }) => a.outcome(request, Instant::now()),
             Some(_) => a.tell("not known here", request, &[], REFUSED),
         },
-        Command::Forget { member } => match a.insist(&Ask::Forget { member: member.clone() }) {
+        Command::Forget { member } => match a.insist(&OperatorRequest::Forget { member: member.clone() }) {
             None => nobody(),
-            Some(Reply::Done) => a.tell("forgotten", member, &[], DONE),
-            Some(Reply::TurnedDown(faults)) => a.tell("refused", member, &faults, REFUSED),
+            Some(Reply::Removed) => a.tell("forgotten", member, &[], DONE),
+            Some(Reply::Rejected(faults)) => a.tell("refused", member, &faults, REFUSED),
             Some(_) => a.tell("not known here", member, &[], REFUSED),
         },
         Command::Replace { number } => {
             let name = format!("coordinator {number}");
-            match a.insist(&Ask::Replace { seat: *number }) {
+            match a.insist(&OperatorRequest::Replace { coordinator: *number }) {
                 None => nobody(),
-                Some(Reply::Seat { number: seat }) if a.json => {
+                Some(Reply::Replaced { seat }) if a.json => {
                     println!("{}", json!({"coordinator": number, "replacement": seat}));
                     DONE
                 }
-                Some(Reply::Seat { number: seat }) => {
+                Some(Reply::Replaced { seat }) => {
                     let how = format!("start it, with an empty folder, by --replacement {seat}");
                     a.tell("replaced", &name, &[how], DONE)
                 }
-                Some(Reply::TurnedDown(faults)) => a.tell("refused", &name, &faults, REFUSED),
+                Some(Reply::Rejected(faults)) => a.tell("refused", &name, &faults, REFUSED),
                 Some(_) => a.tell("unknown", &name, &[], UNKNOWN),
             }
         }
-        Command::Status | Command::History => match a.insist(&Ask::Status) {
+        Command::Status | Command::History => match a.insist(&OperatorRequest::Status) {
             Some(Reply::Status(status)) => {
                 if matches!(a.command, Command::History) {
                     for ended in &status.ended {
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linestack_accord::{Guest, Incarnation, Policy, Request};
+use linestack_accord::{ClientSession, Incarnation, Policy, Request};
 use linestack_core::Input as CoreInput;
 use linestack_history::What;
 use linestack_member::{InjectedFault, Input, Member, Notice, Output};
@@ -81,10 +81,10 @@
                 return Err(why);
             }
         };
-        if record.incarnation.home == 0 {
-            record.incarnation = Incarnation { home: super::random_u64(), life: 0 };
+        if record.incarnation.store_id == 0 {
+            record.incarnation = Incarnation { store_id: super::random_u64(), run_number: 0 };
         }
-        record.incarnation.life += 1;
+        record.incarnation.run_number += 1;
         store.save(&record)?;
         Ok(Self { fleet, store, record })
     }
@@ -355,10 +355,10 @@
 
 /// Who asks, to the coordinators.
 #[must_use]
-pub fn client_session(identity: &Identity, connection: u64) -> Option<Guest> {
+pub fn client_session(identity: &Identity, connection: u64) -> Option<ClientSession> {
     match identity {
-        Identity::Member(name) => Some(Guest::Member(name.clone())),
-        Identity::Operator => Some(Guest::Operator(connection)),
+        Identity::Member(name) => Some(ClientSession::Member(name.clone())),
+        Identity::Operator => Some(ClientSession::Operator(connection)),
         Identity::Coordinator(_) => None,
     }
 }
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use linestack_accord::{Incarnation, Letter, Peer, Reply, Request};
+use linestack_accord::{Envelope, Incarnation, PeerMessage, Reply, Request};
 use linestack_frames::{Reader, encode, kind_number};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -46,7 +46,7 @@
     Hello(u64),
     Welcome(u64),
     #[serde(rename = "letter")]
-    Envelope(Letter),
+    Envelope(Envelope),
     Request(Request),
     Reply(Reply),
 }
@@ -58,16 +58,16 @@
             Self::Welcome(_) => "welcome",
             Self::Request(_) => "request",
             Self::Reply(_) => "reply",
-            Self::Envelope(letter) => match letter.peer {
-                Peer::Prepare { .. } => "prepare",
-                Peer::Promise { .. } => "promise",
-                Peer::Accept { .. } => "accept",
-                Peer::Accepted { .. } => "accepted",
-                Peer::Beat { .. } => "beat",
-                Peer::Beaten { .. } => "beaten",
-                Peer::Behind { .. } => "behind",
-                Peer::Relay { .. } => "relay",
-                Peer::Back { .. } => "back",
+            Self::Envelope(letter) => match letter.message {
+                PeerMessage::Prepare { .. } => "prepare",
+                PeerMessage::Promise { .. } => "promise",
+                PeerMessage::Accept { .. } => "accept",
+                PeerMessage::Accepted { .. } => "accepted",
+                PeerMessage::Heartbeat { .. } => "beat",
+                PeerMessage::HeartbeatAck { .. } => "beaten",
+                PeerMessage::OutdatedBallot { .. } => "behind",
+                PeerMessage::ForwardRequest { .. } => "relay",
+                PeerMessage::ForwardReply { .. } => "back",
             },
         }
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -171,7 +171,7 @@
     let audit_log =
         fleet.as_ref().and_then(|(start, _)| start.config().history.as_ref().map(|path| (start, path)));
     let audit_log = audit_log.map(|(start, path)| {
-        AuditLog::open(path, &start.config().member, start.record.incarnation.life, clock.now())
+        AuditLog::open(path, &start.config().member, start.record.incarnation.run_number, clock.now())
     });
     let audit_log = match audit_log.transpose() {
         Ok(audit_log) => audit_log,
--- a/crates/node/tests/coordinator.rs
+++ b/crates/node/tests/coordinator.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use linestack::fleet::wire::{self, Body, FrameEncoder, Identity, SenderInfo};
-use linestack_accord::{Ask, Ballot, Incarnation, Letter, Peer, Renew, Reply, Request};
+use linestack_accord::{Ballot, Envelope, Incarnation, OperatorRequest, PeerMessage, Renew, Reply, Request};
 use linestack_rig::process::Process;
 use linestack_rig::stand::Fleet;
 use rstest::rstest;
@@ -42,7 +42,7 @@
 }
 
 fn own(fleet: &str, identity: Identity) -> SenderInfo {
-    SenderInfo { fleet: fleet.into(), identity, incarnation: Incarnation { home: 7, life: 1 } }
+    SenderInfo { fleet: fleet.into(), identity, incarnation: Incarnation { store_id: 7, run_number: 1 } }
 }
 
 fn member() -> SenderInfo {
@@ -50,10 +50,10 @@
 }
 
 fn renew(life: u64) -> Body {
-    let incarnation = Incarnation { home: 7, life };
+    let incarnation = Incarnation { store_id: 7, run_number: life };
     Body::Request(Request::Renew(Renew {
         incarnation,
-        at: 1,
+        requested_at: 1,
         active: 0,
         staged: 0,
         declined: None,
@@ -79,10 +79,12 @@
     else {
         return false;
     };
-    socket.write_all(&encoder.encode(Body::Request(Request::Ask(Ask::Status))).unwrap()).unwrap();
+    socket
+        .write_all(&encoder.encode(Body::Request(Request::Operator(OperatorRequest::Status))).unwrap())
+        .unwrap();
     loop {
         match reader.next_frame() {
-            Ok(Some(frame)) => return matches!(frame.body, Body::Reply(Reply::Status(_) | Reply::Nobody)),
+            Ok(Some(frame)) => return matches!(frame.body, Body::Reply(Reply::Status(_) | Reply::NoLeader)),
             Ok(None) => {
                 if reader.read(&mut socket).is_err() {
                     return false;
@@ -169,8 +171,9 @@
 
 fn a_letter(address: SocketAddr) -> TcpStream {
     let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
-    let peer = Peer::Prepare { ballot: Ballot { round: 1_000_000, by: 0 } };
-    let letter = Letter { mark: 0, seen: u64::MAX, of: 0, seat: 0, peer };
+    let peer = PeerMessage::Prepare { ballot: Ballot { round: 1_000_000, candidate: 0 } };
+    let letter =
+        Envelope { write_count: 0, observed_write_count: u64::MAX, observed_seat: 0, seat: 0, message: peer };
     socket.write_all(&encoder.encode(Body::Envelope(letter)).unwrap()).unwrap();
     socket
 }
