--- a/crates/accord/src/coordinator/apply.rs
+++ b/crates/accord/src/coordinator/apply.rs
@@ -1,4 +1,5 @@
-//! What follows from a committed write: audit log entries, replies to those who wanted it, and nudges to members.
+//! The effects of a committed write: audit log entries, replies to the clients that requested it, and notifications that
+//! make members renew their leases.
 
 use std::collections::BTreeSet;
 
@@ -12,12 +13,12 @@
 
 /// A committed write.
 pub(super) struct Commit {
-    /// The state before; none if this is the leader's first write.
+    /// The state before the write; none if this is the leader's first one.
     previous: Option<State>,
     pub(super) state: State,
 }
 
-/// A reply that is due.
+/// A reply to be sent.
 pub(super) struct Response {
     pub(super) to: ReplyTo,
     pub(super) reply: Reply,
@@ -30,8 +31,8 @@
         let Role::Leader(leadership) = &mut self.role else { return };
         let Some(commit) = leadership.commit(majority) else { return };
         let responses = leadership.apply(now, &commit);
-        let notes = commit.notes(leadership.ballot.round);
-        self.outputs.extend(notes.into_iter().map(Output::Audit));
+        let entries = commit.audit_entries(leadership.ballot.round);
+        self.outputs.extend(entries.into_iter().map(Output::Audit));
         for response in responses {
             self.reply(response.to, response.reply);
         }
@@ -40,93 +41,94 @@
 }
 
 impl Leadership {
-    /// Takes the write in progress as committed, if a quorum has accepted it.
+    /// Commits the write in progress if a quorum has accepted it.
     fn commit(&mut self, majority: usize) -> Option<Commit> {
         let write = self.in_flight.take_if(|write| write.accepted_by.len() >= majority)?;
         let previous = self.committed.replace(write.state.clone());
         Some(Commit { previous, state: write.state })
     }
 
-    /// Settles what the commit fulfils, and returns the replies in the order in which they are sent.
+    /// Completes the requests that the commit fulfils, and returns the replies in the order in which they are sent.
     fn apply(&mut self, now: Nanos, commit: &Commit) -> Vec<Response> {
-        // Also members that the commit removes are nudged.
-        let nudges = self.nudges(commit);
+        // Members that the commit removes are notified, too.
+        let renew_now_responses = self.renew_now_responses(commit);
         self.track_pending(now, commit);
         self.settle_joins(commit);
         let mut responses = Vec::new();
         responses.extend(self.settle_proposal(commit));
         responses.extend(self.settle_replacement(commit));
         responses.extend(self.settle_removals(commit));
-        responses.extend(nudges);
+        responses.extend(renew_now_responses);
         responses
     }
 
-    /// Tells all members to renew at once if the policy or the pending change is new, else those that were registered.
-    fn nudges(&self, commit: &Commit) -> Vec<Response> {
-        let nudge = |member: &String| {
+    /// Makes members renew their leases at once: all of them if the policy or the pending change is new, otherwise those
+    /// that were just registered.
+    fn renew_now_responses(&self, commit: &Commit) -> Vec<Response> {
+        let renew_now = |member: &String| {
             let session = self.sessions.get(member)?;
             let to = ReplyTo { via: session.via, client: ClientSession::Member(member.clone()) };
             Some(Response { to, reply: Reply::RenewNow })
         };
         if commit.changes_policy() || commit.changes_pending() {
-            return self.sessions.keys().filter_map(nudge).collect();
+            return self.sessions.keys().filter_map(renew_now).collect();
         }
         let members = commit.state.members.keys();
-        members.filter(|member| commit.registers(member)).filter_map(nudge).collect()
+        members.filter(|member| commit.registers(member)).filter_map(renew_now).collect()
     }
 }
 
 impl Commit {
-    /// Whether another policy is active now.
+    /// Returns whether the active policy has changed.
     fn changes_policy(&self) -> bool {
         let version = self.state.policy.version;
         self.previous.as_ref().is_none_or(|previous| previous.policy.version != version)
     }
 
-    /// Whether another change is pending now, or none.
+    /// Returns whether the pending change has changed.
     fn changes_pending(&self) -> bool {
         self.previous.as_ref().is_none_or(|previous| previous.pending != self.state.pending)
     }
 
-    /// Whether this run of the member was registered.
+    /// Returns whether the commit registers the current run of the member.
     fn registers(&self, member: &str) -> bool {
         let registered = self.state.members.get(member);
         self.previous.as_ref().is_none_or(|previous| previous.members.get(member) != registered)
     }
 
-    /// Whether the coordinator was replaced.
+    /// Returns whether the commit replaces the coordinator.
     pub(super) fn replaces(&self, coordinator: CoordinatorId) -> bool {
         let seat = self.state.seat(coordinator);
         self.previous.as_ref().is_some_and(|previous| previous.seat(coordinator) < seat)
     }
 
-    /// The version of the change that is pending now.
+    /// Returns the version of the pending change.
     pub(super) fn pending_version(&self) -> Option<u64> {
         self.state.pending.as_ref().map(|pending| pending.policy.version)
     }
 
-    /// The audit log entries, in order.
-    fn notes(&self, round: u32) -> Vec<AuditEntry> {
-        let mut notes = Vec::new();
+    /// Returns the audit log entries, in order.
+    fn audit_entries(&self, round: u32) -> Vec<AuditEntry> {
+        let mut entries = Vec::new();
         if self.previous.is_none() {
-            notes.push(AuditEntry::Established { round });
+            entries.push(AuditEntry::Established { round });
         }
-        notes.extend(self.dropped());
+        entries.extend(self.dropped());
         if self.changes_policy() {
-            notes.push(self.decided());
+            entries.push(self.decided());
         }
         if self.changes_pending()
             && let Some(pending) = &self.state.pending
         {
-            notes.push(AuditEntry::Pending {
+            entries.push(AuditEntry::Pending {
                 request: pending.request.clone(),
                 version: pending.policy.version,
             });
         }
-        notes
+        entries
     }
 
-    /// The changes that ended by this commit and were not decided.
+    /// Returns the entries of the changes that ended with this commit without being decided.
     fn dropped(&self) -> impl Iterator<Item = AuditEntry> {
         let ended_before = self.previous.iter().flat_map(|previous| &previous.ended);
         let known: BTreeSet<u64> = ended_before.map(|ended| ended.version).collect();
--- a/crates/accord/src/coordinator/change.rs
+++ b/crates/accord/src/coordinator/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the policy: a change is proposed, put before the members, staged by them, and decided or dropped.
+//! Changes of the policy: an operator proposes a change, the members stage it, and the leader decides or drops it.
 
 use crate::config::{ConsensusConfig, InjectedFault};
 use crate::message::Reply;
@@ -9,25 +9,25 @@
 use super::leadership::Leadership;
 use super::role::{ReplyTo, Role};
 
-/// What an operator proposes.
+/// An operator's proposal.
 pub(super) struct Proposal {
     pub(super) request: String,
-    /// The version that the change builds on.
+    /// The version that the change is based on.
     pub(super) base_version: u64,
     pub(super) text: String,
-    /// Members whose leases are over have to stage it, too.
+    /// Whether members whose leases have expired must stage the change, too.
     pub(super) require_all: bool,
     pub(super) give_up_after: Option<Nanos>,
 }
 
-/// A change that was checked, and is to be put before the members.
+/// A change that was validated and is to be proposed to the members.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct ProposedChange {
     operator: ReplyTo,
     change: PendingChange,
 }
 
-/// When the leader first knew a change to be pending.
+/// When the leader first saw a change pending.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct PendingSince {
     pub(super) version: u64,
@@ -39,12 +39,12 @@
         let config = self.config;
         let Role::Leader(leadership) = &mut self.role else { return };
         let Some(committed) = &leadership.committed else { return };
-        if let Some(known) = leadership.outcome(&proposal.request) {
+        if let Some(known) = leadership.known_outcome(&proposal.request) {
             return self.reply(operator, known);
         }
-        let faults = leadership.proposal_faults(committed, &proposal, &config);
-        if !faults.is_empty() {
-            return self.reply(operator, Reply::Rejected(faults));
+        let errors = leadership.proposal_errors(committed, &proposal, &config);
+        if !errors.is_empty() {
+            return self.reply(operator, Reply::Rejected(errors));
         }
         let Proposal { request, text, require_all, give_up_after, .. } = proposal;
         let policy = Policy { version: committed.last_version + 1, text };
@@ -55,7 +55,7 @@
 
     pub(super) fn abort(&mut self, now: Nanos, operator: ReplyTo, request: String) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        let outcome = leadership.outcome(&request).unwrap_or(Reply::Unknown);
+        let outcome = leadership.known_outcome(&request).unwrap_or(Reply::Unknown);
         let is_pending = matches!(outcome, Reply::Pending { .. });
         if is_pending {
             leadership.abort = Some(request);
@@ -68,8 +68,8 @@
 }
 
 impl Leadership {
-    /// What is known of a change: how it ended, or that it is pending.
-    pub(super) fn outcome(&self, request: &str) -> Option<Reply> {
+    /// Returns the outcome of a change, or that it is pending; none if the change is unknown.
+    pub(super) fn known_outcome(&self, request: &str) -> Option<Reply> {
         let committed = self.committed.as_ref()?;
         if let Some(ended) = committed.ended.iter().find(|ended| ended.request == request) {
             return Some(Reply::Ended(ended.clone()));
@@ -78,56 +78,56 @@
         Some(Reply::Pending { version: pending.policy.version })
     }
 
-    /// The name of the change that is proposed, being written or pending.
-    fn change_under_way(&self) -> Option<&String> {
+    /// Returns the name of the change that is proposed, being written, or pending.
+    fn unfinished_change(&self) -> Option<&String> {
         let proposed = self.proposed.as_ref().map(|proposed| &proposed.change);
         let written = self.in_flight.as_ref().and_then(|write| write.state.pending.as_ref());
         let pending = self.committed.as_ref().and_then(|state| state.pending.as_ref());
         proposed.or(written).or(pending).map(|change| &change.request)
     }
 
-    /// Why a proposal can't be put before the members; empty if it can.
-    fn proposal_faults(
+    /// Returns why a proposal is invalid; empty if it is valid.
+    fn proposal_errors(
         &self,
         committed: &State,
         proposal: &Proposal,
         config: &ConsensusConfig,
     ) -> Vec<String> {
-        let mut faults = Vec::new();
-        if let Some(other) = self.change_under_way() {
-            faults.push(format!("another change is under way: {other}"));
+        let mut errors = Vec::new();
+        if let Some(other) = self.unfinished_change() {
+            errors.push(format!("another change is in progress: {other}"));
         }
         let (base, version) = (proposal.base_version, committed.policy.version);
         if base != version {
-            faults.push(format!("base: {base}, and the fleet goes by {version}"));
+            errors.push(format!("base: {base}, but the active version is {version}"));
         }
         if proposal.request.is_empty() || proposal.request.len() > MAX_NAME_BYTES {
-            faults.push(format!("request: from 1 to {MAX_NAME_BYTES} characters"));
+            errors.push(format!("request: must be from 1 to {MAX_NAME_BYTES} bytes long"));
         }
         let size = proposal.text.len();
         if size > MAX_POLICY_BYTES {
-            faults.push(format!("the policy has {size} bytes, {MAX_POLICY_BYTES} at most"));
-        } else if let Err(more) = (config.check)(&committed.policy.text, &proposal.text) {
-            faults.extend(more);
+            errors.push(format!("the policy has {size} bytes; the maximum is {MAX_POLICY_BYTES}"));
+        } else if let Err(policy_errors) = (config.check)(&committed.policy.text, &proposal.text) {
+            errors.extend(policy_errors);
         }
-        faults
+        errors
     }
 
-    /// Writes the end of the pending change, or the proposed change, into the next state.
+    /// Writes the outcome of the pending change, or the proposed change, into the next state.
     pub(super) fn write_change(&mut self, now: Nanos, config: &ConsensusConfig, state: &mut State) {
         if let Some(pending) = &state.pending {
-            if let Some(end) = self.end_of(now, config, pending, state) {
+            if let Some(end) = self.pending_outcome(now, config, pending, state) {
                 state.end_pending(end);
             }
         } else if let Some(proposed) = &self.proposed {
-            // Its base was checked when it came, and nothing has been decided since.
+            // The base version was checked on receipt, and no change has been decided since.
             state.last_version = proposed.change.policy.version;
             state.pending = Some(proposed.change.clone());
         }
     }
 
-    /// How the pending change ends now, if it does.
-    fn end_of(
+    /// Returns the outcome of the pending change if it ends now.
+    fn pending_outcome(
         &mut self,
         now: Nanos,
         config: &ConsensusConfig,
@@ -140,7 +140,7 @@
         if let Some(declined) = self.declined_by_member(pending.policy.version) {
             return Some(declined);
         }
-        if self.is_ready(now, config, pending, state) {
+        if self.can_be_decided(now, config, pending, state) {
             return Some(End::Decided);
         }
         let give_up_at = pending.give_up_after.map(|span| self.pending_since.at.saturating_add(span));
@@ -154,8 +154,14 @@
         })
     }
 
-    /// Whether every member has staged the change, or can't serve under the policy before it.
-    fn is_ready(&self, now: Nanos, config: &ConsensusConfig, pending: &PendingChange, state: &State) -> bool {
+    /// Returns whether every member has staged the change, or can't serve under the previous policy.
+    fn can_be_decided(
+        &self,
+        now: Nanos,
+        config: &ConsensusConfig,
+        pending: &PendingChange,
+        state: &State,
+    ) -> bool {
         let version = pending.policy.version;
         let mut members = state.members.iter();
         if config.injects(InjectedFault::MajorityDecides) {
@@ -163,7 +169,7 @@
             return staged * 2 > state.members.len();
         }
         members.all(|(name, run)| {
-            self.has_staged(name, run, version) || (!pending.require_all && self.is_away(now, name))
+            self.has_staged(name, run, version) || (!pending.require_all && self.has_no_lease(now, name))
         })
     }
 
@@ -172,12 +178,12 @@
         session.is_some_and(|session| session.staged == version)
     }
 
-    /// Whether a member holds no lease, be it this leader's or an earlier one's.
-    fn is_away(&self, now: Nanos, member: &str) -> bool {
+    /// Returns whether a member holds no lease, neither of this leader nor of an earlier one.
+    fn has_no_lease(&self, now: Nanos, member: &str) -> bool {
         !self.in_grace_period(now) && !self.holds_lease(now, member)
     }
 
-    /// When the pending change is given up.
+    /// Returns when the pending change times out.
     pub(super) fn give_up_at(&self) -> Option<Nanos> {
         let pending = self.committed.as_ref()?.pending.as_ref()?;
         Some(self.pending_since.at.saturating_add(pending.give_up_after?))
@@ -193,8 +199,8 @@
 
     pub(super) fn settle_proposal(&mut self, commit: &Commit) -> Option<Response> {
         let pending = commit.pending_version();
-        let taken = self.proposed.take_if(|proposed| pending == Some(proposed.change.policy.version))?;
-        let version = taken.change.policy.version;
-        Some(Response { to: taken.operator, reply: Reply::Pending { version } })
+        let proposed = self.proposed.take_if(|proposed| pending == Some(proposed.change.policy.version))?;
+        let version = proposed.change.policy.version;
+        Some(Response { to: proposed.operator, reply: Reply::Pending { version } })
     }
 }
--- a/crates/accord/src/coordinator/election.rs
+++ b/crates/accord/src/coordinator/election.rs
@@ -11,13 +11,13 @@
 use super::role::{Candidacy, LeaderLease, Promise, Role};
 
 impl Coordinator {
-    /// When this coordinator stands for election unless it hears a leader. Coordinators do so one after the other, lest
-    /// they outbid each other for ever.
+    /// Returns when this coordinator starts an election unless it hears from a leader. The times are staggered by id, so
+    /// that candidates do not outbid each other forever.
     pub(super) fn election_due(&self) -> Nanos {
         self.leader_lease.until + self.config.hold / 4 * Nanos::from(self.config.id)
     }
 
-    /// Stands for election, or asks again for promises that are missing.
+    /// Starts an election, or requests missing promises again.
     pub(super) fn campaign(&mut self, now: Nanos) {
         let retry_at = now + self.config.hold / 2 + self.config.hold / 8 * Nanos::from(self.config.id);
         let ballot = match self.continue_candidacy(retry_at) {
@@ -30,7 +30,7 @@
         self.lead_if_elected(now);
     }
 
-    /// Keeps the present ballot for as long as no higher one is known.
+    /// Continues with the current ballot if no higher one is known.
     fn continue_candidacy(&mut self, retry_at: Nanos) -> Option<Ballot> {
         let Role::Candidate(candidacy) = &mut self.role else { return None };
         let ballot = candidacy.ballot;
@@ -41,11 +41,11 @@
         Some(ballot)
     }
 
-    /// Promises itself a ballot that is higher than all known ones.
+    /// Creates a ballot that is higher than all known ones, and promises it.
     fn begin_candidacy(&mut self, retry_at: Nanos) -> Ballot {
-        let me = self.config.id;
+        let own_id = self.config.id;
         let round = self.highest_round.max(self.record.promised.round) + 1;
-        let ballot = Ballot { round, candidate: me };
+        let ballot = Ballot { round, candidate: own_id };
         self.highest_round = round;
         self.record.promised = ballot;
         self.record_changed = true;
@@ -54,11 +54,12 @@
             state: self.record.state.clone(),
             seat: self.record.seat,
         };
-        self.role = Role::Candidate(Candidacy { ballot, promises: BTreeMap::from([(me, own)]), retry_at });
+        self.role =
+            Role::Candidate(Candidacy { ballot, promises: BTreeMap::from([(own_id, own)]), retry_at });
         ballot
     }
 
-    /// Leads once a quorum has promised.
+    /// Becomes the leader if a quorum has promised.
     fn lead_if_elected(&mut self, now: Nanos) {
         let Role::Candidate(candidacy) = &self.role else { return };
         let ballot = candidacy.ballot;
@@ -70,7 +71,7 @@
         let sessions = std::mem::take(&mut self.former_sessions);
         let leadership = Leadership::new(ballot, now, now + grace, sessions);
         self.role = Role::Leader(Box::new(leadership));
-        // The state may be committed already: it is written again before anything follows from it.
+        // The state may or may not be committed: it is written again before it takes effect.
         self.replicate(now, state);
     }
 
@@ -90,7 +91,7 @@
         self.send(from, PeerMessage::Promise { ballot, accepted, state });
     }
 
-    /// Whether a leader counts on this coordinator's vote, be it this one or another.
+    /// Returns whether this coordinator is the leader, or has acknowledged another leader than the candidate recently.
     fn supports_another_leader(&self, now: Nanos, candidate: CoordinatorId) -> bool {
         let leased = now < self.leader_lease.until && self.leader_lease.holder != Some(candidate);
         self.is_leader(now) || leased
@@ -102,7 +103,7 @@
         if !matches!(self.role, Role::Follower) {
             self.step_down(now);
         }
-        // Leaves the candidate the time to be heard.
+        // Gives the candidate time to send its first heartbeat.
         self.leader_lease = LeaderLease { holder: Some(candidate), until: now + self.config.hold / 2 };
     }
 
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Another coordinator has promised a higher ballot.
+    /// Handles the report that another coordinator has promised a higher ballot.
     pub(super) fn on_outdated(&mut self, now: Nanos, promised: Ballot) {
         self.observe_round(promised);
         let Role::Leader(leadership) = &self.role else { return };
@@ -133,7 +134,7 @@
         self.highest_round = self.highest_round.max(ballot.round);
     }
 
-    /// Becomes a follower that waits a while before it stands for election.
+    /// Becomes a follower that waits for at least half a `hold` before it starts an election.
     pub(super) fn step_down(&mut self, now: Nanos) {
         if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
             self.former_sessions = leadership.sessions;
--- a/crates/accord/src/coordinator/leadership.rs
+++ b/crates/accord/src/coordinator/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader knows: the write in progress, its followers, its members' sessions, and what is to be written next.
+//! The state of a leader: the write in progress, the followers, the members' sessions, and the writes to come.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,26 +15,26 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Leadership {
     pub(super) ballot: Ballot,
-    /// The newest state that a quorum has accepted under this ballot; none at first.
+    /// The newest state that a quorum has accepted under this ballot; none until the first write is committed.
     pub(super) committed: Option<State>,
     /// The write in progress.
     pub(super) in_flight: Option<InFlight>,
-    /// For each follower, the newest of this coordinator's clock readings that it has acknowledged.
+    /// For each follower, the latest reading of this coordinator's clock that it has acknowledged.
     pub(super) acknowledged_at: BTreeMap<CoordinatorId, Nanos>,
     pub(super) elected_at: Nanos,
-    /// Until then members may hold leases that an earlier leader has granted.
+    /// The time until which members may hold leases granted by an earlier leader.
     pub(super) earlier_leases_until: Nanos,
     pub(super) next_heartbeat: Nanos,
     pub(super) sessions: BTreeMap<String, Session>,
-    /// Members to be registered.
+    /// The members to be registered.
     pub(super) joining: BTreeMap<String, Incarnation>,
-    /// Members to be removed.
+    /// The members to be removed.
     pub(super) removals: Vec<Removal>,
     /// The coordinator to be replaced.
     pub(super) replacement: Option<Replacement>,
-    /// For each follower, the newest write that it has accepted under this ballot.
+    /// For each follower, the latest revision that it has accepted under this ballot.
     pub(super) accepted_revision: BTreeMap<CoordinatorId, u64>,
-    /// The policy change to be put before the members.
+    /// The policy change to be proposed to the members.
     pub(super) proposed: Option<ProposedChange>,
     /// The name of the change to be aborted.
     pub(super) abort: Option<String>,
@@ -49,7 +49,7 @@
 }
 
 impl Leadership {
-    /// A leader that has just been elected, with the sessions that it knows from an earlier term.
+    /// Creates the state of a newly elected leader, with the sessions from an earlier term.
     pub(super) fn new(
         ballot: Ballot,
         now: Nanos,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Until when a quorum elects nobody else, by this coordinator's clock.
+    /// Returns the time until which a quorum elects no other leader, by this coordinator's clock.
     pub(super) fn valid_until(&self, config: &ConsensusConfig) -> Nanos {
         let followers_needed = config.majority() - 1;
         if followers_needed == 0 {
@@ -87,14 +87,14 @@
         acknowledged.get(followers_needed - 1).map_or(0, |at| at + hold)
     }
 
-    /// When the next tick is due: for a heartbeat, or to give a change up.
+    /// Returns when the next tick is due, for a heartbeat or for the timeout of a pending change.
     pub(super) fn next_due(&self, config: &ConsensusConfig) -> Nanos {
         let last_heartbeat = self.next_heartbeat - config.heartbeat_interval();
         let give_up = self.give_up_at().filter(|at| *at > last_heartbeat);
         self.next_heartbeat.min(give_up.unwrap_or(Nanos::MAX))
     }
 
-    /// What a follower is sent at each heartbeat.
+    /// Returns the message that a follower is sent at each heartbeat.
     pub(super) fn heartbeat_for(&self, follower: CoordinatorId, now: Nanos) -> PeerMessage {
         let ballot = self.ballot;
         let heartbeat = PeerMessage::Heartbeat { ballot, at: now };
@@ -105,7 +105,7 @@
             return PeerMessage::Accept { ballot, state: write.state.clone(), at: now, committed: false };
         }
         match &self.committed {
-            // It has missed a write, or is another's replacement.
+            // The follower has missed a write, or is a replacement.
             Some(state) if self.lags_behind(follower, state.revision) => {
                 PeerMessage::Accept { ballot, state: state.clone(), at: now, committed: true }
             }
@@ -122,7 +122,7 @@
         *acknowledged = (*acknowledged).max(at);
     }
 
-    /// Counts a follower's acceptance of a write. Returns whether it is of the write in progress.
+    /// Records a follower's acceptance of a write. Returns whether it is for the write in progress.
     pub(super) fn accept(&mut self, follower: CoordinatorId, revision: u64) -> bool {
         let accepted = self.accepted_revision.entry(follower).or_default();
         *accepted = (*accepted).max(revision);
@@ -135,24 +135,24 @@
         }
     }
 
-    /// Whether this replica has the vote of its id. While a replacement is being written, it has none yet.
+    /// Returns whether this replica has the vote of its id. A replacement has none before it is committed.
     pub(super) fn has_vote(&self, replica: Replica) -> bool {
         let written = self.in_flight.as_ref().map(|write| &write.state);
         let state = self.committed.as_ref().or(written);
         state.is_some_and(|state| state.seat(replica.id) == replica.seat)
     }
 
-    /// Whether the leases of an earlier leader may still be held.
+    /// Returns whether members may still hold leases granted by an earlier leader.
     pub(super) fn in_grace_period(&self, now: Nanos) -> bool {
         now < self.earlier_leases_until
     }
 
-    /// The run under which a member is registered, by the committed state.
+    /// Returns the run under which a member is registered in the committed state.
     pub(super) fn registered(&self, member: &str) -> Option<Incarnation> {
         self.committed.as_ref()?.members.get(member).copied()
     }
 
-    /// What is to be written next, if anything is and no write is in progress.
+    /// Returns the state to be written next, if it differs from the committed one and no write is in progress.
     pub(super) fn next_state(&mut self, now: Nanos, config: &ConsensusConfig) -> Option<State> {
         if self.in_flight.is_some() {
             return None;
--- a/crates/accord/src/coordinator/lease.rs
+++ b/crates/accord/src/coordinator/lease.rs
@@ -1,7 +1,8 @@
 //! Leases of members: a member may serve under the active policy for as long as its lease lasts.
 //!
-//! A member counts its lease from when it asked, by its own clock; the leader counts it from when it answers. So the
-//! leader's end is never the earlier one, as long as the rates of both clocks differ by no more than the drift.
+//! A member counts its lease from the time of its request, by its own clock; the leader counts it from the time of its
+//! reply. So the lease never ends earlier at the leader than at the member, as long as the rates of both clocks differ by no
+//! more than the configured drift.
 
 use crate::config::ConsensusConfig;
 use crate::message::{ClientSession, Grant, Renew, Reply};
@@ -12,35 +13,35 @@
 use super::leadership::Leadership;
 use super::role::{ReplyTo, Role};
 
-/// What a leader knows of one member.
+/// The leader's state of one member.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Session {
     pub(super) incarnation: Incarnation,
-    /// The coordinator that the member is connected to, where that is another.
+    /// The coordinator that the member is connected to, if it is not this one.
     pub(super) via: Option<CoordinatorId>,
     /// When the lease ends, by the leader's clock.
     lease_until: Nanos,
-    /// The policy version that the member goes by.
+    /// The policy version that is active at the member.
     pub(super) active: u64,
-    /// The change that it has staged.
+    /// The version of the change that the member has staged.
     pub(super) staged: u64,
-    /// The change that it has declined.
+    /// The change that the member has declined.
     pub(super) declined: Option<Declined>,
-    /// How far its start has come, for people.
+    /// The stage of the member's start, as shown to operators.
     pub(super) stage: String,
-    /// Both clocks when the member was first heard, from which their rates are compared.
-    first_heard: ClockPair,
+    /// Both clocks at the member's first report, for the comparison of their rates.
+    first_report: ClockPair,
 }
 
-/// A change that a member can't go by.
+/// A change that a member can't apply.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Declined {
     pub(super) version: u64,
-    /// The key of the policy at which it fails.
+    /// The policy key that prevents it.
     pub(super) key: String,
 }
 
-/// Readings of a member's clock and of the leader's that belong together.
+/// A reading of a member's clock, and one of the leader's clock from the same request.
 #[derive(Clone, Copy, Debug, Hash)]
 struct ClockPair {
     member: Nanos,
@@ -48,7 +49,7 @@
 }
 
 impl Coordinator {
-    /// Grants or renews a member's lease, after it was registered.
+    /// Grants or renews the lease of a registered member, and registers a member that is not registered.
     pub(super) fn renew_lease(
         &mut self,
         now: Nanos,
@@ -62,16 +63,16 @@
         if leadership.registered(&name) != Some(renew.incarnation) {
             return self.register(now, via, name, renew);
         }
-        if leadership.is_being_registered_anew(&name) {
+        if leadership.is_being_reregistered(&name) {
             return;
         }
-        let asked_at = renew.requested_at;
+        let requested_at = renew.requested_at;
         let session = leadership.session_of_run(now, via, &name, &renew);
-        if session.clock_is_too_slow(now, asked_at, &config) {
-            return self.refuse(via, name, "its clock is slower than the drift allowed");
+        if session.clock_is_too_slow(now, requested_at, &config) {
+            return self.refuse(via, name, "the member's clock is slower than the allowed drift");
         }
         session.update(via, renew);
-        let Some(grant) = leadership.extend_lease(now, &name, asked_at, config.lease) else { return };
+        let Some(grant) = leadership.extend_lease(now, &name, requested_at, config.lease) else { return };
         let round = leadership.ballot.round;
         let version = grant.version;
         self.outputs.push(Output::Audit(AuditEntry::Granted { member: name.clone(), round, version }));
@@ -87,13 +88,13 @@
 }
 
 impl Leadership {
-    /// Whether the member holds a lease that this leader has granted.
+    /// Returns whether the member holds a lease of this leader.
     pub(super) fn holds_lease(&self, now: Nanos, name: &str) -> bool {
         self.sessions.get(name).is_some_and(|session| session.is_live(now))
     }
 
-    /// Whether another run of the member is about to be registered in place of this one.
-    fn is_being_registered_anew(&self, name: &str) -> bool {
+    /// Returns whether another run of the member is about to be registered in place of the current one.
+    fn is_being_reregistered(&self, name: &str) -> bool {
         let registered = self.registered(name);
         let written = match &self.in_flight {
             Some(write) => write.state.members.get(name).copied(),
@@ -102,7 +103,7 @@
         written != registered || self.joining.contains_key(name)
     }
 
-    /// The session of the run that asks, which is the registered one.
+    /// Returns the session of the requesting run, which is the registered one.
     fn session_of_run(
         &mut self,
         now: Nanos,
@@ -110,18 +111,18 @@
         name: &str,
         renew: &Renew,
     ) -> &mut Session {
-        let fresh = || Session::unreported(now, via, renew);
-        let session = self.sessions.entry(name.to_owned()).or_insert_with(fresh);
+        let new_session = || Session::unreported(now, via, renew);
+        let session = self.sessions.entry(name.to_owned()).or_insert_with(new_session);
         if session.incarnation != renew.incarnation {
-            // Another run has asked for the name meanwhile: only the end of the lease is of this one.
+            // Another run has requested the name in the meantime: only the end of the lease belongs to this run.
             let lease_until = session.lease_until;
-            *session = Session { lease_until, ..fresh() };
+            *session = Session { lease_until, ..new_session() };
         }
         session
     }
 
-    /// Extends a member's lease, unless a decision that does not count on this member is being written.
-    fn extend_lease(&mut self, now: Nanos, name: &str, asked_at: Nanos, lease: Nanos) -> Option<Grant> {
+    /// Extends a member's lease, unless the write in progress decides a change that this member has not staged.
+    fn extend_lease(&mut self, now: Nanos, name: &str, requested_at: Nanos, lease: Nanos) -> Option<Grant> {
         let committed = self.committed.as_ref()?;
         let session = self.sessions.get_mut(name)?;
         let version = committed.policy.version;
@@ -136,7 +137,7 @@
         let policy = Some(&committed.policy).filter(|_| session.active != version);
         Some(Grant {
             incarnation: session.incarnation,
-            requested_at: asked_at,
+            requested_at,
             duration: lease,
             version,
             policy: policy.cloned(),
@@ -146,14 +147,14 @@
 }
 
 impl Session {
-    /// A session as the member reports itself, without a lease.
+    /// Creates a session from a member's report, without a lease.
     pub(super) fn new(now: Nanos, via: Option<CoordinatorId>, renew: Renew) -> Self {
         let mut session = Self::unreported(now, via, &renew);
         session.update(via, renew);
         session
     }
 
-    /// A session without a lease, of a member whose report is still to be taken.
+    /// Creates a session without a lease, to which the member's report is yet to be applied.
     fn unreported(now: Nanos, via: Option<CoordinatorId>, renew: &Renew) -> Self {
         Self {
             incarnation: renew.incarnation,
@@ -163,7 +164,7 @@
             staged: renew.staged,
             declined: None,
             stage: String::new(),
-            first_heard: ClockPair { member: renew.requested_at, leader: now },
+            first_report: ClockPair { member: renew.requested_at, leader: now },
         }
     }
 
@@ -175,23 +176,24 @@
         self.stage = renew.stage;
     }
 
-    /// Whether the member may serve.
+    /// Returns whether the member holds a lease and may serve.
     pub(super) fn is_live(&self, now: Nanos) -> bool {
         now < self.lease_until
     }
 
-    /// Whether the member has staged or declined this change.
+    /// Returns whether the member has staged or declined this change.
     fn has_answered(&self, version: u64) -> bool {
         let declined = self.declined.as_ref().is_some_and(|declined| declined.version == version);
         self.staged == version || declined
     }
 
-    /// Whether the member's clock runs so slowly that its lease would outlast the leader's count.
+    /// Returns whether the member's clock is so slow that its lease could outlast the one that the leader counts.
     ///
-    /// The time that a message takes is noise of one lease at most: after a longer one the lease is over anyway.
-    fn clock_is_too_slow(&self, now: Nanos, asked_at: Nanos, config: &ConsensusConfig) -> bool {
-        let by_member = asked_at.saturating_sub(self.first_heard.member);
-        let by_leader = now - self.first_heard.leader;
-        by_leader > by_member + config.lease + by_leader / 1000 * config.drift
+    /// The delay of a message distorts the comparison by one lease at most: after a longer delay the lease has expired
+    /// anyway.
+    fn clock_is_too_slow(&self, now: Nanos, requested_at: Nanos, config: &ConsensusConfig) -> bool {
+        let member_elapsed = requested_at.saturating_sub(self.first_report.member);
+        let leader_elapsed = now - self.first_report.leader;
+        leader_elapsed > member_elapsed + config.lease + leader_elapsed / 1000 * config.drift
     }
 }
--- a/crates/accord/src/coordinator/membership.rs
+++ b/crates/accord/src/coordinator/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: members that are registered and removed, and coordinators that are replaced.
+//! Membership: registration and removal of members, and replacement of coordinators.
 
 use crate::message::{Renew, Reply};
 use crate::state::{CoordinatorId, Incarnation, MAX_MEMBERS, MAX_NAME_BYTES, Nanos, State};
@@ -9,17 +9,17 @@
 use super::lease::Session;
 use super::role::{ReplyTo, Role};
 
-/// After how many times `hold` without an acknowledgement a coordinator may be replaced.
-const SILENT_HOLDS: Nanos = 4;
+/// The number of `hold` periods without an acknowledgement after which a coordinator may be replaced.
+const REPLACE_AFTER_HOLDS: Nanos = 4;
 
-/// A member to be removed, as an operator asked for.
+/// A member to be removed at an operator's request.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Removal {
     operator: ReplyTo,
     member: String,
 }
 
-/// A coordinator to be replaced, as an operator asked for.
+/// A coordinator to be replaced at an operator's request.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Replacement {
     operator: ReplyTo,
@@ -27,71 +27,71 @@
 }
 
 impl Coordinator {
-    /// Registers a run of a member that is not registered, or refuses it.
+    /// Registers a new run of a member, or refuses it.
     pub(super) fn register(&mut self, now: Nanos, via: Option<CoordinatorId>, name: String, renew: Renew) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        if let Some(reason) = leadership.registration_fault(now, &name, &renew.incarnation) {
+        if let Some(reason) = leadership.registration_error(now, &name, &renew.incarnation) {
             return self.refuse(via, name, reason);
         }
-        // Until the name is committed, the session grants nothing.
+        // No lease is granted until the registration is committed.
         let incarnation = renew.incarnation;
         leadership.sessions.insert(name.clone(), Session::new(now, via, renew));
         leadership.joining.insert(name, incarnation);
         self.write_next(now);
     }
 
-    /// An operator removes a member whose lease is over.
+    /// Removes a member whose lease has expired, at an operator's request.
     pub(super) fn forget_member(&mut self, now: Nanos, operator: ReplyTo, member: String) {
         let Role::Leader(leadership) = &mut self.role else { return };
         if leadership.registered(&member).is_none() {
             return self.reply(operator, Reply::Unknown);
         }
         if leadership.holds_lease(now, &member) || leadership.in_grace_period(now) {
-            let fault = format!("{member} may serve still");
-            return self.reply(operator, Reply::Rejected(vec![fault]));
+            let error = format!("{member} may still hold a lease");
+            return self.reply(operator, Reply::Rejected(vec![error]));
         }
         leadership.removals.push(Removal { operator, member });
         self.write_next(now);
     }
 
-    /// An operator gives the seat of a coordinator that is not heard to another.
+    /// Replaces a coordinator that does not respond, at an operator's request.
     pub(super) fn replace_coordinator(&mut self, now: Nanos, operator: ReplyTo, coordinator: CoordinatorId) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        let silence = self.config.hold * SILENT_HOLDS;
+        let silence = self.config.hold * REPLACE_AFTER_HOLDS;
         let is_another = coordinator < self.config.coordinators && coordinator != self.config.id;
-        let fault = if !is_another {
-            "not one of the others"
-        } else if leadership.heard_within(now, silence, coordinator) {
-            "it is heard, or was a moment ago"
+        let error = if !is_another {
+            "not another coordinator of this fleet"
+        } else if leadership.acknowledged_within(now, silence, coordinator) {
+            "it responded recently, or this leader was elected too recently to know"
         } else {
             leadership.replacement = Some(Replacement { operator, coordinator });
             return self.write_next(now);
         };
-        let fault = format!("coordinator {coordinator}: {fault}");
-        self.reply(operator, Reply::Rejected(vec![fault]));
+        let error = format!("coordinator {coordinator}: {error}");
+        self.reply(operator, Reply::Rejected(vec![error]));
     }
 }
 
 impl Leadership {
-    /// Why a run of a member can't be registered, if it can't.
-    fn registration_fault(&self, now: Nanos, name: &str, run: &Incarnation) -> Option<&'static str> {
+    /// Returns why a run of a member can't be registered; none if it can.
+    fn registration_error(&self, now: Nanos, name: &str, run: &Incarnation) -> Option<&'static str> {
         let other_run_live = self
             .sessions
             .get(name)
             .is_some_and(|session| session.is_live(now) && session.incarnation != *run);
         let members = self.committed.as_ref().map_or(0, |state| state.members.len()) + self.joining.len();
         match self.registered(name) {
-            Some(known) if known.replaces(run) => Some("a later run of this member is known"),
+            Some(known) if known.replaces(run) => Some("a later run of this member is registered"),
             Some(known) if run.replaces(&known) => None,
             Some(_) if other_run_live || self.in_grace_period(now) => Some("the name is in use"),
             None if members >= MAX_MEMBERS => Some("too many members"),
-            _ if name.is_empty() || name.len() > MAX_NAME_BYTES => Some("no name"),
+            _ if name.is_empty() || name.len() > MAX_NAME_BYTES => Some("the name is empty or too long"),
             _ => None,
         }
     }
 
-    /// Whether a coordinator has acknowledged anything within this time, or this leader is not elected for so long.
-    fn heard_within(&self, now: Nanos, span: Nanos, coordinator: CoordinatorId) -> bool {
+    /// Returns whether a coordinator has acknowledged a message within this period, or this leader was elected within it.
+    fn acknowledged_within(&self, now: Nanos, span: Nanos, coordinator: CoordinatorId) -> bool {
         let acknowledged = self.acknowledged_at.get(&coordinator);
         acknowledged.is_some_and(|at| now < at + span) || now < self.elected_at + span
     }
@@ -101,7 +101,7 @@
         for (name, run) in &self.joining {
             state.members.insert(name.clone(), *run);
         }
-        // A member that is back meanwhile stays, and the operator asks again.
+        // A member that has returned in the meantime stays registered; the operator has to repeat the request.
         let sessions = &self.sessions;
         let is_live = |name: &String| sessions.get(name).is_some_and(|session| session.is_live(now));
         self.removals.retain(|removal| !is_live(&removal.member));
@@ -118,12 +118,12 @@
     }
 
     pub(super) fn settle_replacement(&mut self, commit: &Commit) -> Option<Response> {
-        let done = self.replacement.take_if(|replacement| commit.replaces(replacement.coordinator))?;
-        // What was heard of the predecessor says nothing of the replacement.
-        self.accepted_revision.remove(&done.coordinator);
-        self.acknowledged_at.remove(&done.coordinator);
-        let seat = commit.state.seat(done.coordinator);
-        Some(Response { to: done.operator, reply: Reply::Replaced { seat } })
+        let replacement = self.replacement.take_if(|replacement| commit.replaces(replacement.coordinator))?;
+        // The predecessor's acknowledgements do not count for the replacement.
+        self.accepted_revision.remove(&replacement.coordinator);
+        self.acknowledged_at.remove(&replacement.coordinator);
+        let seat = commit.state.seat(replacement.coordinator);
+        Some(Response { to: replacement.operator, reply: Reply::Replaced { seat } })
     }
 
     pub(super) fn settle_removals(&mut self, commit: &Commit) -> Vec<Response> {
--- a/crates/accord/src/coordinator/mod.rs
+++ b/crates/accord/src/coordinator/mod.rs
@@ -1,16 +1,15 @@
 //! One coordinator: a replica of the register that votes in elections, and leads the others when it is elected.
 //!
-//! [`Coordinator`] holds the state and dispatches inputs. What an input causes is in the submodules, each of which is
-//! one part of the protocol:
+//! [`Coordinator`] holds the state and dispatches inputs. The submodules handle them, each for one part of the protocol:
 //!
 //! - `election`: Paxos phase 1, and how a leader steps down;
 //! - `replication`: Paxos phase 2, and heartbeats;
-//! - `apply`: what follows once a write is committed;
+//! - `apply`: the effects of a committed write;
 //! - `lease`: leases of members;
-//! - `membership`: members and coordinators that join and leave;
-//! - `change`: changes of the policy, from the proposal to the end;
+//! - `membership`: registration and removal of members, and replacement of coordinators;
+//! - `change`: changes of the policy, from the proposal to the outcome;
 //! - `operator`: requests of operators;
-//! - `role`: the state of each role, and `leadership` what a leader knows.
+//! - `role`: the state of each role; `leadership`: the state of a leader.
 
 mod apply;
 mod change;
@@ -33,21 +32,21 @@
 use self::lease::Session;
 use self::role::{LeaderLease, Promise, Replica, ReplyTo, Role};
 
-/// A coordinator. Of its state only the [`Record`] outlives the process.
+/// A coordinator. Only the [`Record`] is kept across restarts of the process.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     config: ConsensusConfig,
     record: Record,
-    /// The record differs from the one that was persisted last.
+    /// Whether the record differs from the one that was persisted last.
     record_changed: bool,
     role: Role,
-    /// Until when no other coordinator may be elected with this one's vote.
+    /// The time until which this coordinator votes for no other leader.
     leader_lease: LeaderLease,
-    /// The highest round that any message has carried.
+    /// The highest round in any message so far.
     highest_round: u32,
-    /// The sessions of a leader that has stepped down, for when it is elected again.
+    /// The sessions from an earlier term as the leader, kept for a re-election.
     former_sessions: BTreeMap<String, Session>,
-    /// The highest count of writes that each replica has reported.
+    /// The highest write count that each replica has reported.
     observed_writes: BTreeMap<Replica, u64>,
     halted: bool,
     outputs: Vec<Output>,
@@ -65,8 +64,8 @@
 }
 
 impl Coordinator {
-    /// Starts a coordinator from the record that it persisted last. For a whole `hold` it elects nobody, since it may
-    /// have promised so before it stopped.
+    /// Creates a coordinator from the record that it persisted last. It votes for no candidate during the first `hold`,
+    /// because it may have acknowledged a heartbeat just before it stopped.
     #[must_use]
     pub fn new(config: ConsensusConfig, record: Record, now: Nanos) -> Self {
         let highest_round = record.promised.round;
@@ -84,13 +83,13 @@
         }
     }
 
-    /// The record as it is after the last input.
+    /// Returns the record as of the last input.
     #[must_use]
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// The state that is known to be committed, if this coordinator leads.
+    /// Returns the newest committed state that this coordinator knows of, if it is the leader.
     #[must_use]
     pub fn committed_state(&self) -> Option<&State> {
         match &self.role {
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Whether this coordinator leads, and no other can have been elected by now.
+    /// Returns whether this coordinator is the leader and no other one can have been elected yet.
     #[must_use]
     pub fn is_leader(&self, now: Nanos) -> bool {
         match &self.role {
@@ -110,7 +109,7 @@
         }
     }
 
-    /// When the next [`Input::Tick`] is due.
+    /// Returns when the next [`Input::Tick`] is due.
     #[must_use]
     pub fn next_due(&self) -> Nanos {
         if self.halted {
@@ -124,21 +123,21 @@
         }
     }
 
-    /// Processes one input.
+    /// Handles one input.
     pub fn handle(&mut self, now: Nanos, input: Input) -> Step {
         if !self.halted {
-            self.dispatch(now, input);
+            self.dispatch_input(now, input);
         }
         let record = self.changed_record();
         let mut outputs = std::mem::take(&mut self.outputs);
-        self.stamp(&mut outputs);
+        self.add_write_counts(&mut outputs);
         if self.config.injects(InjectedFault::UnpersistedPromise) && outputs.iter().any(is_promise) {
             return Step::new(None, outputs);
         }
         Step::new(record, outputs)
     }
 
-    fn dispatch(&mut self, now: Nanos, input: Input) {
+    fn dispatch_input(&mut self, now: Nanos, input: Input) {
         match input {
             Input::Message { from, envelope } => self.receive(now, from, envelope),
             Input::Request { client, request } => {
@@ -149,7 +148,7 @@
         }
     }
 
-    /// The record with its write counted, if it is to be persisted.
+    /// Returns the record with its write counted, if it has to be persisted.
     fn changed_record(&mut self) -> Option<Record> {
         if !std::mem::take(&mut self.record_changed) {
             return None;
@@ -158,8 +157,8 @@
         Some(self.record.clone())
     }
 
-    /// Adds the counts of writes to messages, by which a record that was rolled back is detected.
-    fn stamp(&self, outputs: &mut [Output]) {
+    /// Adds the write counts to messages, by which a rolled-back record is detected.
+    fn add_write_counts(&self, outputs: &mut [Output]) {
         for output in outputs {
             if let Output::Send { to, envelope } = output {
                 let receiver = Replica { id: *to, seat: self.record.state.seat(*to) };
@@ -195,7 +194,7 @@
             return self.halt();
         }
         if envelope.seat < self.record.state.seat(from) {
-            // The sender was replaced. It learns so when the committed state is sent to it.
+            // The sender was replaced. The committed state will tell it so.
             return;
         }
         let sender = Replica { id: from, seat: envelope.seat };
@@ -222,9 +221,9 @@
         }
     }
 
-    /// Whether the sender has seen a later write of this record than the one that was loaded.
+    /// Returns whether the sender has observed a later write of this record than the one that was loaded.
     fn is_rolled_back(&self, envelope: &Envelope) -> bool {
-        // What was seen of a predecessor in this seat says nothing of this record.
+        // Writes observed from a predecessor with the same id are unrelated to this record.
         let of_this_replica = envelope.observed_seat == self.record.seat;
         of_this_replica
             && envelope.observed_write_count > self.record.write_count
@@ -242,26 +241,26 @@
     }
 
     fn handle_request(&mut self, now: Nanos, client: ReplyTo, request: Request) {
-        if !self.may_lead(now) {
+        if !self.can_serve_clients(now) {
             return self.forward(now, client, request);
         }
         match (client.client, request) {
             (ClientSession::Member(member), Request::Renew(renew)) => {
                 self.renew_lease(now, client.via, member, renew);
             }
-            (operator @ ClientSession::Operator(_), Request::Operator(ask)) => {
-                self.handle_ask(now, ReplyTo { via: client.via, client: operator }, ask);
+            (operator @ ClientSession::Operator(_), Request::Operator(request)) => {
+                self.handle_operator_request(now, ReplyTo { via: client.via, client: operator }, request);
             }
             _ => {}
         }
     }
 
-    fn may_lead(&self, now: Nanos) -> bool {
+    fn can_serve_clients(&self, now: Nanos) -> bool {
         self.is_leader(now)
             || (self.config.injects(InjectedFault::StaleLeader) && self.committed_state().is_some())
     }
 
-    /// Forwards a request to the leader. It is forwarded once: its receiver leads, or knows no better.
+    /// Forwards a request to the leader. A request is forwarded only once: if its receiver is not the leader, it replies so.
     fn forward(&mut self, now: Nanos, client: ReplyTo, request: Request) {
         match self.leader_lease.holder {
             Some(leader) if client.via.is_none() && now < self.leader_lease.until => {
@@ -272,7 +271,7 @@
     }
 
     fn send(&mut self, to: CoordinatorId, message: PeerMessage) {
-        // The counts are filled in by `stamp`.
+        // `add_write_counts` fills in the counts.
         let envelope =
             Envelope { write_count: 0, observed_write_count: 0, observed_seat: 0, seat: 0, message };
         self.outputs.push(Output::Send { to, envelope });
--- a/crates/accord/src/coordinator/replication.rs
+++ b/crates/accord/src/coordinator/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: Paxos phase 2 by the leader, and the heartbeats that keep it elected.
+//! Replication: Paxos phase 2 by the leader, and the heartbeats that keep it in office.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +14,8 @@
     pub(super) fn tick_as_leader(&mut self, now: Nanos) {
         let Role::Leader(leadership) = &self.role else { return };
         let lost_quorum = now >= leadership.valid_until(&self.config);
-        let had_time_to_begin = now >= leadership.elected_at + self.config.hold;
-        if lost_quorum && had_time_to_begin && !self.config.injects(InjectedFault::StaleLeader) {
+        let had_time_to_establish = now >= leadership.elected_at + self.config.hold;
+        if lost_quorum && had_time_to_establish && !self.config.injects(InjectedFault::StaleLeader) {
             return self.step_down(now);
         }
         if now >= leadership.next_heartbeat {
@@ -24,7 +24,7 @@
         self.write_next(now);
     }
 
-    /// Writes what is to be written next, if this coordinator leads and no write is in progress.
+    /// Starts the next write, if there is one, this coordinator is the leader, and no write is in progress.
     pub(super) fn write_next(&mut self, now: Nanos) {
         if !self.is_leader(now) {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Accepts a state under its own ballot, and asks the followers to accept it.
+    /// Accepts a state under the leader's own ballot, and requests its acceptance from the followers.
     pub(super) fn replicate(&mut self, now: Nanos, state: State) {
         let Role::Leader(leadership) = &mut self.role else { return };
         self.record.accepted = leadership.ballot;
@@ -68,14 +68,14 @@
     ) {
         let seat = state.seat(self.config.id);
         if committed && seat > self.record.seat {
-            // Another coordinator has taken this one's place.
+            // This coordinator was replaced by another one.
             return self.halt();
         }
         if !self.follow(now, from, ballot) {
             return;
         }
         if self.record.learning {
-            // Only the committed state gives a replacement its vote.
+            // A replacement has a vote only once it has received the committed state.
             if !committed || seat != self.record.seat {
                 return;
             }
@@ -85,17 +85,17 @@
         self.accept(from, ballot, state, at);
     }
 
-    /// Accepts a state unless a later one was accepted before.
+    /// Accepts a state unless a newer one was accepted before.
     fn accept(&mut self, from: CoordinatorId, ballot: Ballot, state: State, at: Nanos) {
         let revision = state.revision;
-        let present = (self.record.accepted, self.record.state.revision);
-        if (ballot, revision) > present {
+        let current = (self.record.accepted, self.record.state.revision);
+        if (ballot, revision) > current {
             self.record.promised = ballot;
             self.record.accepted = ballot;
             self.record.state = state;
             self.record_changed = true;
         }
-        if (ballot, revision) >= present {
+        if (ballot, revision) >= current {
             self.send(from, PeerMessage::Accepted { ballot, revision, at });
         }
     }
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Follows this leader for a whole `hold`, unless a higher ballot was promised. Returns whether it does.
+    /// Follows this leader for the next `hold`, unless a higher ballot was promised. Returns whether it does.
     fn follow(&mut self, now: Nanos, leader: CoordinatorId, ballot: Ballot) -> bool {
         self.observe_round(ballot);
         if ballot < self.record.promised {
--- a/crates/accord/src/coordinator/role.rs
+++ b/crates/accord/src/coordinator/role.rs
@@ -7,14 +7,14 @@
 
 use super::leadership::Leadership;
 
-/// What a coordinator is at present.
+/// The current role of a coordinator.
 #[derive(Clone, Debug, Hash)]
 pub(super) enum Role {
-    /// It votes, and follows whichever leader it hears.
+    /// Votes, and follows the leader whose messages it receives.
     Follower,
-    /// It asks the others for their promises.
+    /// Requests promises from the others.
     Candidate(Candidacy),
-    /// It was elected.
+    /// Was elected.
     Leader(Box<Leadership>),
 }
 
@@ -23,51 +23,51 @@
 pub(super) struct Candidacy {
     pub(super) ballot: Ballot,
     pub(super) promises: BTreeMap<CoordinatorId, Promise>,
-    /// When the promises that are missing are asked for again.
+    /// When missing promises are requested again.
     pub(super) retry_at: Nanos,
 }
 
-/// A coordinator's promise, with what it had accepted by then.
+/// A coordinator's promise, with the state that it had accepted by then.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Promise {
     pub(super) accepted: Ballot,
     pub(super) state: State,
-    /// The seat that the coordinator had.
+    /// The seat of the coordinator when it made the promise.
     pub(super) seat: u32,
 }
 
-/// Until when this coordinator's vote belongs to the leader that it heard last.
+/// The time until which this coordinator votes for no other leader than the one it last heard from.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct LeaderLease {
-    /// The leader, where it is known.
+    /// The leader, if it is known.
     pub(super) holder: Option<CoordinatorId>,
     pub(super) until: Nanos,
 }
 
-/// One of the coordinators that have had an id one after the other.
+/// One coordinator process among those that have had the same id: the original or a replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Replica {
     pub(super) id: CoordinatorId,
     pub(super) seat: u32,
 }
 
-/// Where a reply goes.
+/// The destination of a reply.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct ReplyTo {
-    /// The coordinator that the client is connected to, where that is another.
+    /// The coordinator that the client is connected to, if it is not this one.
     pub(super) via: Option<CoordinatorId>,
     pub(super) client: ClientSession,
 }
 
 impl Candidacy {
-    /// The newest state that any of the promises carries.
+    /// Returns the newest state in any of the promises.
     pub(super) fn newest_state(&self) -> State {
         let newest = self.promises.values().max_by_key(|promise| (promise.accepted, promise.state.revision));
         newest.map(|promise| promise.state.clone()).unwrap_or_default()
     }
 
-    /// How many promises count. A coordinator that was replaced by then has no vote: its promises were lost with its
-    /// store.
+    /// Returns the number of valid promises. A coordinator that has been replaced has no vote, because its promises were
+    /// lost with its store.
     pub(super) fn votes(&self, state: &State) -> usize {
         self.promises.iter().filter(|(id, promise)| state.seat(**id) == promise.seat).count()
     }
