--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -1,17 +1,18 @@
-//! Coordinators and members on a network that loses, repeats, delays and reorders, and what must hold there.
+//! Coordinators and members on a simulated network that loses, duplicates, delays and reorders messages, with the
+//! invariants that must hold.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use linestack_accord::*;
-use linestack_member::{self as member, Member, Output as Does};
+use linestack_member::{self as member, Member, Output as MemberOutput};
 
 pub const HOLD: Nanos = 40;
 pub const LEASE: Nanos = 120;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum To {
+pub enum Destination {
     Coordinator(CoordinatorId),
     Member(usize),
 }
@@ -24,8 +25,8 @@
 }
 
 #[derive(Clone, Debug, Hash)]
-pub struct Sent {
-    pub to: To,
+pub struct SentMessage {
+    pub to: Destination,
     pub message: Message,
 }
 
@@ -40,8 +41,9 @@
     }
 }
 
+/// The faults that are injected.
 #[derive(Clone, Copy, Default)]
-pub struct Mistakes {
+pub struct Faults {
     pub coordinator: Option<InjectedFault>,
     pub member: Option<member::InjectedFault>,
 }
@@ -52,78 +54,79 @@
     pub coordinators: Vec<Option<Coordinator>>,
     pub disks: Vec<Record>,
     pub members: Vec<Member>,
-    /// Which coordinator each member asks.
-    pub asks: Vec<CoordinatorId>,
-    pub net: Vec<Sent>,
-    /// When each version was decided, and its digest.
+    /// The coordinator that each member is connected to.
+    pub connected_to: Vec<CoordinatorId>,
+    /// The messages in transit.
+    pub network: Vec<SentMessage>,
+    /// The time at which each version was decided, and its digest.
     pub decided: BTreeMap<u64, (Nanos, u32)>,
     pub dropped: BTreeMap<u64, String>,
-    pub mistakes: Mistakes,
-    /// What operators were told.
-    pub heard: Vec<Reply>,
-    /// What did not hold.
-    pub broken: Option<String>,
+    pub faults: Faults,
+    /// All replies to operators.
+    pub operator_replies: Vec<Reply>,
+    /// The latest invariant that was violated.
+    pub violation: Option<String>,
 }
 
-fn fine(_: &str, _: &str) -> Result<(), Vec<String>> {
+fn accept_all(_: &str, _: &str) -> Result<(), Vec<String>> {
     Ok(())
 }
 
 impl World {
-    pub fn new(coordinators: usize, members: usize, mistakes: Mistakes) -> Self {
+    pub fn new(coordinators: usize, members: usize, faults: Faults) -> Self {
         let disks = vec![Record { state: State::initial("1".into()), ..Record::default() }; coordinators];
         let mut world = Self {
             now: 1000,
             coordinators: vec![None; coordinators],
             disks,
             members: Vec::new(),
-            asks: vec![0; members],
-            net: Vec::new(),
+            connected_to: vec![0; members],
+            network: Vec::new(),
             decided: BTreeMap::new(),
             dropped: BTreeMap::new(),
-            mistakes,
-            heard: Vec::new(),
-            broken: None,
+            faults,
+            operator_replies: Vec::new(),
+            violation: None,
         };
         (0..coordinators).for_each(|c| world.start(c));
         for m in 0..members {
             let incarnation = Incarnation { store_id: m as u64, run_number: 1 };
             world
                 .members
-                .push(Member::new(incarnation, 0, LEASE, 0, None).with_injected_fault(mistakes.member));
-            world.member(m, member::Input::SessionOpened);
+                .push(Member::new(incarnation, 0, LEASE, 0, None).with_injected_fault(faults.member));
+            world.step_member(m, member::Input::SessionOpened);
         }
         world
     }
 
     pub fn start(&mut self, c: usize) {
-        let terms = ConsensusConfig {
+        let config = ConsensusConfig {
             id: c as CoordinatorId,
             coordinators: self.coordinators.len() as u8,
             hold: HOLD,
             lease: LEASE,
             drift: 0,
-            check: fine,
-            injected_fault: self.mistakes.coordinator,
+            check: accept_all,
+            injected_fault: self.faults.coordinator,
         };
-        self.coordinators[c] = Some(Coordinator::new(terms, self.disks[c].clone(), self.now));
+        self.coordinators[c] = Some(Coordinator::new(config, self.disks[c].clone(), self.now));
     }
 
-    /// Gives the number of one that is down to another with an empty store; returns whether that was agreed.
+    /// Replaces a coordinator that is down by one with an empty store. Returns whether the replacement was committed.
     pub fn replace(&mut self, c: usize) -> bool {
-        let Some(speaker) = self.speaker() else { return false };
-        let before = self.coordinators[speaker]
+        let Some(leader) = self.leader() else { return false };
+        let before = self.coordinators[leader]
             .as_ref()
             .and_then(|s| s.committed_state())
             .map_or(0, |s| s.seat(c as CoordinatorId));
-        let ask = OperatorRequest::Replace { coordinator: c as CoordinatorId };
-        self.coordinator(
-            speaker,
-            Input::Request { client: ClientSession::Operator(2), request: Request::Operator(ask) },
+        let request = OperatorRequest::Replace { coordinator: c as CoordinatorId };
+        self.step_coordinator(
+            leader,
+            Input::Request { client: ClientSession::Operator(2), request: Request::Operator(request) },
         );
-        self.settle(HOLD / 2);
+        self.run_for(HOLD / 2);
         let after = self
-            .speaker()
+            .leader()
             .and_then(|s| Some(self.coordinators[s].as_ref()?.committed_state()?.seat(c as CoordinatorId)));
         if after != Some(before + 1) || self.coordinators[c].is_some() {
             return false;
@@ -140,10 +143,10 @@
     pub fn hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (&self.coordinators, &self.disks, &self.members, &self.decided, &self.dropped).hash(&mut hasher);
-        // Times matter only as far from now as they are.
+        // All times are absolute, so the current time is a part of the state.
         self.now.hash(&mut hasher);
-        let mut net: Vec<u64> = self
-            .net
+        let mut messages: Vec<u64> = self
+            .network
             .iter()
             .map(|s| {
                 let mut h = DefaultHasher::new();
@@ -151,59 +154,60 @@
                 h.finish()
             })
             .collect();
-        net.sort_unstable();
-        net.hash(&mut hasher);
+        messages.sort_unstable();
+        messages.hash(&mut hasher);
         hasher.finish()
     }
 
-    pub fn coordinator(&mut self, c: usize, input: Input) {
+    pub fn step_coordinator(&mut self, c: usize, input: Input) {
         let now = self.now;
         let Some(coordinator) = &mut self.coordinators[c] else { return };
-        let Ok(outs) = coordinator.handle(now, input).finish(&mut Disk(&mut self.disks[c]));
-        for out in outs {
-            match out {
+        let Ok(outputs) = coordinator.handle(now, input).finish(&mut Disk(&mut self.disks[c]));
+        for output in outputs {
+            match output {
                 Output::Send { to, envelope } => {
-                    self.send(To::Coordinator(to), Message::Envelope(c as CoordinatorId, envelope));
+                    self.send(Destination::Coordinator(to), Message::Envelope(c as CoordinatorId, envelope));
                 }
                 Output::Reply { client: ClientSession::Member(name), reply } => {
                     let m: usize = name.parse().unwrap_or(0);
-                    self.send(To::Member(m), Message::Reply(reply));
+                    self.send(Destination::Member(m), Message::Reply(reply));
                 }
-                Output::Reply { reply, .. } => self.heard.push(reply),
-                Output::Audit(note) => self.noted(note),
+                Output::Reply { reply, .. } => self.operator_replies.push(reply),
+                Output::Audit(entry) => self.record_audit(entry),
                 Output::Halt => self.crash(c),
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
-    fn send(&mut self, to: To, message: Message) {
-        self.net.push(Sent { to, message });
+    fn send(&mut self, to: Destination, message: Message) {
+        self.network.push(SentMessage { to, message });
     }
 
-    fn noted(&mut self, note: AuditEntry) {
-        match note {
+    fn record_audit(&mut self, entry: AuditEntry) {
+        match entry {
             AuditEntry::Decided { version, digest, .. } => {
                 let first = !self.decided.contains_key(&version);
                 let known = self.decided.entry(version).or_insert((self.now, digest));
                 if known.1 != digest {
-                    self.broken = Some(format!("version {version} has two texts"));
+                    self.violation = Some(format!("version {version} has two texts"));
                 }
                 if self.dropped.contains_key(&version) {
-                    self.broken = Some(format!("version {version} was dropped and decided"));
+                    self.violation = Some(format!("version {version} was dropped and decided"));
                 }
                 if first {
                     for (m, member) in self.members.iter().enumerate() {
                         if member.may_serve(self.now) && !member.has_version(version) {
-                            self.broken =
-                                Some(format!("{version} decided, and {m} may serve without having it"));
+                            self.violation = Some(format!(
+                                "version {version} was decided, but member {m} may serve without it"
+                            ));
                         }
                     }
                 }
             }
             AuditEntry::Dropped { version, end, .. } => {
                 if self.decided.contains_key(&version) {
-                    self.broken = Some(format!("version {version} was decided and dropped"));
+                    self.violation = Some(format!("version {version} was decided and dropped"));
                 }
                 self.dropped.insert(version, format!("{end:?}"));
             }
@@ -211,89 +215,92 @@
         }
     }
 
-    pub fn member(&mut self, m: usize, input: member::Input) {
-        let (now, mut outs) = (self.now, Vec::new());
-        self.members[m].handle(now, input, &mut outs);
-        // What is kept and gone by is so at once here.
+    pub fn step_member(&mut self, m: usize, input: member::Input) {
+        let (now, mut outputs) = (self.now, Vec::new());
+        self.members[m].handle(now, input, &mut outputs);
+        // Changes are stored and activated without delay.
         let mut at = 0;
-        while at < outs.len() {
-            match outs[at].clone() {
-                Does::Send(renew) => {
-                    let to = To::Coordinator(self.asks[m]);
+        while at < outputs.len() {
+            match outputs[at].clone() {
+                MemberOutput::Send(renew) => {
+                    let to = Destination::Coordinator(self.connected_to[m]);
                     self.send(
                         to,
                         Message::Request(ClientSession::Member(m.to_string()), Request::Renew(renew)),
                     );
                 }
-                Does::Stage(policy) => {
+                MemberOutput::Stage(policy) => {
                     let done = member::Input::Staged { version: policy.version, result: Ok(()) };
-                    self.members[m].handle(now, done, &mut outs);
+                    self.members[m].handle(now, done, &mut outputs);
                 }
-                Does::Activate(policy) => {
+                MemberOutput::Activate(policy) => {
                     let done = member::Input::Activated { version: policy.version, result: Ok(()) };
-                    self.members[m].handle(now, done, &mut outs);
+                    self.members[m].handle(now, done, &mut outputs);
                 }
-                Does::TryAnotherCoordinator => {
-                    self.asks[m] = (self.asks[m] + 1) % self.coordinators.len() as CoordinatorId;
-                    self.members[m].handle(now, member::Input::SessionOpened, &mut outs);
+                MemberOutput::TryAnotherCoordinator => {
+                    self.connected_to[m] =
+                        (self.connected_to[m] + 1) % self.coordinators.len() as CoordinatorId;
+                    self.members[m].handle(now, member::Input::SessionOpened, &mut outputs);
                 }
-                Does::Serve { .. } | Does::Notify(_) => {}
+                MemberOutput::Serve { .. } | MemberOutput::Notify(_) => {}
             }
             at += 1;
         }
-        self.check();
+        self.check_invariants();
     }
 
-    pub fn deliver(&mut self, sent: Sent) {
+    pub fn deliver(&mut self, sent: SentMessage) {
         match (sent.to, sent.message) {
-            (To::Coordinator(c), Message::Envelope(from, envelope)) => {
-                self.coordinator(c as usize, Input::Message { from, envelope });
+            (Destination::Coordinator(c), Message::Envelope(from, envelope)) => {
+                self.step_coordinator(c as usize, Input::Message { from, envelope });
             }
-            (To::Coordinator(c), Message::Request(client, request)) => {
-                self.coordinator(c as usize, Input::Request { client, request });
+            (Destination::Coordinator(c), Message::Request(client, request)) => {
+                self.step_coordinator(c as usize, Input::Request { client, request });
+            }
+            (Destination::Member(m), Message::Reply(reply)) => {
+                self.step_member(m, member::Input::Reply(reply))
             }
-            (To::Member(m), Message::Reply(reply)) => self.member(m, member::Input::Reply(reply)),
             _ => {}
         }
     }
 
     pub fn propose(&mut self, c: usize, request: &str, text: &str, give_up: Option<Nanos>) {
-        let committed_state = self.coordinators.iter().flatten().filter_map(|c| c.committed_state());
-        let base = committed_state.map(|s| s.policy.version).max().unwrap_or(0);
+        let committed_states = self.coordinators.iter().flatten().filter_map(|c| c.committed_state());
+        let base_version = committed_states.map(|s| s.policy.version).max().unwrap_or(0);
         let (request, text) = (request.to_owned(), text.to_owned());
-        let ask = OperatorRequest::Propose {
+        let request = OperatorRequest::Propose {
             request,
-            base_version: base,
+            base_version,
             text,
             require_all: false,
             give_up_after: give_up,
         };
-        self.coordinator(
+        self.step_coordinator(
             c,
-            Input::Request { client: ClientSession::Operator(1), request: Request::Operator(ask) },
+            Input::Request { client: ClientSession::Operator(1), request: Request::Operator(request) },
         );
     }
 
-    /// What must hold at every moment.
-    pub fn check(&mut self) {
+    /// Checks the invariants that must hold at all times.
+    pub fn check_invariants(&mut self) {
         for (m, member) in self.members.iter().enumerate() {
-            if !member.may_serve(self.now) || self.broken.is_some() {
+            if !member.may_serve(self.now) || self.violation.is_some() {
                 continue;
             }
             let version = member.active();
             if !self.decided.contains_key(&version) {
-                self.broken = Some(format!("member {m} serves under {version}, which was not decided"));
+                self.violation = Some(format!("member {m} serves under {version}, which was not decided"));
             }
             for (newer, (at, _)) in self.decided.range(version + 1..) {
                 if self.now > at + LEASE {
-                    self.broken = Some(format!("member {m} serves under {version}, long after {newer}"));
+                    self.violation = Some(format!("member {m} serves under {version}, long after {newer}"));
                 }
             }
         }
     }
 
-    /// The next time at which anybody that runs wants a tick.
-    pub fn due(&self, paused: &[bool]) -> Nanos {
+    /// Returns when the next tick of a running coordinator or member is due.
+    pub fn next_due(&self, paused: &[bool]) -> Nanos {
         let coordinators = self.coordinators.iter().flatten().map(Coordinator::next_due);
         let members =
             self.members.iter().enumerate().filter(|(m, _)| !paused.get(*m).copied().unwrap_or(false));
@@ -304,36 +311,36 @@
             .clamp(self.now + 1, self.now + LEASE)
     }
 
-    /// Lets time pass to then, and ticks whoever is due.
-    pub fn pass(&mut self, to: Nanos, paused: &[bool]) {
+    /// Advances the time, and ticks the coordinators and members that are due.
+    pub fn advance_to(&mut self, to: Nanos, paused: &[bool]) {
         self.now = to;
         for c in 0..self.coordinators.len() {
             if self.coordinators[c].as_ref().is_some_and(|c| c.next_due() <= to) {
-                self.coordinator(c, Input::Tick);
+                self.step_coordinator(c, Input::Tick);
             }
         }
         for m in 0..self.members.len() {
             if !paused.get(m).copied().unwrap_or(false) && self.members[m].next_due() <= to {
-                self.member(m, member::Input::Tick);
+                self.step_member(m, member::Input::Tick);
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
-    /// Delivers everything, in order, until so much time has passed.
-    pub fn settle(&mut self, span: Nanos) {
+    /// Delivers all messages in order until this much time has passed.
+    pub fn run_for(&mut self, span: Nanos) {
         let end = self.now + span;
-        while self.now < end && self.broken.is_none() {
-            for sent in std::mem::take(&mut self.net) {
+        while self.now < end && self.violation.is_none() {
+            for sent in std::mem::take(&mut self.network) {
                 self.deliver(sent);
             }
-            if self.net.is_empty() {
-                self.pass(self.due(&[]).min(end), &[]);
+            if self.network.is_empty() {
+                self.advance_to(self.next_due(&[]).min(end), &[]);
             }
         }
     }
 
-    pub fn speaker(&self) -> Option<usize> {
+    pub fn leader(&self) -> Option<usize> {
         self.coordinators.iter().position(|c| c.as_ref().is_some_and(|c| c.is_leader(self.now)))
     }
 }
--- a/crates/accord/tests/search.rs
+++ b/crates/accord/tests/search.rs
@@ -1,11 +1,11 @@
-//! Every order of what can happen, up to a depth, from several beginnings; and long walks by chance. Known
-//! mistakes are switched on one at a time and must be found.
+//! Exhaustive search over all orders of events up to a depth, from several initial states, and long random walks. Each
+//! injected fault must be found by a walk.
 
 mod common;
 
 use std::collections::{HashMap, HashSet};
 
-use common::{HOLD, LEASE, Mistakes, World};
+use common::{Faults, HOLD, LEASE, World};
 use fastrand::Rng;
 use linestack_accord::{
     ClientSession, Coordinator, InjectedFault, Input, OperatorRequest, Record, Reply, Request, State,
@@ -14,66 +14,66 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Three coordinators and two members, settled, with a change put before them that has not got anywhere.
-fn two_changes() -> World {
-    let mut world = World::new(3, 2, Mistakes::default());
-    world.settle(4 * LEASE);
-    let speaker = world.speaker().unwrap();
-    world.propose(speaker, "r1", "2", Some(2 * LEASE));
-    world.propose(speaker, "r2", "3", Some(2 * LEASE));
+/// A settled fleet of three coordinators and two members, with two new proposals whose messages are not delivered yet.
+fn two_proposals() -> World {
+    let mut world = World::new(3, 2, Faults::default());
+    world.run_for(4 * LEASE);
+    let leader = world.leader().unwrap();
+    world.propose(leader, "r1", "2", Some(2 * LEASE));
+    world.propose(leader, "r2", "3", Some(2 * LEASE));
     world
 }
 
-/// All start together, and nobody speaks.
-fn start() -> World {
-    let mut world = World::new(3, 2, Mistakes::default());
+/// All coordinators start at the same time, and there is no leader.
+fn no_leader() -> World {
+    let mut world = World::new(3, 2, Faults::default());
     world.now += HOLD;
     world
 }
 
-/// The speaker has decided, and nobody else knows.
+/// The leader has written the decision of a change to its own record, and no other coordinator has received it.
 fn deciding() -> World {
-    let mut world = two_changes();
+    let mut world = two_proposals();
     for _ in 0..200 {
-        let flying = world.disks.iter().filter(|d| d.state.policy.version == 2).count();
-        if flying > 0 {
+        let accepted = world.disks.iter().filter(|d| d.state.policy.version == 2).count();
+        if accepted > 0 {
             return world;
         }
-        match world.net.is_empty() {
-            true => world.pass(world.due(&[]), &[]),
+        match world.network.is_empty() {
+            true => world.advance_to(world.next_due(&[]), &[]),
             false => {
-                let sent = world.net.remove(0);
+                let sent = world.network.remove(0);
                 world.deliver(sent);
             }
         }
     }
-    panic!("it is never decided")
+    panic!("the change is never decided")
 }
 
-/// Whoever speaks has just died in the middle of a change.
-fn orphaned() -> World {
+/// The leader has crashed in the middle of a change.
+fn leader_lost() -> World {
     let mut world = deciding();
-    let speaker = world.speaker().unwrap();
-    world.crash(speaker);
+    let leader = world.leader().unwrap();
+    world.crash(leader);
     world
 }
 
-/// Everything that can happen next: any message comes, and may come again; one of the coordinators dies, or is
-/// back; time passes to when somebody wants it.
-fn next(world: &World, crashes: bool) -> Vec<World> {
+/// Returns all states that can follow: any message is delivered, with or without a duplicate left in the network; a
+/// coordinator crashes or restarts; time advances to the next due tick, or by the duration of a lease.
+fn successors(world: &World, crashes: bool) -> Vec<World> {
     let mut all = Vec::new();
     let mut seen = Vec::new();
-    for (at, sent) in world.net.iter().enumerate() {
+    for (at, sent) in world.network.iter().enumerate() {
         if seen.contains(&(&sent.to, &sent.message)) {
             continue;
         }
         seen.push((&sent.to, &sent.message));
-        let mut once = world.clone();
-        let sent = once.net.remove(at);
-        let mut again = world.clone();
-        once.deliver(sent.clone());
-        again.deliver(sent);
-        all.extend([once, again]);
+        let mut delivered = world.clone();
+        let sent = delivered.network.remove(at);
+        let mut duplicated = world.clone();
+        delivered.deliver(sent.clone());
+        duplicated.deliver(sent);
+        all.extend([delivered, duplicated]);
     }
     for c in 0..world.coordinators.len() {
         let mut other = world.clone();
@@ -85,100 +85,102 @@
         all.push(other);
     }
     let mut later = world.clone();
-    later.pass(world.due(&[]), &[]);
+    later.advance_to(world.next_due(&[]), &[]);
     all.push(later);
-    // All messages that are on their way may be late by any time, and lost if it is long.
-    let mut far = world.clone();
-    far.pass(world.now + LEASE, &[]);
-    all.push(far);
+    // Messages may be delayed by any time, here by as long as a lease.
+    let mut expired = world.clone();
+    expired.advance_to(world.now + LEASE, &[]);
+    all.push(expired);
     all
 }
 
 #[rstest]
-#[case::start("start", start(), 5)]
-#[case::two_changes("two changes", two_changes(), 5)]
+#[case::no_leader("no leader", no_leader(), 5)]
+#[case::two_proposals("two proposals", two_proposals(), 5)]
 #[case::deciding("deciding", deciding(), 5)]
-#[case::orphaned("orphaned", orphaned(), 5)]
-fn every_order(#[case] name: &str, #[case] world: World, #[case] depth: usize) {
+#[case::leader_lost("leader lost", leader_lost(), 5)]
+fn all_orders_of_events(#[case] name: &str, #[case] world: World, #[case] depth: usize) {
     let depth = std::env::var("SEARCH_DEPTH").map_or(depth, |d| d.parse().unwrap());
     let mut seen = HashMap::new();
-    // Worlds are held along one path only: their number is far over what memory holds.
+    // Depth-first: only the states along one path are kept, because all of them would not fit into memory.
     let mut path = vec![vec![world]];
     while let Some(worlds) = path.last_mut() {
         let Some(world) = worlds.pop() else {
             path.pop();
             continue;
         };
-        assert_eq!(world.broken, None);
+        assert_eq!(world.violation, None);
         let left = depth + 1 - path.len();
         if left > 0 && seen.insert(world.hash(), left).is_none_or(|before| before < left) {
-            path.push(next(&world, true));
+            path.push(successors(&world, true));
         }
     }
     println!("{name}: {} states to depth {depth}", seen.len());
-    assert!(seen.len() > 300, "nothing was searched");
+    assert!(seen.len() > 300, "too few states were searched");
 }
 
-/// What a walk by chance does at each step. Faults come and go; at the end all is whole.
-fn walk(seed: u64, mistakes: Mistakes, steps: usize) -> World {
+/// Runs random steps with message loss, duplication, pauses, partitions and crashes. At the end all coordinators run, the
+/// partitions and pauses are over, and the fleet has time to settle.
+fn random_walk(seed: u64, faults: Faults, steps: usize) -> World {
     let mut rng = Rng::with_seed(seed);
     let (count, members) = (3, rng.usize(2..4));
-    let mut world = World::new(count, members, mistakes);
+    let mut world = World::new(count, members, faults);
     if rng.bool() {
-        world.settle(4 * LEASE);
+        world.run_for(4 * LEASE);
     }
     let mut paused = vec![false; members];
-    // From coordinator to coordinator, and between members and coordinators.
-    let mut cut = HashSet::new();
+    // Blocked routes: a pair of coordinators, 10 and a member for its requests, 20 and a member for replies to it.
+    let mut blocked = HashSet::new();
     let mut requests = 0;
     for _ in 0..steps {
-        if world.broken.is_some() {
+        if world.violation.is_some() {
             return world;
         }
-        // What is on its way mostly comes before time passes, lest all that is said is old.
-        let lot = if world.net.len() > 8 { rng.u32(0..600) } else { rng.u32(0..1000) };
-        match lot {
-            0..600 if !world.net.is_empty() => {
-                // Mostly the oldest.
-                let at = if rng.u32(0..4) > 0 { 0 } else { rng.usize(..world.net.len()) };
-                let again = rng.u32(0..30) == 0;
-                let sent = if again { world.net[at].clone() } else { world.net.remove(at) };
-                let ends = match (&sent.to, &sent.message) {
-                    (common::To::Coordinator(c), common::Message::Envelope(from, _)) => {
+        // If many messages wait, they are delivered before time advances, so that not all of them are outdated.
+        let draw = if world.network.len() > 8 { rng.u32(0..600) } else { rng.u32(0..1000) };
+        match draw {
+            0..600 if !world.network.is_empty() => {
+                // Mostly the oldest message.
+                let at = if rng.u32(0..4) > 0 { 0 } else { rng.usize(..world.network.len()) };
+                let is_duplicate = rng.u32(0..30) == 0;
+                let sent = if is_duplicate { world.network[at].clone() } else { world.network.remove(at) };
+                let route = match (&sent.to, &sent.message) {
+                    (common::Destination::Coordinator(c), common::Message::Envelope(from, _)) => {
                         (*from as usize, *c as usize)
                     }
-                    (common::To::Coordinator(_), common::Message::Request(ClientSession::Member(m), _)) => {
-                        (10, m.parse().unwrap())
-                    }
-                    (common::To::Coordinator(c), _) => (30, *c as usize),
-                    (common::To::Member(m), _) => (20, *m),
+                    (
+                        common::Destination::Coordinator(_),
+                        common::Message::Request(ClientSession::Member(m), _),
+                    ) => (10, m.parse().unwrap()),
+                    (common::Destination::Coordinator(c), _) => (30, *c as usize),
+                    (common::Destination::Member(m), _) => (20, *m),
                 };
-                let asleep = matches!(&sent.to, common::To::Member(m) if paused[*m]);
-                if asleep {
-                    // It waits for whoever sleeps.
-                    world.net.push(sent);
-                } else if !cut.contains(&ends) {
+                let is_paused = matches!(&sent.to, common::Destination::Member(m) if paused[*m]);
+                if is_paused {
+                    // The message waits until the member continues.
+                    world.network.push(sent);
+                } else if !blocked.contains(&route) {
                     world.deliver(sent);
                 }
             }
             0..960 => {
-                let to = world.due(&paused);
-                world.pass(to, &paused);
+                let to = world.next_due(&paused);
+                world.advance_to(to, &paused);
             }
             960..968 => {
-                let ends = match rng.u32(0..5) {
-                    // One that only members reach.
+                let route = match rng.u32(0..5) {
+                    // The coordinator is cut off from all others, but not from members.
                     4 => {
                         let c = rng.usize(..count);
-                        cut.extend((0..count).flat_map(|d| [(c, d), (d, c)]));
+                        blocked.extend((0..count).flat_map(|d| [(c, d), (d, c)]));
                         continue;
                     }
                     0 => (10, rng.usize(..members)),
                     1 => (20, rng.usize(..members)),
                     _ => (rng.usize(..count), rng.usize(..count)),
                 };
-                if !cut.remove(&ends) {
-                    cut.insert(ends);
+                if !blocked.remove(&route) {
+                    blocked.insert(route);
                 }
             }
             968..971 => {
@@ -194,10 +196,10 @@
             }
             974..976 => {
                 let m = rng.usize(..members);
-                world.asks[m] = rng.u8(..count as u8);
+                world.connected_to[m] = rng.u8(..count as u8);
             }
             976..986 => {
-                cut.clear();
+                blocked.clear();
                 (0..count)
                     .filter(|c| world.coordinators[*c].is_none())
                     .collect::<Vec<_>>()
@@ -213,7 +215,7 @@
             }
             987 => {
                 let to = world.now + rng.u64(1..2 * LEASE);
-                world.pass(to, &paused);
+                world.advance_to(to, &paused);
             }
             _ => {
                 requests += 1;
@@ -223,23 +225,24 @@
             }
         }
     }
-    // Once faults end, every wait ends.
+    // All coordinators run again, and the network delivers everything.
     (0..count).for_each(|c| {
         if world.coordinators[c].is_none() {
             world.start(c);
         }
     });
-    world.settle(20 * LEASE);
+    world.run_for(20 * LEASE);
     world
 }
 
-/// Whether all came to rest: one speaks, all may serve under what is decided, and nothing is pending for ever.
-fn at_rest(world: &World) -> Result<(), String> {
-    let speaker = world.speaker().ok_or("nobody speaks")?;
-    let state = world.coordinators[speaker]
+/// Checks that the fleet has settled: there is a leader, all members may serve under the decided version, and no change is
+/// pending.
+fn check_settled(world: &World) -> Result<(), String> {
+    let leader = world.leader().ok_or("there is no leader")?;
+    let state = world.coordinators[leader]
         .as_ref()
         .and_then(Coordinator::committed_state)
-        .ok_or("nothing is agreed")?;
+        .ok_or("the leader has no committed state")?;
     if state.pending.is_some() {
         return Err(format!("pending: {:?}", state.pending));
     }
@@ -255,138 +258,139 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn walks(seed in any::<u64>()) {
-        let world = walk(seed, Mistakes::default(), 1500);
-        prop_assert_eq!(&world.broken, &None);
-        prop_assert_eq!(at_rest(&world), Ok(()));
+    fn random_walks(seed in any::<u64>()) {
+        let world = random_walk(seed, Faults::default(), 1500);
+        prop_assert_eq!(&world.violation, &None);
+        prop_assert_eq!(check_settled(&world), Ok(()));
     }
 }
 
-fn coordinator(broken: InjectedFault) -> Mistakes {
-    Mistakes { coordinator: Some(broken), member: None }
+fn coordinator_fault(fault: InjectedFault) -> Faults {
+    Faults { coordinator: Some(fault), member: None }
 }
 
-fn by_member(broken: member::InjectedFault) -> Mistakes {
-    Mistakes { coordinator: None, member: Some(broken) }
+fn member_fault(fault: member::InjectedFault) -> Faults {
+    Faults { coordinator: None, member: Some(fault) }
 }
 
-// A change that two of three know is decided. One of them loses its store, the other dies: were the empty one to vote, the
-// third would go on without the change.
+// Two of three coordinators know of a decided change. One of them loses its store and the other one crashes: if the empty
+// store had a vote, it would form a quorum with the third coordinator, which does not know the change.
 #[rstest]
 #[case::learning(true)]
 #[case::voting(false)]
 fn an_empty_store_must_not_vote(#[case] learning: bool) {
-    let mut world = World::new(3, 0, Mistakes::default());
-    world.settle(4 * LEASE);
-    let speaker = world.speaker().unwrap();
-    let (knows, misses) = ((speaker + 1) % 3, (speaker + 2) % 3);
-    world.crash(misses);
-    world.propose(speaker, "r1", "one", None);
-    world.settle(2 * HOLD);
+    let mut world = World::new(3, 0, Faults::default());
+    world.run_for(4 * LEASE);
+    let leader = world.leader().unwrap();
+    let (informed, uninformed) = ((leader + 1) % 3, (leader + 2) % 3);
+    world.crash(uninformed);
+    world.propose(leader, "r1", "one", None);
+    world.run_for(2 * HOLD);
     assert_eq!(world.decided.len(), 2);
-    world.crash(speaker);
-    world.crash(knows);
-    // Nothing is left on the way by which it would hear how much it had kept.
-    world.net.clear();
-    world.disks[knows] = Record { learning, state: State::initial("1".into()), ..Record::default() };
-    world.start(knows);
-    world.start(misses);
-    world.settle(4 * LEASE);
-    let Some(speaker) = world.speaker() else {
-        assert!(learning, "they would have to agree");
+    world.crash(leader);
+    world.crash(informed);
+    // No message is left that would report an observed write count to the coordinator with the empty store.
+    world.network.clear();
+    world.disks[informed] = Record { learning, state: State::initial("1".into()), ..Record::default() };
+    world.start(informed);
+    world.start(uninformed);
+    world.run_for(4 * LEASE);
+    let Some(leader) = world.leader() else {
+        assert!(learning, "two coordinators with votes must elect a leader");
         return;
     };
     assert!(!learning);
-    world.propose(speaker, "r2", "two", None);
-    world.settle(2 * HOLD);
-    assert_eq!(world.broken.as_deref(), Some("version 2 has two texts"));
+    world.propose(leader, "r2", "two", None);
+    world.run_for(2 * HOLD);
+    assert_eq!(world.violation.as_deref(), Some("version 2 has two texts"));
 }
 
-// One that lost its store has no vote until another in its place was agreed on and told what is agreed; then it counts
-// as the one before did.
+// A coordinator that lost its store has no vote until its replacement is committed and has received the committed state.
+// Then the replacement counts for quorums as its predecessor did.
 #[test]
-fn a_lost_store_is_replaced_by_agreement() {
-    let mut world = World::new(3, 2, Mistakes::default());
-    world.settle(4 * LEASE);
-    let lost = (world.speaker().unwrap() + 1) % 3;
-    assert!(!world.replace(lost), "it is heard");
+fn a_lost_store_is_replaced() {
+    let mut world = World::new(3, 2, Faults::default());
+    world.run_for(4 * LEASE);
+    let lost = (world.leader().unwrap() + 1) % 3;
+    assert!(!world.replace(lost), "the coordinator still responds");
     world.crash(lost);
-    world.settle(8 * HOLD);
-    world.propose(world.speaker().unwrap(), "r1", "one", None);
-    world.settle(2 * LEASE);
+    world.run_for(8 * HOLD);
+    world.propose(world.leader().unwrap(), "r1", "one", None);
+    world.run_for(2 * LEASE);
     let old = world.disks[lost].clone();
     assert!(world.replace(lost));
     assert!(world.disks[lost].learning);
-    world.settle(4 * HOLD);
+    world.run_for(4 * HOLD);
     assert!(!world.disks[lost].learning && world.disks[lost].state.policy.version == 2);
-    // The one that is new and the one that is left are most of three, and know what was agreed.
-    world.crash(world.speaker().unwrap());
-    world.settle(4 * LEASE);
-    world.propose(world.speaker().unwrap(), "r2", "two", None);
-    world.settle(2 * LEASE);
-    assert_eq!((world.broken.clone(), world.decided.len()), (None, 3));
-    // The old store comes back: it ends, and has said nothing that counts.
+    // The replacement and the remaining coordinator form a quorum, and know the committed state.
+    world.crash(world.leader().unwrap());
+    world.run_for(4 * LEASE);
+    world.propose(world.leader().unwrap(), "r2", "two", None);
+    world.run_for(2 * LEASE);
+    assert_eq!((world.violation.clone(), world.decided.len()), (None, 3));
+    // The old store comes back: its coordinator halts, and its messages have no effect.
     world.crash(lost);
     world.disks[lost] = old;
     let down: Vec<usize> = (0..3).filter(|c| world.coordinators[*c].is_none()).collect();
     down.into_iter().for_each(|c| world.start(c));
-    world.settle(4 * LEASE);
+    world.run_for(4 * LEASE);
     assert!(world.coordinators[lost].is_none());
-    assert_eq!((world.broken.clone(), at_rest(&world)), (None, Ok(())));
+    assert_eq!((world.violation.clone(), check_settled(&world)), (None, Ok(())));
 }
 
-// One of five was cut off while another's place was given away, and asks it by what it saw of the one before.
+// One of five coordinators is stopped while another one is replaced. Its messages to the replacement carry the write count
+// that it observed of the predecessor, which must not look like a rolled-back record.
 #[test]
-fn what_was_seen_of_the_one_before_is_no_older_copy() {
-    let mut world = World::new(5, 1, Mistakes::default());
-    world.settle(4 * LEASE);
-    // The one that spoke: it is whom the others have seen.
-    let lost = world.speaker().unwrap();
-    let away = (lost + 4) % 5;
+fn observations_of_a_predecessor_do_not_halt_its_replacement() {
+    let mut world = World::new(5, 1, Faults::default());
+    world.run_for(4 * LEASE);
+    // The leader is replaced, since the others have observed its write count.
+    let lost = world.leader().unwrap();
+    let absent = (lost + 4) % 5;
     for number in 0..3 {
         world.propose(lost, &format!("r{number}"), "text", None);
-        world.settle(2 * LEASE);
+        world.run_for(2 * LEASE);
     }
     world.crash(lost);
-    let asleep = world.coordinators[away].take();
-    world.settle(8 * HOLD);
+    let stopped = world.coordinators[absent].take();
+    world.run_for(8 * HOLD);
     assert!(world.replace(lost));
-    world.settle(4 * HOLD);
+    world.run_for(4 * HOLD);
     assert!(!world.disks[lost].learning);
-    world.coordinators[away] = asleep;
-    // It asks before it has been told anything.
-    world.pass(world.now, &[]);
-    world.settle(4 * LEASE);
-    assert!(world.coordinators[lost].is_some(), "the one that is new has ended");
-    assert_eq!((world.broken.clone(), at_rest(&world)), (None, Ok(())));
+    world.coordinators[absent] = stopped;
+    // The absent coordinator starts an election before it receives any message.
+    world.advance_to(world.now, &[]);
+    world.run_for(4 * LEASE);
+    assert!(world.coordinators[lost].is_some(), "the replacement has halted");
+    assert_eq!((world.violation.clone(), check_settled(&world)), (None, Ok(())));
 }
 
-// Whoever wants a member off the list is told so when it is, and not before most know.
+// An operator's removal of a member is confirmed only after a quorum has accepted it.
 #[test]
-fn forgotten_is_told_once_it_is_agreed() {
-    let mut world = World::new(3, 2, Mistakes::default());
-    world.settle(4 * LEASE);
-    let speaker = world.speaker().unwrap();
-    let ask = |world: &mut World| {
-        let (client, ask) = (ClientSession::Operator(3), OperatorRequest::Forget { member: "1".into() });
-        world.coordinator(speaker, Input::Request { client, request: Request::Operator(ask) });
-        world.heard.clone()
+fn removal_is_confirmed_once_it_is_committed() {
+    let mut world = World::new(3, 2, Faults::default());
+    world.run_for(4 * LEASE);
+    let leader = world.leader().unwrap();
+    let forget = |world: &mut World| {
+        let (client, request) = (ClientSession::Operator(3), OperatorRequest::Forget { member: "1".into() });
+        world.step_coordinator(leader, Input::Request { client, request: Request::Operator(request) });
+        world.operator_replies.clone()
     };
-    assert!(matches!(ask(&mut world)[..], [Reply::Rejected(_)]), "it may serve");
-    // It is never heard again.
+    assert!(matches!(forget(&mut world)[..], [Reply::Rejected(_)]), "the member may still serve");
+    // The member is never heard from again.
     world.members[1].handle(world.now, member::Input::SessionClosed, &mut Vec::new());
-    world.settle(2 * LEASE);
-    world.heard.clear();
-    assert_eq!(ask(&mut world), []);
-    world.settle(HOLD);
-    assert_eq!(world.heard, [Reply::Removed]);
-    let state = world.coordinators[speaker].as_ref().and_then(Coordinator::committed_state).unwrap();
+    world.run_for(2 * LEASE);
+    world.operator_replies.clear();
+    assert_eq!(forget(&mut world), []);
+    world.run_for(HOLD);
+    assert_eq!(world.operator_replies, [Reply::Removed]);
+    let state = world.coordinators[leader].as_ref().and_then(Coordinator::committed_state).unwrap();
     assert!(!state.members.contains_key("1") && state.members.contains_key("0"));
 }
 
 #[test]
-fn walks_get_somewhere() {
-    let all: Vec<World> = (0..40).map(|seed| walk(seed, Mistakes::default(), 1500)).collect();
+fn random_walks_make_progress() {
+    let all: Vec<World> = (0..40).map(|seed| random_walk(seed, Faults::default(), 1500)).collect();
     let decided: usize = all.iter().map(|w| w.decided.len() - 1).sum();
     let dropped: usize = all.iter().map(|w| w.dropped.len()).sum();
     let rounds: u32 = all.iter().flat_map(|w| w.disks.iter().map(|d| d.promised.round).max()).sum();
@@ -394,81 +398,83 @@
     assert!(decided > 40 && dropped > 10 && rounds > 80);
 }
 
-/// A coordinator answers that it will hear nobody lower, and dies. Another, lower one asks it when it is back.
-fn lower_after_a_death(mistakes: Mistakes) -> World {
-    let mut world = World::new(3, 0, mistakes);
-    // Asks some times, and is heard once.
+/// A coordinator sends a promise and crashes. After its restart, a candidate with a lower ballot requests a promise from it.
+fn lower_ballot_after_restart(faults: Faults) -> World {
+    let mut world = World::new(3, 0, faults);
+    // Coordinator 0 starts elections whose messages are lost, which raises its ballot.
     for _ in 0..8 {
         world.crash(0);
         world.start(0);
-        world.pass(world.now + HOLD, &[true]);
-        world.net.clear();
+        world.advance_to(world.now + HOLD, &[true]);
+        world.network.clear();
         world.crash(1);
         world.start(1);
         world.crash(2);
         world.start(2);
     }
-    world.pass(world.now + HOLD, &[]);
-    let only = |world: &mut World, from: usize, to: usize| {
-        while let Some(at) = world.net.iter().position(|s| {
-            let letter = matches!(&s.message, common::Message::Envelope(by, _) if *by as usize == from);
-            letter && s.to == common::To::Coordinator(to as u8)
+    world.advance_to(world.now + HOLD, &[]);
+    let deliver_between = |world: &mut World, from: usize, to: usize| {
+        while let Some(at) = world.network.iter().position(|s| {
+            let is_from = matches!(&s.message, common::Message::Envelope(by, _) if *by as usize == from);
+            is_from && s.to == common::Destination::Coordinator(to as u8)
         }) {
-            let sent = world.net.remove(at);
+            let sent = world.network.remove(at);
             world.deliver(sent);
         }
     };
-    only(&mut world, 0, 2);
-    only(&mut world, 2, 0);
-    // It speaks, and what it writes is on its way for long.
-    let late = std::mem::take(&mut world.net);
-    let asleep = world.coordinators[0].take();
+    deliver_between(&mut world, 0, 2);
+    deliver_between(&mut world, 2, 0);
+    // Coordinator 0 is the leader, and its first write is delayed.
+    let late = std::mem::take(&mut world.network);
+    let stopped = world.coordinators[0].take();
     world.crash(2);
     world.start(2);
     for _ in 0..40 {
-        world.pass(world.now + HOLD / 8, &[]);
-        only(&mut world, 1, 2);
-        only(&mut world, 2, 1);
-        world.net.clear();
+        world.advance_to(world.now + HOLD / 8, &[]);
+        deliver_between(&mut world, 1, 2);
+        deliver_between(&mut world, 2, 1);
+        world.network.clear();
     }
     world.propose(1, "r1", "one", None);
     for _ in 0..4 {
-        only(&mut world, 1, 2);
-        only(&mut world, 2, 1);
+        deliver_between(&mut world, 1, 2);
+        deliver_between(&mut world, 2, 1);
     }
     world.crash(1);
-    (world.net, world.coordinators[0]) = (late, asleep);
+    (world.network, world.coordinators[0]) = (late, stopped);
     for _ in 0..40 {
-        only(&mut world, 0, 2);
-        only(&mut world, 2, 0);
-        world.pass(world.now + HOLD / 8, &[]);
+        deliver_between(&mut world, 0, 2);
+        deliver_between(&mut world, 2, 0);
+        world.advance_to(world.now + HOLD / 8, &[]);
     }
     world.propose(0, "r2", "two", None);
     for _ in 0..8 {
-        only(&mut world, 0, 2);
-        only(&mut world, 2, 0);
+        deliver_between(&mut world, 0, 2);
+        deliver_between(&mut world, 2, 0);
     }
     world
 }
 
 #[test]
-fn what_was_promised_is_kept_over_a_death() {
-    let sound = lower_after_a_death(Mistakes::default());
-    assert_eq!(sound.broken, None);
-    assert!(!sound.decided.is_empty());
-    let broken = lower_after_a_death(coordinator(InjectedFault::UnpersistedPromise)).broken;
-    assert_eq!(broken.as_deref(), Some("version 2 has two texts"));
+fn promises_survive_a_restart() {
+    let without_fault = lower_ballot_after_restart(Faults::default());
+    assert_eq!(without_fault.violation, None);
+    assert!(!without_fault.decided.is_empty());
+    let violation =
+        lower_ballot_after_restart(coordinator_fault(InjectedFault::UnpersistedPromise)).violation;
+    assert_eq!(violation.as_deref(), Some("version 2 has two texts"));
 }
 
 #[rstest]
-#[case::majority(coordinator(InjectedFault::MajorityDecides))]
-#[case::old_speaker(coordinator(InjectedFault::StaleLeader))]
-#[case::not_blind(coordinator(InjectedFault::NoGracePeriod))]
-#[case::from_receipt(by_member(member::InjectedFault::LeaseFromReceipt))]
-#[case::early(by_member(member::InjectedFault::ActivateUndecided))]
-#[case::unfenced(by_member(member::InjectedFault::LeaseNeverEnds))]
-fn known_mistakes_are_found(#[case] mistakes: Mistakes) {
-    let found = (0..3_000).find_map(|seed| walk(seed, mistakes, 1500).broken.map(|b| (seed, b)));
+#[case::majority_decides(coordinator_fault(InjectedFault::MajorityDecides))]
+#[case::stale_leader(coordinator_fault(InjectedFault::StaleLeader))]
+#[case::no_grace_period(coordinator_fault(InjectedFault::NoGracePeriod))]
+#[case::lease_from_receipt(member_fault(member::InjectedFault::LeaseFromReceipt))]
+#[case::activate_undecided(member_fault(member::InjectedFault::ActivateUndecided))]
+#[case::lease_never_ends(member_fault(member::InjectedFault::LeaseNeverEnds))]
+fn injected_faults_are_found(#[case] faults: Faults) {
+    let found = (0..3_000)
+        .find_map(|seed| random_walk(seed, faults, 1500).violation.map(|violation| (seed, violation)));
     println!("{found:?}");
     assert!(found.is_some());
 }
