--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -1,4 +1,4 @@
-//! The thread that holds a coordinator's state: it passes events on to the state machine, and carries out what follows.
+//! The thread that owns a coordinator's state: it passes events to the state machine, and carries out the outputs.
 
 use std::collections::HashMap;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 use super::event::{Event, Session};
 use super::storage::Disk;
 
-/// The shortest time between two log lines about refusals. All are counted.
+/// The shortest time between two log lines about refusals. All refusals are counted.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// The time between two log lines of the counters.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(10);
@@ -28,11 +28,11 @@
     coordinator: Coordinator,
     disk: Disk,
     audit_log: AuditWriter,
-    /// The queues of messages to the other coordinators, by their ids.
+    /// The queues of messages to the other coordinators, indexed by their ids.
     peers: Vec<Option<SyncSender<Envelope>>>,
-    /// The open sessions, by their connections.
+    /// The open sessions, by connection number.
     sessions: HashMap<u64, Session>,
-    /// The connection over which each client has sent its last request.
+    /// The connection on which each client has sent its last request.
     routes: HashMap<ClientSession, u64>,
     counts: Counts,
 }
@@ -45,8 +45,8 @@
     /// Leases granted.
     granted: u64,
     /// Records persisted.
-    kept: u64,
-    /// Connections and frames refused, by the reason.
+    persisted: u64,
+    /// Connections and frames refused, by reason.
     refused: HashMap<&'static str, u64>,
     /// When a refusal was logged last.
     refusal_logged: Option<Instant>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Runs until it is told to stop, or must not go on.
+    /// Runs until the process is stopped, or must not continue.
     pub(super) fn run(mut self, events: &Receiver<Event>) -> ExitCode {
         let mut counts_logged = Instant::now();
         loop {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// How long to wait for an event before a tick is due.
+    /// Returns how long to wait for an event before the next tick is due.
     fn wait(&self) -> Duration {
         let due = self.coordinator.next_due().saturating_sub(boottime());
         Duration::from_nanos(due).min(COUNTS_INTERVAL)
     }
 
-    /// Handles an event, or that none has come in time.
+    /// Handles an event, or a tick if there is none.
     fn handle(&mut self, event: Option<Event>) -> Result<(), ExitCode> {
         let input = match event {
             Some(event) => self.input_of(event),
@@ -108,7 +108,7 @@
         if let Some(input) = input {
             self.step(input)?;
         }
-        // A flood of messages must not delay what is due.
+        // A flood of messages must not delay ticks.
         if self.coordinator.next_due() <= boottime() {
             self.step(Input::Tick)?;
         }
@@ -116,13 +116,13 @@
     }
 
     fn log_counts(&self) {
-        let Counts { frames, granted, kept, refused, .. } = &self.counts;
+        let Counts { frames, granted, persisted, refused, .. } = &self.counts;
         let is_leader = self.coordinator.is_leader(boottime());
         let sessions = self.sessions.len();
-        tracing::info!(speaks = is_leader, sessions, frames, granted, kept, ?refused, "counts");
+        tracing::info!(speaks = is_leader, sessions, frames, granted, kept = persisted, ?refused, "counts");
     }
 
-    /// What an event means to the state machine, if anything.
+    /// Returns the input of the state machine for an event, if there is one.
     fn input_of(&mut self, event: Event) -> Option<Input> {
         match event {
             Event::Opened { connection, session } => {
@@ -134,8 +134,8 @@
                 self.close(connection);
                 None
             }
-            Event::Refused { why } => {
-                self.count_refusal(why);
+            Event::Refused { reason } => {
+                self.count_refusal(reason);
                 None
             }
             Event::Stop => None,
@@ -159,7 +159,7 @@
 
     fn receive_request(&mut self, connection: u64, request: Request) -> Option<Input> {
         let session = self.sessions.get(&connection)?;
-        // A session speaks for the run of the process that began it, and for no other.
+        // A session may only renew the lease of the run that opened it.
         if let Request::Renew(renew) = &request
             && renew.incarnation != session.incarnation
         {
@@ -179,31 +179,33 @@
         }
     }
 
-    fn refuse_session(&mut self, connection: u64, why: &'static str) {
-        self.count_refusal(why);
+    /// Closes a session because of what was received on it.
+    fn refuse_session(&mut self, connection: u64, reason: &'static str) {
+        self.count_refusal(reason);
         self.sessions.remove(&connection);
     }
 
-    fn count_refusal(&mut self, why: &'static str) {
-        *self.counts.refused.entry(why).or_default() += 1;
+    /// Counts a refusal, and logs it unless another one was logged just before.
+    fn count_refusal(&mut self, reason: &'static str) {
+        *self.counts.refused.entry(reason).or_default() += 1;
         if self.counts.refusal_logged.is_none_or(|at| at.elapsed() >= REFUSAL_LOG_INTERVAL) {
             self.counts.refusal_logged = Some(Instant::now());
-            tracing::warn!(why, "refused");
+            tracing::warn!(why = reason, "refused");
         }
     }
 
-    /// Passes an input to the state machine, persists the record, and carries out the actions.
+    /// Passes an input to the state machine, persists the record, and carries out the outputs.
     fn step(&mut self, input: Input) -> Result<(), ExitCode> {
         let writes_before = self.coordinator.record().write_count;
-        // Leases go by the clock that counts while the machine sleeps; the audit log by the one that does not.
+        // Leases are timed by the clock that also counts suspension, the audit log by the one that does not.
         let (log_time, now) = (monotonic(), boottime());
         let step = self.coordinator.handle(now, input);
-        let outputs = step.finish(&mut self.disk).map_err(|why| {
-            // Whether the record is durable is not known, and nobody was told that it is.
-            tracing::error!(%why, "store failed; this coordinator ends");
+        let outputs = step.finish(&mut self.disk).map_err(|error| {
+            // The record may or may not be durable, and no other process was told that it is.
+            tracing::error!(why = %error, "store failed; this coordinator ends");
             ExitCode::FAILURE
         })?;
-        self.counts.kept += self.coordinator.record().write_count - writes_before;
+        self.counts.persisted += self.coordinator.record().write_count - writes_before;
         outputs.into_iter().try_for_each(|output| self.carry_out(log_time, output))
     }
 
@@ -214,7 +216,7 @@
             Output::Audit(note) => self.log_note(log_time, note),
             Output::Halt => {
                 tracing::error!(
-                    "what is stored here is older than what others have seen of it; it must not vote"
+                    "the store is older than what other coordinators have seen of it; this coordinator must not vote and ends"
                 );
                 return Err(ExitCode::FAILURE);
             }
@@ -241,19 +243,19 @@
         }
     }
 
-    /// Writes an entry of the audit log, with the time of the step: a process that is stopped just then writes it when it
-    /// goes on.
+    /// Writes an entry of the audit log with the time of the step, which may be earlier than the present if the process was
+    /// stopped in between.
     fn log_note(&mut self, time: u64, note: AuditEntry) {
         if let Some(what) = self.describe(note) {
             self.audit_log.write(time, what);
         }
     }
 
-    /// Logs and counts what was noted, and returns the entry of the audit log, if there is to be one.
+    /// Logs and counts an event of the state machine, and returns its entry for the audit log, if there is one.
     fn describe(&mut self, note: AuditEntry) -> Option<What> {
         Some(match note {
             AuditEntry::Established { round } => {
-                tracing::info!(round, "speaks for the fleet");
+                tracing::info!(round, "elected leader");
                 What::Established { round: u64::from(round) }
             }
             AuditEntry::Granted { member, round, version } => {
@@ -261,7 +263,7 @@
                 What::Granted { member, round: u64::from(round), version }
             }
             AuditEntry::Pending { request, version } => {
-                tracing::info!(request, version, "change put before the members");
+                tracing::info!(request, version, "change proposed to the members");
                 What::Pending { request, version }
             }
             AuditEntry::Decided { request, version, digest } => {
