--- a/crates/node/src/fleet/config.rs
+++ b/crates/node/src/fleet/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use linestack_accord::LONGEST_NAME;
+use linestack_accord::MAX_NAME_BYTES;
 use serde::Deserialize;
 
 /// The configuration of a node as a member of a fleet.
@@ -140,7 +140,7 @@
 
     fn check_name(&mut self, key: &str, name: &str) {
         let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        self.require(!name.is_empty() && name.len() <= LONGEST_NAME, key, "from 1 to 64 characters");
+        self.require(!name.is_empty() && name.len() <= MAX_NAME_BYTES, key, "from 1 to 64 characters");
         self.require(name.chars().all(allowed), key, "letters, digits, '-', '_' and '.' only");
     }
 
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -5,7 +5,9 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::{Duration, Instant};
 
-use linestack_accord::{Coordinator, Guest, Id, Input, Letter, Note, Out, Reply, Request};
+use linestack_accord::{
+    AuditEntry, ClientSession, Coordinator, CoordinatorId, Envelope, Input, Output, Reply, Request,
+};
 use linestack_history::What;
 
 use crate::fleet::audit_log::AuditWriter;
@@ -27,11 +29,11 @@
     disk: Disk,
     audit_log: AuditWriter,
     /// The queues of messages to the other coordinators, indexed by their ids.
-    peers: Vec<Option<SyncSender<Letter>>>,
+    peers: Vec<Option<SyncSender<Envelope>>>,
     /// The open sessions, by connection number.
     sessions: HashMap<u64, Session>,
     /// The connection on which each client has sent its last request.
-    routes: HashMap<Guest, u64>,
+    routes: HashMap<ClientSession, u64>,
     counts: Counts,
 }
 
@@ -55,7 +57,7 @@
         coordinator: Coordinator,
         disk: Disk,
         audit_log: AuditWriter,
-        peers: Vec<Option<SyncSender<Letter>>>,
+        peers: Vec<Option<SyncSender<Envelope>>>,
     ) -> Self {
         Self {
             coordinator,
@@ -115,7 +117,7 @@
 
     fn log_counts(&self) {
         let Counts { frames, granted, persisted, refused, .. } = &self.counts;
-        let is_leader = self.coordinator.speaks(boottime());
+        let is_leader = self.coordinator.is_leader(boottime());
         let sessions = self.sessions.len();
         tracing::info!(speaks = is_leader, sessions, frames, granted, kept = persisted, ?refused, "counts");
     }
@@ -145,7 +147,7 @@
         let session = self.sessions.get(&connection)?;
         match (&session.identity, body) {
             (Identity::Coordinator(from), Body::Envelope(envelope)) => {
-                Some(Input::Letter { from: *from, letter: envelope })
+                Some(Input::Message { from: *from, envelope })
             }
             (_, Body::Request(request)) => self.receive_request(connection, request),
             _ => {
@@ -166,7 +168,7 @@
         }
         let client = client_session(&session.identity, connection)?;
         self.routes.insert(client.clone(), connection);
-        Some(Input::Guest { guest: client, request })
+        Some(Input::Request { client, request })
     }
 
     fn close(&mut self, connection: u64) {
@@ -194,25 +196,25 @@
 
     /// Passes an input to the state machine, persists the record, and carries out the outputs.
     fn step(&mut self, input: Input) -> Result<(), ExitCode> {
-        let writes_before = self.coordinator.record().mark;
+        let writes_before = self.coordinator.record().write_count;
         // Leases are timed by the clock that also counts suspension, the audit log by the one that does not.
         let (log_time, now) = (monotonic(), boottime());
-        let step = self.coordinator.take(now, input);
+        let step = self.coordinator.handle(now, input);
         let outputs = step.finish(&mut self.disk).map_err(|error| {
             // The record may or may not be durable, and no other process was told that it is.
             tracing::error!(why = %error, "store failed; this coordinator ends");
             ExitCode::FAILURE
         })?;
-        self.counts.persisted += self.coordinator.record().mark - writes_before;
+        self.counts.persisted += self.coordinator.record().write_count - writes_before;
         outputs.into_iter().try_for_each(|output| self.carry_out(log_time, output))
     }
 
-    fn carry_out(&mut self, log_time: u64, output: Out) -> Result<(), ExitCode> {
+    fn carry_out(&mut self, log_time: u64, output: Output) -> Result<(), ExitCode> {
         match output {
-            Out::Letter { to, letter: envelope } => self.send_to_peer(to, envelope),
-            Out::Guest { guest: client, reply } => self.reply(&client, reply),
-            Out::Note(note) => self.log_note(log_time, note),
-            Out::Halt => {
+            Output::Send { to, envelope } => self.send_to_peer(to, envelope),
+            Output::Reply { client, reply } => self.reply(&client, reply),
+            Output::Audit(note) => self.log_note(log_time, note),
+            Output::Halt => {
                 tracing::error!(
                     "the store is older than what other coordinators have seen of it; this coordinator must not vote and ends"
                 );
@@ -222,7 +224,7 @@
         Ok(())
     }
 
-    fn send_to_peer(&self, to: Id, envelope: Letter) {
+    fn send_to_peer(&self, to: CoordinatorId, envelope: Envelope) {
         if let Some(Some(peer)) = self.peers.get(usize::from(to)) {
             // If the queue is full, the peer is slow; the protocol repeats the message.
             let _ = peer.try_send(envelope);
@@ -230,7 +232,7 @@
     }
 
     /// Replies to a client. A session whose queue is full is closed.
-    fn reply(&mut self, client: &Guest, reply: Reply) {
+    fn reply(&mut self, client: &ClientSession, reply: Reply) {
         let Some(connection) = self.routes.get(client).copied() else { return };
         let Some(session) = self.sessions.get_mut(&connection) else { return };
         let frame = session.encoder.encode(Body::Reply(reply));
@@ -243,36 +245,36 @@
 
     /// Writes an entry of the audit log with the time of the step, which may be earlier than the present if the process was
     /// stopped in between.
-    fn log_note(&mut self, time: u64, note: Note) {
+    fn log_note(&mut self, time: u64, note: AuditEntry) {
         if let Some(what) = self.describe(note) {
             self.audit_log.write(time, what);
         }
     }
 
     /// Logs and counts an event of the state machine, and returns its entry for the audit log, if there is one.
-    fn describe(&mut self, note: Note) -> Option<What> {
+    fn describe(&mut self, note: AuditEntry) -> Option<What> {
         Some(match note {
-            Note::Established { round } => {
+            AuditEntry::Established { round } => {
                 tracing::info!(round, "elected leader");
                 What::Established { round: u64::from(round) }
             }
-            Note::Granted { member, round, version } => {
+            AuditEntry::Granted { member, round, version } => {
                 self.counts.granted += 1;
                 What::Granted { member, round: u64::from(round), version }
             }
-            Note::Pending { request, version } => {
+            AuditEntry::Pending { request, version } => {
                 tracing::info!(request, version, "change proposed to the members");
                 What::Pending { request, version }
             }
-            Note::Decided { request, version, digest } => {
+            AuditEntry::Decided { request, version, digest } => {
                 tracing::info!(request, version, digest, "decided");
                 What::Decided { request, version, digest }
             }
-            Note::Dropped { request, version, end } => {
+            AuditEntry::Dropped { request, version, end } => {
                 tracing::warn!(request, version, ?end, "change dropped");
                 What::Dropped { request, version, why: format!("{end:?}") }
             }
-            Note::Refused { member, why: reason } => {
+            AuditEntry::Refused { member, reason } => {
                 self.count_refusal("member");
                 tracing::debug!(member, why = reason, "member refused");
                 return None;
--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
-use linestack_accord::{Ask, End, Ended, Incarnation, Reply, Request, Status};
+use linestack_accord::{End, EndedChange, Incarnation, OperatorRequest, Reply, Request, Status};
 use serde_json::json;
 
 use super::random_u64;
@@ -97,15 +97,15 @@
 
 impl Arguments {
     /// Sends a request to the coordinator at this index. Advances the index if there is no reply.
-    fn send(&self, index: &mut usize, ask: &Ask) -> Answer {
-        let incarnation = Incarnation { home: random_u64(), life: 1 };
+    fn send(&self, index: &mut usize, ask: &OperatorRequest) -> Answer {
+        let incarnation = Incarnation { store_id: random_u64(), run_number: 1 };
         let sender = SenderInfo { fleet: self.fleet.clone(), identity: Identity::Operator, incarnation };
         let address = self.coordinators[*index % self.coordinators.len()];
         let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(address, &sender) else {
             *index += 1;
             return Answer::NotReceived;
         };
-        let Ok(bytes) = encoder.encode(Body::Request(Request::Ask(ask.clone()))) else {
+        let Ok(bytes) = encoder.encode(Body::Request(Request::Operator(ask.clone()))) else {
             return Answer::NotReceived;
         };
         let started = Instant::now();
@@ -114,7 +114,7 @@
             while started.elapsed() < ANSWER_TIMEOUT {
                 match reader.next_frame() {
                     Ok(Some(frame)) => match frame.body {
-                        Body::Reply(Reply::Nobody) => {
+                        Body::Reply(Reply::NoLeader) => {
                             *index += 1;
                             return Answer::NotReceived;
                         }
@@ -134,7 +134,7 @@
     }
 
     /// Sends a request until a coordinator replies, or the time is over. Only for requests that may be repeated.
-    fn send_until_reply(&self, ask: &Ask) -> Option<Reply> {
+    fn send_until_reply(&self, ask: &OperatorRequest) -> Option<Reply> {
         let (started, mut index) = (Instant::now(), 0);
         while started.elapsed() < Duration::from_millis(self.wait_ms) {
             if let Answer::Reply(reply) = self.send(&mut index, ask) {
@@ -146,21 +146,21 @@
     }
 
     /// Proposes a change, and waits for its outcome.
-    fn propose(&self, ask: &Ask, request: &str) -> u8 {
+    fn propose(&self, ask: &OperatorRequest, request: &str) -> u8 {
         let (started, mut index, mut lost) = (Instant::now(), 0, false);
         loop {
             if started.elapsed() >= Duration::from_millis(self.wait_ms) {
                 return self.report("unknown", request, &[], UNKNOWN);
             }
             match self.send(&mut index, ask) {
-                Answer::Reply(Reply::Taken { .. }) => return self.wait_for_outcome(request, started),
+                Answer::Reply(Reply::Pending { .. }) => return self.wait_for_outcome(request, started),
                 Answer::Reply(Reply::Ended(ended)) => return self.report_ended(&ended),
                 // A request whose answer was lost may still be carried out, so a later refusal is final only if no
                 // answer was lost before.
-                Answer::Reply(Reply::TurnedDown(faults)) if lost => {
+                Answer::Reply(Reply::Rejected(faults)) if lost => {
                     return self.report("unknown", request, &faults, UNKNOWN);
                 }
-                Answer::Reply(Reply::TurnedDown(faults)) => {
+                Answer::Reply(Reply::Rejected(faults)) => {
                     return self.report("refused", request, &faults, REFUSED);
                 }
                 Answer::Reply(_) | Answer::Lost => lost = true,
@@ -172,7 +172,7 @@
 
     /// Waits until a change has ended, or the time since `started` is over.
     fn wait_for_outcome(&self, request: &str, started: Instant) -> u8 {
-        let (mut index, ask) = (0, Ask::Outcome { request: request.to_owned() });
+        let (mut index, ask) = (0, OperatorRequest::Outcome { request: request.to_owned() });
         while started.elapsed() < Duration::from_millis(self.wait_ms) {
             if let Answer::Reply(Reply::Ended(ended)) = self.send(&mut index, &ask) {
                 return self.report_ended(&ended);
@@ -183,7 +183,7 @@
     }
 
     /// Prints how a change ended, and returns the exit code.
-    fn report_ended(&self, ended: &Ended) -> u8 {
+    fn report_ended(&self, ended: &EndedChange) -> u8 {
         match &ended.end {
             End::Decided => {
                 self.report("decided", &ended.request, &[format!("version {}", ended.version)], DONE)
@@ -220,7 +220,7 @@
         }
         println!(
             "version {} (digest {:08x}), reported by coordinator {} in round {}",
-            status.version, status.digest, status.speaker, status.round
+            status.version, status.digest, status.leader, status.round
         );
         if let Some((request, version)) = &status.pending {
             println!("pending: {request}, version {version}");
@@ -268,49 +268,59 @@
             Ok(text) => {
                 let request = request.clone().unwrap_or_else(|| format!("{:x}", random_u64()));
                 let give_up = give_up_ms.map(|ms| ms.saturating_mul(1_000_000));
-                let ask = Ask::Propose { request: request.clone(), base: *base, text, all: *all, give_up };
+                let ask = OperatorRequest::Propose {
+                    request: request.clone(),
+                    base_version: *base,
+                    text,
+                    require_all: *all,
+                    give_up_after: give_up,
+                };
                 a.propose(&ask, &request)
             }
         },
         Command::Outcome { request } => {
-            match a.send_until_reply(&Ask::Outcome { request: request.clone() }) {
+            match a.send_until_reply(&OperatorRequest::Outcome { request: request.clone() }) {
                 None => no_answer(),
                 Some(Reply::Ended(ended)) => a.report_ended(&ended),
-                Some(Reply::Taken { version }) => {
+                Some(Reply::Pending { version }) => {
                     a.report("pending", request, &[format!("version {version}")], UNKNOWN)
                 }
                 Some(_) => a.report("not known here", request, &[], UNKNOWN),
             }
         }
-        Command::Abort { request } => match a.send_until_reply(&Ask::Abort { request: request.clone() }) {
-            None => no_answer(),
-            Some(Reply::Ended(ended)) => a.report_ended(&ended),
-            Some(Reply::Taken { .. }) => a.wait_for_outcome(request, Instant::now()),
-            Some(_) => a.report("not known here", request, &[], REFUSED),
-        },
-        Command::Forget { member } => match a.send_until_reply(&Ask::Forget { member: member.clone() }) {
-            None => no_answer(),
-            Some(Reply::Done) => a.report("forgotten", member, &[], DONE),
-            Some(Reply::TurnedDown(faults)) => a.report("refused", member, &faults, REFUSED),
-            Some(_) => a.report("not known here", member, &[], REFUSED),
-        },
+        Command::Abort { request } => {
+            match a.send_until_reply(&OperatorRequest::Abort { request: request.clone() }) {
+                None => no_answer(),
+                Some(Reply::Ended(ended)) => a.report_ended(&ended),
+                Some(Reply::Pending { .. }) => a.wait_for_outcome(request, Instant::now()),
+                Some(_) => a.report("not known here", request, &[], REFUSED),
+            }
+        }
+        Command::Forget { member } => {
+            match a.send_until_reply(&OperatorRequest::Forget { member: member.clone() }) {
+                None => no_answer(),
+                Some(Reply::Removed) => a.report("forgotten", member, &[], DONE),
+                Some(Reply::Rejected(faults)) => a.report("refused", member, &faults, REFUSED),
+                Some(_) => a.report("not known here", member, &[], REFUSED),
+            }
+        }
         Command::Replace { number } => {
             let name = format!("coordinator {number}");
-            match a.send_until_reply(&Ask::Replace { seat: *number }) {
+            match a.send_until_reply(&OperatorRequest::Replace { coordinator: *number }) {
                 None => no_answer(),
-                Some(Reply::Seat { number: seat }) if a.json => {
+                Some(Reply::Replaced { seat }) if a.json => {
                     println!("{}", json!({"coordinator": number, "replacement": seat}));
                     DONE
                 }
-                Some(Reply::Seat { number: seat }) => {
+                Some(Reply::Replaced { seat }) => {
                     let advice = format!("start it, with an empty folder, by --replacement {seat}");
                     a.report("replaced", &name, &[advice], DONE)
                 }
-                Some(Reply::TurnedDown(faults)) => a.report("refused", &name, &faults, REFUSED),
+                Some(Reply::Rejected(faults)) => a.report("refused", &name, &faults, REFUSED),
                 Some(_) => a.report("unknown", &name, &[], UNKNOWN),
             }
         }
-        Command::Status | Command::History => match a.send_until_reply(&Ask::Status) {
+        Command::Status | Command::History => match a.send_until_reply(&OperatorRequest::Status) {
             Some(Reply::Status(status)) => {
                 if matches!(a.command, Command::History) {
                     for ended in &status.ended {
