--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -7,9 +7,9 @@
 use thiserror::Error;
 
 /// Of the form. A reader refuses any other.
-pub const VERSION: u8 = 2;
+pub const FORMAT_VERSION: u8 = 2;
 /// The longest line that a reader takes, in bytes.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_LINE_LENGTH: usize = 64 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
@@ -21,7 +21,7 @@
     /// Tells this run of the process from earlier ones.
     pub life: u64,
     #[serde(flatten)]
-    pub what: What,
+    pub what: HistoryEvent,
 }
 
 /// How a submission ended.
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
-pub enum What {
+pub enum HistoryEvent {
     /// A process has begun.
     Started,
     /// A node's start has come so far.
@@ -90,8 +90,8 @@
 
 impl Line {
     #[must_use]
-    pub fn new(at: u64, by: &str, life: u64, what: What) -> Self {
-        Self { v: VERSION, at, by: by.to_owned(), life, what }
+    pub fn new(at: u64, by: &str, life: u64, what: HistoryEvent) -> Self {
+        Self { v: FORMAT_VERSION, at, by: by.to_owned(), life, what }
     }
 
     /// Writes it, with its end, in one call.
@@ -107,13 +107,13 @@
 }
 
 #[derive(Debug, Error)]
-pub enum Fault {
-    #[error("line {line}: {why}")]
-    Line { line: usize, why: String },
-    #[error("line {line}: form {found}, and this reads {VERSION}")]
-    Version { line: usize, found: u64 },
+pub enum HistoryError {
+    #[error("line {line}: {reason}")]
+    InvalidLine { line: usize, reason: String },
+    #[error("line {line}: form {found}, and this reads {FORMAT_VERSION}")]
+    UnsupportedVersion { line: usize, found: u64 },
     #[error(transparent)]
-    Read(#[from] io::Error),
+    Io(#[from] io::Error),
 }
 
 #[derive(Deserialize)]
@@ -126,24 +126,27 @@
 /// # Errors
 ///
 /// The first line that is not understood, by its number.
-pub fn read(from: &mut impl BufRead) -> Result<Vec<Line>, Fault> {
+pub fn read(from: &mut impl BufRead) -> Result<Vec<Line>, HistoryError> {
     let (mut lines, mut number, mut text) = (Vec::new(), 0, Vec::new());
     loop {
         text.clear();
         number += 1;
-        if io::Read::take(&mut *from, LONGEST as u64).read_until(b'\n', &mut text)? == 0 {
+        if io::Read::take(&mut *from, MAX_LINE_LENGTH as u64).read_until(b'\n', &mut text)? == 0 {
             return Ok(lines);
         }
         if text.last() != Some(&b'\n') {
-            if text.len() == LONGEST {
-                return Err(Fault::Line { line: number, why: format!("longer than {LONGEST} bytes") });
+            if text.len() == MAX_LINE_LENGTH {
+                return Err(HistoryError::InvalidLine {
+                    line: number,
+                    reason: format!("longer than {MAX_LINE_LENGTH} bytes"),
+                });
             }
             return Ok(lines);
         }
-        let fault = |e: serde_json::Error| Fault::Line { line: number, why: e.to_string() };
+        let fault = |e: serde_json::Error| HistoryError::InvalidLine { line: number, reason: e.to_string() };
         let Form { v } = serde_json::from_slice(&text).map_err(fault)?;
-        if v != u64::from(VERSION) {
-            return Err(Fault::Version { line: number, found: v });
+        if v != u64::from(FORMAT_VERSION) {
+            return Err(HistoryError::UnsupportedVersion { line: number, found: v });
         }
         lines.push(serde_json::from_slice(&text).map_err(fault)?);
     }
--- a/crates/history/tests/lines.rs
+++ b/crates/history/tests/lines.rs
@@ -1,12 +1,14 @@
 //! Histories are read back as they were written, and what is no history is refused.
 
-use linestack_history::{Ended, Fault, Line, What, read};
+use linestack_history::{Ended, HistoryError, HistoryEvent, Line, read};
 use rstest::rstest;
 
 fn text() -> Vec<u8> {
     let mut text = Vec::new();
-    let ended = What::Answered { id: "a".into(), version: 2, ended: Ended::Dismissed };
-    for (at, what) in [(1, What::Started), (2, ended), (3, What::Leased { version: 2, until: 9 })] {
+    let ended = HistoryEvent::Answered { id: "a".into(), version: 2, ended: Ended::Dismissed };
+    for (at, what) in
+        [(1, HistoryEvent::Started), (2, ended), (3, HistoryEvent::Leased { version: 2, until: 9 })]
+    {
         Line::new(at, "n0", 7, what).write(&mut text).unwrap();
     }
     text
@@ -30,11 +32,11 @@
 #[case::garbage(b"\xff\xfe\n", false)]
 fn refused(#[case] text: &[u8], #[case] version: bool) {
     let fault = read(&mut &text[..]).unwrap_err();
-    assert_eq!(matches!(fault, Fault::Version { line: 1, .. }), version, "{fault}");
+    assert_eq!(matches!(fault, HistoryError::UnsupportedVersion { line: 1, .. }), version, "{fault}");
 }
 
 #[test]
 fn a_line_without_end_is_bounded() {
-    let long = vec![b' '; linestack_history::LONGEST + 1];
-    assert!(matches!(read(&mut &long[..]), Err(Fault::Line { line: 1, .. })));
+    let long = vec![b' '; linestack_history::MAX_LINE_LENGTH + 1];
+    assert!(matches!(read(&mut &long[..]), Err(HistoryError::InvalidLine { line: 1, .. })));
 }
--- a/crates/lab/src/keep.rs
+++ b/crates/lab/src/keep.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use linestack_store::{Fault, Folder, Limits, Op, Store};
+use linestack_store::{Folder, Limits, Op, Store, StoreError};
 use serde::Serialize;
 
 /// Commits of one size.
@@ -34,11 +34,11 @@
     Op::Put { kind: 1, key, value: vec![1; value], at: number }
 }
 
-fn limits(sync: bool, unchecked: usize) -> Limits {
-    Limits { segment: 16 << 20, budget: 1 << 40, sync, unchecked, ..Limits::default() }
+fn limits(sync: bool, max_uncovered_segments: usize) -> Limits {
+    Limits { segment_size: 16 << 20, budget: 1 << 40, sync, max_uncovered_segments, ..Limits::default() }
 }
 
-fn open(folder: &Path, limits: Limits, new: bool) -> Result<Store<Folder>, Fault> {
+fn open(folder: &Path, limits: Limits, new: bool) -> Result<Store<Folder>, StoreError> {
     Store::open(Folder::open(folder)?, limits, new, 1)
 }
 
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// The disk's.
-pub fn commits(folder: &Path, sync: bool, batch: usize, span: Duration) -> Result<Commits, Fault> {
+pub fn commits(folder: &Path, sync: bool, batch: usize, span: Duration) -> Result<Commits, StoreError> {
     let mut store = open(folder, limits(sync, 8), true)?;
     let (begin, mut number, mut times) = (Instant::now(), 0, Vec::new());
     while begin.elapsed() < span {
@@ -67,7 +67,7 @@
         records_per_s: number as f64 / took,
         median_us: at(0.5),
         p99_us: at(0.99),
-        amplification: stats.written as f64 / stats.given.max(1) as f64,
+        amplification: stats.written_bytes as f64 / stats.committed_bytes.max(1) as f64,
     })
 }
 
@@ -82,7 +82,7 @@
 /// # Errors
 ///
 /// The disk's.
-pub fn back(folder: &Path, records: usize) -> Result<Back, Fault> {
+pub fn back(folder: &Path, records: usize) -> Result<Back, StoreError> {
     let mut store = open(folder, limits(false, usize::MAX - 1), true)?;
     let mut number = 0;
     while number < records as u64 {
@@ -92,7 +92,7 @@
     }
     let bytes = store.stats().bytes;
     drop(store);
-    let timed = || -> Result<(f64, Store<Folder>, u64), Fault> {
+    let timed = || -> Result<(f64, Store<Folder>, u64), StoreError> {
         let (before, at) = (resident(), Instant::now());
         let store = open(folder, limits(false, usize::MAX - 1), false)?;
         Ok((at.elapsed().as_secs_f64(), store, resident().saturating_sub(before)))
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome as RigOutcome, Second};
 use plotters::prelude::*;
@@ -131,7 +131,7 @@
     draw(&mut html, "What all draw on", shared, "a second")?;
     html += "<h2>What was done</h2>\n<table><tr><th>at, s</th><th>deed</th><th>to</th></tr>\n";
     for line in &outcome.lines {
-        if let What::Did { deed, to } = &line.what {
+        if let HistoryEvent::Did { deed, to } = &line.what {
             let at = line.at.saturating_sub(outcome.began) as f64 / 1e9;
             writeln!(html, "<tr><td>{at:.2}</td><td>{}</td><td>{}</td></tr>", escape(deed), escape(to))?;
         }
@@ -161,8 +161,10 @@
     let (mut at, mut points) = (std::collections::HashMap::<&str, &str>::new(), vec![(0.0, 0.0)]);
     for line in &outcome.lines {
         match &line.what {
-            What::Stage { stage } => drop(at.insert(&line.by, stage)),
-            What::Did { deed, to } if deed == "kill" || deed == "stop" => drop(at.remove(to.as_str())),
+            HistoryEvent::Stage { stage } => drop(at.insert(&line.by, stage)),
+            HistoryEvent::Did { deed, to } if deed == "kill" || deed == "stop" => {
+                at.remove(to.as_str());
+            }
             _ => continue,
         }
         let now = (line.at.saturating_sub(outcome.began)) as f64 / 1e9;
--- a/crates/node/src/fleet/audit_log.rs
+++ b/crates/node/src/fleet/audit_log.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use linestack_core::{Answer, ClientId, Effect, Input};
-use linestack_history::{Ended, Line, What};
+use linestack_history::{Ended, HistoryEvent, Line};
 
 use crate::net::lock;
 
@@ -31,12 +31,12 @@
     pub fn open(path: Option<&Path>, by: &str, life: u64) -> io::Result<Self> {
         let open = |p| OpenOptions::new().create(true).append(true).open(p);
         let mut writer = Self { file: path.map(open).transpose()?, by: by.to_owned(), life };
-        writer.write(super::monotonic(), What::Started);
+        writer.write(super::monotonic(), HistoryEvent::Started);
         Ok(writer)
     }
 
     /// Appends a line with this time of the machine's monotonic clock, in nanoseconds.
-    pub fn write(&mut self, at: u64, what: What) {
+    pub fn write(&mut self, at: u64, what: HistoryEvent) {
         if let Some(file) = &mut self.file {
             // Errors are ignored: a process keeps serving even if its history can't be written.
             let _ = Line::new(at, &self.by, self.life, what).write(file);
@@ -46,7 +46,7 @@
 
 /// The audit log of a node. A thread writes the lines, because the node's coroutines must not wait for a disk.
 pub struct AuditLog {
-    lines: Sender<(u64, What)>,
+    lines: Sender<(u64, HistoryEvent)>,
     /// The submission that each client waits for.
     pending: Mutex<HashMap<ClientId, Bytes>>,
     /// The reading of the node's clock minus that of the machine's monotonic clock, in nanoseconds.
@@ -67,7 +67,7 @@
     }
 
     /// Queues a line with this time of the node's clock.
-    pub fn write(&self, now: u64, what: What) {
+    pub fn write(&self, now: u64, what: HistoryEvent) {
         let _ = self.lines.send((now - self.offset, what));
     }
 
@@ -98,16 +98,16 @@
         if let Some((client, id)) = submission {
             match taken {
                 Some(version) => {
-                    self.write(now, What::Taken { id: text(&id), version });
+                    self.write(now, HistoryEvent::Taken { id: text(&id), version });
                     pending.insert(client, id);
                 }
-                None => self.write(now, What::TurnedAway { id: text(&id) }),
+                None => self.write(now, HistoryEvent::TurnedAway { id: text(&id) }),
             }
         }
         for effect in effects {
             match effect {
                 Effect::Send { request, version, .. } => {
-                    self.write(now, What::Sent { id: text(&request.id), version: *version });
+                    self.write(now, HistoryEvent::Sent { id: text(&request.id), version: *version });
                 }
                 Effect::Answer { client, answer, version, .. } => {
                     let Some(id) = pending.remove(client) else { continue };
@@ -117,7 +117,7 @@
                         Answer::Aborted => Ended::Aborted,
                         Answer::DuplicateId => Ended::Repeated,
                     };
-                    self.write(now, What::Answered { id: text(&id), version: *version, ended });
+                    self.write(now, HistoryEvent::Answered { id: text(&id), version: *version, ended });
                 }
                 _ => {}
             }
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -8,7 +8,7 @@
 use linestack_accord::{
     AuditEntry, ClientSession, Coordinator, CoordinatorId, Envelope, Input, Output, Reply, Request,
 };
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 
 use crate::fleet::audit_log::AuditWriter;
 use crate::fleet::session::client_session;
@@ -252,27 +252,27 @@
     }
 
     /// Logs and counts an event of the state machine, and returns its entry for the audit log, if there is one.
-    fn describe(&mut self, note: AuditEntry) -> Option<What> {
+    fn describe(&mut self, note: AuditEntry) -> Option<HistoryEvent> {
         Some(match note {
             AuditEntry::Established { round } => {
                 tracing::info!(round, "elected leader");
-                What::Established { round: u64::from(round) }
+                HistoryEvent::Established { round: u64::from(round) }
             }
             AuditEntry::Granted { member, round, version } => {
                 self.counts.granted += 1;
-                What::Granted { member, round: u64::from(round), version }
+                HistoryEvent::Granted { member, round: u64::from(round), version }
             }
             AuditEntry::Pending { request, version } => {
                 tracing::info!(request, version, "change proposed to the members");
-                What::Pending { request, version }
+                HistoryEvent::Pending { request, version }
             }
             AuditEntry::Decided { request, version, digest } => {
                 tracing::info!(request, version, digest, "decided");
-                What::Decided { request, version, digest }
+                HistoryEvent::Decided { request, version, digest }
             }
             AuditEntry::Dropped { request, version, end } => {
                 tracing::warn!(request, version, ?end, "change dropped");
-                What::Dropped { request, version, why: format!("{end:?}") }
+                HistoryEvent::Dropped { request, version, why: format!("{end:?}") }
             }
             AuditEntry::Refused { member, reason } => {
                 self.count_refusal("member");
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -9,7 +9,7 @@
 
 use linestack_accord::{ClientSession, Incarnation, Policy, Request};
 use linestack_core::Input as CoreInput;
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_member::{InjectedFault, Input, Member, Notice, Output};
 use linestack_recovery::start::{StartLimits, session_delay};
 use linestack_settings::Settings;
@@ -289,7 +289,7 @@
                     Ok(()) => tracing::info!(version, "change stored, not decided yet"),
                     Err(key) => {
                         tracing::error!(version, key, "change declined: this node can't run under it");
-                        self.write_audit(now, What::Declined { version, key: key.clone() });
+                        self.write_audit(now, HistoryEvent::Declined { version, key: key.clone() });
                     }
                 }
                 return Ok(Some(Input::Staged { version, result }));
@@ -309,7 +309,10 @@
                     let until = until.saturating_sub(suspended);
                     // Written to the audit log first: what is taken under this lease must not precede it there.
                     if let Some(audit_log) = &self.node.audit_log {
-                        audit_log.write(now, What::Leased { version, until: audit_log.machine_time(until) });
+                        audit_log.write(
+                            now,
+                            HistoryEvent::Leased { version, until: audit_log.machine_time(until) },
+                        );
                     }
                     let until = if self.injected_fault == Some(InjectedFault::LeaseNeverEnds) {
                         u64::MAX
@@ -325,7 +328,7 @@
         Ok(None)
     }
 
-    fn write_audit(&self, now: u64, what: What) {
+    fn write_audit(&self, now: u64, what: HistoryEvent) {
         if let Some(audit_log) = &self.node.audit_log {
             audit_log.write(now, what);
         }
@@ -373,7 +376,7 @@
         let record = MemberRecord { staged: Some(policy), ..self.record.clone() };
         self.store.save(&record).map_err(|e| format!("store: {e}"))?;
         self.record = record;
-        self.write_audit(self.node.clock.now(), What::Staged { version, digest });
+        self.write_audit(self.node.clock.now(), HistoryEvent::Staged { version, digest });
         Ok(())
     }
 
@@ -386,7 +389,7 @@
         self.store.save(&record).map_err(|e| format!("store: {e}"))?;
         self.record = record;
         self.settings = settings.clone();
-        self.write_audit(self.node.clock.now(), What::Active { version, digest });
+        self.write_audit(self.node.clock.now(), HistoryEvent::Active { version, digest });
         self.node.handle_input(CoreInput::SettingsChanged { settings: Box::new(settings), version });
         tracing::info!(version, digest, "policy activated");
         Ok(())
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -20,7 +20,7 @@
 use linestack::staged_start;
 use linestack_core::{Core, Input};
 use linestack_dispatch::types::{ListKind, RepeatPolicy};
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_recovery::start::{StagedStart as Starting, StartConditions};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -309,7 +309,7 @@
     settings: &linestack_settings::Settings,
 ) {
     if active > 0 {
-        let what = What::Active { version: active, digest: start.record.active.digest() };
+        let what = HistoryEvent::Active { version: active, digest: start.record.active.digest() };
         if let Some(audit_log) = node.audit_log() {
             audit_log.write(node.clock.now(), what);
         }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use linestack_dispatch::types::Nanos;
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_settings::{Names, ReportLayout};
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::TcpStream;
@@ -482,7 +482,7 @@
                 tracing::info!(stage = stage.as_str(), waits_for = stage.waits_for(), "start");
                 if let Some(audit_log) = &self.audit_log {
                     let stage = stage.as_str().to_owned();
-                    audit_log.write(self.clock.now(), What::Stage { stage });
+                    audit_log.write(self.clock.now(), HistoryEvent::Stage { stage });
                 }
             }
             Effect::Refused { id, refusal, occasion } => {
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -9,7 +9,7 @@
 use linestack_core::{Core, Input, Nanos, PersistTicket, StoredOutcomes};
 use linestack_recovery::start::{BootTimestamp, is_fresh};
 use linestack_recovery::{OutcomeRecord, OutcomeTable, StoreTime, StoredOutcome};
-use linestack_store::{Damage, Fault, Folder, LARGEST, Limits, Op, Store, repair};
+use linestack_store::{Damage, Folder, Limits, MAX_RECORD_LENGTH, Op, Store, StoreError, repair};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::store::{FileIdentity, file_identity, same_file};
@@ -33,7 +33,7 @@
 /// The largest number of records in one commit.
 const GROUP_SIZE: usize = 512;
 // The largest result must fit into a record, because a record that is too large would fail the store.
-const _: () = assert!(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES < LARGEST);
+const _: () = assert!(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES < MAX_RECORD_LENGTH);
 /// Stored outcomes may take one part in so many of the program's memory.
 const OUTCOMES_MEMORY_DIVISOR: usize = 8;
 
@@ -144,7 +144,7 @@
 
 fn limits(retention: StoreTime, budget_mb: u64, sync: Sync) -> Limits {
     let sync = sync == Sync::Group;
-    Limits { budget: budget_mb << 20, spans: vec![(KIND_OUTCOME, retention)], sync, ..Limits::default() }
+    Limits { budget: budget_mb << 20, retention: vec![(KIND_OUTCOME, retention)], sync, ..Limits::default() }
 }
 
 /// A record to be written to the store.
@@ -218,10 +218,10 @@
     /// the operator what to do.
     pub fn open(config: Config, node: &str) -> Result<Self, String> {
         let place = config.folder.display().to_string();
-        let message = |error: &Fault| {
+        let message = |error: &StoreError| {
             let remedy = match error {
-                Fault::Missing => format!("; `linestack store init {place}` creates one"),
-                Fault::Damaged { .. } => format!("; `linestack store verify {place}` shows the damage"),
+                StoreError::Missing => format!("; `linestack store init {place}` creates one"),
+                StoreError::Damaged { .. } => format!("; `linestack store verify {place}` shows the damage"),
                 _ => String::new(),
             };
             format!("store.folder: {place}: {error}{remedy}")
@@ -335,12 +335,12 @@
 const LIST_CONFIRMED_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads all stored outcomes.
-fn read_outcomes(store: &Store<Folder>) -> Result<Vec<OutcomeRecord>, Fault> {
+fn read_outcomes(store: &Store<Folder>) -> Result<Vec<OutcomeRecord>, StoreError> {
     // The key of a record at which a test makes the process die.
     let fatal_key =
         crate::fleet::injected_fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
     let mut outcomes = Vec::new();
-    store.each(|entry, value| {
+    store.for_each(|entry, value| {
         if fatal_key
             .as_ref()
             .is_some_and(|key| entry.kind == KIND_OUTCOME && entry.key.starts_with(key.as_bytes()))
@@ -445,7 +445,7 @@
             }
             StoreRecord::List(list) => {
                 let text = list.write();
-                if text.len() + 64 < LARGEST {
+                if text.len() + 64 < MAX_RECORD_LENGTH {
                     return Some(put(KIND_LIST, b"list", text, self.newest_time));
                 }
                 tracing::warn!(bytes = text.len(), "the list is too long to be stored");
@@ -540,7 +540,7 @@
     let unlimited = || limits(u64::MAX, 1 << 20, Sync::Group);
     let seed = crate::fleet::random_u64();
     let folder = |path: &Path| Folder::open(path).map_err(|e| format!("{}: {e}", path.display()));
-    let message = |path: &Path, e: &Fault| format!("{}: {e}", path.display());
+    let message = |path: &Path, e: &StoreError| format!("{}: {e}", path.display());
     match command {
         Command::Init { folder: path, lost } => {
             let mut store =
@@ -572,7 +572,7 @@
             let store =
                 Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
             let mut entries = Vec::new();
-            store.each(|entry, value| entries.push((entry, value))).map_err(|e| message(path, &e))?;
+            store.for_each(|entry, value| entries.push((entry, value))).map_err(|e| message(path, &e))?;
             entries.sort_by(|(a, _), (b, _)| (a.at, &a.key).cmp(&(b.at, &b.key)));
             for (entry, value) in entries {
                 let key = String::from_utf8_lossy(&entry.key);
@@ -602,7 +602,9 @@
                         path.display()
                     ));
                 }
-                Err(Fault::Missing) => return Err(format!("{}: there is no store here", path.display())),
+                Err(StoreError::Missing) => {
+                    return Err(format!("{}: there is no store here", path.display()));
+                }
                 _ => {}
             }
             let (mut store, lost) =
@@ -626,6 +628,6 @@
 /// Formats the damaged places, one a line.
 fn format_damage(damage: &[Damage]) -> String {
     let lines: Vec<String> =
-        damage.iter().map(|d| format!("  {} at byte {}: {}", d.file, d.at, d.why)).collect();
+        damage.iter().map(|d| format!("  {} at byte {}: {}", d.file, d.offset, d.reason)).collect();
     lines.join("\n")
 }
--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_rig::http::get;
 use linestack_rig::plan::Plan;
 use linestack_rig::process::{Process, copy};
@@ -41,7 +41,7 @@
 fn sound(outcome: &Outcome) {
     assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
     assert!(outcome.findings.is_empty(), "{:?}", outcome.findings);
-    let lost = |w: &What| matches!(w, What::Unknown { .. } | What::Unsent { .. });
+    let lost = |w: &HistoryEvent| matches!(w, HistoryEvent::Unknown { .. } | HistoryEvent::Unsent { .. });
     assert!(outcome.lines.iter().any(|l| lost(&l.what)), "nobody noticed the kill");
 }
 
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_rig::check::Broken;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome, run};
@@ -31,7 +31,7 @@
 /// What the operator was told of a request.
 fn heard<'a>(outcome: &'a Outcome, request: &str) -> &'a str {
     let found = outcome.lines.iter().find_map(|l| match &l.what {
-        What::Heard { request: r, outcome } if r == request => Some(outcome.as_str()),
+        HistoryEvent::Heard { request: r, outcome } if r == request => Some(outcome.as_str()),
         _ => None,
     });
     found.unwrap_or("nothing")
@@ -39,7 +39,7 @@
 
 fn decided(outcome: &Outcome) -> u64 {
     let versions = outcome.lines.iter().filter_map(|l| match l.what {
-        What::Decided { version, .. } => Some(version),
+        HistoryEvent::Decided { version, .. } => Some(version),
         _ => None,
     });
     versions.max().unwrap_or(0)
@@ -65,7 +65,8 @@
     sound(&outcome);
     assert_eq!((heard(&outcome, "r1"), decided(&outcome)), ("decided", 2));
     // It woke to requests that were waiting, and may not take them.
-    let away = |l: &&linestack_history::Line| l.by == "n2" && matches!(l.what, What::TurnedAway { .. });
+    let away =
+        |l: &&linestack_history::Line| l.by == "n2" && matches!(l.what, HistoryEvent::TurnedAway { .. });
     assert!(outcome.lines.iter().filter(away).count() > 0);
 }
 
@@ -109,7 +110,7 @@
          to = [\"c0\", \"c1\"]\n{DECIDED}"
     )));
     sound(&outcome);
-    let turned = outcome.lines.iter().filter(|l| matches!(l.what, What::TurnedAway { .. })).count();
+    let turned = outcome.lines.iter().filter(|l| matches!(l.what, HistoryEvent::TurnedAway { .. })).count();
     assert!(turned > 10, "all took on without leave: {turned}");
     assert_eq!(decided(&outcome), 2);
 }
@@ -261,7 +262,7 @@
         "strict = false\n[[steps]]\nafter-ms = 300\ndo = \"kill\"\nto = [\"c*\"]\n[[steps]]\nafter-ms = 2000\ndo = \"start\"\nto = [\"c*\"]\n",
     ));
     sound(&outcome);
-    assert!(!outcome.lines.iter().any(|l| matches!(l.what, What::TurnedAway { .. })));
+    assert!(!outcome.lines.iter().any(|l| matches!(l.what, HistoryEvent::TurnedAway { .. })));
 }
 
 // Known mistakes, by processes that make them.
--- a/crates/node/tests/list.rs
+++ b/crates/node/tests/list.rs
@@ -46,7 +46,7 @@
     let list = List { index: 1, whole: true, endpoints: (0..1_100).map(entry).collect() };
     let text = list.write();
     println!("{} bytes", text.len());
-    assert!(text.len() < linestack_store::LARGEST - http::MAX_HEAD_BYTES, "{}", text.len());
+    assert!(text.len() < linestack_store::MAX_RECORD_LENGTH - http::MAX_HEAD_BYTES, "{}", text.len());
     let folder = tempfile::tempdir().unwrap();
     let open = |new| Store::open(Folder::open(folder.path()).unwrap(), Limits::default(), new, 1).unwrap();
     let put = Op::Put { kind: 2, key: b"list".to_vec(), value: text, at: 1 };
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome, run};
 use linestack_rig::stand::Fleet;
@@ -29,7 +29,7 @@
 fn killed_twenty_times() {
     let with = play(&kills(true));
     assert!(with.sound(), "{:?} {:?}", with.findings, with.faults);
-    let unknown = with.lines.iter().filter(|l| matches!(l.what, What::Unknown { .. })).count();
+    let unknown = with.lines.iter().filter(|l| matches!(l.what, HistoryEvent::Unknown { .. })).count();
     assert!(unknown > 10 && with.doubled == 0, "{unknown} unknown, {} doubled", with.doubled);
     // What was satisfied and not told is told when it is asked for again, and what may have run is aborted.
     assert!(with.seconds.iter().map(|s| s.aborted).sum::<u64>() > 0);
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use linestack_history::{Ended, Line, What};
+use linestack_history::{Ended, HistoryEvent, Line};
 
 /// What was promised.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     let mut all: HashMap<String, Vec<(u64, u64)>> = HashMap::new();
     let mut open: HashMap<(String, bool), u64> = HashMap::new();
     for line in lines {
-        let What::Did { deed, to } = &line.what else { continue };
+        let HistoryEvent::Did { deed, to } = &line.what else { continue };
         // A way from clients to a node is the node's.
         let way = to.contains('>');
         let who = to.strip_prefix("k>").unwrap_or(to).to_owned();
@@ -118,7 +118,7 @@
     for line in lines {
         let by = line.by.as_str();
         match &line.what {
-            What::Decided { request, version, digest } => {
+            HistoryEvent::Decided { request, version, digest } => {
                 let known = decided.entry(*version).or_insert((line.at, *digest));
                 if known.1 != *digest || dropped.contains(version) {
                     add(
@@ -134,15 +134,15 @@
                     add(found, Broken::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
-            What::Dropped { request, version, .. } => {
+            HistoryEvent::Dropped { request, version, .. } => {
                 dropped.insert(*version);
                 let other = *ends.entry(request).or_insert((false, *version)) != (false, *version);
                 if other || decided.contains_key(version) {
                     add(found, Broken::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
-            What::Established { round } => newest = newest.max((*round, by)),
-            What::Granted { round, member, version } if promise.strict => {
+            HistoryEvent::Established { round } => newest = newest.max((*round, by)),
+            HistoryEvent::Granted { round, member, version } if promise.strict => {
                 if (*round, by) < newest {
                     let why = format!(
                         "let {member} serve in round {round}, but {} speaks in {}",
@@ -154,17 +154,17 @@
                     add(found, Broken::Undecided, line, format!("let {member} serve under {version}"));
                 }
             }
-            What::Active { version, digest } => match decided.get(version) {
+            HistoryEvent::Active { version, digest } => match decided.get(version) {
                 Some((_, text)) if text == digest => {}
                 Some(_) => {
                     add(found, Broken::TwoOutcomes, line, format!("version {version} with another text"))
                 }
                 None => add(found, Broken::Undecided, line, format!("goes by version {version}")),
             },
-            What::Leased { version, until } => {
+            HistoryEvent::Leased { version, until } => {
                 leased.insert((by, line.life), (*version, *until));
             }
-            What::Taken { id, version } if promise.strict && *version > 0 => {
+            HistoryEvent::Taken { id, version } if promise.strict && *version > 0 => {
                 match leased.get(&(by, line.life)) {
                     Some((_, until)) if line.at < *until => {}
                     Some((_, until)) => {
@@ -190,7 +190,7 @@
                     add(found, Broken::OldVersion, line, why);
                 }
             }
-            What::Heard { request, outcome } => {
+            HistoryEvent::Heard { request, outcome } => {
                 let end = ends.get(request.as_str()).map(|(decided, _)| *decided);
                 let wrong = match outcome.as_str() {
                     "decided" => end != Some(true),
@@ -208,7 +208,7 @@
     }
     // Whatever was told first, a request that was refused may not be decided later.
     for line in lines {
-        if let What::Heard { request, outcome } = &line.what
+        if let HistoryEvent::Heard { request, outcome } = &line.what
             && outcome == "refused"
             && ends.get(request.as_str()).is_some_and(|(decided, _)| *decided)
         {
@@ -226,11 +226,12 @@
     let mut held: HashMap<(&str, u64, &str), Held> = HashMap::new();
     for line in lines {
         match &line.what {
-            What::Taken { id, version } => {
+            HistoryEvent::Taken { id, version } => {
                 let taken = Held { line, version: *version, answered: false };
                 held.insert((&line.by, line.life, id), taken);
             }
-            What::Sent { id, version } => match held.get(&(line.by.as_str(), line.life, id.as_str())) {
+            HistoryEvent::Sent { id, version } => match held.get(&(line.by.as_str(), line.life, id.as_str()))
+            {
                 Some(h) if h.answered => {
                     add(found, Broken::AnsweredTwice, line, format!("sent {id} after its answer"));
                 }
@@ -243,7 +244,7 @@
                     add(found, Broken::VersionChanged, line, format!("sent {id}, which it had not taken"))
                 }
             },
-            What::Answered { id, version, ended } if *ended != Ended::Repeated => {
+            HistoryEvent::Answered { id, version, ended } if *ended != Ended::Repeated => {
                 match held.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
                     Some(h) if h.answered => {
                         add(found, Broken::AnsweredTwice, line, format!("answered {id} twice"));
@@ -265,7 +266,7 @@
     let left: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
-            What::Unknown { id } | What::Unsent { id } => Some(id.as_str()),
+            HistoryEvent::Unknown { id } | HistoryEvent::Unsent { id } => Some(id.as_str()),
             _ => None,
         })
         .collect();
@@ -280,17 +281,17 @@
     let one_shots: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
-            What::Asked { key, one_shot: true, .. } => Some(key.as_str()),
+            HistoryEvent::Asked { key, one_shot: true, .. } => Some(key.as_str()),
             _ => None,
         })
         .collect();
     let mut began: HashMap<&str, Vec<(&Line, &str)>> = HashMap::new();
     for line in lines {
         match &line.what {
-            What::Took { id, key, .. } if one_shots.contains(key.as_str()) => {
+            HistoryEvent::Took { id, key, .. } if one_shots.contains(key.as_str()) => {
                 began.entry(key).or_default().push((line, id));
             }
-            What::PushedOver { executor } => {
+            HistoryEvent::PushedOver { executor } => {
                 add(
                     found,
                     Broken::PushedOver,
@@ -298,7 +299,9 @@
                     format!("{executor} is cold and was handed more than it bears"),
                 );
             }
-            What::Unbegun { id } => began.values_mut().for_each(|b| b.retain(|(_, other)| other != id)),
+            HistoryEvent::Unbegun { id } => {
+                began.values_mut().for_each(|b| b.retain(|(_, other)| other != id))
+            }
             _ => {}
         }
     }
@@ -325,14 +328,14 @@
     let mut told: BTreeSet<&str> = BTreeSet::new();
     for line in lines {
         match &line.what {
-            What::Asked { id, node, .. } => {
+            HistoryEvent::Asked { id, node, .. } => {
                 asked.insert(id, (line, node));
             }
-            What::Told { id, .. } => {
+            HistoryEvent::Told { id, .. } => {
                 let first = told.insert(id);
                 (!first).then(|| add(found, Broken::AnsweredTwice, line, format!("{id} was told twice")));
             }
-            What::Unknown { id } => {
+            HistoryEvent::Unknown { id } => {
                 let Some((from, node)) = asked.get(id.as_str()) else { continue };
                 let hit = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
                 if !troubles.get(*node).into_iter().flatten().any(hit) {
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -25,7 +25,7 @@
 pub const HARMLESS: &str = "look";
 
 /// Told of everything that a client does and sees.
-pub type Observer = Arc<dyn Fn(What) + Send + Sync>;
+pub type Observer = Arc<dyn Fn(HistoryEvent) + Send + Sync>;
 
 enum Told {
     Status(u16, Option<Duration>),
@@ -56,27 +56,32 @@
                 node = rng.random_range(0..nodes.len());
             }
             let id = format!("{number:x}-{count:x}-{again:x}");
-            seen(What::Asked { id: id.clone(), key: key.clone(), node: format!("n{node}"), one_shot });
+            seen(HistoryEvent::Asked {
+                id: id.clone(),
+                key: key.clone(),
+                node: format!("n{node}"),
+                one_shot,
+            });
             let told = once(&mut sockets[node], nodes[node], load, &id, &key, one_shot, again > 0);
             if matches!(told, Told::Unknown | Told::Unsent) {
                 sockets[node] = None;
             }
             match told {
                 Told::Status(status, wait) => {
-                    seen(What::Told { id, status });
+                    seen(HistoryEvent::Told { id, status });
                     if !matches!(status, 429 | 503) {
                         break;
                     }
                     std::thread::sleep(wait.unwrap_or_default().min(COME_BACK));
                 }
                 Told::Unknown => {
-                    seen(What::Unknown { id });
+                    seen(HistoryEvent::Unknown { id });
                     if !load.ask_when_unknown {
                         break;
                     }
                 }
                 Told::Unsent => {
-                    seen(What::Unsent { id });
+                    seen(HistoryEvent::Unsent { id });
                     // A node that is down refuses at once, and must not be asked in a loop.
                     std::thread::sleep(Duration::from_millis(if load.same_node { 100 } else { 10 }));
                 }
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use linestack_history::{Line, What};
+use linestack_history::{HistoryEvent, Line};
 use rustix::process::Signal;
 use serde_json::Value;
 
@@ -40,11 +40,11 @@
 
     /// Writes into the history what was done to whom.
     pub(super) fn note(&self, deed: &str, to: &str) {
-        self.write("rig", What::Did { deed: deed.to_owned(), to: to.to_owned() });
+        self.write("rig", HistoryEvent::Did { deed: deed.to_owned(), to: to.to_owned() });
     }
 
     /// Writes a line into the history in the name of a process.
-    pub(super) fn write(&self, by: &str, what: What) {
+    pub(super) fn write(&self, by: &str, what: HistoryEvent) {
         let _ = self.history.send(Line::new(monotonic(), by, 0, what));
     }
 
--- a/crates/rig/src/run/histories.rs
+++ b/crates/rig/src/run/histories.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-use linestack_history::{Line, What, read};
+use linestack_history::{HistoryEvent, Line, read};
 
 use super::Rig;
 use crate::process::PATIENCE;
@@ -29,9 +29,9 @@
         let mut states = Self::default();
         for line in lines {
             match line.what {
-                What::Active { version, .. } => drop(states.active.insert(line.by, version)),
-                What::Stage { stage } => drop(states.stages.insert(line.by, stage)),
-                What::Started => drop(states.stages.remove(&line.by)),
+                HistoryEvent::Active { version, .. } => drop(states.active.insert(line.by, version)),
+                HistoryEvent::Stage { stage } => drop(states.stages.insert(line.by, stage)),
+                HistoryEvent::Started => drop(states.stages.remove(&line.by)),
                 _ => {}
             }
         }
@@ -65,7 +65,7 @@
     pub(super) fn speaker(&self) -> String {
         let mut newest = (0, "c0".to_owned());
         for line in self.histories("c") {
-            if let What::Established { round } = line.what
+            if let HistoryEvent::Established { round } = line.what
                 && round >= newest.0
             {
                 newest = (round, line.by);
@@ -97,7 +97,7 @@
     /// The last version that the coordinators decided; 0 for none.
     fn last_decided(&self) -> u64 {
         let version = |line: &Line| match line.what {
-            What::Decided { version, .. } => Some(version),
+            HistoryEvent::Decided { version, .. } => Some(version),
             _ => None,
         };
         self.histories("c").iter().filter_map(version).max().unwrap_or(0)
--- a/crates/rig/src/run/operator.rs
+++ b/crates/rig/src/run/operator.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-use linestack_history::{Line, What};
+use linestack_history::{HistoryEvent, Line};
 use serde_json::Value;
 
 use super::Rig;
@@ -56,7 +56,7 @@
         let history = self.history.clone();
         self.operators.push(std::thread::spawn(move || {
             let outcome = outcome_of(command.output());
-            let what = What::Heard { request, outcome };
+            let what = HistoryEvent::Heard { request, outcome };
             let _ = history.send(Line::new(monotonic(), "operator", 0, what));
         }));
     }
--- a/crates/rig/src/run/outcome.rs
+++ b/crates/rig/src/run/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linestack_history::{Line, What};
+use linestack_history::{HistoryEvent, Line};
 
 use super::Second;
 use crate::check::Finding;
@@ -42,9 +42,11 @@
         for line in &self.lines {
             let under_load = line.at >= self.began;
             match &line.what {
-                What::Active { version, .. } => drop(active.insert(&line.by, *version)),
+                HistoryEvent::Active { version, .. } => drop(active.insert(&line.by, *version)),
                 // One that is dead goes by nothing; one that is paused may wake at any moment.
-                What::Did { deed, to } if deed == "kill" && under_load => drop(active.remove(to.as_str())),
+                HistoryEvent::Did { deed, to } if deed == "kill" && under_load => {
+                    active.remove(to.as_str());
+                }
                 _ => continue,
             }
             let mixed = under_load && active.values().min() != active.values().max();
--- a/crates/rig/src/run/recovery.rs
+++ b/crates/rig/src/run/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use linestack_history::{Line, What};
+use linestack_history::{HistoryEvent, Line};
 use serde::Serialize;
 
 use super::{Outcome, Second};
@@ -76,13 +76,13 @@
         let mut answers = Vec::new();
         for line in lines {
             match &line.what {
-                What::Asked { id, .. } => {
+                HistoryEvent::Asked { id, .. } => {
                     asked.insert(id, line.at);
                     if id.ends_with(FIRST_TRY) {
                         first_tries.insert(id, FirstTry { at: line.at, satisfied: false });
                     }
                 }
-                What::Told { id, status: 200 } => {
+                HistoryEvent::Told { id, status: 200 } => {
                     let from = asked.get(id.as_str()).copied().unwrap_or(line.at);
                     answers.push(Answer { at: line.at, took_ms: (line.at - from) as f64 / NANOS_PER_MS });
                     if let Some(first) = first_tries.get_mut(id.as_str()) {
@@ -117,7 +117,7 @@
 /// The times at which a deed that `wanted` accepts was done.
 fn times_of<'a>(lines: &'a [Line], wanted: impl Fn(&str) -> bool + 'a) -> impl Iterator<Item = u64> + 'a {
     lines.iter().filter_map(move |line| match &line.what {
-        What::Did { deed, .. } if wanted(deed) => Some(line.at),
+        HistoryEvent::Did { deed, .. } if wanted(deed) => Some(line.at),
         _ => None,
     })
 }
--- a/crates/rig/src/run/seconds.rs
+++ b/crates/rig/src/run/seconds.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-use linestack_history::{Line, What};
+use linestack_history::{HistoryEvent, Line};
 use serde::Serialize;
 
 use crate::{lock, monotonic};
@@ -109,17 +109,17 @@
         let began = self.began;
         for line in lines.iter().filter(|line| line.at >= began) {
             match &line.what {
-                What::Asked { id, .. } => {
+                HistoryEvent::Asked { id, .. } => {
                     asked.insert(id, line.at);
                     self.count(line.at, |s| s.asked += 1);
                 }
-                What::Told { id, status } => {
+                HistoryEvent::Told { id, status } => {
                     let took = asked.get(id.as_str()).map_or(0, |from| line.at - from);
                     self.count(line.at, |s| count_answer(s, *status, took > late_after));
                 }
-                What::Unknown { .. } => self.count(line.at, |s| s.unknown += 1),
-                What::Unsent { .. } => self.count(line.at, |s| s.unsent += 1),
-                What::Took { .. } => self.count(line.at, |s| s.executions += 1),
+                HistoryEvent::Unknown { .. } => self.count(line.at, |s| s.unknown += 1),
+                HistoryEvent::Unsent { .. } => self.count(line.at, |s| s.unsent += 1),
+                HistoryEvent::Took { .. } => self.count(line.at, |s| s.executions += 1),
                 _ => {}
             }
         }
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 
 use super::observations::{AwaitedFrames, Seen, SeenLine};
 use super::{POLL_INTERVAL, Rig, leads_to};
@@ -104,7 +104,7 @@
     /// Writes into the history that a node goes by the settings of its own file.
     pub(super) fn write_active(&self, name: &str) {
         let version = self.file_policies.get(name).copied().unwrap_or(1);
-        self.write(name, What::Active { version, digest: 0 });
+        self.write(name, HistoryEvent::Active { version, digest: 0 });
     }
 }
 
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_world::standin::{Offer, StandIn, Ticket};
 use linestack_world::{Repeats, Scenario, Trouble};
 use serde_json::{Value, json};
@@ -30,7 +30,7 @@
 }
 
 /// Told of each execution that an executor took, and of each that it dropped before it had begun.
-pub type Observer = Arc<dyn Fn(What) + Send + Sync>;
+pub type Observer = Arc<dyn Fn(HistoryEvent) + Send + Sync>;
 
 impl Stand {
     fn now(&self) -> u64 {
@@ -112,9 +112,9 @@
                     if let Some(seen) = &self.seen {
                         let (executor, key) = (guard.0.name().to_owned(), String::from_utf8_lossy(&body));
                         if guard.0.pushed_over(now, &kind) {
-                            seen(What::PushedOver { executor: executor.clone() });
+                            seen(HistoryEvent::PushedOver { executor: executor.clone() });
                         }
-                        seen(What::Took { id: id.clone(), key: key.into_owned(), executor });
+                        seen(HistoryEvent::Took { id: id.clone(), key: key.into_owned(), executor });
                     }
                     guard.1.insert(ticket, (socket.try_clone()?, id));
                     held = Some(ticket);
@@ -135,7 +135,7 @@
             if let Some((_, id)) = guard.1.remove(&ticket) {
                 let unbegun = guard.0.withdraw(self.now(), ticket);
                 if let Some(seen) = self.seen.as_ref().filter(|_| unbegun) {
-                    seen(What::Unbegun { id });
+                    seen(HistoryEvent::Unbegun { id });
                 }
                 self.changed.notify_one();
             }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -57,7 +57,7 @@
             Err(TryLockError::WouldBlock) => {
                 Err(io::Error::new(io::ErrorKind::WouldBlock, "another process holds this folder"))
             }
-            Err(TryLockError::Error(why)) => Err(why),
+            Err(TryLockError::Error(error)) => Err(error),
         }
     }
 
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -4,27 +4,27 @@
 
 use thiserror::Error;
 
-use crate::format::{FORM, LARGEST};
+use crate::format::{FORMAT_VERSION, MAX_RECORD_LENGTH};
 
 /// Why a store can't be opened, read or written.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum StoreError {
     /// The file system's error.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A file is not as it was written.
-    #[error("{file}: damaged at byte {at}: {why}")]
+    #[error("{file}: damaged at byte {offset}: {reason}")]
     Damaged {
         /// The file.
         file: String,
         /// The offset of the damage.
-        at: u64,
+        offset: u64,
         /// What is damaged.
-        why: &'static str,
+        reason: &'static str,
     },
     /// A file has another format version.
-    #[error("{file}: of form {found}, and this reads {FORM}")]
-    Form {
+    #[error("{file}: of form {found}, and this reads {FORMAT_VERSION}")]
+    FormatVersion {
         /// The file.
         file: String,
         /// Its format version.
@@ -35,16 +35,16 @@
     Missing,
     /// There is a store in the folder, where none was expected.
     #[error("there is a store here already")]
-    There,
+    AlreadyExists,
     /// A record is too large; the bytes of its key and value.
-    #[error("a record of {0} bytes, {LARGEST} at most")]
-    Large(usize),
+    #[error("a record of {0} bytes, {MAX_RECORD_LENGTH} at most")]
+    TooLarge(usize),
     /// A write or a sync failed before. What is on the disk is not known, so the store takes nothing more.
     #[error("the store has failed")]
     Failed,
 }
 
-/// A [`Fault::Damaged`].
-pub(crate) fn damaged(file: &str, at: u64, why: &'static str) -> Fault {
-    Fault::Damaged { file: file.to_owned(), at, why }
+/// A [`StoreError::Damaged`].
+pub(crate) fn damaged(file: &str, offset: u64, reason: &'static str) -> StoreError {
+    StoreError::Damaged { file: file.to_owned(), offset, reason }
 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,11 +1,11 @@
 //! The file format, as `docs/store.md` describes it. All integers are little-endian.
 
-use crate::error::{Fault, damaged};
+use crate::error::{StoreError, damaged};
 
 /// The version of the format. Files of another version are refused.
-pub const FORM: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 /// The largest key and value together, in bytes: a list of 1,024 executors with 2 KB each. Nothing is set aside for it.
-pub const LARGEST: usize = 2 << 20;
+pub const MAX_RECORD_LENGTH: usize = 2 << 20;
 /// Records begin at multiples of this, so that no record header lies across the end of a sector.
 pub(crate) const ALIGN: usize = 16;
 /// The unit that a disk is assumed to write as a whole or not at all.
@@ -142,7 +142,7 @@
         return if ends_complete(segment) { Found::Damage("a record's head") } else { Found::End };
     }
     let body_length = read_u32(header, 0) as usize;
-    if !(BODY_HEADER..=LARGEST + BODY_HEADER).contains(&body_length) {
+    if !(BODY_HEADER..=MAX_RECORD_LENGTH + BODY_HEADER).contains(&body_length) {
         return Found::Damage("a record's length");
     }
     let size = record_size(body_length);
@@ -206,7 +206,7 @@
 pub(crate) fn encode_segment_header(number: u64, salt: u64) -> [u8; SEGMENT_HEADER] {
     let mut header = [0; SEGMENT_HEADER];
     header[..4].copy_from_slice(SEGMENT_MAGIC);
-    header[4..6].copy_from_slice(&FORM.to_le_bytes());
+    header[4..6].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
     header[8..16].copy_from_slice(&number.to_le_bytes());
     header[16..24].copy_from_slice(&salt.to_le_bytes());
     let checksum = crc32fast::hash(&header[..28]);
@@ -215,11 +215,11 @@
 }
 
 /// Verifies the header of a segment, and returns its salt.
-pub(crate) fn decode_segment_header(file: &str, header: &[u8], number: u64) -> Result<u64, Fault> {
+pub(crate) fn decode_segment_header(file: &str, header: &[u8], number: u64) -> Result<u64, StoreError> {
     if header.len() < SEGMENT_HEADER || &header[..4] != SEGMENT_MAGIC {
         return Err(damaged(file, 0, "no segment"));
     }
-    check_form(file, header)?;
+    check_format_version(file, header)?;
     if crc32fast::hash(&header[..28]) != read_u32(header, 28) {
         return Err(damaged(file, 0, "its head"));
     }
@@ -230,15 +230,19 @@
 }
 
 /// Refuses another version of the format. This comes before the checksum, which another version may have elsewhere.
-fn check_form(file: &str, bytes: &[u8]) -> Result<(), Fault> {
+fn check_format_version(file: &str, bytes: &[u8]) -> Result<(), StoreError> {
     let found = u16::from_le_bytes([bytes[4], bytes[5]]);
-    if found == FORM { Ok(()) } else { Err(Fault::Form { file: file.to_owned(), found }) }
+    if found == FORMAT_VERSION {
+        Ok(())
+    } else {
+        Err(StoreError::FormatVersion { file: file.to_owned(), found })
+    }
 }
 
 /// The bytes of a manifest.
 pub(crate) fn encode_manifest(manifest: &Manifest) -> Vec<u8> {
     let mut bytes = MANIFEST_MAGIC.to_vec();
-    bytes.extend_from_slice(&FORM.to_le_bytes());
+    bytes.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(manifest.segments.len() as u16).to_le_bytes());
     bytes.extend_from_slice(&manifest.number.to_le_bytes());
     bytes.extend_from_slice(&manifest.segment_size.to_le_bytes());
@@ -256,13 +260,13 @@
 }
 
 /// Verifies and reads a manifest.
-pub(crate) fn decode_manifest(file: &str, bytes: &[u8]) -> Result<Manifest, Fault> {
+pub(crate) fn decode_manifest(file: &str, bytes: &[u8]) -> Result<Manifest, StoreError> {
     let no_manifest = || damaged(file, 0, "no manifest");
     let (body, checksum) = bytes.split_last_chunk::<4>().ok_or_else(no_manifest)?;
     if body.len() < MANIFEST_HEADER || &body[..4] != MANIFEST_MAGIC {
         return Err(no_manifest());
     }
-    check_form(file, body)?;
+    check_format_version(file, body)?;
     if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
         return Err(damaged(file, 0, "its checksum"));
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -16,7 +16,7 @@
 mod types;
 
 pub use disk::{Disk, Folder};
-pub use error::Fault;
-pub use format::{FORM, LARGEST};
+pub use error::StoreError;
+pub use format::{FORMAT_VERSION, MAX_RECORD_LENGTH};
 pub use store::{Store, repair};
 pub use types::{Damage, Entry, Limits, Op, Stats};
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,6 +1,6 @@
 //! Reading whole segments, and the names of files.
 
-use crate::error::{Fault, damaged};
+use crate::error::{StoreError, damaged};
 use crate::format::{Found, Record, SEGMENT_HEADER, decode};
 
 /// The list of what belongs to the store.
@@ -61,7 +61,7 @@
 
 impl Segment {
     /// Visits all records in order. Returns the offset at which they end.
-    pub(crate) fn scan(&self, extent: Extent, mut visit: impl FnMut(Located)) -> Result<usize, Fault> {
+    pub(crate) fn scan(&self, extent: Extent, mut visit: impl FnMut(Located)) -> Result<usize, StoreError> {
         let end = match extent {
             Extent::Known(end) => end as usize,
             Extent::Unknown => self.bytes.len(),
@@ -75,13 +75,13 @@
                 }
                 Found::End if matches!(extent, Extent::Unknown) => return Ok(offset),
                 Found::End => return Err(self.damaged(offset, "ends before its end")),
-                Found::Damage(why) => return Err(self.damaged(offset, why)),
+                Found::Damage(reason) => return Err(self.damaged(offset, reason)),
             }
         }
         if offset == end { Ok(offset) } else { Err(self.damaged(offset, "a record beyond what is in use")) }
     }
 
-    fn damaged(&self, offset: usize, why: &'static str) -> Fault {
-        damaged(&self.name, offset as u64, why)
+    fn damaged(&self, offset: usize, reason: &'static str) -> StoreError {
+        damaged(&self.name, offset as u64, reason)
     }
 }
--- a/crates/store/src/store/append.rs
+++ b/crates/store/src/store/append.rs
@@ -1,9 +1,9 @@
 //! Commits: records are appended to the last segment, and last once it is synced.
 
 use crate::disk::Disk;
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::format::{
-    LARGEST, Manifest, Record, SEGMENT_HEADER, SegmentEntry, encode_manifest, encode_segment_header,
+    MAX_RECORD_LENGTH, Manifest, Record, SEGMENT_HEADER, SegmentEntry, encode_manifest, encode_segment_header,
 };
 use crate::segment::{MANIFEST, MANIFEST_NEW, new_salt, segment_name};
 use crate::types::Op;
@@ -17,7 +17,7 @@
     /// # Errors
     ///
     /// A record is too large, in which case nothing was written; the disk's.
-    pub fn commit(&mut self, ops: &[Op], now: u64) -> Result<(), Fault> {
+    pub fn commit(&mut self, ops: &[Op], now: u64) -> Result<(), StoreError> {
         self.check_usable()?;
         let records = self.records_of(ops, now)?;
         self.append(&records)?;
@@ -31,29 +31,29 @@
     /// # Errors
     ///
     /// The disk's: it fails still, and the store takes nothing as before.
-    pub fn resume(&mut self) -> Result<(), Fault> {
+    pub fn resume(&mut self) -> Result<(), StoreError> {
         self.failed = false;
         self.begin_segment()
     }
 
     /// The records of these operations, if none is too large.
-    fn records_of(&mut self, ops: &[Op], now: u64) -> Result<Vec<Record>, Fault> {
+    fn records_of(&mut self, ops: &[Op], now: u64) -> Result<Vec<Record>, StoreError> {
         let mut records = Vec::with_capacity(ops.len());
         for op in ops {
             let record = record_of(op, now);
             let length = record.key.len() + record.value.len();
             let fits = record.size() + SEGMENT_HEADER <= self.manifest.segment_size as usize;
-            if !fits || length > LARGEST || record.key.len() > usize::from(u16::MAX) {
-                return Err(Fault::Large(length));
+            if !fits || length > MAX_RECORD_LENGTH || record.key.len() > usize::from(u16::MAX) {
+                return Err(StoreError::TooLarge(length));
             }
-            self.stats.given += length as u64;
+            self.stats.committed_bytes += length as u64;
             records.push(record);
         }
         Ok(records)
     }
 
     /// Appends records, with one write and one sync for all that lie in one segment.
-    pub(super) fn append(&mut self, records: &[Record]) -> Result<(), Fault> {
+    pub(super) fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let mut batch = Vec::new();
         let mut locations = Vec::with_capacity(records.len());
         for record in records {
@@ -81,13 +81,13 @@
     }
 
     /// Writes bytes to the end of the last segment.
-    fn flush(&mut self, bytes: &[u8]) -> Result<(), Fault> {
+    fn flush(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         if bytes.is_empty() {
             return self.check_usable();
         }
         let name = segment_name(self.last_segment());
         let offset = self.end;
-        self.stats.written += bytes.len() as u64;
+        self.stats.written_bytes += bytes.len() as u64;
         self.modify(|disk| disk.write(&name, offset, bytes))?;
         if self.limits.sync {
             self.sync(&name)?;
@@ -97,7 +97,7 @@
     }
 
     /// Begins another segment. The one before is sealed by the same replacement of the manifest.
-    pub(super) fn begin_segment(&mut self) -> Result<(), Fault> {
+    pub(super) fn begin_segment(&mut self) -> Result<(), StoreError> {
         let mut manifest = self.manifest.clone();
         let number = self.last_segment() + 1;
         if let Some(last) = manifest.segments.last_mut() {
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    fn create_segment(&mut self, number: u64, salt: u64) -> Result<(), Fault> {
+    fn create_segment(&mut self, number: u64, salt: u64) -> Result<(), StoreError> {
         let name = segment_name(number);
         let length = self.manifest.segment_size;
         self.modify(|disk| disk.create(&name, length))?;
@@ -126,10 +126,10 @@
     }
 
     /// Replaces the manifest in one step: whatever happens, the disk has either the old or the new one.
-    pub(super) fn replace_manifest(&mut self, mut manifest: Manifest) -> Result<(), Fault> {
+    pub(super) fn replace_manifest(&mut self, mut manifest: Manifest) -> Result<(), StoreError> {
         manifest.number = manifest.number.wrapping_add(1);
         let bytes = encode_manifest(&manifest);
-        self.stats.written += bytes.len() as u64;
+        self.stats.written_bytes += bytes.len() as u64;
         self.modify(|disk| disk.create(MANIFEST_NEW, bytes.len() as u64))?;
         self.modify(|disk| disk.write(MANIFEST_NEW, 0, &bytes))?;
         self.sync(MANIFEST_NEW)?;
--- a/crates/store/src/store/checkpoint.rs
+++ b/crates/store/src/store/checkpoint.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 
 use crate::disk::Disk;
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::format::{CheckpointEntry, Manifest};
 use crate::segment::checkpoint_name;
 
@@ -22,7 +22,7 @@
     /// # Errors
     ///
     /// The disk's.
-    pub fn checkpoint(&mut self) -> Result<(), Fault> {
+    pub fn checkpoint(&mut self) -> Result<(), StoreError> {
         self.check_usable()?;
         let Some(last_sealed) = self.manifest.segments.iter().rev().nth(1) else { return Ok(()) };
         let covers = last_sealed.number;
@@ -38,16 +38,16 @@
     }
 
     /// Writes a checkpoint once enough segments were sealed since the last.
-    pub(super) fn checkpoint_if_due(&mut self) -> Result<(), Fault> {
+    pub(super) fn checkpoint_if_due(&mut self) -> Result<(), StoreError> {
         let covered = self.manifest.checkpoint.map_or(0, |checkpoint| checkpoint.covers);
         let uncovered = self.manifest.segments.iter().filter(|segment| segment.number > covered).count();
         // The last segment is not sealed, and never in a checkpoint.
-        if uncovered > self.limits.unchecked + 1 { self.checkpoint() } else { Ok(()) }
+        if uncovered > self.limits.max_uncovered_segments + 1 { self.checkpoint() } else { Ok(()) }
     }
 
-    fn write_checkpoint(&mut self, name: &str, covers: u64) -> Result<(), Fault> {
+    fn write_checkpoint(&mut self, name: &str, covers: u64) -> Result<(), StoreError> {
         let bytes = self.encode_checkpoint(covers);
-        self.stats.written += bytes.len() as u64;
+        self.stats.written_bytes += bytes.len() as u64;
         self.modify(|disk| disk.create(name, bytes.len() as u64))?;
         self.modify(|disk| disk.write(name, 0, &bytes))?;
         self.sync(name)?;
--- a/crates/store/src/store/compaction.rs
+++ b/crates/store/src/store/compaction.rs
@@ -1,7 +1,7 @@
 //! Compaction: what still counts of the oldest segment moves to the end, and the segment goes.
 
 use crate::disk::Disk;
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::format::{Record, SegmentEntry};
 use crate::segment::{Extent, segment_name};
 
@@ -15,7 +15,7 @@
     /// Keys of the records that go.
     dropped: Vec<Key>,
     /// How many of those go before they expire.
-    yielded: u64,
+    evicted: u64,
 }
 
 impl<D: Disk> Store<D> {
@@ -25,14 +25,14 @@
     /// # Errors
     ///
     /// The segment is damaged, in which case it stays; the disk's.
-    pub fn clean(&mut self, now: u64, full: bool) -> Result<(), Fault> {
+    pub fn clean(&mut self, now: u64, full: bool) -> Result<(), StoreError> {
         self.check_usable()?;
         if self.manifest.segments.len() < 2 {
             return Ok(());
         }
         let oldest = self.manifest.segments[0];
         let sorted = self.sort_records(oldest, now, full)?;
-        self.stats.yielded += sorted.yielded;
+        self.stats.evicted += sorted.evicted;
         // The records last in their new place before the old one goes.
         self.append(&sorted.kept)?;
         let mut manifest = self.manifest.clone();
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// As [`Store::clean`].
-    pub fn compact(&mut self, now: u64) -> Result<(), Fault> {
+    pub fn compact(&mut self, now: u64) -> Result<(), StoreError> {
         for _ in 1..self.manifest.segments.len() {
             self.clean(now, false)?;
         }
@@ -59,7 +59,7 @@
     }
 
     /// Cleans the oldest segments while the store is larger than its budget and that makes it smaller.
-    pub(super) fn enforce_budget(&mut self, now: u64) -> Result<(), Fault> {
+    pub(super) fn enforce_budget(&mut self, now: u64) -> Result<(), StoreError> {
         while self.size() > self.limits.budget && self.manifest.segments.len() > 2 {
             let before = self.size();
             self.clean(now, true)?;
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    fn sort_records(&self, entry: SegmentEntry, now: u64, full: bool) -> Result<Sorted, Fault> {
+    fn sort_records(&self, entry: SegmentEntry, now: u64, full: bool) -> Result<Sorted, StoreError> {
         let segment = self.read_segment(entry.number)?;
         let mut sorted = Sorted::default();
         segment.scan(Extent::Known(entry.used), |found| {
@@ -81,8 +81,8 @@
             }
             if self.is_expired(&record, now) {
                 sorted.dropped.push(key);
-            } else if full && self.limits.yields.contains(&record.kind) {
-                sorted.yielded += 1;
+            } else if full && self.limits.evictable_kinds.contains(&record.kind) {
+                sorted.evicted += 1;
                 sorted.dropped.push(key);
             } else {
                 sorted.kept.push(record);
@@ -92,7 +92,7 @@
     }
 
     fn is_expired(&self, record: &Record, now: u64) -> bool {
-        let span = self.limits.spans.iter().find(|(kind, _)| *kind == record.kind);
+        let span = self.limits.retention.iter().find(|(kind, _)| *kind == record.kind);
         span.is_some_and(|(_, span)| record.time.saturating_add(*span) < now)
     }
 }
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -20,7 +20,7 @@
 use std::io;
 
 use crate::disk::Disk;
-use crate::error::{Fault, damaged};
+use crate::error::{StoreError, damaged};
 use crate::format::{Manifest, Record, decode_segment_header};
 use crate::segment::{Extent, Segment, segment_name};
 use crate::types::{Limits, Stats};
@@ -84,7 +84,7 @@
 impl<D: Disk> Store<D> {
     /// A store whose index is still to be filled.
     fn with_manifest(disk: D, limits: Limits, manifest: Manifest) -> Self {
-        let limits = Limits { segment: manifest.segment_size, ..limits };
+        let limits = Limits { segment_size: manifest.segment_size, ..limits };
         Self {
             disk,
             limits,
@@ -139,31 +139,31 @@
     }
 
     /// Fails if an earlier write or sync has failed.
-    fn check_usable(&self) -> Result<(), Fault> {
-        if self.failed { Err(Fault::Failed) } else { Ok(()) }
+    fn check_usable(&self) -> Result<(), StoreError> {
+        if self.failed { Err(StoreError::Failed) } else { Ok(()) }
     }
 
     /// Changes something on the disk. If that fails, the store takes nothing more.
-    fn modify<T>(&mut self, change: impl FnOnce(&mut D) -> io::Result<T>) -> Result<T, Fault> {
+    fn modify<T>(&mut self, change: impl FnOnce(&mut D) -> io::Result<T>) -> Result<T, StoreError> {
         self.check_usable()?;
-        change(&mut self.disk).map_err(|why| {
+        change(&mut self.disk).map_err(|error| {
             self.failed = true;
-            why.into()
+            error.into()
         })
     }
 
-    fn sync(&mut self, name: &str) -> Result<(), Fault> {
+    fn sync(&mut self, name: &str) -> Result<(), StoreError> {
         self.stats.syncs += 1;
         self.modify(|disk| disk.sync(name))
     }
 
     /// Fails if the file of a segment is missing or has another length.
-    fn check_segment_length(&self, name: &str) -> Result<(), Fault> {
+    fn check_segment_length(&self, name: &str) -> Result<(), StoreError> {
         let length = self.disk.length(name).map_err(|_| damaged(name, 0, "missing"))?;
         if length == self.manifest.segment_size { Ok(()) } else { Err(damaged(name, 0, "its length")) }
     }
 
-    fn read_segment(&self, number: u64) -> Result<Segment, Fault> {
+    fn read_segment(&self, number: u64) -> Result<Segment, StoreError> {
         let name = segment_name(number);
         self.check_segment_length(&name)?;
         let bytes = self.disk.read(&name, 0, usize::MAX)?;
--- a/crates/store/src/store/read.rs
+++ b/crates/store/src/store/read.rs
@@ -1,7 +1,7 @@
 //! Reading records, and verifying all of them.
 
 use crate::disk::Disk;
-use crate::error::{Fault, damaged};
+use crate::error::{StoreError, damaged};
 use crate::format::{Found, SegmentEntry, decode};
 use crate::segment::{Located, segment_name};
 use crate::types::{Damage, Entry};
@@ -14,7 +14,7 @@
     /// # Errors
     ///
     /// The record is damaged; the disk's.
-    pub fn get(&self, kind: u8, key: &[u8]) -> Result<Option<Vec<u8>>, Fault> {
+    pub fn get(&self, kind: u8, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.check_usable()?;
         let Some(location) = self.index.get(&Key::new(kind, key)) else { return Ok(None) };
         let name = segment_name(location.segment);
@@ -22,12 +22,12 @@
         // The record's checksum includes its offset, so zeros stand for what lies before it.
         let mut bytes = vec![0; offset];
         bytes.extend(self.disk.read(&name, u64::from(location.offset), location.size as usize)?);
-        let damaged = |why| damaged(&name, u64::from(location.offset), why);
+        let damaged = |reason| damaged(&name, u64::from(location.offset), reason);
         match decode(&bytes, offset, self.salt_of(location.segment)) {
             Found::Record { record, .. } if record.key == key && record.kind == kind => {
                 Ok(Some(record.value))
             }
-            Found::Damage(why) => Err(damaged(why)),
+            Found::Damage(reason) => Err(damaged(reason)),
             Found::Record { .. } | Found::End => Err(damaged("not the record that was kept")),
         }
     }
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// A segment is damaged; the disk's.
-    pub fn each(&self, mut seen: impl FnMut(Entry, Vec<u8>)) -> Result<(), Fault> {
+    pub fn for_each(&self, mut seen: impl FnMut(Entry, Vec<u8>)) -> Result<(), StoreError> {
         self.check_usable()?;
         for segment in &self.manifest.segments {
             self.scan_segment(segment, |found| {
@@ -64,19 +64,21 @@
     /// # Errors
     ///
     /// The disk's.
-    pub fn verify(&self) -> Result<Vec<Damage>, Fault> {
+    pub fn verify(&self) -> Result<Vec<Damage>, StoreError> {
         let mut all = Vec::new();
         for segment in &self.manifest.segments {
             match self.scan_segment(segment, |_| {}) {
                 Ok(()) => {}
-                Err(Fault::Damaged { file, at, why }) => all.push(Damage { file, at, why: why.into() }),
+                Err(StoreError::Damaged { file, offset, reason }) => {
+                    all.push(Damage { file, offset, reason: reason.into() })
+                }
                 Err(other) => return Err(other),
             }
         }
         Ok(all)
     }
 
-    fn scan_segment(&self, entry: &SegmentEntry, visit: impl FnMut(Located)) -> Result<(), Fault> {
+    fn scan_segment(&self, entry: &SegmentEntry, visit: impl FnMut(Located)) -> Result<(), StoreError> {
         let extent = self.extent_of(entry.number, entry.used);
         self.read_segment(entry.number)?.scan(extent, visit)?;
         Ok(())
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -1,7 +1,7 @@
 //! Creating a store, and opening one that was closed, killed or cut off.
 
 use crate::disk::Disk;
-use crate::error::{Fault, damaged};
+use crate::error::{StoreError, damaged};
 use crate::format::{Manifest, SEGMENT_HEADER, SegmentEntry, decode_manifest, decode_segment_header};
 use crate::segment::{Extent, MANIFEST, MANIFEST_NEW, Segment, checkpoint_name, is_store_file, segment_name};
 use crate::types::Limits;
@@ -20,14 +20,14 @@
     /// # Errors
     ///
     /// There is no store, or one that is damaged. Nothing has been changed then. With `new`, there is one already.
-    pub fn open(disk: D, limits: Limits, new: bool, seed: u64) -> Result<Self, Fault> {
+    pub fn open(disk: D, limits: Limits, new: bool, seed: u64) -> Result<Self, StoreError> {
         let names = disk.list()?;
         if !names.iter().any(|name| name == MANIFEST) {
             check_never_created(&disk, &names)?;
-            return if new { Self::create(disk, limits, seed) } else { Err(Fault::Missing) };
+            return if new { Self::create(disk, limits, seed) } else { Err(StoreError::Missing) };
         }
         if new {
-            return Err(Fault::There);
+            return Err(StoreError::AlreadyExists);
         }
         let bytes = disk.read(MANIFEST, 0, usize::MAX)?;
         let manifest = decode_manifest(MANIFEST, &bytes)?;
@@ -37,9 +37,9 @@
         Ok(store)
     }
 
-    pub(super) fn create(disk: D, limits: Limits, seed: u64) -> Result<Self, Fault> {
+    pub(super) fn create(disk: D, limits: Limits, seed: u64) -> Result<Self, StoreError> {
         let (smallest, largest) = SEGMENT_SIZES;
-        let segment_size = limits.segment.clamp(smallest, largest).next_multiple_of(PAGE);
+        let segment_size = limits.segment_size.clamp(smallest, largest).next_multiple_of(PAGE);
         let manifest = Manifest { number: seed, segment_size, ..Manifest::default() };
         let mut store = Self::with_manifest(disk, limits, manifest);
         store.begin_segment()?;
@@ -47,7 +47,7 @@
     }
 
     /// Fills the index: from the checkpoint, and from the segments that it does not cover.
-    fn load(&mut self) -> Result<(), Fault> {
+    fn load(&mut self) -> Result<(), StoreError> {
         let covered = self.load_checkpoint();
         let last = self.last_segment();
         for SegmentEntry { number, used } in self.manifest.segments.clone() {
@@ -74,7 +74,7 @@
     }
 
     /// Reads the header alone of a segment that the checkpoint covers.
-    fn load_salt(&mut self, number: u64) -> Result<(), Fault> {
+    fn load_salt(&mut self, number: u64) -> Result<(), StoreError> {
         let name = segment_name(number);
         self.check_segment_length(&name)?;
         let header = self.disk.read(&name, 0, SEGMENT_HEADER)?;
@@ -84,7 +84,7 @@
     }
 
     /// Indexes all records of a segment. Returns the segment, and the offset at which its records end.
-    fn load_segment(&mut self, number: u64, extent: Extent) -> Result<(Segment, usize), Fault> {
+    fn load_segment(&mut self, number: u64, extent: Extent) -> Result<(Segment, usize), StoreError> {
         let segment = self.read_segment(number)?;
         self.salts.insert(number, segment.salt);
         let end = segment.scan(extent, |found| {
@@ -96,7 +96,7 @@
 
     /// Loads the segment that is written to, and erases a write that was cut off: it must not be taken for a record once
     /// others lie before it.
-    fn load_last_segment(&mut self, number: u64) -> Result<(), Fault> {
+    fn load_last_segment(&mut self, number: u64) -> Result<(), StoreError> {
         let (segment, end) = self.load_segment(number, Extent::Unknown)?;
         self.end = end as u64;
         if segment.bytes[end..].iter().any(|byte| *byte != 0) {
@@ -108,7 +108,7 @@
     }
 
     /// Removes files that the manifest does not list: they were never in use, or are no longer.
-    fn remove_unlisted(&mut self, names: &[String]) -> Result<(), Fault> {
+    fn remove_unlisted(&mut self, names: &[String]) -> Result<(), StoreError> {
         let segments = self.manifest.segments.iter().map(|segment| segment_name(segment.number));
         let checkpoint = self.manifest.checkpoint.map(|checkpoint| checkpoint_name(checkpoint.number));
         let mut listed: Vec<String> = segments.chain(checkpoint).collect();
@@ -124,7 +124,7 @@
 
 /// Fails if files without a manifest are more than the beginnings of a store that was never created: a manifest that was
 /// not put in its place, and a first segment without a header.
-fn check_never_created<D: Disk>(disk: &D, names: &[String]) -> Result<(), Fault> {
+fn check_never_created<D: Disk>(disk: &D, names: &[String]) -> Result<(), StoreError> {
     let first_segment = segment_name(1);
     let mut files = names.iter().filter(|name| is_store_file(name));
     let mut is_beginning = files.all(|name| name == MANIFEST_NEW || *name == first_segment);
--- a/crates/store/src/store/repair.rs
+++ b/crates/store/src/store/repair.rs
@@ -1,7 +1,7 @@
 //! Repair: a new store from what can be read of a damaged one.
 
 use crate::disk::Disk;
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::format::{ALIGN, Found, Record, SEGMENT_HEADER, decode, decode_segment_header};
 use crate::segment::{Segment, segment_number};
 use crate::types::{Damage, Limits};
@@ -23,7 +23,7 @@
     records: Vec<Record>,
     lost: Vec<Damage>,
     /// A segment of another format version.
-    unsupported: Option<Fault>,
+    unsupported: Option<StoreError>,
 }
 
 /// Makes a new store of what can be read of a damaged one. Every record in it was committed once; the damaged files stay,
@@ -32,16 +32,20 @@
 /// # Errors
 ///
 /// There is no store; it has another format version; the disk's.
-pub fn repair<D: Disk>(mut disk: D, limits: Limits, seed: u64) -> Result<(Store<D>, Vec<Damage>), Fault> {
+pub fn repair<D: Disk>(
+    mut disk: D,
+    limits: Limits,
+    seed: u64,
+) -> Result<(Store<D>, Vec<Damage>), StoreError> {
     let names = disk.list()?;
     let segments = segment_files(&names);
     if segments.is_empty() {
-        return Err(Fault::Missing);
+        return Err(StoreError::Missing);
     }
     let salvage = Salvage::read(&disk, &segments)?;
     // One header may have a bit flipped; if all have another version, so has the store.
-    if let Some(why) = salvage.unsupported.filter(|_| salvage.lost.len() == segments.len()) {
-        return Err(why);
+    if let Some(error) = salvage.unsupported.filter(|_| salvage.lost.len() == segments.len()) {
+        return Err(error);
     }
     for name in names.iter().filter(|name| !name.starts_with(LOST_PREFIX)) {
         disk.rename(name, &format!("{LOST_PREFIX}{name}"))?;
@@ -61,24 +65,24 @@
 }
 
 impl Salvage {
-    fn read<D: Disk>(disk: &D, files: &[SegmentFile]) -> Result<Self, Fault> {
+    fn read<D: Disk>(disk: &D, files: &[SegmentFile]) -> Result<Self, StoreError> {
         let mut salvage = Self::default();
         for file in files {
             let name = file.name.clone();
             let bytes = disk.read(&name, 0, usize::MAX)?;
             match decode_segment_header(&name, &bytes, file.number) {
                 Ok(salt) => salvage.read_segment(&Segment { name, bytes, salt }),
-                Err(why) => salvage.lose_segment(name, why),
+                Err(error) => salvage.lose_segment(name, error),
             }
         }
         Ok(salvage)
     }
 
-    fn lose_segment(&mut self, file: String, why: Fault) {
-        if matches!(why, Fault::Form { .. }) {
-            self.unsupported = Some(why);
+    fn lose_segment(&mut self, file: String, error: StoreError) {
+        if matches!(error, StoreError::FormatVersion { .. }) {
+            self.unsupported = Some(error);
         }
-        self.lost.push(Damage { file, at: 0, why: "the whole segment: its head".into() });
+        self.lost.push(Damage { file, offset: 0, reason: "the whole segment: its head".into() });
     }
 
     /// Reads all records of a segment, also those behind damage.
@@ -102,8 +106,8 @@
     /// Notes that a range holds no record, unless it was never written.
     fn lose_bytes(&mut self, segment: &Segment, from: usize, to: usize) {
         if segment.bytes[from..to].iter().any(|byte| *byte != 0) {
-            let why = format!("{} bytes that are no record", to - from);
-            self.lost.push(Damage { file: segment.name.clone(), at: from as u64, why });
+            let reason = format!("{} bytes that are no record", to - from);
+            self.lost.push(Damage { file: segment.name.clone(), offset: from as u64, reason });
         }
     }
 }
--- a/crates/store/src/types.rs
+++ b/crates/store/src/types.rs
@@ -4,28 +4,28 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// The size of a segment, in bytes.
-    pub segment: u64,
+    pub segment_size: u64,
     /// The size of all segments, in bytes. Past it, the oldest segment is cleaned before more is written.
     pub budget: u64,
     /// By kind: how long after its time a record is kept, in the unit of that time. Other kinds are kept for ever.
-    pub spans: Vec<(u8, u64)>,
+    pub retention: Vec<(u8, u64)>,
     /// The kinds whose oldest records are dropped if the budget is spent and no record has expired.
-    pub yields: Vec<u8>,
+    pub evictable_kinds: Vec<u8>,
     /// Sync every commit. Without it a commit survives a kill of the process, and may be lost in a power cut.
     pub sync: bool,
     /// The number of sealed segments past the checkpoint from which on another checkpoint is written.
-    pub unchecked: usize,
+    pub max_uncovered_segments: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            segment: 4 << 20,
+            segment_size: 4 << 20,
             budget: 256 << 20,
-            spans: Vec::new(),
-            yields: Vec::new(),
+            retention: Vec::new(),
+            evictable_kinds: Vec::new(),
             sync: true,
-            unchecked: 8,
+            max_uncovered_segments: 8,
         }
     }
 }
@@ -74,15 +74,15 @@
     /// The size of all segments, in bytes.
     pub bytes: u64,
     /// Bytes of keys and values that were committed.
-    pub given: u64,
+    pub committed_bytes: u64,
     /// Bytes that were written for them.
-    pub written: u64,
+    pub written_bytes: u64,
     /// Syncs of files.
     pub syncs: u64,
     /// Segments that were cleaned.
     pub cleaned: u64,
     /// Records that were dropped before they expired, for want of space.
-    pub yielded: u64,
+    pub evicted: u64,
 }
 
 /// A damaged place of a store.
@@ -91,7 +91,7 @@
     /// The file.
     pub file: String,
     /// The offset in it.
-    pub at: u64,
+    pub offset: u64,
     /// What is damaged.
-    pub why: String,
+    pub reason: String,
 }
--- a/crates/store/tests/cut.rs
+++ b/crates/store/tests/cut.rs
@@ -7,14 +7,14 @@
 
 use common::{Memory, Trouble};
 use fastrand::Rng;
-use linestack_store::{Disk, Fault, Limits, Op, Store, repair};
+use linestack_store::{Disk, Limits, Op, Store, StoreError, repair};
 use proptest::prelude::*;
 use rstest::rstest;
 
 type Map = BTreeMap<(u8, Vec<u8>), Vec<u8>>;
 
 fn limits() -> Limits {
-    Limits { segment: 4096, budget: 10 * 4096, unchecked: 3, ..Limits::default() }
+    Limits { segment_size: 4096, budget: 10 * 4096, max_uncovered_segments: 3, ..Limits::default() }
 }
 
 fn full() -> bool {
@@ -44,15 +44,15 @@
     }
 }
 
-fn contents<D: Disk>(store: &Store<D>) -> Result<Map, Fault> {
+fn contents<D: Disk>(store: &Store<D>) -> Result<Map, StoreError> {
     let entries: Vec<_> = store.entries().collect();
     // One by one and all at once is the same.
     let mut all = Map::new();
-    store.each(|entry, value| drop(all.insert((entry.kind, entry.key), value)))?;
+    store.for_each(|entry, value| drop(all.insert((entry.kind, entry.key), value)))?;
     let one_by_one: Map = entries
         .into_iter()
         .map(|e| Ok(((e.kind, e.key.clone()), store.get(e.kind, &e.key)?.expect("it is listed"))))
-        .collect::<Result<_, Fault>>()?;
+        .collect::<Result<_, StoreError>>()?;
     assert_eq!(all, one_by_one);
     Ok(all)
 }
@@ -64,7 +64,7 @@
     for (i, ops) in all.iter().enumerate() {
         begun += ops.len();
         if store.commit(ops, 0).is_err() {
-            assert!(matches!(store.commit(ops, 0), Err(Fault::Failed)), "it goes on after a failure");
+            assert!(matches!(store.commit(ops, 0), Err(StoreError::Failed)), "it goes on after a failure");
             return (Some(store), kept, begun);
         }
         kept += ops.len();
@@ -120,9 +120,9 @@
             let again = match Store::open(lost, limits(), false, 7) {
                 Ok(store) => store,
                 // A store that was never made; or a loud refusal.
-                Err(Fault::Missing) if kept == 0 => continue,
+                Err(StoreError::Missing) if kept == 0 => continue,
                 Err(why) => {
-                    assert!(power || matches!(why, Fault::Damaged { .. }), "step {step}: {why}");
+                    assert!(power || matches!(why, StoreError::Damaged { .. }), "step {step}: {why}");
                     refused += 1;
                     continue;
                 }
@@ -148,7 +148,7 @@
         let Some(store) = store else { continue };
         let again = match Store::open(store.close().after_kill(), limits(), false, 7) {
             Ok(again) => again,
-            Err(Fault::Missing) if kept == 0 => continue,
+            Err(StoreError::Missing) if kept == 0 => continue,
             Err(why) => panic!("step {step}: {why}"),
         };
         assert!(was(&contents(&again).unwrap(), &all, kept, begun), "step {step}");
@@ -167,7 +167,7 @@
             cut_disk.cut_file(&name, cut);
             match Store::open(cut_disk, limits(), false, 7) {
                 Ok(store) => assert_eq!(contents(&store).unwrap(), map, "{name} at {cut}"),
-                Err(Fault::Damaged { .. }) => refused += 1,
+                Err(StoreError::Damaged { .. }) => refused += 1,
                 Err(why) => panic!("{name} at {cut}: {why}"),
             }
         }
@@ -190,7 +190,7 @@
                     fine += 1;
                     assert_eq!(found, map, "{name}, bit {bit}");
                 }
-                Err(Fault::Damaged { .. } | Fault::Form { .. }) => refused += 1,
+                Err(StoreError::Damaged { .. } | StoreError::FormatVersion { .. }) => refused += 1,
                 Err(why) => panic!("{name}, bit {bit}: {why}"),
             }
         }
@@ -209,7 +209,7 @@
                 assert!(name.starts_with("checkpoint"), "{name} is not missed");
                 assert_eq!(contents(&store).unwrap(), map);
             }
-            Err(Fault::Damaged { .. }) => {}
+            Err(StoreError::Damaged { .. }) => {}
             Err(why) => panic!("{name}: {why}"),
         }
     }
@@ -261,7 +261,7 @@
 fn what_does_not_fit_is_refused_and_nothing_is_done(#[case] op: Op) {
     let mut store = Store::open(Memory::default(), limits(), true, 7).unwrap();
     let fine = Op::Put { kind: 1, key: vec![2], value: vec![], at: 0 };
-    assert!(matches!(store.commit(&[fine.clone(), op], 0), Err(Fault::Large(_))));
+    assert!(matches!(store.commit(&[fine.clone(), op], 0), Err(StoreError::TooLarge(_))));
     assert_eq!(store.entries().count(), 0);
     store.commit(&[fine], 0).unwrap();
     assert_eq!(store.entries().count(), 1);
@@ -270,7 +270,7 @@
 // A store within its budget: what has run out goes first, then the oldest of what yields, and never what must stay.
 #[test]
 fn the_oldest_go_by_kind() {
-    let limits = Limits { spans: vec![(1, 50)], yields: vec![2], ..limits() };
+    let limits = Limits { retention: vec![(1, 50)], evictable_kinds: vec![2], ..limits() };
     let mut store = Store::open(Memory::default(), limits, true, 7).unwrap();
     let put = |kind, i: u64| Op::Put { kind, key: i.to_le_bytes().to_vec(), value: vec![9; 100], at: i };
     store.commit(&[put(3, 0), put(1, 1)], 1).unwrap();
@@ -278,7 +278,7 @@
         store.commit(&[put(2, i)], i).unwrap();
     }
     let stats = store.stats();
-    assert!(stats.bytes <= 11 * 4096 && stats.yielded > 1_000, "{stats:?}");
+    assert!(stats.bytes <= 11 * 4096 && stats.evicted > 1_000, "{stats:?}");
     assert!(store.get(3, &0_u64.to_le_bytes()).unwrap().is_some(), "what must stay is gone");
     assert!(store.get(1, &1_u64.to_le_bytes()).unwrap().is_none(), "what has run out is there");
     assert!(store.get(2, &1_999_u64.to_le_bytes()).unwrap().is_some());
@@ -321,8 +321,8 @@
                     done = vec![map.iter().map(put).collect()];
                     disk = again.close();
                 }
-                Err(Fault::Missing) if kept == 0 => return Ok(()),
-                Err(Fault::Damaged { .. }) if power => return Ok(()),
+                Err(StoreError::Missing) if kept == 0 => return Ok(()),
+                Err(StoreError::Damaged { .. }) if power => return Ok(()),
                 Err(why) => return Err(TestCaseError::fail(why.to_string())),
             }
         }
