--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! What a store needs of a disk, as a trait, so that tests can put a faulty one in its place.
+//! The disk operations that a store needs, as a trait, so that tests can substitute a faulty disk.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -6,36 +6,38 @@
 use std::os::unix::fs::FileExt as _;
 use std::path::{Path, PathBuf};
 
-/// A folder of files. The bytes of a file last once the file is synced; that a file exists under its name, or no longer
-/// does, lasts once the folder is synced.
+/// A folder of files. The content of a file is durable once the file is synced; the creation, renaming or removal of a
+/// file is durable once the folder is synced.
 ///
 /// Every method fails with the file system's error.
 pub trait Disk {
-    /// The names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     ///
-    /// The file system's, here and in the other methods.
+    /// Errors of the file system, as in the other methods.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// The length of a file.
+    /// Returns the length of a file.
     fn length(&self, name: &str) -> io::Result<u64>;
-    /// Reads `length` bytes from the offset `at` on, or as many as there are.
+    /// Reads `length` bytes from the offset `at` on, or fewer at the end of the file.
     fn read(&self, name: &str, at: u64, length: usize) -> io::Result<Vec<u8>>;
-    /// Creates a file of `length` zeros, in place of any that has the name.
+    /// Creates a file of `length` zeros, replacing an existing file of this name.
     fn create(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Writes bytes to the offset `at` of a file.
     fn write(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Makes the bytes of a file last.
+    /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Renames a file, in place of any that has the new name.
+    /// Renames a file, replacing an existing file of the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the names of all files last.
+    /// Makes the names of all files durable.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
 /// A folder of the file system, locked by one process at a time.
+///
+/// Written files are kept open.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -44,23 +46,24 @@
 }
 
 impl Folder {
-    /// Locks a folder, which is created if it is missing.
+    /// Locks a folder. It is created if it is missing.
     ///
     /// # Errors
     ///
-    /// `WouldBlock` if another process has locked it; the file system's.
+    /// `WouldBlock` if another process has locked the folder; errors of the file system.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
         match lock.try_lock() {
             Ok(()) => Ok(Self { path: path.to_owned(), open: HashMap::new(), _lock: lock }),
             Err(TryLockError::WouldBlock) => {
-                Err(io::Error::new(io::ErrorKind::WouldBlock, "another process holds this folder"))
+                Err(io::Error::new(io::ErrorKind::WouldBlock, "another process has locked this folder"))
             }
             Err(TryLockError::Error(error)) => Err(error),
         }
     }
 
+    /// Returns the file opened for writing.
     fn writer(&mut self, name: &str) -> io::Result<&File> {
         if !self.open.contains_key(name) {
             let file = OpenOptions::new().write(true).open(self.path.join(name))?;
@@ -90,21 +93,22 @@
 
     fn read(&self, name: &str, at: u64, length: usize) -> io::Result<Vec<u8>> {
         let file = File::open(self.path.join(name))?;
-        let there = usize::try_from(file.metadata()?.len().saturating_sub(at)).unwrap_or(usize::MAX);
-        let mut bytes = vec![0; length.min(there)];
+        let available = usize::try_from(file.metadata()?.len().saturating_sub(at)).unwrap_or(usize::MAX);
+        let mut bytes = vec![0; length.min(available)];
         file.read_exact_at(&mut bytes, at)?;
         Ok(bytes)
     }
 
     fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
         let file = OpenOptions::new().create(true).truncate(true).write(true).open(self.path.join(name))?;
-        // Written out, not left as a hole: later writes then change no length and ask for no room.
+        // The zeros are written rather than left as a hole: later writes then neither change the length nor allocate
+        // space.
         let zeros = [0; 64 * 1024];
         let mut at = 0;
         while at < length {
-            let piece = zeros.len().min(usize::try_from(length - at).unwrap_or(zeros.len()));
-            file.write_all_at(&zeros[..piece], at)?;
-            at += piece as u64;
+            let chunk = zeros.len().min(usize::try_from(length - at).unwrap_or(zeros.len()));
+            file.write_all_at(&zeros[..chunk], at)?;
+            at += chunk as u64;
         }
         self.open.insert(name.to_owned(), file);
         Ok(())
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! What a store can fail with.
+//! The error type of the store.
 
 use std::io;
 
@@ -6,13 +6,13 @@
 
 use crate::format::{FORMAT_VERSION, MAX_RECORD_LENGTH};
 
-/// Why a store can't be opened, read or written.
+/// An error from opening, reading or writing a store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The file system's error.
+    /// An error of the file system.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A file is not as it was written.
+    /// The content of a file differs from what was written.
     #[error("{file}: damaged at byte {offset}: {reason}")]
     Damaged {
         /// The file.
@@ -36,15 +36,15 @@
     /// There is a store in the folder, where none was expected.
     #[error("there is a store here already")]
     AlreadyExists,
-    /// A record is too large; the bytes of its key and value.
-    #[error("a record of {0} bytes, {MAX_RECORD_LENGTH} at most")]
+    /// A record is too large for the store or for one segment. Holds the length of its key and value in bytes.
+    #[error("a record of {0} bytes is too large, {MAX_RECORD_LENGTH} at most are allowed")]
     TooLarge(usize),
-    /// A write or a sync failed before. What is on the disk is not known, so the store takes nothing more.
-    #[error("the store has failed")]
+    /// An earlier write or sync failed. The state of the disk is unknown, so the store accepts no more operations.
+    #[error("an earlier write to the store failed")]
     Failed,
 }
 
-/// A [`StoreError::Damaged`].
+/// Creates a [`StoreError::Damaged`].
 pub(crate) fn damaged(file: &str, offset: u64, reason: &'static str) -> StoreError {
     StoreError::Damaged { file: file.to_owned(), offset, reason }
 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -4,13 +4,14 @@
 
 /// The version of the format. Files of another version are refused.
 pub const FORMAT_VERSION: u16 = 1;
-/// The largest key and value together, in bytes: a list of 1,024 executors with 2 KB each. Nothing is set aside for it.
+/// The largest key and value together, in bytes, which holds a list of 1,024 executors
+/// of 2 KB each. No memory is preallocated for it.
 pub const MAX_RECORD_LENGTH: usize = 2 << 20;
-/// Records begin at multiples of this, so that no record header lies across the end of a sector.
+/// Records begin at multiples of this number of bytes, so that no record header crosses a sector boundary.
 pub(crate) const ALIGN: usize = 16;
-/// The unit that a disk is assumed to write as a whole or not at all.
+/// The unit in bytes that a disk is assumed to write atomically.
 const SECTOR: usize = 512;
-/// The size of a segment's header.
+/// The size of a segment's header, in bytes.
 pub(crate) const SEGMENT_HEADER: usize = 32;
 /// The size of a record's header: the body's length and checksum, the salt and the header's checksum.
 const RECORD_HEADER: usize = 16;
@@ -25,62 +26,63 @@
 /// The size of a segment's entry in a manifest.
 const MANIFEST_ENTRY: usize = 16;
 
-/// A record as a segment holds it.
+/// A record as stored in a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Record {
     pub(crate) kind: u8,
-    /// The key was removed.
+    /// Whether the record marks the removal of its key.
     pub(crate) tombstone: bool,
     pub(crate) time: u64,
     pub(crate) key: Vec<u8>,
     pub(crate) value: Vec<u8>,
 }
 
-/// What lies at an offset of a segment.
+/// The result of decoding at an offset of a segment.
 pub(crate) enum Found {
     Record {
         record: Record,
         size: usize,
     },
-    /// Nothing was written from here on, or a write was cut off.
+    /// Nothing was written from this offset on, or a write was interrupted.
     End,
+    /// The bytes are damaged, with the reason.
     Damage(&'static str),
 }
 
 /// The list of the files that belong to a store. It is replaced as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Manifest {
-    /// Counts the replacements.
+    /// Incremented by each replacement of the manifest. It starts at the store's seed.
     pub(crate) number: u64,
     pub(crate) segment_size: u64,
-    /// In the order in which they were written. All but the last are sealed.
+    /// The segments in the order in which they were written. All but the last are sealed.
     pub(crate) segments: Vec<SegmentEntry>,
     pub(crate) checkpoint: Option<CheckpointEntry>,
 }
 
-/// A segment in a manifest.
+/// A segment as listed in a manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentEntry {
     pub(crate) number: u64,
-    /// The offset at which the records end, once the segment is sealed.
+    /// The offset at which the records end. It is set when the segment is sealed.
     pub(crate) used: u64,
 }
 
-/// The checkpoint in a manifest.
+/// The checkpoint as listed in a manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CheckpointEntry {
     pub(crate) number: u64,
-    /// The last segment that it covers.
+    /// The number of the last segment that the checkpoint covers.
     pub(crate) covers: u64,
 }
 
 impl Record {
-    /// The bytes that the record takes in a segment.
+    /// Returns the number of bytes that the record occupies in a segment.
     pub(crate) fn size(&self) -> usize {
         record_size(BODY_HEADER + self.key.len() + self.value.len())
     }
 
-    /// The bytes of the record at this offset of a segment.
+    /// Encodes the record for this offset of a segment.
     pub(crate) fn encode(&self, salt: u64, offset: u64) -> Vec<u8> {
         let mut body = self.encode_body();
         let mut bytes = Vec::with_capacity(self.size());
@@ -106,7 +108,7 @@
         body
     }
 
-    /// Reads a body whose checksum was verified; none if its key does not fit into it.
+    /// Decodes a body whose checksum was verified. Returns `None` if the key length exceeds the body.
     fn decode_body(mut body: Vec<u8>) -> Option<Self> {
         let key_length = usize::from(u16::from_le_bytes([body[2], body[3]]));
         if BODY_HEADER + key_length > body.len() {
@@ -118,12 +120,12 @@
     }
 }
 
-/// The bytes that a record with a body of this length takes.
-fn record_size(body: usize) -> usize {
-    (RECORD_HEADER + body + 1).next_multiple_of(ALIGN)
+/// Returns the number of bytes that a record with a body of this length occupies.
+fn record_size(body_length: usize) -> usize {
+    (RECORD_HEADER + body_length + 1).next_multiple_of(ALIGN)
 }
 
-/// The checksum of a body. It includes the offset, so that a record that lies elsewhere is not taken for one.
+/// Computes the checksum of a body. It includes the offset, so that a copy of a record at another offset is not valid.
 fn body_checksum(offset: u64, body: &[u8]) -> u32 {
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(&offset.to_le_bytes());
@@ -131,7 +133,7 @@
     checksum.finalize()
 }
 
-/// Reads what lies at an offset of a segment, of which all bytes are given.
+/// Decodes the record at an offset of a segment. `segment` holds all bytes of the segment.
 pub(crate) fn decode(segment: &[u8], offset: usize, salt: u64) -> Found {
     let rest = segment.get(offset..).unwrap_or_default();
     let Some(header) = rest.get(..RECORD_HEADER) else { return Found::End };
@@ -139,18 +141,20 @@
         return Found::End;
     }
     if !is_record_header(header, salt) {
-        return if ends_complete(segment) { Found::Damage("a record's head") } else { Found::End };
+        return if ends_complete(segment) { Found::Damage("invalid record header") } else { Found::End };
     }
     let body_length = read_u32(header, 0) as usize;
     if !(BODY_HEADER..=MAX_RECORD_LENGTH + BODY_HEADER).contains(&body_length) {
-        return Found::Damage("a record's length");
+        return Found::Damage("invalid record length");
     }
     let size = record_size(body_length);
-    let Some(bytes) = rest.get(..size) else { return Found::Damage("a record beyond the end") };
+    let Some(bytes) = rest.get(..size) else {
+        return Found::Damage("a record extends beyond the end of the segment");
+    };
     match decode_record(bytes, offset, salt) {
         Some(record) => Found::Record { record, size },
         None if has_unwritten_sector(segment, offset, size) || !ends_complete(segment) => Found::End,
-        None => Found::Damage("a record"),
+        None => Found::Damage("invalid record"),
     }
 }
 
@@ -158,7 +162,7 @@
     crc32fast::hash(&header[..12]) == read_u32(header, 12) && read_u32(header, 8) == salt as u32
 }
 
-/// Reads a record from all of its bytes; none if they are not as they were written.
+/// Decodes a record from all of its bytes. Returns `None` if they differ from what was written.
 fn decode_record(bytes: &[u8], offset: usize, salt: u64) -> Option<Record> {
     let (header, rest) = bytes.split_at(RECORD_HEADER);
     let (body, padding) = rest.split_at(read_u32(header, 0) as usize);
@@ -171,7 +175,7 @@
     Record::decode_body(body)
 }
 
-/// Whether a sector of the record was never written, which tells that it was never committed.
+/// Whether a sector of the record was never written, which means that the record was never committed.
 fn has_unwritten_sector(segment: &[u8], offset: usize, size: usize) -> bool {
     let first = offset / SECTOR * SECTOR;
     (first..offset + size).step_by(SECTOR).any(|sector| {
@@ -181,15 +185,15 @@
     })
 }
 
-/// Whether the last write to a segment was completed: the last byte of a record is hardly anything else, though one bit
-/// of it may have flipped.
+/// Whether the last write to a segment was completed, in which case the last byte that is not zero is a record's
+/// terminator. One flipped bit in the terminator is tolerated.
 fn ends_complete(segment: &[u8]) -> bool {
     let last = segment.iter().rposition(|byte| *byte != 0);
     last.is_some_and(|at| at % ALIGN == ALIGN - 1 && segment[at].count_ones() >= 7)
 }
 
-/// Combines bytes with a pseudorandom sequence, or undoes it. Without it a run of zeros in a record would look like a
-/// sector that was never written.
+/// XORs bytes with a pseudorandom sequence; a second call restores them. Otherwise a run of zeros in a record would
+/// look like a sector that was never written.
 fn whiten(bytes: &mut [u8], salt: u64, offset: u64) {
     let mut state = salt ^ offset.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     for chunk in bytes.chunks_mut(8) {
@@ -202,7 +206,7 @@
     }
 }
 
-/// The header of a segment.
+/// Encodes the header of a segment.
 pub(crate) fn encode_segment_header(number: u64, salt: u64) -> [u8; SEGMENT_HEADER] {
     let mut header = [0; SEGMENT_HEADER];
     header[..4].copy_from_slice(SEGMENT_MAGIC);
@@ -214,22 +218,23 @@
     header
 }
 
-/// Verifies the header of a segment, and returns its salt.
+/// Verifies the header of a segment and returns its salt.
 pub(crate) fn decode_segment_header(file: &str, header: &[u8], number: u64) -> Result<u64, StoreError> {
     if header.len() < SEGMENT_HEADER || &header[..4] != SEGMENT_MAGIC {
-        return Err(damaged(file, 0, "no segment"));
+        return Err(damaged(file, 0, "not a segment file"));
     }
     check_format_version(file, header)?;
     if crc32fast::hash(&header[..28]) != read_u32(header, 28) {
-        return Err(damaged(file, 0, "its head"));
+        return Err(damaged(file, 0, "segment header checksum mismatch"));
     }
     if read_u64(header, 8) != number {
-        return Err(damaged(file, 8, "another segment"));
+        return Err(damaged(file, 8, "the segment number differs from the file name"));
     }
     Ok(read_u64(header, 16))
 }
 
-/// Refuses another version of the format. This comes before the checksum, which another version may have elsewhere.
+/// Rejects another version of the format. This check precedes the checksum, whose position may differ in another
+/// version.
 fn check_format_version(file: &str, bytes: &[u8]) -> Result<(), StoreError> {
     let found = u16::from_le_bytes([bytes[4], bytes[5]]);
     if found == FORMAT_VERSION {
@@ -239,7 +244,7 @@
     }
 }
 
-/// The bytes of a manifest.
+/// Encodes a manifest.
 pub(crate) fn encode_manifest(manifest: &Manifest) -> Vec<u8> {
     let mut bytes = MANIFEST_MAGIC.to_vec();
     bytes.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
@@ -259,20 +264,20 @@
     bytes
 }
 
-/// Verifies and reads a manifest.
+/// Verifies and decodes a manifest.
 pub(crate) fn decode_manifest(file: &str, bytes: &[u8]) -> Result<Manifest, StoreError> {
-    let no_manifest = || damaged(file, 0, "no manifest");
-    let (body, checksum) = bytes.split_last_chunk::<4>().ok_or_else(no_manifest)?;
+    let not_a_manifest = || damaged(file, 0, "not a manifest");
+    let (body, checksum) = bytes.split_last_chunk::<4>().ok_or_else(not_a_manifest)?;
     if body.len() < MANIFEST_HEADER || &body[..4] != MANIFEST_MAGIC {
-        return Err(no_manifest());
+        return Err(not_a_manifest());
     }
     check_format_version(file, body)?;
     if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
-        return Err(damaged(file, 0, "its checksum"));
+        return Err(damaged(file, 0, "manifest checksum mismatch"));
     }
     let count = usize::from(u16::from_le_bytes([body[6], body[7]]));
     if body.len() != MANIFEST_HEADER + MANIFEST_ENTRY * count || count == 0 {
-        return Err(damaged(file, 6, "its length"));
+        return Err(damaged(file, 6, "the manifest's length differs from its number of segments"));
     }
     let entries = body[MANIFEST_HEADER..].chunks_exact(MANIFEST_ENTRY);
     let segment = |entry: &[u8]| SegmentEntry { number: read_u64(entry, 0), used: read_u64(entry, 8) };
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,10 @@
-//! A small embedded store of records: append-only segments with checksums, an index in memory, checkpoints of it, and
-//! compaction.
+//! A small embedded store of records: append-only segments with checksums, an index in memory, checkpoints of the
+//! index, and compaction.
 //!
-//! Once [`Store::commit`] has returned, its records last, wherever the process is killed or the power is cut. Whatever
-//! can't be told apart from damage is reported, never skipped. The file format is in `docs/store.md`.
+//! Once [`Store::commit`] has returned, its records are durable, even if the process is killed or the power fails. Any
+//! bytes that can't be distinguished from damage are reported, never skipped. The file format is in `docs/store.md`.
 //!
-//! The store reads and writes through [`Disk`]; [`Folder`] is the one of the file system.
+//! The store reads and writes through [`Disk`]; [`Folder`] implements it for the file system.
 
 #![warn(missing_docs)]
 
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,58 +1,57 @@
-//! Reading whole segments, and the names of files.
+//! Scanning of segments, and the names of the store's files.
 
 use crate::error::{StoreError, damaged};
 use crate::format::{Found, Record, SEGMENT_HEADER, decode};
 
-/// The list of what belongs to the store.
+/// The file that lists the segments and the checkpoint of the store.
 pub(crate) const MANIFEST: &str = "manifest";
 /// A manifest that is still being written.
 pub(crate) const MANIFEST_NEW: &str = "manifest.new";
 const CHECKPOINT: &str = "checkpoint";
 
-/// The file of a segment.
+/// Returns the file name of a segment.
 pub(crate) fn segment_name(number: u64) -> String {
     format!("{number:012}.segment")
 }
 
-/// The number of a segment, from the name of its file.
+/// Parses the number of a segment from its file name.
 pub(crate) fn segment_number(name: &str) -> Option<u64> {
     name.strip_suffix(".segment")?.parse().ok()
 }
 
-/// The file of a checkpoint.
+/// Returns the file name of a checkpoint.
 pub(crate) fn checkpoint_name(number: u64) -> String {
     format!("{CHECKPOINT}.{number:012}")
 }
 
-/// Whether a file of this name is a store's.
+/// Whether a file of this name belongs to a store.
 pub(crate) fn is_store_file(name: &str) -> bool {
     name.ends_with(".segment") || name.starts_with(MANIFEST) || name.starts_with(CHECKPOINT)
 }
 
-/// The salt of a new segment. Its value does not matter, as long as it differs from segment to segment and from store
-/// to store.
+/// Derives the salt of a new segment. It only has to differ between segments and between stores.
 pub(crate) fn new_salt(number: u64, seed: u64) -> u64 {
     let mixed = (number ^ seed.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed ^ mixed >> 29 | 1
 }
 
-/// A segment that was read whole.
+/// A segment that was read into memory completely.
 pub(crate) struct Segment {
     pub(crate) name: String,
     pub(crate) bytes: Vec<u8>,
     pub(crate) salt: u64,
 }
 
-/// How far the records of a segment reach.
+/// Where the records of a segment end.
 #[derive(Clone, Copy)]
 pub(crate) enum Extent {
-    /// Exactly up to this offset.
+    /// Exactly at this offset.
     Known(u64),
-    /// Up to the first offset at which nothing was written.
+    /// At the first offset at which nothing was written.
     Unknown,
 }
 
-/// A record and where it lies in its segment.
+/// A record with its offset and size in its segment.
 pub(crate) struct Located {
     pub(crate) record: Record,
     pub(crate) offset: usize,
@@ -74,11 +73,19 @@
                     offset += size;
                 }
                 Found::End if matches!(extent, Extent::Unknown) => return Ok(offset),
-                Found::End => return Err(self.damaged(offset, "ends before its end")),
+                Found::End => {
+                    return Err(
+                        self.damaged(offset, "the records end before the recorded end of the segment")
+                    );
+                }
                 Found::Damage(reason) => return Err(self.damaged(offset, reason)),
             }
         }
-        if offset == end { Ok(offset) } else { Err(self.damaged(offset, "a record beyond what is in use")) }
+        if offset == end {
+            Ok(offset)
+        } else {
+            Err(self.damaged(offset, "a record extends beyond the recorded end of the segment"))
+        }
     }
 
     fn damaged(&self, offset: usize, reason: &'static str) -> StoreError {
--- a/crates/store/src/store/append.rs
+++ b/crates/store/src/store/append.rs
@@ -1,4 +1,4 @@
-//! Commits: records are appended to the last segment, and last once it is synced.
+//! Commits: records are appended to the last segment and are durable once it is synced.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
@@ -11,12 +11,12 @@
 use super::{Location, Store};
 
 impl<D: Disk> Store<D> {
-    /// Commits these operations in order. They last once this returns. After an error each may or may not last, and the
-    /// store takes nothing more.
+    /// Commits these operations in order. They are durable once this returns. After an error of the disk, each of them
+    /// may or may not be durable, and the store accepts no more operations.
     ///
     /// # Errors
     ///
-    /// A record is too large, in which case nothing was written; the disk's.
+    /// A record is too large, in which case nothing was written; errors of the disk.
     pub fn commit(&mut self, ops: &[Op], now: u64) -> Result<(), StoreError> {
         self.check_usable()?;
         let records = self.records_of(ops, now)?;
@@ -25,18 +25,19 @@
         self.checkpoint_if_due()
     }
 
-    /// Takes commits again after a write or a sync failed. What was written since the last commit that lasted is not counted
-    /// on, whatever a later sync says: the segment is sealed where that commit ended, and another is begun.
+    /// Accepts commits again after a write or a sync failed. Bytes written after the last successful commit are not
+    /// relied on, even if a later sync succeeds: the segment is sealed at the end of that commit, and another segment
+    /// is begun.
     ///
     /// # Errors
     ///
-    /// The disk's: it fails still, and the store takes nothing as before.
+    /// Errors of the disk. The store then still accepts no operations.
     pub fn resume(&mut self) -> Result<(), StoreError> {
         self.failed = false;
         self.begin_segment()
     }
 
-    /// The records of these operations, if none is too large.
+    /// Converts operations to records. Fails if one of them is too large.
     fn records_of(&mut self, ops: &[Op], now: u64) -> Result<Vec<Record>, StoreError> {
         let mut records = Vec::with_capacity(ops.len());
         for op in ops {
@@ -52,7 +53,7 @@
         Ok(records)
     }
 
-    /// Appends records, with one write and one sync for all that lie in one segment.
+    /// Appends records, with one write and one sync for all records in the same segment.
     pub(super) fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let mut batch = Vec::new();
         let mut locations = Vec::with_capacity(records.len());
@@ -72,7 +73,7 @@
         Ok(())
     }
 
-    /// Adds a record to what is written next, and tells where it will lie.
+    /// Adds a record to the batch that is written next, and returns its future location.
     fn encode_to(&self, batch: &mut Vec<u8>, record: &Record) -> Location {
         let segment = self.last_segment();
         let offset = self.end + batch.len() as u64;
@@ -80,7 +81,7 @@
         Location::new(segment, offset as usize, record.size(), record.time)
     }
 
-    /// Writes bytes to the end of the last segment.
+    /// Writes bytes at the end of the last segment.
     fn flush(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         if bytes.is_empty() {
             return self.check_usable();
@@ -96,14 +97,14 @@
         Ok(())
     }
 
-    /// Begins another segment. The one before is sealed by the same replacement of the manifest.
+    /// Begins another segment. The previous segment is sealed by the same replacement of the manifest.
     pub(super) fn begin_segment(&mut self) -> Result<(), StoreError> {
         let mut manifest = self.manifest.clone();
         let number = self.last_segment() + 1;
         if let Some(last) = manifest.segments.last_mut() {
             last.used = self.end;
             if !self.limits.sync {
-                // From now on its records are counted on up to its end.
+                // The manifest will state that the records up to this end are durable.
                 self.sync(&segment_name(last.number))?;
             }
         }
@@ -125,7 +126,7 @@
         self.modify(|disk| disk.sync_folder())
     }
 
-    /// Replaces the manifest in one step: whatever happens, the disk has either the old or the new one.
+    /// Replaces the manifest atomically: after a failure at any point the disk has either the old or the new manifest.
     pub(super) fn replace_manifest(&mut self, mut manifest: Manifest) -> Result<(), StoreError> {
         manifest.number = manifest.number.wrapping_add(1);
         let bytes = encode_manifest(&manifest);
--- a/crates/store/src/store/checkpoint.rs
+++ b/crates/store/src/store/checkpoint.rs
@@ -1,7 +1,7 @@
-//! Checkpoints: the index of all sealed segments as a file, so that the next start need not read them.
+//! Checkpoints: the index of all sealed segments in a file, so that the next start need not read those segments.
 //!
-//! A checkpoint is the magic, the number of entries, the entries, and a checksum of all before it. An entry is the
-//! location, the kind, the length of the key, and the key.
+//! A checkpoint consists of the magic number, the number of entries, the entries, and a checksum of all preceding
+//! bytes. An entry consists of the location, the kind, the length of the key, and the key.
 
 use std::collections::HashSet;
 
@@ -13,7 +13,7 @@
 use super::{Key, Location, Store};
 
 const MAGIC: &[u8; 4] = b"LSTC";
-/// The size of an entry without its key.
+/// The size of an entry without its key, in bytes.
 const ENTRY_HEADER: usize = 27;
 
 impl<D: Disk> Store<D> {
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// The disk's.
+    /// Errors of the disk.
     pub fn checkpoint(&mut self) -> Result<(), StoreError> {
         self.check_usable()?;
         let Some(last_sealed) = self.manifest.segments.iter().rev().nth(1) else { return Ok(()) };
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Writes a checkpoint once enough segments were sealed since the last.
+    /// Writes a checkpoint if more sealed segments than the limit are not covered by the current one.
     pub(super) fn checkpoint_if_due(&mut self) -> Result<(), StoreError> {
         let covered = self.manifest.checkpoint.map_or(0, |checkpoint| checkpoint.covers);
         let uncovered = self.manifest.segments.iter().filter(|segment| segment.number > covered).count();
-        // The last segment is not sealed, and never in a checkpoint.
+        // The last segment is not sealed and is never part of a checkpoint.
         if uncovered > self.limits.max_uncovered_segments + 1 { self.checkpoint() } else { Ok(()) }
     }
 
@@ -54,7 +54,8 @@
         self.modify(|disk| disk.sync_folder())
     }
 
-    /// The index of the segments up to this one. Later segments are read at the start, and win over the checkpoint.
+    /// Encodes the index of the segments up to this one. Later segments are read at the start, and their records
+    /// override the checkpoint.
     fn encode_checkpoint(&self, covers: u64) -> Vec<u8> {
         let mut count = 0_u64;
         let mut entries = Vec::new();
@@ -70,7 +71,8 @@
         bytes
     }
 
-    /// Fills the index from a checkpoint; none if it can't be read, when the index may be filled in part.
+    /// Fills the index from a checkpoint. Returns `None` if the checkpoint can't be read; the index may then be
+    /// partially filled.
     pub(super) fn read_checkpoint(&mut self, name: &str) -> Option<()> {
         let bytes = self.disk.read(name, 0, usize::MAX).ok()?;
         let (body, checksum) = bytes.split_last_chunk::<4>()?;
@@ -79,13 +81,13 @@
         }
         let mut reader = Reader { rest: body.strip_prefix(MAGIC)? };
         let count = reader.read_u64()?;
-        // The count is only as good as the checksum: reserve no more than so many bytes can hold.
-        let most = body.len() / ENTRY_HEADER;
-        self.index.reserve(usize::try_from(count).unwrap_or(0).min(most));
+        // A damaged count may pass the checksum, so the reservation is limited to the entries that the file can hold.
+        let max_entries = body.len() / ENTRY_HEADER;
+        self.index.reserve(usize::try_from(count).unwrap_or(0).min(max_entries));
         let segments: HashSet<u64> = self.manifest.segments.iter().map(|segment| segment.number).collect();
         for _ in 0..count {
             let (key, location) = reader.read_entry()?;
-            // What still counts of a segment that was cleaned since lies in a later one.
+            // The current records of a segment that was cleaned after the checkpoint are in a later segment.
             if segments.contains(&location.segment) {
                 self.index.insert(key, location);
             }
@@ -104,7 +106,7 @@
     bytes.extend_from_slice(&key.bytes);
 }
 
-/// Reads the fields of a checkpoint one after the other.
+/// Reads the fields of a checkpoint in order.
 struct Reader<'a> {
     rest: &'a [u8],
 }
--- a/crates/store/src/store/compaction.rs
+++ b/crates/store/src/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: what still counts of the oldest segment moves to the end, and the segment goes.
+//! Compaction: the current records of the oldest segment are appended again, and the segment is removed.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
@@ -7,33 +7,33 @@
 
 use super::{Key, Store};
 
-/// What becomes of the current records of a segment that is cleaned.
+/// The current records of a segment that is cleaned, by whether they are kept.
 #[derive(Default)]
-struct Sorted {
-    /// Records that move to the end.
+struct SortedRecords {
+    /// Records that are appended again.
     kept: Vec<Record>,
-    /// Keys of the records that go.
+    /// Keys of the records that are dropped.
     dropped: Vec<Key>,
-    /// How many of those go before they expire.
+    /// The number of records that are dropped before they expire.
     evicted: u64,
 }
 
 impl<D: Disk> Store<D> {
-    /// Moves what still counts of the oldest segment to the end, and removes the segment. With `full`, kinds that yield
-    /// are dropped instead.
+    /// Appends the current records of the oldest segment again and removes the segment. With `over_budget`, records of
+    /// evictable kinds are dropped instead.
     ///
     /// # Errors
     ///
-    /// The segment is damaged, in which case it stays; the disk's.
-    pub fn clean(&mut self, now: u64, full: bool) -> Result<(), StoreError> {
+    /// The segment is damaged, in which case it is kept; errors of the disk.
+    pub fn clean(&mut self, now: u64, over_budget: bool) -> Result<(), StoreError> {
         self.check_usable()?;
         if self.manifest.segments.len() < 2 {
             return Ok(());
         }
         let oldest = self.manifest.segments[0];
-        let sorted = self.sort_records(oldest, now, full)?;
+        let sorted = self.sort_records(oldest, now, over_budget)?;
         self.stats.evicted += sorted.evicted;
-        // The records last in their new place before the old one goes.
+        // The records are durable in their new location before the old segment is removed.
         self.append(&sorted.kept)?;
         let mut manifest = self.manifest.clone();
         manifest.segments.remove(0);
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// Cleans the oldest segments while the store is larger than its budget and that makes it smaller.
+    /// Cleans the oldest segments as long as the store exceeds its budget and each cleaning makes it smaller.
     pub(super) fn enforce_budget(&mut self, now: u64) -> Result<(), StoreError> {
         while self.size() > self.limits.budget && self.manifest.segments.len() > 2 {
             let before = self.size();
@@ -70,9 +70,14 @@
         Ok(())
     }
 
-    fn sort_records(&self, entry: SegmentEntry, now: u64, full: bool) -> Result<Sorted, StoreError> {
+    fn sort_records(
+        &self,
+        entry: SegmentEntry,
+        now: u64,
+        over_budget: bool,
+    ) -> Result<SortedRecords, StoreError> {
         let segment = self.read_segment(entry.number)?;
-        let mut sorted = Sorted::default();
+        let mut sorted = SortedRecords::default();
         segment.scan(Extent::Known(entry.used), |found| {
             let record = found.record;
             let key = Key::of(&record);
@@ -81,7 +86,7 @@
             }
             if self.is_expired(&record, now) {
                 sorted.dropped.push(key);
-            } else if full && self.limits.evictable_kinds.contains(&record.kind) {
+            } else if over_budget && self.limits.evictable_kinds.contains(&record.kind) {
                 sorted.evicted += 1;
                 sorted.dropped.push(key);
             } else {
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,13 +1,13 @@
 //! The store: an index in memory over append-only segments on a disk.
 //!
-//! [`Store`] holds the state; what it does is in the submodules:
+//! [`Store`] holds the state; its operations are in the submodules:
 //!
-//! - `append`: commits, and segments that are begun;
+//! - `append`: commits, and the start of new segments;
 //! - `recovery`: creating and opening a store;
-//! - `checkpoint`: the index as a file, for a faster start;
-//! - `compaction`: dropping what no longer counts;
-//! - `read`: reading records, and verifying all of them;
-//! - `repair`: a new store from what can be read of a damaged one.
+//! - `checkpoint`: writing the index to a file, for a faster start;
+//! - `compaction`: dropping replaced and expired records;
+//! - `read`: reading records, and verifying the whole store;
+//! - `repair`: creating a new store from the readable records of a damaged one.
 
 mod append;
 mod checkpoint;
@@ -32,26 +32,26 @@
     disk: D,
     limits: Limits,
     manifest: Manifest,
-    /// The salt of each segment.
+    /// The salt of each segment, by segment number.
     salts: HashMap<u64, u64>,
-    /// The offset in the last segment at which the next record goes.
+    /// The offset in the last segment at which the next record is written.
     end: u64,
     index: Index,
-    /// A write or a sync failed: what is on the disk is not known.
+    /// Whether a write or a sync failed, after which the state of the disk is unknown.
     failed: bool,
     stats: Stats,
 }
 
 type Index = HashMap<Key, Location, foldhash::fast::RandomState>;
 
-/// What a record is found by.
+/// The kind and key that identify a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Key {
     kind: u8,
     bytes: Box<[u8]>,
 }
 
-/// Where the latest record of a key lies.
+/// The location of the latest record of a key.
 #[derive(Clone, Copy, Debug)]
 struct Location {
     segment: u64,
@@ -82,7 +82,7 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// A store whose index is still to be filled.
+    /// Creates a store whose index is still empty.
     fn with_manifest(disk: D, limits: Limits, manifest: Manifest) -> Self {
         let limits = Limits { segment_size: manifest.segment_size, ..limits };
         Self {
@@ -97,24 +97,24 @@
         }
     }
 
-    /// The size of the store, and what it has done since it was opened.
+    /// Returns the size of the store, and counters since it was opened.
     #[must_use]
     pub fn stats(&self) -> Stats {
         let segments = self.manifest.segments.len();
         Stats { records: self.index.len(), segments, bytes: self.size(), ..self.stats }
     }
 
-    /// Closes the store, and returns its disk.
+    /// Closes the store and returns its disk.
     pub fn close(self) -> D {
         self.disk
     }
 
-    /// The size of all segments, in bytes.
+    /// Returns the size of all segments, in bytes.
     fn size(&self) -> u64 {
         self.manifest.segments.len() as u64 * self.manifest.segment_size
     }
 
-    /// The number of the segment that is written to.
+    /// Returns the number of the segment that is written to.
     fn last_segment(&self) -> u64 {
         self.manifest.segments.last().map_or(0, |segment| segment.number)
     }
@@ -123,7 +123,7 @@
         self.salts.get(&segment).copied().unwrap_or_default()
     }
 
-    /// Points the index to a record that was read or written, or removes its key if it is a tombstone.
+    /// Points the index to a record that was read or written, or removes the key if the record is a tombstone.
     fn index_record(&mut self, record: &Record, location: Location) {
         let key = Key::of(record);
         if record.tombstone {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Whether the index points to the record at this place.
+    /// Whether the index points to the record at this location.
     fn is_current(&self, key: &Key, segment: u64, offset: usize) -> bool {
         self.index.get(key).is_some_and(|location| location.is_at(segment, offset))
     }
@@ -143,7 +143,7 @@
         if self.failed { Err(StoreError::Failed) } else { Ok(()) }
     }
 
-    /// Changes something on the disk. If that fails, the store takes nothing more.
+    /// Makes a change to the disk. If it fails, the store accepts no more operations.
     fn modify<T>(&mut self, change: impl FnOnce(&mut D) -> io::Result<T>) -> Result<T, StoreError> {
         self.check_usable()?;
         change(&mut self.disk).map_err(|error| {
@@ -160,7 +160,11 @@
     /// Fails if the file of a segment is missing or has another length.
     fn check_segment_length(&self, name: &str) -> Result<(), StoreError> {
         let length = self.disk.length(name).map_err(|_| damaged(name, 0, "missing"))?;
-        if length == self.manifest.segment_size { Ok(()) } else { Err(damaged(name, 0, "its length")) }
+        if length == self.manifest.segment_size {
+            Ok(())
+        } else {
+            Err(damaged(name, 0, "unexpected file length"))
+        }
     }
 
     fn read_segment(&self, number: u64) -> Result<Segment, StoreError> {
@@ -171,7 +175,7 @@
         Ok(Segment { name, bytes, salt })
     }
 
-    /// How far the records of a segment reach, which the manifest tells of all but the last.
+    /// Returns where the records of a segment end. The manifest has the end of all segments but the last.
     fn extent_of(&self, number: u64, used: u64) -> Extent {
         Extent::Known(if number == self.last_segment() { self.end } else { used })
     }
--- a/crates/store/src/store/read.rs
+++ b/crates/store/src/store/read.rs
@@ -1,4 +1,4 @@
-//! Reading records, and verifying all of them.
+//! Reading records, and verifying the whole store.
 
 use crate::disk::Disk;
 use crate::error::{StoreError, damaged};
@@ -9,17 +9,17 @@
 use super::{Key, Store};
 
 impl<D: Disk> Store<D> {
-    /// The value that is stored under this key.
+    /// Returns the value that is stored under this key.
     ///
     /// # Errors
     ///
-    /// The record is damaged; the disk's.
+    /// The record is damaged; errors of the disk.
     pub fn get(&self, kind: u8, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.check_usable()?;
         let Some(location) = self.index.get(&Key::new(kind, key)) else { return Ok(None) };
         let name = segment_name(location.segment);
         let offset = location.offset as usize;
-        // The record's checksum includes its offset, so zeros stand for what lies before it.
+        // The checksum includes the record's offset, so zeros take the place of the bytes before the record.
         let mut bytes = vec![0; offset];
         bytes.extend(self.disk.read(&name, u64::from(location.offset), location.size as usize)?);
         let damaged = |reason| damaged(&name, u64::from(location.offset), reason);
@@ -28,11 +28,11 @@
                 Ok(Some(record.value))
             }
             Found::Damage(reason) => Err(damaged(reason)),
-            Found::Record { .. } | Found::End => Err(damaged("not the record that was kept")),
+            Found::Record { .. } | Found::End => Err(damaged("not the record that the index refers to")),
         }
     }
 
-    /// All stored records without their values, in no order.
+    /// Returns all stored records without their values, in no particular order.
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         self.index.iter().map(|(key, location)| Entry {
             kind: key.kind,
@@ -41,41 +41,41 @@
         })
     }
 
-    /// Visits all stored records with their values, by reading each segment once.
+    /// Visits all stored records with their values. Each segment is read once.
     ///
     /// # Errors
     ///
-    /// A segment is damaged; the disk's.
-    pub fn for_each(&self, mut seen: impl FnMut(Entry, Vec<u8>)) -> Result<(), StoreError> {
+    /// A segment is damaged; errors of the disk.
+    pub fn for_each(&self, mut visit: impl FnMut(Entry, Vec<u8>)) -> Result<(), StoreError> {
         self.check_usable()?;
         for segment in &self.manifest.segments {
             self.scan_segment(segment, |found| {
                 let record = found.record;
                 if self.is_current(&Key::of(&record), segment.number, found.offset) {
-                    seen(Entry { kind: record.kind, key: record.key, at: record.time }, record.value);
+                    visit(Entry { kind: record.kind, key: record.key, at: record.time }, record.value);
                 }
             })?;
         }
         Ok(())
     }
 
-    /// Reads everything, and returns what is damaged.
+    /// Reads all segments and returns the damage found.
     ///
     /// # Errors
     ///
-    /// The disk's.
+    /// Errors of the disk.
     pub fn verify(&self) -> Result<Vec<Damage>, StoreError> {
-        let mut all = Vec::new();
+        let mut damage = Vec::new();
         for segment in &self.manifest.segments {
             match self.scan_segment(segment, |_| {}) {
                 Ok(()) => {}
                 Err(StoreError::Damaged { file, offset, reason }) => {
-                    all.push(Damage { file, offset, reason: reason.into() })
+                    damage.push(Damage { file, offset, reason: reason.into() })
                 }
-                Err(other) => return Err(other),
+                Err(error) => return Err(error),
             }
         }
-        Ok(all)
+        Ok(damage)
     }
 
     fn scan_segment(&self, entry: &SegmentEntry, visit: impl FnMut(Located)) -> Result<(), StoreError> {
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -1,4 +1,4 @@
-//! Creating a store, and opening one that was closed, killed or cut off.
+//! Creating a store, and opening one after a shutdown, a kill or a power failure.
 
 use crate::disk::Disk;
 use crate::error::{StoreError, damaged};
@@ -8,18 +8,19 @@
 
 use super::{Location, Store};
 
-/// The smallest and the largest segment, in bytes.
+/// The smallest and the largest segment size, in bytes.
 const SEGMENT_SIZES: (u64, u64) = (4096, 1 << 30);
-/// Segments are multiples of a page.
+/// The size of a segment is a multiple of this page size, in bytes.
 const PAGE: u64 = 4096;
 
 impl<D: Disk> Store<D> {
-    /// Opens the store on this disk, or with `new` creates one where there is none. `seed` is any number that other
-    /// stores are unlikely to have.
+    /// Opens the store on this disk, or with `new` creates one. `seed` is any number that other stores are unlikely to
+    /// have.
     ///
     /// # Errors
     ///
-    /// There is no store, or one that is damaged. Nothing has been changed then. With `new`, there is one already.
+    /// There is no store, or, with `new`, there is one already; the store is damaged, in which case nothing was
+    /// changed; errors of the disk.
     pub fn open(disk: D, limits: Limits, new: bool, seed: u64) -> Result<Self, StoreError> {
         let names = disk.list()?;
         if !names.iter().any(|name| name == MANIFEST) {
@@ -46,7 +47,7 @@
         Ok(store)
     }
 
-    /// Fills the index: from the checkpoint, and from the segments that it does not cover.
+    /// Fills the index from the checkpoint and from the segments that the checkpoint does not cover.
     fn load(&mut self) -> Result<(), StoreError> {
         let covered = self.load_checkpoint();
         let last = self.last_segment();
@@ -62,8 +63,8 @@
         Ok(())
     }
 
-    /// Loads the checkpoint, and returns the last segment that it covers. All that it holds is in the segments, too, so
-    /// one that can't be read is ignored.
+    /// Loads the checkpoint and returns the number of the last segment that it covers. Its content is in the segments,
+    /// too, so a checkpoint that can't be read is ignored.
     fn load_checkpoint(&mut self) -> u64 {
         let Some(checkpoint) = self.manifest.checkpoint else { return 0 };
         if self.read_checkpoint(&checkpoint_name(checkpoint.number)).is_some() {
@@ -73,7 +74,7 @@
         0
     }
 
-    /// Reads the header alone of a segment that the checkpoint covers.
+    /// Reads only the header of a segment that the checkpoint covers.
     fn load_salt(&mut self, number: u64) -> Result<(), StoreError> {
         let name = segment_name(number);
         self.check_segment_length(&name)?;
@@ -83,7 +84,7 @@
         Ok(())
     }
 
-    /// Indexes all records of a segment. Returns the segment, and the offset at which its records end.
+    /// Indexes all records of a segment. Returns the segment and the offset at which its records end.
     fn load_segment(&mut self, number: u64, extent: Extent) -> Result<(Segment, usize), StoreError> {
         let segment = self.read_segment(number)?;
         self.salts.insert(number, segment.salt);
@@ -94,8 +95,8 @@
         Ok((segment, end))
     }
 
-    /// Loads the segment that is written to, and erases a write that was cut off: it must not be taken for a record once
-    /// others lie before it.
+    /// Loads the segment that is written to, and erases an interrupted write: otherwise its bytes could be read as a
+    /// record once other records precede them.
     fn load_last_segment(&mut self, number: u64) -> Result<(), StoreError> {
         let (segment, end) = self.load_segment(number, Extent::Unknown)?;
         self.end = end as u64;
@@ -107,7 +108,7 @@
         Ok(())
     }
 
-    /// Removes files that the manifest does not list: they were never in use, or are no longer.
+    /// Removes files that the manifest does not list: they were never part of the store, or no longer are.
     fn remove_unlisted(&mut self, names: &[String]) -> Result<(), StoreError> {
         let segments = self.manifest.segments.iter().map(|segment| segment_name(segment.number));
         let checkpoint = self.manifest.checkpoint.map(|checkpoint| checkpoint_name(checkpoint.number));
@@ -122,15 +123,19 @@
     }
 }
 
-/// Fails if files without a manifest are more than the beginnings of a store that was never created: a manifest that was
-/// not put in its place, and a first segment without a header.
+/// Fails if the files without a manifest are more than the remains of an interrupted creation: a manifest that was not
+/// renamed yet, and a first segment without records.
 fn check_never_created<D: Disk>(disk: &D, names: &[String]) -> Result<(), StoreError> {
     let first_segment = segment_name(1);
     let mut files = names.iter().filter(|name| is_store_file(name));
-    let mut is_beginning = files.all(|name| name == MANIFEST_NEW || *name == first_segment);
-    if is_beginning && names.contains(&first_segment) {
-        let header = disk.read(&first_segment, SEGMENT_HEADER as u64, usize::MAX)?;
-        is_beginning = header.iter().all(|byte| *byte == 0);
+    let mut is_incomplete_creation = files.all(|name| name == MANIFEST_NEW || *name == first_segment);
+    if is_incomplete_creation && names.contains(&first_segment) {
+        let records = disk.read(&first_segment, SEGMENT_HEADER as u64, usize::MAX)?;
+        is_incomplete_creation = records.iter().all(|byte| *byte == 0);
+    }
+    if is_incomplete_creation {
+        Ok(())
+    } else {
+        Err(damaged(MANIFEST, 0, "missing, though there are segments"))
     }
-    if is_beginning { Ok(()) } else { Err(damaged(MANIFEST, 0, "missing, though there are segments")) }
 }
--- a/crates/store/src/store/repair.rs
+++ b/crates/store/src/store/repair.rs
@@ -1,4 +1,4 @@
-//! Repair: a new store from what can be read of a damaged one.
+//! Repair: creating a new store from the readable records of a damaged one.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
@@ -8,7 +8,7 @@
 
 use super::Store;
 
-/// The prefix of the damaged store's files.
+/// The prefix under which the files of the damaged store are kept.
 const LOST_PREFIX: &str = "lost-";
 
 /// The file of a segment.
@@ -17,21 +17,21 @@
     name: String,
 }
 
-/// What was read of a damaged store.
+/// The records read from a damaged store, and the damage.
 #[derive(Default)]
 struct Salvage {
     records: Vec<Record>,
     lost: Vec<Damage>,
-    /// A segment of another format version.
+    /// The error of a segment that has another format version.
     unsupported: Option<StoreError>,
 }
 
-/// Makes a new store of what can be read of a damaged one. Every record in it was committed once; the damaged files stay,
-/// under names that begin with `lost-`. Returns the store, and what was lost as far as it can be told.
+/// Creates a new store from the readable records of a damaged one. Every record in it was written by an earlier commit.
+/// The damaged files are kept under names that begin with `lost-`. Returns the store and the damage found.
 ///
 /// # Errors
 ///
-/// There is no store; it has another format version; the disk's.
+/// There is no store; it has another format version; errors of the disk.
 pub fn repair<D: Disk>(
     mut disk: D,
     limits: Limits,
@@ -43,7 +43,8 @@
         return Err(StoreError::Missing);
     }
     let salvage = Salvage::read(&disk, &segments)?;
-    // One header may have a bit flipped; if all have another version, so has the store.
+    // The version in a single header may be damaged. If no segment is readable and a version differs, the store has
+    // another version.
     if let Some(error) = salvage.unsupported.filter(|_| salvage.lost.len() == segments.len()) {
         return Err(error);
     }
@@ -56,7 +57,7 @@
     Ok((store, salvage.lost))
 }
 
-/// The segments among these files, in order.
+/// Returns the segments among these files, in order.
 fn segment_files(names: &[String]) -> Vec<SegmentFile> {
     let file = |name: &String| Some(SegmentFile { number: segment_number(name)?, name: name.clone() });
     let mut files: Vec<SegmentFile> = names.iter().filter_map(file).collect();
@@ -72,20 +73,20 @@
             let bytes = disk.read(&name, 0, usize::MAX)?;
             match decode_segment_header(&name, &bytes, file.number) {
                 Ok(salt) => salvage.read_segment(&Segment { name, bytes, salt }),
-                Err(error) => salvage.lose_segment(name, error),
+                Err(error) => salvage.add_lost_segment(name, error),
             }
         }
         Ok(salvage)
     }
 
-    fn lose_segment(&mut self, file: String, error: StoreError) {
+    fn add_lost_segment(&mut self, file: String, error: StoreError) {
         if matches!(error, StoreError::FormatVersion { .. }) {
             self.unsupported = Some(error);
         }
-        self.lost.push(Damage { file, offset: 0, reason: "the whole segment: its head".into() });
+        self.lost.push(Damage { file, offset: 0, reason: "the whole segment: invalid header".into() });
     }
 
-    /// Reads all records of a segment, also those behind damage.
+    /// Reads all records of a segment, including those after damaged bytes.
     fn read_segment(&mut self, segment: &Segment) {
         let mut offset = SEGMENT_HEADER;
         while offset < segment.bytes.len() {
@@ -96,23 +97,23 @@
                 }
                 Found::End | Found::Damage(_) => {
                     let next = next_record(segment, offset);
-                    self.lose_bytes(segment, offset, next);
+                    self.add_lost_bytes(segment, offset, next);
                     offset = next;
                 }
             }
         }
     }
 
-    /// Notes that a range holds no record, unless it was never written.
-    fn lose_bytes(&mut self, segment: &Segment, from: usize, to: usize) {
+    /// Adds a range without a valid record to the damage, unless it was never written.
+    fn add_lost_bytes(&mut self, segment: &Segment, from: usize, to: usize) {
         if segment.bytes[from..to].iter().any(|byte| *byte != 0) {
-            let reason = format!("{} bytes that are no record", to - from);
+            let reason = format!("{} bytes without a valid record", to - from);
             self.lost.push(Damage { file: segment.name.clone(), offset: from as u64, reason });
         }
     }
 }
 
-/// The offset of the next record after this one, or the end of the segment.
+/// Returns the offset of the next valid record after this offset, or the end of the segment.
 fn next_record(segment: &Segment, offset: usize) -> usize {
     let is_record = |at: &usize| matches!(decode(&segment.bytes, *at, segment.salt), Found::Record { .. });
     let mut offsets = (offset + ALIGN..segment.bytes.len()).step_by(ALIGN);
--- a/crates/store/src/types.rs
+++ b/crates/store/src/types.rs
@@ -1,19 +1,23 @@
-//! What a store is configured with, takes and returns.
+//! The configuration of a store, and the types of its operations and results.
 
-/// How large a store may become, and what it may drop.
+/// The limits on a store's size, and the rules by which it drops records.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// The size of a segment, in bytes.
     pub segment_size: u64,
-    /// The size of all segments, in bytes. Past it, the oldest segment is cleaned before more is written.
+    /// The size of all segments, in bytes. When a commit exceeds it, the oldest segments are cleaned.
     pub budget: u64,
-    /// By kind: how long after its time a record is kept, in the unit of that time. Other kinds are kept for ever.
+    /// By kind: how long after its time a record is kept, in the unit of that time. Records of other kinds never
+    /// expire.
     pub retention: Vec<(u8, u64)>,
-    /// The kinds whose oldest records are dropped if the budget is spent and no record has expired.
+    /// The kinds whose records may be dropped before they expire, oldest segment first, when the store exceeds its
+    /// budget.
     pub evictable_kinds: Vec<u8>,
-    /// Sync every commit. Without it a commit survives a kill of the process, and may be lost in a power cut.
+    /// Whether every commit is synced. Without a sync, a commit survives a kill of the process but may be lost in a
+    /// power failure.
     pub sync: bool,
-    /// The number of sealed segments past the checkpoint from which on another checkpoint is written.
+    /// The largest number of sealed segments that the checkpoint does not cover. With more, another checkpoint is
+    /// written.
     pub max_uncovered_segments: usize,
 }
 
@@ -33,18 +37,18 @@
 /// One operation of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Store a value, in place of any that the key has.
+    /// Stores a value, replacing an existing value of the key.
     Put {
-        /// The kind of record, a namespace of keys.
+        /// The kind of record. Each kind has its own namespace of keys.
         kind: u8,
         /// The key.
         key: Vec<u8>,
         /// The value.
         value: Vec<u8>,
-        /// The time of the record, from which it expires.
+        /// The time of the record, from which its retention is counted.
         at: u64,
     },
-    /// Remove a key.
+    /// Removes a key.
     Remove {
         /// The kind of record.
         kind: u8,
@@ -64,7 +68,7 @@
     pub at: u64,
 }
 
-/// The size of a store, and what it has done since it was opened.
+/// The size of a store, and counters since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Stored records.
@@ -73,24 +77,24 @@
     pub segments: usize,
     /// The size of all segments, in bytes.
     pub bytes: u64,
-    /// Bytes of keys and values that were committed.
+    /// Bytes of the keys and values in commits.
     pub committed_bytes: u64,
-    /// Bytes that were written for them.
+    /// Bytes that were written to the disk, including headers, padding, checkpoints and compaction.
     pub written_bytes: u64,
     /// Syncs of files.
     pub syncs: u64,
     /// Segments that were cleaned.
     pub cleaned: u64,
-    /// Records that were dropped before they expired, for want of space.
+    /// Records that were dropped before they expired, because the store exceeded its budget.
     pub evicted: u64,
 }
 
-/// A damaged place of a store.
+/// A damaged part of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     /// The file.
     pub file: String,
-    /// The offset in it.
+    /// The offset in the file.
     pub offset: u64,
     /// What is damaged.
     pub reason: String,
