--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,25 +1,29 @@
-//! Histories: what each process of a fleet did and saw, as JSON Lines. Every line stands for itself and tells
-//! its form's version, so that histories of several processes can be merged by time and judged from outside.
+//! Histories: audit logs of the events that each process of a fleet caused and observed, as JSON Lines. Every line is
+//! complete in itself and contains the format version, so that the histories of several processes can be merged by time
+//! and checked by another program.
 
 use std::io::{self, BufRead, Write};
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Of the form. A reader refuses any other.
+/// The version of the format. A reader rejects any other version.
 pub const FORMAT_VERSION: u8 = 2;
-/// The longest line that a reader takes, in bytes.
+/// The longest line that a reader accepts, in bytes.
 pub const MAX_LINE_LENGTH: usize = 64 * 1024;
 
+/// One line of a history: an event with its time and process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
+    /// The format version.
     pub v: u8,
-    /// Nanoseconds on the machine's monotonic clock, which all its processes read alike.
+    /// The time in nanoseconds on the machine's monotonic clock, which is the same for all processes of the machine.
     pub at: u64,
-    /// The process: `n3`, `c0`, `clients`, `executors`, `rig`.
+    /// The name of the process: `n3`, `c0`, `clients`, `executors`, `rig`.
     pub by: String,
-    /// Tells this run of the process from earlier ones.
+    /// A number that distinguishes this run of the process from earlier runs.
     pub life: u64,
+    /// The event.
     #[serde(flatten)]
     pub what: HistoryEvent,
 }
@@ -28,77 +32,82 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ended {
+    /// Answered with the result of an execution.
     Satisfied,
+    /// Answered with the promise that a retry is harmless.
     Dismissed,
+    /// Answered without that promise.
     Aborted,
-    /// Its id was still open here; it was not taken.
+    /// Rejected because a submission with the same id was still open at this node.
     Repeated,
 }
 
+/// An event that a process caused or observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum HistoryEvent {
-    /// A process has begun.
+    /// A process started.
     Started,
-    /// A node's start has come so far.
+    /// A node reached this stage of its start.
     Stage { stage: String },
-    /// A node took a submission, under this version of the policy.
+    /// A node accepted a submission under this version of the policy.
     Taken { id: String, version: u64 },
-    /// A node turned one away because it may serve nothing.
+    /// A node rejected a submission because it is not allowed to serve under any version.
     TurnedAway { id: String },
-    /// A node handed an execution to a connection.
+    /// A node passed an execution to a connection.
     Sent { id: String, version: u64 },
-    /// A node gave the final answer.
+    /// A node gave the final answer to a submission.
     Answered { id: String, version: u64, ended: Ended },
-    /// A node may serve under this version until then, on the same clock as `at`.
+    /// A node's lease allows it to serve under this version until the time `until`, on the same clock as `at`.
     Leased { version: u64, until: u64 },
-    /// A node goes by this version from now on.
+    /// A node activated this version of the policy.
     Active { version: u64, digest: u32 },
-    /// A node has kept a change that is not decided.
+    /// A node persisted a change that is not decided yet.
     Staged { version: u64, digest: u32 },
-    /// A node can't take a change, by this key.
+    /// A node can't apply a change because of this key.
     Declined { version: u64, key: String },
-    /// A coordinator speaks for the fleet from now on.
+    /// A coordinator became the leader in this round.
     Established { round: u64 },
-    /// A coordinator let a member serve under a version.
+    /// A coordinator granted a member a lease under a version.
     Granted { member: String, round: u64, version: u64 },
-    /// A coordinator knows that a change was put before the fleet.
+    /// A coordinator learned that a change was proposed to the fleet.
     Pending { request: String, version: u64 },
-    /// A coordinator knows that a change was decided.
+    /// A coordinator learned that a change was decided.
     Decided { request: String, version: u64, digest: u32 },
-    /// A coordinator knows that a change will never hold, and why.
+    /// A coordinator learned that a change will never take effect, with the reason.
     Dropped { request: String, version: u64, why: String },
-    /// An operator was told how the change ended.
+    /// An operator received the outcome of a change.
     Heard { request: String, outcome: String },
-    /// A client handed in a submission; `key` is what it is about.
+    /// A client sent a submission; `key` identifies its work.
     Asked { id: String, key: String, node: String, one_shot: bool },
-    /// A client got this status.
+    /// A client received this status.
     Told { id: String, status: u16 },
-    /// A client can't know whether it was taken.
+    /// A client can't know whether its submission was accepted.
     Unknown { id: String },
-    /// A client's request never got as far as being whole.
+    /// A client's request was never sent completely.
     Unsent { id: String },
-    /// An executor took an execution.
+    /// An executor accepted an execution.
     Took { id: String, key: String, executor: String },
-    /// An executor dropped one that had not begun.
+    /// An executor dropped an execution that it had not begun.
     Unbegun { id: String },
-    /// A cold executor was handed more than it bears by all nodes together.
+    /// All nodes together sent a cold executor more than it can take.
     PushedOver { executor: String },
-    /// The rig did something to a process or a way.
+    /// The test rig performed an action on a process or a connection.
     Did { deed: String, to: String },
 }
 
 impl Line {
+    /// Creates a line of the current format version.
     #[must_use]
     pub fn new(at: u64, by: &str, life: u64, what: HistoryEvent) -> Self {
         Self { v: FORMAT_VERSION, at, by: by.to_owned(), life, what }
     }
 
-    /// Writes it, with its end, in one call.
+    /// Writes the line and its line feed in one call.
     ///
     /// # Errors
     ///
-    /// Those of the writer.
+    /// Errors of the writer.
     pub fn write(&self, to: &mut impl Write) -> io::Result<()> {
         let mut text = serde_json::to_vec(self)?;
         text.push(b'\n');
@@ -106,26 +115,30 @@
     }
 }
 
+/// An error from reading a history.
 #[derive(Debug, Error)]
 pub enum HistoryError {
+    /// A line is too long or is not a valid event.
     #[error("line {line}: {reason}")]
     InvalidLine { line: usize, reason: String },
-    #[error("line {line}: form {found}, and this reads {FORMAT_VERSION}")]
+    /// A line has another format version.
+    #[error("line {line}: format version {found}, but only {FORMAT_VERSION} is supported")]
     UnsupportedVersion { line: usize, found: u64 },
+    /// An error of the reader.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
 #[derive(Deserialize)]
-struct Form {
+struct VersionField {
     v: u64,
 }
 
-/// Reads a history. A last line without an end was cut by a kill and is left out.
+/// Reads a history. A last line without a line feed was interrupted by a kill and is omitted.
 ///
 /// # Errors
 ///
-/// The first line that is not understood, by its number.
+/// The first invalid line, with its number, or an error of the reader.
 pub fn read(from: &mut impl BufRead) -> Result<Vec<Line>, HistoryError> {
     let (mut lines, mut number, mut text) = (Vec::new(), 0, Vec::new());
     loop {
@@ -143,11 +156,12 @@
             }
             return Ok(lines);
         }
-        let fault = |e: serde_json::Error| HistoryError::InvalidLine { line: number, reason: e.to_string() };
-        let Form { v } = serde_json::from_slice(&text).map_err(fault)?;
+        let invalid =
+            |e: serde_json::Error| HistoryError::InvalidLine { line: number, reason: e.to_string() };
+        let VersionField { v } = serde_json::from_slice(&text).map_err(invalid)?;
         if v != u64::from(FORMAT_VERSION) {
             return Err(HistoryError::UnsupportedVersion { line: number, found: v });
         }
-        lines.push(serde_json::from_slice(&text).map_err(fault)?);
+        lines.push(serde_json::from_slice(&text).map_err(invalid)?);
     }
 }
--- a/crates/shim/src/calls.rs
+++ b/crates/shim/src/calls.rs
@@ -1,4 +1,4 @@
-//! The functions that take the place of the C library's.
+//! The functions that replace those of the C library.
 
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
@@ -6,12 +6,12 @@
     c_char, c_int, c_void, epoll_event, iovec, off_t, size_t, sockaddr, socklen_t, ssize_t, timespec,
 };
 
-use crate::faults::{Faults, moved, outside};
+use crate::faults::{Faults, shift_time, with_faults};
 use crate::plan::Call;
 
-/// The C library's own function of this name.
-macro_rules! real {
-    ($name:literal, $kind:ty) => {{
+/// Returns the original function of the C library.
+macro_rules! original {
+    ($name:literal, $function:ty) => {{
         static FOUND: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
         let mut found = FOUND.load(Ordering::Relaxed);
         if found.is_null() {
@@ -20,29 +20,33 @@
             FOUND.store(found, Ordering::Relaxed);
         }
         // SAFETY: the C library's function of this name has this type.
-        unsafe { std::mem::transmute::<*mut c_void, $kind>(found) }
+        unsafe { std::mem::transmute::<*mut c_void, $function>(found) }
     }};
 }
 
+/// Sets errno and returns -1.
 fn fail<T: From<i8>>(error: i32) -> T {
-    // SAFETY: the place of this thread's errno.
+    // SAFETY: the pointer is to this thread's errno.
     unsafe { *libc::__errno_location() = error };
     T::from(-1)
 }
 
-fn drawn(call: Call) -> Option<i32> {
-    outside(|faults| faults.error(call))
+/// Draws the error of a call, if it fails.
+fn draw_error(call: Call) -> Option<i32> {
+    with_faults(|faults| faults.draw_error(call))
 }
 
-fn kind(fd: c_int) -> u32 {
-    // SAFETY: a stat is plain data, and the pointer is to one of this frame.
+/// Returns the file type of a descriptor (`S_IFREG` and others), or 0 if it is unknown.
+fn file_type(fd: c_int) -> u32 {
+    // SAFETY: a stat is plain data, for which all zeros are valid.
     let mut stat: libc::stat = unsafe { std::mem::zeroed() };
-    // SAFETY: as above.
+    // SAFETY: the pointer is to a stat of this frame.
     let found = unsafe { libc::syscall(libc::SYS_fstat, fd, &raw mut stat) };
     if found == 0 { stat.st_mode & libc::S_IFMT } else { 0 }
 }
 
-/// A socket of the network. Pairs of sockets within a process, by which it wakes its own threads, never fail so.
+/// Whether a descriptor is a network socket. The socket pairs with which a process wakes its own threads do not fail
+/// like connections and are excluded.
 fn is_connection(fd: c_int) -> bool {
     let (mut domain, mut length) = (0 as c_int, size_of::<c_int>() as socklen_t);
     // SAFETY: the pointers are to an integer of this frame and its size.
@@ -53,67 +57,74 @@
     found == 0 && matches!(domain, libc::AF_INET | libc::AF_INET6)
 }
 
-/// Sockets that were broken: a bit each. Those with larger numbers are not broken.
+/// The broken sockets, one bit for each descriptor. Sockets with larger descriptors are never broken.
 static BROKEN: [AtomicU64; 64] = [const { AtomicU64::new(0) }; 64];
 
-fn bit(fd: c_int) -> Option<(&'static AtomicU64, u64)> {
+/// Returns the word and mask of a descriptor's bit in `BROKEN`.
+fn broken_bit(fd: c_int) -> Option<(&'static AtomicU64, u64)> {
     let fd = usize::try_from(fd).ok()?;
     Some((BROKEN.get(fd / 64)?, 1 << (fd % 64)))
 }
 
-/// Whether something has come that was not read.
-fn bytes_wait(fd: c_int) -> bool {
-    let mut waiting: c_int = 0;
-    // SAFETY: the number is there for the time of the call.
-    let asked = unsafe { libc::ioctl(fd, libc::FIONREAD, &raw mut waiting) };
-    asked == 0 && waiting > 0
+/// Whether a socket has received bytes that were not read.
+fn has_unread_bytes(fd: c_int) -> bool {
+    let mut unread: c_int = 0;
+    // SAFETY: the pointer is to an integer of this frame.
+    let result = unsafe { libc::ioctl(fd, libc::FIONREAD, &raw mut unread) };
+    result == 0 && unread > 0
 }
 
-/// The error of a connection that is broken, or breaks now.
-fn broken(fd: c_int) -> Option<i32> {
-    let (word, mask) = bit(fd)?;
+/// Returns the error of a connection that is broken already or by this draw.
+fn broken_error(fd: c_int) -> Option<i32> {
+    let (word, mask) = broken_bit(fd)?;
     if word.load(Ordering::Relaxed) & mask != 0 {
         return Some(libc::ETIMEDOUT);
     }
-    // The system hands out what has come before it tells of a break.
-    if bytes_wait(fd) {
+    // The system delivers received bytes before it reports a broken connection.
+    if has_unread_bytes(fd) {
         return None;
     }
-    let error = drawn(Call::Broken)?;
+    let error = draw_error(Call::Broken)?;
     word.fetch_or(mask, Ordering::Relaxed);
-    // The other end sees it too.
-    // SAFETY: any number may be passed for a descriptor.
+    // The shutdown makes the other end see the break, too.
+    // SAFETY: shutdown accepts any number as a descriptor.
     unsafe { libc::shutdown(fd, libc::SHUT_RDWR) };
     Some(error)
 }
 
-fn forget(fd: c_int) {
-    if let Some((word, mask)) = bit(fd) {
+/// Clears a descriptor's bit in `BROKEN`.
+fn clear_broken(fd: c_int) {
+    if let Some((word, mask)) = broken_bit(fd) {
         word.fetch_and(!mask, Ordering::Relaxed);
     }
 }
 
-/// What becomes of a read or a write of so many bytes of a socket.
+/// The result of drawing failures for a read or a write of a socket.
 enum Transfer {
-    Whole,
-    Part(usize),
+    /// The call is passed on.
+    Full,
+    /// The call is passed on with this smaller length.
+    Partial(usize),
+    /// The call fails with this error.
     Error(i32),
 }
 
-fn transfer(fd: c_int, call: Call, length: usize) -> Transfer {
+/// Draws failures for a read or a write of `length` bytes.
+fn draw_transfer(fd: c_int, call: Call, length: usize) -> Transfer {
     if !is_connection(fd) {
-        return Transfer::Whole;
+        return Transfer::Full;
     }
-    if let Some(error) = broken(fd).or_else(|| drawn(call)) {
+    if let Some(error) = broken_error(fd).or_else(|| draw_error(call)) {
         return Transfer::Error(error);
     }
-    let part = outside(|faults: &Faults| faults.error(Call::Short).map(|_| faults.part(length)));
-    part.map_or(Transfer::Whole, Transfer::Part)
+    let part =
+        with_faults(|faults: &Faults| faults.draw_error(Call::Short).map(|_| faults.draw_length(length)));
+    part.map_or(Transfer::Full, Transfer::Partial)
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -121,43 +132,44 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(error) = drawn(Call::Accept) {
+    if let Some(error) = draw_error(Call::Accept) {
         return fail(error);
     }
-    let real = real!(c"accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd, from, length, flags) }
+    let original =
+        original!(c"accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd, from, length, flags) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if let Some(error) = drawn(Call::Socket) {
+    if let Some(error) = draw_error(Call::Socket) {
         return fail(error);
     }
-    let real = real!(c"socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(domain, kind, protocol) }
+    let original = original!(c"socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(domain, kind, protocol) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
-    if let Some(error) = drawn(Call::Connect) {
+    if let Some(error) = draw_error(Call::Connect) {
         return fail(error);
     }
-    let real = real!(c"connect", unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd, to, length) }
+    let original = original!(c"connect", unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd, to, length) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
@@ -165,189 +177,196 @@
     most: c_int,
     timeout: c_int,
 ) -> c_int {
-    if let Some(error) = drawn(Call::Wait) {
+    if let Some(error) = draw_error(Call::Wait) {
         return fail(error);
     }
-    let real = real!(c"epoll_wait", unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd, events, most, timeout) }
+    let original =
+        original!(c"epoll_wait", unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd, events, most, timeout) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(fd: c_int) -> c_int {
-    forget(fd);
-    let real = real!(c"close", unsafe extern "C" fn(c_int) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd) }
+    clear_broken(fd);
+    let original = original!(c"close", unsafe extern "C" fn(c_int) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let length = match transfer(fd, Call::Read, length) {
-        Transfer::Whole => length,
-        Transfer::Part(part) => part,
+    let length = match draw_transfer(fd, Call::Read, length) {
+        Transfer::Full => length,
+        Transfer::Partial(part) => part,
         Transfer::Error(error) => return fail(error),
     };
-    let real = real!(c"recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: passed on as it came, but for a smaller length.
-    unsafe { real(fd, to, length, flags) }
+    let original = original!(c"recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
+    // SAFETY: the arguments are passed on unchanged, except that the length may be smaller.
+    unsafe { original(fd, to, length, flags) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn read(fd: c_int, to: *mut c_void, length: size_t) -> ssize_t {
-    let length = match transfer(fd, Call::Read, length) {
-        Transfer::Whole => length,
-        Transfer::Part(part) => part,
+    let length = match draw_transfer(fd, Call::Read, length) {
+        Transfer::Full => length,
+        Transfer::Partial(part) => part,
         Transfer::Error(error) => return fail(error),
     };
-    let real = real!(c"read", unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t);
-    // SAFETY: passed on as it came, but for a smaller length.
-    unsafe { real(fd, to, length) }
+    let original = original!(c"read", unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t);
+    // SAFETY: the arguments are passed on unchanged, except that the length may be smaller.
+    unsafe { original(fd, to, length) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let length = match transfer(fd, Call::Write, length) {
-        Transfer::Whole => length,
-        Transfer::Part(part) => part,
+    let length = match draw_transfer(fd, Call::Write, length) {
+        Transfer::Full => length,
+        Transfer::Partial(part) => part,
         Transfer::Error(error) => return fail(error),
     };
-    let real = real!(c"send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: passed on as it came, but for a smaller length.
-    unsafe { real(fd, from, length, flags) }
+    let original = original!(c"send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
+    // SAFETY: the arguments are passed on unchanged, except that the length may be smaller.
+    unsafe { original(fd, from, length, flags) }
 }
 
-/// The error of a write to a regular file. Standard output and error are left alone.
+/// Draws the error of a write to a regular file. Standard output and standard error never fail.
 fn file_error(fd: c_int) -> Option<i32> {
-    if fd > libc::STDERR_FILENO && kind(fd) == libc::S_IFREG { drawn(Call::FileWrite) } else { None }
+    if fd > libc::STDERR_FILENO && file_type(fd) == libc::S_IFREG {
+        draw_error(Call::FileWrite)
+    } else {
+        None
+    }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, from: *const c_void, length: size_t) -> ssize_t {
     if let Some(error) = file_error(fd) {
         return fail(error);
     }
-    let length = match transfer(fd, Call::Write, length) {
-        Transfer::Whole => length,
-        Transfer::Part(part) => part,
+    let length = match draw_transfer(fd, Call::Write, length) {
+        Transfer::Full => length,
+        Transfer::Partial(part) => part,
         Transfer::Error(error) => return fail(error),
     };
-    let real = real!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
-    // SAFETY: passed on as it came, but for a smaller length.
-    unsafe { real(fd, from, length) }
+    let original = original!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
+    // SAFETY: the arguments are passed on unchanged, except that the length may be smaller.
+    unsafe { original(fd, from, length) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn writev(fd: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
+pub unsafe extern "C" fn writev(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     if let Some(error) = file_error(fd) {
         return fail(error);
     }
-    let given = usize::try_from(count).unwrap_or(0);
-    // SAFETY: the caller gives so many pieces.
-    let given = if pieces.is_null() { &[] } else { unsafe { std::slice::from_raw_parts(pieces, given) } };
-    let first = given.iter().find(|piece| piece.iov_len > 0);
-    match (transfer(fd, Call::Write, first.map_or(0, |piece| piece.iov_len)), first) {
+    let buffer_count = usize::try_from(count).unwrap_or(0);
+    // SAFETY: the caller passes an array of this length.
+    let slice =
+        if buffers.is_null() { &[] } else { unsafe { std::slice::from_raw_parts(buffers, buffer_count) } };
+    let first = slice.iter().find(|buffer| buffer.iov_len > 0);
+    match (draw_transfer(fd, Call::Write, first.map_or(0, |buffer| buffer.iov_len)), first) {
         (Transfer::Error(error), _) => return fail(error),
-        (Transfer::Part(part), Some(piece)) => {
-            let real = real!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
-            // SAFETY: a part of the first piece that the caller gave.
-            return unsafe { real(fd, piece.iov_base, part) };
+        (Transfer::Partial(part), Some(buffer)) => {
+            let original = original!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
+            // SAFETY: the bytes are a part of the first non-empty buffer of the caller.
+            return unsafe { original(fd, buffer.iov_base, part) };
         }
         _ => {}
     }
-    let real = real!(c"writev", unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd, pieces, count) }
+    let original = original!(c"writev", unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd, buffers, count) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn pwrite64(fd: c_int, from: *const c_void, length: size_t, at: off_t) -> ssize_t {
     if let Some(error) = file_error(fd) {
         return fail(error);
     }
-    let real = real!(c"pwrite64", unsafe extern "C" fn(c_int, *const c_void, size_t, off_t) -> ssize_t);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd, from, length, at) }
+    let original =
+        original!(c"pwrite64", unsafe extern "C" fn(c_int, *const c_void, size_t, off_t) -> ssize_t);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd, from, length, at) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    if let Some(error) = drawn(Call::Sync) {
+    if let Some(error) = draw_error(Call::Sync) {
         return fail(error);
     }
-    let real = real!(c"fsync", unsafe extern "C" fn(c_int) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd) }
+    let original = original!(c"fsync", unsafe extern "C" fn(c_int) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
-    if let Some(error) = drawn(Call::Sync) {
+    if let Some(error) = draw_error(Call::Sync) {
         return fail(error);
     }
-    let real = real!(c"fdatasync", unsafe extern "C" fn(c_int) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(fd) }
+    let original = original!(c"fdatasync", unsafe extern "C" fn(c_int) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(fd) }
 }
 
-/// The mode is passed on whether the caller gave one or not: the C library reads it where the flags ask for it.
+/// The mode is passed on even if the caller passed none: the C library reads it only if the flags require it.
 ///
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: c_int) -> c_int {
     if flags & (libc::O_WRONLY | libc::O_RDWR) == 0
-        && let Some(error) = drawn(Call::Open)
+        && let Some(error) = draw_error(Call::Open)
     {
         return fail(error);
     }
-    let real = real!(c"open64", unsafe extern "C" fn(*const c_char, c_int, ...) -> c_int);
-    // SAFETY: passed on as it came.
-    unsafe { real(path, flags, mode) }
+    let original = original!(c"open64", unsafe extern "C" fn(*const c_char, c_int, ...) -> c_int);
+    // SAFETY: the arguments are passed on unchanged.
+    unsafe { original(path, flags, mode) }
 }
 
 /// # Safety
 ///
-/// As of the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut timespec) -> c_int {
-    // SAFETY: passed on as it came.
-    let done = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, to) } as c_int;
-    let wall = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE | libc::CLOCK_TAI);
-    if done == 0
-        && wall
-        && let Some(by) = outside(|faults| Some(faults.clock_offset()))
+    // SAFETY: the arguments are passed on unchanged.
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, to) } as c_int;
+    let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE | libc::CLOCK_TAI);
+    if result == 0
+        && is_wall_clock
+        && let Some(offset) = with_faults(|faults| Some(faults.clock_offset()))
     {
-        // SAFETY: the call above has written there.
-        unsafe { *to = moved(*to, by) };
+        // SAFETY: the system call succeeded, so it has written to this pointer.
+        unsafe { *to = shift_time(*to, offset) };
     }
-    done
+    result
 }
--- a/crates/shim/src/faults.rs
+++ b/crates/shim/src/faults.rs
@@ -1,48 +1,54 @@
-//! Whether a call fails now, drawn from the plan's seed.
+//! Draws the failures of calls from the plan's seed.
 
 use std::cell::Cell;
 use std::ffi::CStr;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::plan::{Call, Plan, Step};
+use crate::plan::{Call, ClockStep, Plan};
 
-/// Failures that are told in the log at most.
-const TOLD: u64 = 10_000;
+/// The largest number of failures that are logged.
+const MAX_LOGGED: u64 = 10_000;
 const NANOS_PER_S: i64 = 1_000_000_000;
+/// The exit code of a process whose plan is invalid.
 const EXIT_BAD_PLAN: i32 = 97;
 
-/// The plan of this process, and what is counted by it.
+/// The plan of this process and the state of its execution.
 pub struct Faults {
     plan: Plan,
-    begun: u64,
+    /// The time of the first intercepted call, which counts as the start of the process, in nanoseconds of the monotonic
+    /// clock.
+    started_at: u64,
+    /// The number of random draws so far.
     draws: AtomicU64,
-    told: AtomicU64,
+    /// The number of failures to log so far, including those beyond the limit.
+    failures: AtomicU64,
+    /// The descriptor of the log, negative if there is none.
     log: i32,
 }
 
 thread_local! {
-    /// The library's own calls, made while it looks at one of the program's, are passed on.
+    /// Whether this thread is inside the library. The library's own calls never fail.
     static INSIDE: Cell<bool> = const { Cell::new(false) };
 }
 
 impl Faults {
-    /// Those of this process; none without a plan.
+    /// Returns the faults of this process, or `None` if it has no plan.
     pub fn get() -> Option<&'static Self> {
         static FAULTS: OnceLock<Option<Faults>> = OnceLock::new();
-        FAULTS.get_or_init(Self::begin).as_ref()
+        FAULTS.get_or_init(Self::from_environment).as_ref()
     }
 
-    fn begin() -> Option<Self> {
+    fn from_environment() -> Option<Self> {
         // SAFETY: the name ends in a zero byte, and the environment is not changed by the programs under test.
         let text = unsafe { libc::getenv(c"LINESTACK_SHIM".as_ptr()) };
         if text.is_null() {
             return None;
         }
-        // SAFETY: what getenv returns ends in a zero byte and stays.
+        // SAFETY: the string that getenv returns ends in a zero byte and stays valid.
         let text = unsafe { CStr::from_ptr(text) }.to_str().unwrap_or("?");
-        let plan = Plan::read(text).unwrap_or_else(|_| {
-            // SAFETY: ends the process at once, whatever else goes on in it.
+        let plan = Plan::parse(text).unwrap_or_else(|_| {
+            // SAFETY: _exit terminates the process immediately and has no preconditions.
             unsafe { libc::_exit(EXIT_BAD_PLAN) }
         });
         let log = plan.log.as_ref().map_or(-1, |path| {
@@ -50,35 +56,35 @@
             // SAFETY: the path ends in a zero byte.
             unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), flags, 0o644) as i32 }
         });
-        let begun = monotonic();
-        Some(Self { plan, begun, draws: AtomicU64::new(0), told: AtomicU64::new(0), log })
+        let started_at = monotonic();
+        Some(Self { plan, started_at, draws: AtomicU64::new(0), failures: AtomicU64::new(0), log })
     }
 
-    /// The error with which this call fails, if it does.
-    pub fn error(&self, call: Call) -> Option<i32> {
-        let age = monotonic().saturating_sub(self.begun);
+    /// Draws whether this call fails. Returns its error if it does.
+    pub fn draw_error(&self, call: Call) -> Option<i32> {
+        let age = monotonic().saturating_sub(self.started_at);
         let mut rules = self.plan.rules.iter().filter(|r| r.call == call && (r.from..r.until).contains(&age));
-        let rule = rules.find(|rule| self.chance() < rule.rate)?;
-        let place = (self.chance() * rule.errors.len() as f64) as usize;
-        let error = rule.errors.get(place).copied().unwrap_or(libc::EINTR);
-        self.tell(age, call, error);
+        let rule = rules.find(|rule| self.random_fraction() < rule.rate)?;
+        let index = (self.random_fraction() * rule.errors.len() as f64) as usize;
+        let error = rule.errors.get(index).copied().unwrap_or(libc::EINTR);
+        self.log_failure(age, call, error);
         Some(error)
     }
 
-    /// A part of a length, one at least.
-    pub fn part(&self, length: usize) -> usize {
-        1 + (self.chance() * length.saturating_sub(1) as f64) as usize
+    /// Draws a part of a length, at least 1.
+    pub fn draw_length(&self, length: usize) -> usize {
+        1 + (self.random_fraction() * length.saturating_sub(1) as f64) as usize
     }
 
-    /// By how much the wall clock is off now, in nanoseconds.
+    /// Returns the current offset of the wall clock, in nanoseconds.
     pub fn clock_offset(&self) -> i64 {
-        let age = monotonic().saturating_sub(self.begun);
-        let passed = self.plan.steps.iter().filter(|Step { at, .. }| *at <= age);
-        passed.map(|step| step.by).sum()
+        let age = monotonic().saturating_sub(self.started_at);
+        let past_steps = self.plan.steps.iter().filter(|ClockStep { at, .. }| *at <= age);
+        past_steps.map(|step| step.by).sum()
     }
 
-    /// From 0 to 1, by splitmix64 over the seed and a count.
-    fn chance(&self) -> f64 {
+    /// Returns a random number from 0 to 1 (exclusive), by splitmix64 over the seed and the number of draws.
+    fn random_fraction(&self) -> f64 {
         let count = self.draws.fetch_add(1, Ordering::Relaxed);
         let mut z = self.plan.seed.wrapping_add(count.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -86,8 +92,8 @@
         ((z ^ (z >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    fn tell(&self, age: u64, call: Call, error: i32) {
-        if self.log < 0 || self.told.fetch_add(1, Ordering::Relaxed) >= TOLD {
+    fn log_failure(&self, age: u64, call: Call, error: i32) {
+        if self.log < 0 || self.failures.fetch_add(1, Ordering::Relaxed) >= MAX_LOGGED {
             return;
         }
         let line = format!("{} {call:?} {error}\n", age / 1_000_000);
@@ -96,15 +102,16 @@
     }
 }
 
-/// Does something unless the library is at work in this thread already.
-pub fn outside<T>(work: impl FnOnce(&'static Faults) -> Option<T>) -> Option<T> {
+/// Calls a function with the faults of this process. Returns `None` without a plan, or if this thread is already inside
+/// the library.
+pub fn with_faults<T>(function: impl FnOnce(&'static Faults) -> Option<T>) -> Option<T> {
     if INSIDE.get() {
         return None;
     }
     INSIDE.set(true);
-    let done = Faults::get().and_then(work);
+    let result = Faults::get().and_then(function);
     INSIDE.set(false);
-    done
+    result
 }
 
 fn monotonic() -> u64 {
@@ -114,8 +121,8 @@
     (now.tv_sec * NANOS_PER_S + now.tv_nsec).unsigned_abs()
 }
 
-/// Moves a time by so many nanoseconds.
-pub fn moved(time: libc::timespec, by: i64) -> libc::timespec {
+/// Adds a number of nanoseconds to a time.
+pub fn shift_time(time: libc::timespec, by: i64) -> libc::timespec {
     let nanos = time.tv_sec * NANOS_PER_S + time.tv_nsec + by;
     libc::timespec { tv_sec: nanos.div_euclid(NANOS_PER_S), tv_nsec: nanos.rem_euclid(NANOS_PER_S) }
 }
--- a/crates/shim/src/lib.rs
+++ b/crates/shim/src/lib.rs
@@ -1,7 +1,8 @@
-//! A library for `LD_PRELOAD` that fails the system calls of one process by a plan and a seed, so that tests see what a
-//! program makes of errors which a healthy machine hardly ever has. Without `LINESTACK_SHIM` it passes everything on.
+//! A library for `LD_PRELOAD` that makes system calls of one process fail according to a plan and a seed. Tests use it
+//! to check how a program handles errors that are rare on a healthy machine. Without `LINESTACK_SHIM` it passes all
+//! calls on.
 //!
-//! It stands between the program and the C library, so calls that are made without the latter are not seen.
+//! It replaces functions of the C library, so system calls that bypass the C library are not affected.
 
 mod calls;
 mod faults;
--- a/crates/shim/src/plan.rs
+++ b/crates/shim/src/plan.rs
@@ -1,18 +1,19 @@
-//! The plan: which calls fail, how often, when, and with what.
+//! The plan: which calls fail, how often, when, and with which error.
 //!
-//! It is text in the environment variable `LINESTACK_SHIM`, rules separated by semicolons:
+//! It is the text of the environment variable `LINESTACK_SHIM`, which consists of rules separated by semicolons:
 //!
 //! ```text
 //! seed=7; connect=0.5:EADDRNOTAVAIL,ENETUNREACH@0..500; short=0.3; clock=-3600000@2000; log=/tmp/faults
 //! ```
 //!
-//! A rule names a call, the part of its calls that fail, the errors to draw from, and, after `@`, from when to when in
-//! milliseconds since the process began; without an end it lasts. `clock` steps the wall clock by so many milliseconds at
-//! a time. A plan that is not understood ends the process: a test must not pass because nothing failed.
+//! A rule has a call, the fraction of these calls that fail, the errors to draw from, and, after `@`, its start and end
+//! in milliseconds since the start of the process; without an end the rule stays active. `clock` steps the wall clock
+//! by a number of milliseconds at a given time. An invalid plan terminates the process, since otherwise a test could
+//! pass because no call failed.
 
 use std::ffi::CString;
 
-/// A system call, or a group of calls that fail alike.
+/// A system call, or a group of calls that fail in the same way. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `accept`, `accept4`.
@@ -23,13 +24,13 @@
     Connect,
     /// `epoll_wait`: fails with EINTR.
     Wait,
-    /// Reads of a socket that fail without harm to it, as with EINTR.
+    /// Reads of a socket that fail but leave it usable, as with EINTR.
     Read,
-    /// Writes to a socket, likewise.
+    /// Writes to a socket that fail but leave it usable.
     Write,
-    /// Reads and writes of a socket that carry a part of what they could.
+    /// Reads and writes of a socket that transfer only a part of the bytes.
     Short,
-    /// Connections that break: from then on every read and write of the socket fails.
+    /// Broken connections: from the first failure on, every read and write of the socket fails.
     Broken,
     /// `open` of a file for reading.
     Open,
@@ -39,95 +40,95 @@
     Sync,
 }
 
-/// One kind of failure.
+/// A rule by which calls fail.
 #[derive(Clone, Debug)]
 pub struct Rule {
-    /// What fails.
+    /// The calls that fail.
     pub call: Call,
-    /// How many of its calls do, as a part of all.
+    /// The fraction of the calls that fail.
     pub rate: f64,
-    /// One of these is drawn.
+    /// The errors, one of which is drawn for each failure.
     pub errors: Vec<i32>,
-    /// From then on, in nanoseconds since the process began,
+    /// The start of the rule, in nanoseconds since the start of the process.
     pub from: u64,
-    /// and until then.
+    /// The end of the rule (exclusive), in nanoseconds since the start of the process.
     pub until: u64,
 }
 
 /// A step of the wall clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
-    /// When, in nanoseconds since the process began.
+pub struct ClockStep {
+    /// The time of the step, in nanoseconds since the start of the process.
     pub at: u64,
-    /// By how many nanoseconds.
+    /// The size of the step, in nanoseconds.
     pub by: i64,
 }
 
-/// All that fails in one process.
+/// The failures of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Of the draws.
+    /// The seed of the random draws.
     pub seed: u64,
-    /// What fails.
+    /// The rules by which calls fail.
     pub rules: Vec<Rule>,
-    /// How the wall clock moves.
-    pub steps: Vec<Step>,
-    /// Each failure is told in this file, a line each.
+    /// The steps of the wall clock.
+    pub steps: Vec<ClockStep>,
+    /// The file in which each failure is logged, one a line.
     pub log: Option<CString>,
 }
 
 const NANOS_PER_MS: f64 = 1e6;
 
 impl Plan {
-    /// Reads a plan.
+    /// Parses a plan.
     ///
     /// # Errors
     ///
-    /// The rule that is not understood.
-    pub fn read(text: &str) -> Result<Self, String> {
+    /// The first rule that is invalid.
+    pub fn parse(text: &str) -> Result<Self, String> {
         let mut plan = Self::default();
         for rule in text.split(';').map(str::trim).filter(|rule| !rule.is_empty()) {
-            plan.add(rule).ok_or_else(|| rule.to_owned())?;
+            plan.add_rule(rule).ok_or_else(|| rule.to_owned())?;
         }
         Ok(plan)
     }
 
-    fn add(&mut self, rule: &str) -> Option<()> {
+    fn add_rule(&mut self, rule: &str) -> Option<()> {
         let (key, value) = rule.split_once('=')?;
         match key.trim() {
             "seed" => self.seed = value.trim().parse().ok()?,
             "log" => self.log = Some(CString::new(value.trim()).ok()?),
-            "clock" => self.steps.push(step(value)?),
-            key => self.rules.push(rule_of(call(key)?, value)?),
+            "clock" => self.steps.push(parse_step(value)?),
+            key => self.rules.push(parse_rule(parse_call(key)?, value)?),
         }
         Some(())
     }
 }
 
-fn millis(text: &str) -> Option<u64> {
+fn parse_millis(text: &str) -> Option<u64> {
     let millis: f64 = text.trim().parse().ok()?;
     (millis >= 0.0).then_some((millis * NANOS_PER_MS) as u64)
 }
 
-fn step(value: &str) -> Option<Step> {
+fn parse_step(value: &str) -> Option<ClockStep> {
     let (by, at) = value.split_once('@').unwrap_or((value, "0"));
     let by: f64 = by.trim().parse().ok()?;
-    Some(Step { at: millis(at)?, by: (by * NANOS_PER_MS) as i64 })
+    Some(ClockStep { at: parse_millis(at)?, by: (by * NANOS_PER_MS) as i64 })
 }
 
-fn rule_of(call: Call, value: &str) -> Option<Rule> {
-    let (what, when) = value.split_once('@').unwrap_or((value, "0.."));
-    let (from, until) = when.split_once("..")?;
-    let until = if until.trim().is_empty() { u64::MAX } else { millis(until)? };
-    let (rate, errors) = what.split_once(':').unwrap_or((what, ""));
+fn parse_rule(call: Call, value: &str) -> Option<Rule> {
+    let (failure, period) = value.split_once('@').unwrap_or((value, "0.."));
+    let (from, until) = period.split_once("..")?;
+    let until = if until.trim().is_empty() { u64::MAX } else { parse_millis(until)? };
+    let (rate, errors) = failure.split_once(':').unwrap_or((failure, ""));
     let rate: f64 = rate.trim().parse().ok()?;
-    let named = errors.split(',').map(str::trim).filter(|name| !name.is_empty());
-    let errors = named.map(errno).collect::<Option<Vec<i32>>>()?;
-    let errors = if errors.is_empty() { usual(call) } else { errors };
-    (0.0..=1.0).contains(&rate).then_some(Rule { call, rate, errors, from: millis(from)?, until })
+    let error_names = errors.split(',').map(str::trim).filter(|name| !name.is_empty());
+    let errors = error_names.map(parse_errno).collect::<Option<Vec<i32>>>()?;
+    let errors = if errors.is_empty() { default_errors(call) } else { errors };
+    (0.0..=1.0).contains(&rate).then_some(Rule { call, rate, errors, from: parse_millis(from)?, until })
 }
 
-fn call(key: &str) -> Option<Call> {
+fn parse_call(key: &str) -> Option<Call> {
     Some(match key {
         "accept" => Call::Accept,
         "socket" => Call::Socket,
@@ -144,8 +145,8 @@
     })
 }
 
-/// The errors that a call fails with where a plan names none.
-fn usual(call: Call) -> Vec<i32> {
+/// Returns the errors that are drawn if the rule names none.
+fn default_errors(call: Call) -> Vec<i32> {
     match call {
         Call::Accept => vec![libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS],
         Call::Socket => vec![libc::ENFILE, libc::ENOBUFS],
@@ -158,7 +159,7 @@
     }
 }
 
-fn errno(name: &str) -> Option<i32> {
+fn parse_errno(name: &str) -> Option<i32> {
     Some(match name {
         "EADDRNOTAVAIL" => libc::EADDRNOTAVAIL,
         "EAGAIN" => libc::EAGAIN,
