--- a/crates/lab/src/scale/members.rs
+++ b/crates/lab/src/scale/members.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use linestack::fleet::boottime;
-use linestack::fleet::wire::{self, Body, Ear, Own, Pen, Who};
+use linestack::fleet::wire::{self, Body, FrameEncoder, FrameReader, Identity, SenderInfo};
 use linestack_accord::{Incarnation, Nanos, Reply, Request};
-use linestack_member::{Input, Member, Out};
+use linestack_member::{Input, Member, Output};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use serde::Serialize;
 
@@ -68,8 +68,8 @@
 
 struct Session {
     socket: TcpStream,
-    ear: Ear,
-    pen: Pen,
+    reader: FrameReader,
+    encoder: FrameEncoder,
 }
 
 /// One member's way through one change.
@@ -84,7 +84,7 @@
 }
 
 struct HollowMember {
-    own: Own,
+    own: SenderInfo,
     member: Member,
     session: Option<Session>,
     coordinator: usize,
@@ -141,19 +141,23 @@
 }
 
 impl Session {
-    fn open(to: SocketAddr, own: &Own) -> Result<Self, wire::Fault> {
-        let (socket, ear, pen) = wire::greet(to, own)?;
+    fn open(to: SocketAddr, own: &SenderInfo) -> Result<Self, wire::WireError> {
+        let (socket, reader, encoder) = wire::connect_session(to, own)?;
         socket.set_nonblocking(true)?;
-        Ok(Self { socket, ear, pen })
+        Ok(Self { socket, reader, encoder })
     }
 }
 
 impl HollowMember {
     fn new(number: usize, coordinators: usize, connect_at: Nanos) -> Self {
-        let life = incarnation(number);
+        let incarnation = incarnation(number);
         Self {
-            own: Own { fleet: FLEET.to_owned(), who: Who::Member(name(number)), life },
-            member: Member::new(life, DRIFT, SPAN, 0, None),
+            own: SenderInfo {
+                fleet: FLEET.to_owned(),
+                identity: Identity::Member(name(number)),
+                incarnation,
+            },
+            member: Member::new(incarnation, DRIFT, SPAN, 0, None),
             session: None,
             coordinator: number % coordinators,
             connect_at,
@@ -169,7 +173,7 @@
         match Session::open(coordinators[self.coordinator], &self.own) {
             Ok(session) => {
                 self.session = Some(session);
-                self.take(Input::Up, target);
+                self.take(Input::SessionOpened, target);
             }
             Err(_) => self.move_on(coordinators.len()),
         }
@@ -177,7 +181,7 @@
 
     fn move_on(&mut self, coordinators: usize) {
         self.session = None;
-        self.member.take(boottime(), Input::Down, &mut Vec::new());
+        self.member.handle(boottime(), Input::SessionClosed, &mut Vec::new());
         self.coordinator = (self.coordinator + 1) % coordinators;
         self.connect_at = boottime() + RETRY;
     }
@@ -185,29 +189,29 @@
     /// Gives an input to the state machine and does what follows. Without a session afterwards it is to move on.
     fn take(&mut self, input: Input, target: u64) -> u64 {
         let (mut outs, mut refused) = (Vec::new(), 0);
-        self.member.take(boottime(), input, &mut outs);
+        self.member.handle(boottime(), input, &mut outs);
         let mut at = 0;
         while let Some(out) = outs.get(at).cloned() {
             at += 1;
             match out {
-                Out::Send(renew) => self.send(renew),
-                Out::Stage(policy) => {
+                Output::Send(renew) => self.send(renew),
+                Output::Stage(policy) => {
                     self.passage.staged_at = Some(boottime());
                     let done = Input::Staged { version: policy.version, result: Ok(()) };
-                    self.member.take(boottime(), done, &mut outs);
+                    self.member.handle(boottime(), done, &mut outs);
                 }
-                Out::Activate(policy) => {
+                Output::Activate(policy) => {
                     let done = Input::Activated { version: policy.version, result: Ok(()) };
-                    self.member.take(boottime(), done, &mut outs);
+                    self.member.handle(boottime(), done, &mut outs);
                 }
-                Out::Serve { version, until } => {
+                Output::Serve { version, until } => {
                     self.serves = (version, until);
                     if version >= target && self.passage.in_force_at.is_none() {
                         self.passage.in_force_at = Some(boottime());
                     }
                 }
-                Out::Elsewhere => self.session = None,
-                Out::Tell(_) => refused += 1,
+                Output::TryAnotherCoordinator => self.session = None,
+                Output::Notify(_) => refused += 1,
             }
         }
         refused
@@ -216,7 +220,7 @@
     fn send(&mut self, renew: linestack_accord::Renew) {
         let Some(session) = &mut self.session else { return };
         self.told = renew.active;
-        let bytes = session.pen.write(Body::Request(Request::Renew(renew)));
+        let bytes = session.encoder.encode(Body::Request(Request::Renew(renew)));
         let sent = bytes.is_ok_and(|bytes| {
             self.traffic.messages_out += 1;
             self.traffic.bytes_out += bytes.len() as u64;
@@ -232,9 +236,9 @@
         let mut refused = 0;
         loop {
             let Some(session) = &mut self.session else { return refused };
-            match session.ear.take() {
+            match session.reader.next_frame() {
                 Ok(Some(frame)) => refused += self.heard(frame, target),
-                Ok(None) => match session.ear.read(&mut session.socket) {
+                Ok(None) => match session.reader.read(&mut session.socket) {
                     Ok(true) => {}
                     Ok(false) => return refused,
                     Err(_) => self.session = None,
@@ -248,7 +252,7 @@
         // A frame is written anew to count it: its form is the same on both ends.
         let body = serde_json::to_vec(&frame).map_or(0, |body| body.len());
         self.traffic.messages_in += 1;
-        self.traffic.bytes_in += (linestack_frames::HEAD + body) as u64;
+        self.traffic.bytes_in += (linestack_frames::HEADER_LENGTH + body) as u64;
         let Body::Reply(reply) = frame.body else {
             self.session = None;
             return 0;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -74,7 +74,7 @@
             ("known", self.known != newer.known),
         ];
         let changed = differ.into_iter().filter_map(|(key, differs)| differs.then_some(key));
-        changed.chain(self.settings.restart_for(&newer.settings)).collect()
+        changed.chain(self.settings.key_needing_restart(&newer.settings)).collect()
     }
 }
 
--- a/crates/node/src/fleet/trail.rs
+++ b/crates/node/src/fleet/audit_log.rs
@@ -8,19 +8,19 @@
 use std::sync::mpsc::{Sender, channel};
 
 use bytes::Bytes;
-use linestack_core::{Answer, Client, Effect, Input};
+use linestack_core::{Answer, ClientId, Effect, Input};
 use linestack_history::{Ended, Line, What};
 
 use crate::net::lock;
 
 /// Writes lines at once, each in one call: what follows from a line never comes before it.
-pub struct Diary {
+pub struct AuditWriter {
     file: Option<File>,
     by: String,
     life: u64,
 }
 
-impl Diary {
+impl AuditWriter {
     /// # Errors
     ///
     /// The file can't be written.
@@ -40,20 +40,20 @@
 }
 
 /// A node's history. Its coroutines must not wait for a disk.
-pub struct Trail {
+pub struct AuditLog {
     lines: Sender<(u64, What)>,
     /// What each client waits for.
-    asked: Mutex<HashMap<Client, Bytes>>,
+    asked: Mutex<HashMap<ClientId, Bytes>>,
     /// From the node's clock to the machine's.
     offset: u64,
 }
 
-impl Trail {
+impl AuditLog {
     /// # Errors
     ///
     /// The file can't be written.
     pub fn open(path: &Path, by: &str, life: u64, now: u64) -> io::Result<Self> {
-        let mut diary = Diary::open(Some(path), by, life)?;
+        let mut diary = AuditWriter::open(Some(path), by, life)?;
         let (lines, told) = channel();
         std::thread::spawn(move || told.iter().for_each(|(at, what)| diary.write(at, what)));
         Ok(Self { lines, asked: Mutex::default(), offset: now - super::monotonic() })
@@ -65,23 +65,23 @@
     }
 
     /// A time of the node's clock on the machine's.
-    pub fn machine(&self, time: u64) -> u64 {
+    pub fn machine_time(&self, time: u64) -> u64 {
         time.saturating_sub(self.offset)
     }
 
     /// What is about to go into the reducer.
-    pub(crate) fn before(&self, input: &Input) -> Option<(Client, Bytes)> {
+    pub(crate) fn pending_submission(&self, input: &Input) -> Option<(ClientId, Bytes)> {
         match input {
-            Input::Submitted { client, intake } => Some((*client, intake.shipment.id.clone())),
+            Input::Submitted { client, submission: intake } => Some((*client, intake.request.id.clone())),
             _ => None,
         }
     }
 
     /// What came of it. `taken` tells whether a submission was, and under which version.
-    pub(crate) fn after(
+    pub(crate) fn record_effects(
         &self,
         now: u64,
-        asked: Option<(Client, Bytes)>,
+        asked: Option<(ClientId, Bytes)>,
         taken: Option<u64>,
         effects: &[Effect],
     ) {
@@ -98,16 +98,16 @@
         }
         for effect in effects {
             match effect {
-                Effect::Send { shipment, version, .. } => {
+                Effect::Send { request: shipment, version, .. } => {
                     self.write(now, What::Sent { id: text(&shipment.id), version: *version });
                 }
                 Effect::Answer { client, answer, version, .. } => {
                     let Some(id) = open.remove(client) else { continue };
                     let ended = match answer {
-                        Answer::Satisfied(_) => Ended::Satisfied,
+                        Answer::Completed(_) => Ended::Satisfied,
                         Answer::Dismissed(_) => Ended::Dismissed,
                         Answer::Aborted => Ended::Aborted,
-                        Answer::Repeated => Ended::Repeated,
+                        Answer::DuplicateId => Ended::Repeated,
                     };
                     self.write(now, What::Answered { id: text(&id), version: *version, ended });
                 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -9,19 +9,19 @@
 use clap::Parser;
 use linestack::config::{self, Config, ConfigErrorKind};
 use linestack::fleet;
+use linestack::fleet::audit_log::AuditLog;
 use linestack::fleet::config::Mode;
-use linestack::fleet::coordinate::Start as Begin;
-use linestack::fleet::session::Start;
-use linestack::fleet::trail::Trail;
+use linestack::fleet::coordinate::StartMode;
+use linestack::fleet::session::FleetMember;
 use linestack::io_failure::{START_RETRY_TIMEOUT, is_transient, retry_transient};
-use linestack::keep::{self, Keeper};
 use linestack::net::{Node, NodeParts, clients, clock::Clock, spawn};
 use linestack::peers;
+use linestack::persistence::{self, NodeStore};
 use linestack::staged_start;
 use linestack_core::{Core, Input};
-use linestack_dispatch::types::{ListKind, Repeats};
+use linestack_dispatch::types::{ListKind, RepeatPolicy};
 use linestack_history::What;
-use linestack_recovery::start::{Found, Start as Starting};
+use linestack_recovery::start::{StagedStart as Starting, StartConditions};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
@@ -67,7 +67,7 @@
     /// Maintain a node's store.
     Store {
         #[command(subcommand)]
-        command: keep::Command,
+        command: persistence::Command,
     },
 }
 
@@ -77,7 +77,7 @@
         return fleet::operate::run(arguments);
     }
     if let Some(Command::Store { command }) = &command {
-        return match keep::run(command) {
+        return match persistence::run(command) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
                 eprintln!("linestack: {error}");
@@ -95,11 +95,11 @@
     std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panicked")));
     if let Some(Command::Coordinate { file, first, replacement, refound, lost, refounded }) = &command {
         let how = match (replacement, refound, refounded) {
-            (Some(seat), ..) => Begin::Replacement(*seat),
-            (_, Some(out), _) => Begin::Refound(out.clone(), lost.clone()),
-            (.., Some(from)) => Begin::Refounded(from.clone()),
-            _ if *first => Begin::First,
-            _ => Begin::Again,
+            (Some(seat), ..) => StartMode::Replacement(*seat),
+            (_, Some(out), _) => StartMode::Refound(out.clone(), lost.clone()),
+            (.., Some(from)) => StartMode::Refounded(from.clone()),
+            _ if *first => StartMode::NewFleet,
+            _ => StartMode::FromStore,
         };
         let code = fleet::coordinate::run(file, how);
         drop(guard);
@@ -139,7 +139,9 @@
     let (exit_sender, exit_receiver) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
     let memory = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX);
-    let opened = |path: String| keep::config(Path::new(&path)).and_then(|config| Keeper::open(config, &name));
+    let opened = |path: String| {
+        persistence::read_config(Path::new(&path)).and_then(|config| NodeStore::open(config, &name))
+    };
     let keeper = variable("PROXY_STORE").map(opened);
     let mut keeper = match keeper.transpose() {
         Ok(keeper) => keeper,
@@ -148,7 +150,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let nodes = settings.orders.nodes;
+    let nodes = settings.dispatch.nodes;
     let stages =
         variable("PROXY_START").map(|path| staged_start::read_config(Path::new(&path), nodes)).transpose();
     let stages = match stages {
@@ -158,7 +160,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let peers = match variable("PROXY_PEERS").map(|path| peers::config(Path::new(&path))).transpose() {
+    let peers = match variable("PROXY_PEERS").map(|path| peers::read_config(Path::new(&path))).transpose() {
         Ok(peers) => peers,
         Err(errors) => {
             errors.lines().for_each(|fault| tracing::error!(fault, "peers"));
@@ -167,9 +169,10 @@
     };
     let clock = Clock::start();
     let audit_log =
-        fleet.as_ref().and_then(|(start, _)| start.fleet().history.as_ref().map(|path| (start, path)));
-    let audit_log = audit_log
-        .map(|(start, path)| Trail::open(path, &start.fleet().member, start.record.life.life, clock.now()));
+        fleet.as_ref().and_then(|(start, _)| start.config().history.as_ref().map(|path| (start, path)));
+    let audit_log = audit_log.map(|(start, path)| {
+        AuditLog::open(path, &start.config().member, start.record.incarnation.life, clock.now())
+    });
     let audit_log = match audit_log.transpose() {
         Ok(audit_log) => audit_log,
         Err(error) => {
@@ -188,27 +191,31 @@
         }
         // A list of unknown age is used only once discovery has sent one or has failed to answer.
         let old = known.take_if(|_| !fresh).map_or_else(Vec::new, |list| list.endpoints);
-        let proved = !fleet.as_ref().is_some_and(|(start, _)| start.fleet().mode == Mode::Strict);
-        let mut rng = fastrand::Rng::with_seed(config.seed ^ fleet::draw());
-        let found = Found { proved, fresh, old: !old.is_empty() };
+        let proved = !fleet.as_ref().is_some_and(|(start, _)| start.config().mode == Mode::Strict);
+        let mut rng = fastrand::Rng::with_seed(config.seed ^ fleet::random_u64());
+        let found = StartConditions {
+            settings_confirmed: proved,
+            list_is_fresh: fresh,
+            has_old_list: !old.is_empty(),
+        };
         let start = Starting::new(stages.terms, found, [rng.f64(), rng.f64()], clock.now());
-        core.start_by(clock.now(), start, old);
+        core.start_in_stages(clock.now(), start, old);
     }
     let index = known.as_ref().map(|known| known.index).filter(|_| !whole);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
     if let Some(keeper) = &mut keeper {
-        keeper.tell(&mut core, memory, clock.now(), settings.longest_cut_off);
+        keeper.restore_into(&mut core, memory, clock.now(), settings.longest_deadline);
     }
-    let (keeper, writer) = keeper.map(Keeper::run).unzip();
+    let (keeper, writer) = keeper.map(NodeStore::into_writer).unzip();
     let parts = NodeParts {
         clock,
         names: settings.names.clone(),
         layout: settings.layout,
         stamped: settings
-            .orders
+            .dispatch
             .products
             .iter()
-            .map(|p| matches!(p.repeats, Repeats::Stamped { .. }))
+            .map(|p| matches!(p.repeat_policy, RepeatPolicy::Stamped { .. }))
             .collect(),
         discovery,
         index,
@@ -231,10 +238,10 @@
             tracing::error!(fault = %format!("peers.listen: {error}"), "peers");
             return ExitCode::FAILURE;
         }
-        peers::ask(peers, name.clone(), Arc::clone(&node));
+        peers::query(peers, name.clone(), Arc::clone(&node));
     }
     // This is passed on even without a known list, since it makes the reducer request the list.
-    node.handle_input(Input::Listed { kind: ListKind::Cached, endpoints });
+    node.handle_input(Input::ListReceived { kind: ListKind::Cached, endpoints });
     let mut attempts = 0..LISTEN_ATTEMPTS;
     let listen = loop {
         match clients::accept(&node, listen) {
@@ -283,10 +290,10 @@
 }
 
 /// Reads the fleet's configuration file, and takes over the settings that this node used last. Returns their version too.
-fn open_fleet_member(path: &str, config: &mut Config) -> Result<(Start, u64), String> {
-    let fleet = fleet::config::fleet(Path::new(path))?;
-    let start = Start::open(fleet).map_err(|error| format!("{path}: fleet.folder: {error}"))?;
-    let kept = start.terms(&config.settings, config.seed);
+fn open_fleet_member(path: &str, config: &mut Config) -> Result<(FleetMember, u64), String> {
+    let fleet = fleet::config::read_fleet(Path::new(path))?;
+    let start = FleetMember::open(fleet).map_err(|error| format!("{path}: fleet.folder: {error}"))?;
+    let kept = start.last_settings(&config.settings, config.seed);
     let active = if kept.is_some() { start.record.active.version } else { 0 };
     if let Some(settings) = kept {
         config.settings = settings;
@@ -295,22 +302,22 @@
 }
 
 /// Passes the settings and the lease of a fleet's node to the reducer before the node serves clients.
-fn init_fleet_member(node: &Arc<Node>, start: &Start, active: u64, settings: &linestack_settings::Settings) {
+fn init_fleet_member(node: &Arc<Node>, start: &FleetMember, active: u64, settings: &linestack_settings::Settings) {
     if active > 0 {
         let what = What::Active { version: active, digest: start.record.active.digest() };
         if let Some(audit_log) = node.audit_log() {
             audit_log.write(node.clock.now(), what);
         }
-        node.handle_input(Input::Terms { settings: Box::new(settings.clone()), version: active });
+        node.handle_input(Input::SettingsChanged { settings: Box::new(settings.clone()), version: active });
     }
-    if start.fleet().mode == Mode::Strict {
-        node.handle_input(Input::Leave { until: 0 });
+    if start.config().mode == Mode::Strict {
+        node.handle_input(Input::Lease { until: 0 });
     }
 }
 
 /// Warns if the settings expect messages between nodes, for which no protocol is specified.
 fn warn_if_messages_expected(config: &Config) {
-    if config.settings.may_tell {
+    if config.settings.may_message_peers {
         tracing::warn!(
             "mayTell: messages between nodes are not supported on sockets; the node works as if all of them were lost"
         );
@@ -356,7 +363,10 @@
                 );
             } else if present.differs_in_settings(&newer) {
                 present.apply_settings(&newer);
-                node.handle_input(Input::Terms { settings: Box::new(newer.settings.clone()), version: 0 });
+                node.handle_input(Input::SettingsChanged {
+                    settings: Box::new(newer.settings.clone()),
+                    version: 0,
+                });
                 tracing::info!(
                     "settings taken over; load reports, shares, limits and response times are reset"
                 );
--- a/crates/node/src/net/clients/answer.rs
+++ b/crates/node/src/net/clients/answer.rs
@@ -36,7 +36,7 @@
     let mut out = WriteQueue::default();
     let connection_header = if last { CONNECTION_CLOSE } else { b"" };
     match answer {
-        Answer::Satisfied(result) => {
+        Answer::Completed(result) => {
             out.push(&b"HTTP/1.1 200 OK\r\n"[..]);
             out.push(connection_header);
             out.push(Bytes::from(format!("Content-Length: {}\r\n\r\n", result.len())));
@@ -50,7 +50,7 @@
             }
             out.push(&b"\r\n"[..]);
         }
-        Answer::Repeated => return empty_response(409, !connection_header.is_empty()),
+        Answer::DuplicateId => return empty_response(409, !connection_header.is_empty()),
         Answer::Aborted => {
             out.push(&b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n"[..]);
             out.push(connection_header);
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -17,7 +17,7 @@
 use super::arrivals::ArrivalTimes;
 use super::{Mailbox, Node, YIELD_PAUSE, spawn};
 use crate::http::{self, HttpError, WriteQueue};
-use linestack_core::{Answer, Client, Input, Nanos, Phase};
+use linestack_core::{Answer, ClientId, Input, Nanos, Phase};
 
 use answer::{CONTINUE, empty_response, encode_answer};
 use reading::{Overflow, READ_AHEAD_BYTES, ReadStatus, read};
@@ -73,7 +73,7 @@
                     burst = if now - last < YIELD_PAUSE.as_nanos() as u64 { burst + 1 } else { 1 };
                     last = now;
                     let (client, mailbox) = node.register_client();
-                    node.handle_input(Input::ClientUp { client });
+                    node.handle_input(Input::ClientConnected { client });
                     let node_of_client = Arc::clone(&node);
                     spawn(move || serve(&node_of_client, client, socket, queue_empty_at, &mailbox));
                     if burst >= ACCEPT_BURST {
@@ -143,7 +143,7 @@
 /// Serves a client until its connection ends. `earliest_connect` is the earliest time at which it can have connected.
 fn serve(
     node: &Arc<Node>,
-    client: Client,
+    client: ClientId,
     mut socket: TcpStream,
     earliest_connect: Nanos,
     mailbox: &Mailbox<Message>,
@@ -158,20 +158,20 @@
 /// Reports to the reducer that the client has disconnected when dropped.
 struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
-    client: Client,
+    client: ClientId,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.node.remove_client(self.client);
-        self.node.handle_input(Input::ClientGone { client: self.client });
+        self.node.handle_input(Input::ClientDisconnected { client: self.client });
     }
 }
 
 /// Serves requests. Returns when the connection is to be closed.
 fn run_requests(
     node: &Arc<Node>,
-    client: Client,
+    client: ClientId,
     socket: &mut TcpStream,
     earliest_connect: Nanos,
     mailbox: &Mailbox<Message>,
@@ -286,12 +286,12 @@
                                     let now = node.clock.now();
                                     let waited =
                                         now.saturating_sub(arrivals.arrival_of_consumed(input.len(), now));
-                                    intake.patience = intake.patience.saturating_sub(waited);
-                                    if let Some(shipment) = Arc::get_mut(&mut intake.shipment) {
+                                    intake.timeout = intake.timeout.saturating_sub(waited);
+                                    if let Some(shipment) = Arc::get_mut(&mut intake.request) {
                                         shipment.body = body.split().freeze();
                                     }
                                     state = State::Waiting { last, size };
-                                    node.handle_input(Input::Submitted { client, intake });
+                                    node.handle_input(Input::Submitted { client, submission: intake });
                                 }
                                 RequestAction::Respond(out, last) => state = State::Answering { out, last },
                             }
@@ -346,17 +346,17 @@
 }
 
 /// Ends the sending side of the connection; the client gets some time to close its own.
-fn shut_down_write(node: &Arc<Node>, client: Client, socket: &TcpStream) -> io::Result<()> {
+fn shut_down_write(node: &Arc<Node>, client: ClientId, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
     node.handle_input(Input::ClientPhase { client, phase: Phase::Leaving });
     Ok(())
 }
 
 /// Rejects a request and returns the state that sends the error.
-fn reject(node: &Arc<Node>, client: Client, error: HttpError) -> State {
+fn reject(node: &Arc<Node>, client: ClientId, error: HttpError) -> State {
     if node.may_log() {
         tracing::warn!(status = error.status, why = error.reason, "request turned down");
     }
-    node.handle_input(Input::TurnedDown { client });
+    node.handle_input(Input::RequestRejected { client });
     State::Answering { out: empty_response(error.status, true), last: true }
 }
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
-use linestack_core::{Intake, Shipment};
+use linestack_core::{ForwardedRequest, NewSubmission};
 use linestack_recovery::start::Stage;
 
 use super::NANOS_PER_MS;
@@ -54,7 +54,7 @@
 /// How a request is answered; the flag tells whether the connection closes after the answer.
 pub(super) enum RequestAction {
     /// By the execution of a submission.
-    Execute(Intake, bool),
+    Execute(NewSubmission, bool),
     /// At once, with this response.
     Respond(WriteQueue, bool),
 }
@@ -74,7 +74,7 @@
         (b"GET", path) if path.starts_with(SUBMISSIONS_PATH) && node.stored_outcome(b"").is_some() => {
             let fate = node.stored_outcome(&path[SUBMISSIONS_PATH.len()..]).and_then(|(_, fate)| fate);
             let out = match fate {
-                Some(fate) => text_response(200, &format!("{{\"fate\":\"{}\"}}\n", fate.word()), last),
+                Some(fate) => text_response(200, &format!("{{\"fate\":\"{}\"}}\n", fate.as_str()), last),
                 None => text_response(404, "{\"fate\":\"not known\"}\n", last),
             };
             Ok(RequestAction::Respond(out, last))
@@ -83,7 +83,7 @@
             let Some(stage) = node.stage() else {
                 return Ok(RequestAction::Respond(empty_response(503, last), last));
             };
-            let text = format!("starting: {}: {}\n", stage.word(), stage.why());
+            let text = format!("starting: {}: {}\n", stage.as_str(), stage.waits_for());
             Ok(RequestAction::Respond(text_response(if node.ready() { 200 } else { 503 }, &text, last), last))
         }
         (b"GET", b"/healthz") if !node.outcomes_complete() && node.ready() => {
@@ -100,7 +100,7 @@
 }
 
 /// Parses the head of a submission. Its body is still to come.
-fn submission(node: &Node, request: &Request, head_text: &Bytes) -> Result<Intake, HttpError> {
+fn submission(node: &Node, request: &Request, head_text: &Bytes) -> Result<NewSubmission, HttpError> {
     let bad = |reason| HttpError { status: 400, reason };
     let part =
         |range: &Option<Range<usize>>| range.clone().map(|r| head_text.slice(r)).filter(|t| !t.is_empty());
@@ -129,7 +129,7 @@
         let found = names.iter().find_map(|n| http::text_figure(extra, n));
         found.filter(|f| f.is_finite() && *f >= 0.0).map(f64::from)
     };
-    let shipment = Shipment {
+    let shipment = ForwardedRequest {
         method: head_text.slice(request.method.clone()),
         path: head_text.slice(request.path.clone()),
         host: part(&request.host).unwrap_or_default(),
@@ -137,12 +137,12 @@
         stamp,
         body: Bytes::new(),
     };
-    Ok(Intake {
+    Ok(NewSubmission {
         product: u8::try_from(product).map_err(|_| bad("unknown Req-Kind"))?,
         tenant: u16::try_from(tenant).map_err(|_| bad("unknown Req-Owner"))?,
-        patience: deadline * NANOS_PER_MS,
+        timeout: deadline * NANOS_PER_MS,
         slots: figure(["slots", "needs"]).filter(|s| *s > 0.0).unwrap_or(1.0),
         memory: figure(["memory", "memNeeded"]).unwrap_or(0.0),
-        shipment: Arc::new(shipment),
+        request: Arc::new(shipment),
     })
 }
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -18,7 +18,7 @@
 use super::connect::{ConnectError, connect};
 use super::{Mailbox, Node, YIELD_PAUSE, parse_object};
 use crate::http::{self, BodyDecoder, Response, WriteQueue};
-use linestack_core::{Broken, Input, Link, Shipment};
+use linestack_core::{ConnectionId, Disconnect, ForwardedRequest, Input};
 
 /// The longest line of a response, and the longest response to a probe.
 const MAX_LINE_BYTES: usize = 2 * http::MAX_BODY_BYTES;
@@ -27,7 +27,7 @@
 
 /// A message to a connection's coroutine.
 pub(crate) enum Message {
-    Send { shipment: Arc<Shipment> },
+    Send { shipment: Arc<ForwardedRequest> },
     Probe,
     Close,
 }
@@ -35,7 +35,7 @@
 /// The request that a connection carries, and what has come of its response.
 struct Exchange {
     /// The request to execute; none for a probe.
-    shipment: Option<Arc<Shipment>>,
+    shipment: Option<Arc<ForwardedRequest>>,
     /// The submission's id; none for a probe.
     id: Option<Bytes>,
     /// The id of the previous submission, to which a second response may come.
@@ -64,15 +64,15 @@
 /// Reports to the reducer that the connection is down when dropped, so also after a panic; the worst case is reported then.
 struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
-    link: Link,
-    broken: Option<Broken>,
+    link: ConnectionId,
+    broken: Option<Disconnect>,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.node.remove_connection(self.link);
         if let Some(broken) = self.broken {
-            self.node.handle_input(Input::LinkDown { link: self.link, broken });
+            self.node.handle_input(Input::ExecutorDisconnected { connection: self.link, disconnect: broken });
         }
     }
 }
@@ -80,12 +80,18 @@
 /// Opens a connection to an executor and serves it until it ends. `limit` is the time to connect within.
 pub(crate) fn run(
     node: &Arc<Node>,
-    link: Link,
+    link: ConnectionId,
     address: SocketAddr,
     limit: Nanos,
     mailbox: &Mailbox<Message>,
 ) {
-    let worst = Broken { begun: true, written: true, answered: true, here: false, spoilt: false };
+    let worst = Disconnect {
+        request_started: true,
+        request_written: true,
+        response_started: true,
+        local_fault: false,
+        unexpected_data: false,
+    };
     let mut guard = DisconnectGuard { node, link, broken: Some(worst) };
     // The reducer removes a connection that it closes.
     let wanted = || node.has_connection(link);
@@ -94,26 +100,27 @@
         Err(error) => {
             tracing::debug!(link, %address, why = %error, "no connection");
             let here = matches!(error, ConnectError::Local(_));
-            guard.broken = Some(Broken { here, ..Broken::default() });
+            guard.broken = Some(Disconnect { local_fault: here, ..Disconnect::default() });
             return;
         }
     };
     mailbox.wake_on_message(&socket);
     let _ = socket.set_nodelay(true);
-    node.handle_input(Input::LinkUp { link });
+    node.handle_input(Input::ExecutorConnected { connection: link });
     let mut exchange: Option<Exchange> = None;
     let (closed_here, spoilt) = match run_exchanges(node, link, &mut socket, mailbox, &mut exchange) {
         End::ClosedByReducer => (true, false),
         End::Broken => (false, false),
         End::UnexpectedData => (false, true),
     };
-    let broken = exchange.map_or(Broken { spoilt, ..Broken::default() }, |e| Broken {
-        begun: e.out.written > 0,
-        written: e.fully_written,
-        answered: e.head.is_some(),
-        here: false,
-        spoilt,
-    });
+    let broken =
+        exchange.map_or(Disconnect { unexpected_data: spoilt, ..Disconnect::default() }, |e| Disconnect {
+            request_started: e.out.written > 0,
+            request_written: e.fully_written,
+            response_started: e.head.is_some(),
+            local_fault: false,
+            unexpected_data: spoilt,
+        });
     if !closed_here {
         tracing::debug!(%address, ?broken, "connection to the executor lost");
     }
@@ -135,7 +142,7 @@
 /// the one that was not over.
 fn run_exchanges(
     node: &Arc<Node>,
-    link: Link,
+    link: ConnectionId,
     socket: &mut TcpStream,
     mailbox: &Mailbox<Message>,
     exchange: &mut Option<Exchange>,
@@ -216,7 +223,7 @@
                 let named = current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
                 previous_id = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
-                node.handle_input(Input::Freed { link, named });
+                node.handle_input(Input::ConnectionReusable { connection: link, identified: named });
             }
             Step::Reusable | Step::Close => return End::Broken,
         }
@@ -244,7 +251,7 @@
 impl Exchange {
     /// Processes the bytes received. A response that cannot be parsed ends the connection, and the reducer counts the
     /// execution as one that may have run.
-    fn process(&mut self, node: &Arc<Node>, link: Link, input: &mut BytesMut, ended: bool) -> Step {
+    fn process(&mut self, node: &Arc<Node>, link: ConnectionId, input: &mut BytesMut, ended: bool) -> Step {
         if self.head.is_none() {
             loop {
                 match http::parse_response(input) {
@@ -292,30 +299,30 @@
     fn report_outcome(
         &mut self,
         node: &Arc<Node>,
-        link: Link,
+        link: ConnectionId,
         outcome: Outcome,
         result: Bytes,
         report: Option<Report>,
     ) {
         if !std::mem::replace(&mut self.outcome_reported, true) {
-            node.handle_input(Input::Ended { link, outcome, result, report });
+            node.handle_input(Input::Ended { connection: link, outcome, result, report });
         }
     }
 
     /// Processes a response whose status is not 200: the status is the outcome.
-    fn process_status(&mut self, node: &Arc<Node>, link: Link) {
+    fn process_status(&mut self, node: &Arc<Node>, link: ConnectionId) {
         let Some(head) = &self.head else { return };
         let report = head.load.as_deref().and_then(|text| text_report(node, text));
         let outcome = match head.status {
-            503 | 504 if head.declined => Outcome::Full,
-            400..500 => Outcome::Unusable,
+            503 | 504 if head.declined => Outcome::Overloaded,
+            400..500 => Outcome::InvalidSubmission,
             _ => Outcome::Error,
         };
         self.report_outcome(node, link, outcome, Bytes::new(), report);
     }
 
     /// Processes the response to a probe. Returns false if it is too long.
-    fn process_probe_response(&mut self, node: &Arc<Node>, link: Link, complete: bool) -> bool {
+    fn process_probe_response(&mut self, node: &Arc<Node>, link: ConnectionId, complete: bool) -> bool {
         let Some(head) = self.head.as_ref().filter(|_| complete) else {
             return self.text.len() <= MAX_LINE_BYTES;
         };
@@ -335,13 +342,13 @@
             let body = std::str::from_utf8(&self.text).unwrap_or("");
             let report = json_report(node, body).or_else(|| text_report(node, body));
             let report = report.or_else(|| head.load.as_deref().and_then(|text| text_report(node, text)));
-            node.handle_input(Input::Probed { link, answered, report });
+            node.handle_input(Input::Probed { connection: link, answered, report });
         }
         true
     }
 
     /// Processes the complete lines of a response. Returns false if one is invalid.
-    fn process_lines(&mut self, node: &Arc<Node>, link: Link, complete: bool) -> bool {
+    fn process_lines(&mut self, node: &Arc<Node>, link: ConnectionId, complete: bool) -> bool {
         loop {
             let line = match self.text.iter().position(|b| *b == b'\n') {
                 Some(end) => self.text.split_to(end + 1),
@@ -364,16 +371,16 @@
                 return false;
             }
             let outcome = match &*line.state {
-                "done" => Outcome::Satisfied,
+                "done" => Outcome::Completed,
                 "failed" => Outcome::Error,
-                "returned" => Outcome::Full,
+                "returned" => Outcome::Overloaded,
                 "lost" => Outcome::Reset,
                 _ => {
-                    node.handle_input(Input::Noted { link });
+                    node.handle_input(Input::Progressed { connection: link });
                     continue;
                 }
             };
-            let Some(result) = line.result.or_else(|| (outcome != Outcome::Satisfied).then(String::new))
+            let Some(result) = line.result.or_else(|| (outcome != Outcome::Completed).then(String::new))
             else {
                 return false;
             };
@@ -411,7 +418,7 @@
 /// Parses a load report in text form.
 fn text_report(node: &Node, text: &str) -> Option<Report> {
     node.layout.report(|place| {
-        let name = node.names.figures.get(place)?;
+        let name = node.names.report_fields.get(place)?;
         http::text_figure(text, name).or_else(|| http::text_figure(text, reported_name(name)))
     })
 }
@@ -421,14 +428,14 @@
 fn json_report(node: &Node, load: &str) -> Option<Report> {
     let load: BTreeMap<Cow<'_, str>, &RawValue> = parse_object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
-        let name = node.names.figures.get(place)?;
+        let name = node.names.report_fields.get(place)?;
         let figure = load.get(name.as_str()).or_else(|| load.get(reported_name(name)))?;
         figure.get().parse().ok()
     })
 }
 
 /// Encodes a request for an executor. `time_left` is the time until its deadline.
-fn encode_request(shipment: &Shipment, time_left: Nanos) -> WriteQueue {
+fn encode_request(shipment: &ForwardedRequest, time_left: Nanos) -> WriteQueue {
     let mut out = WriteQueue::default();
     let mut push = |piece: &Bytes| out.push(piece.clone());
     push(&shipment.method);
@@ -450,7 +457,7 @@
 
 /// Encodes a probe: a request for the load if the settings name any figures, otherwise for the health.
 fn encode_probe(node: &Node) -> WriteQueue {
-    let path = if node.names.figures.is_empty() { "/healthz" } else { "/load" };
+    let path = if node.names.report_fields.is_empty() { "/healthz" } else { "/load" };
     let mut out = WriteQueue::default();
     out.push(Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: executor\r\n\r\n")));
     out
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -23,13 +23,13 @@
 use may::net::TcpStream;
 use serde::Deserialize;
 
-use crate::fleet::slept;
-use crate::fleet::trail::Trail;
-use crate::keep::Note;
+use crate::fleet::audit_log::AuditLog;
+use crate::fleet::time_suspended;
+use crate::persistence::StoreRecord;
 use clock::{Alarm, Clock};
-use linestack_core::{Client, Core, Effect, Input, Link, Refusal};
-use linestack_peers::{Fault as Unheard, Heard, Item, Tale, learn};
-use linestack_recovery::Fate;
+use linestack_core::{ClientId, ConnectionId, Core, Effect, Input, Refusal};
+use linestack_peers::{ExecutorObservation, Observation, PeerSnapshot, SnapshotError, usable_observations};
+use linestack_recovery::StoredOutcome;
 use linestack_recovery::start::Stage;
 
 /// The pause of a connection that received more than one message's worth of bytes at once. A yield is not enough: may polls
@@ -135,9 +135,9 @@
 struct NodeState {
     core: Core,
     effects: Vec<Effect>,
-    links: HashMap<Link, Arc<Mailbox<executors::Message>>>,
-    clients: HashMap<Client, Arc<Mailbox<clients::Message>>>,
-    next_client: Client,
+    links: HashMap<ConnectionId, Arc<Mailbox<executors::Message>>>,
+    clients: HashMap<ClientId, Arc<Mailbox<clients::Message>>>,
+    next_client: ClientId,
 }
 
 /// A node: the reducer, and the sockets and timers that serve it.
@@ -150,8 +150,8 @@
     /// Whether the product requires an idempotency key, by product.
     pub stamped: Vec<bool>,
     pub(crate) watch: Mutex<WatchState>,
-    pub(crate) audit_log: Option<Trail>,
-    store_records: Option<Sender<Note>>,
+    pub(crate) audit_log: Option<AuditLog>,
+    store_records: Option<Sender<StoreRecord>>,
     /// The present lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease to
     /// end.
     lease_suspend_limit: AtomicU64,
@@ -194,9 +194,9 @@
     /// The memory in bytes that the process may use.
     pub memory: usize,
     /// The audit log of this node, if one is kept.
-    pub audit_log: Option<Trail>,
+    pub audit_log: Option<AuditLog>,
     /// The channel to the store's writer, if the node has a store.
-    pub store_records: Option<Sender<Note>>,
+    pub store_records: Option<Sender<StoreRecord>>,
     /// Called when the node has stopped and has answered all accepted submissions.
     pub exit: Box<dyn FnOnce() + Send>,
 }
@@ -249,20 +249,25 @@
     /// yields.
     pub fn handle_input(self: &Arc<Self>, input: Input) {
         let suspend_limit = self.lease_suspend_limit.load(Ordering::Relaxed);
-        if suspend_limit > 0 && matches!(input, Input::Submitted { .. }) && slept() > suspend_limit {
+        if suspend_limit > 0 && matches!(input, Input::Submitted { .. }) && time_suspended() > suspend_limit {
             self.lease_suspend_limit.store(0, Ordering::Relaxed);
-            self.handle_input(Input::Leave { until: 0 });
+            self.handle_input(Input::Lease { until: 0 });
         }
         let mut inner = lock(&self.inner);
         let inner = &mut *inner;
         let mut effects = std::mem::take(&mut inner.effects);
         match &self.audit_log {
-            None => inner.core.take(self.clock.now(), input, &mut effects),
+            None => inner.core.handle(self.clock.now(), input, &mut effects),
             Some(audit_log) => {
-                let (now, asked) = (self.clock.now(), audit_log.before(&input));
-                let (version, taken) = (inner.core.version(), inner.core.taken());
-                inner.core.take(now, input, &mut effects);
-                audit_log.after(now, asked, (inner.core.taken() > taken).then_some(version), &effects);
+                let (now, asked) = (self.clock.now(), audit_log.pending_submission(&input));
+                let (version, taken) = (inner.core.settings_version(), inner.core.submissions_accepted());
+                inner.core.handle(now, input, &mut effects);
+                audit_log.record_effects(
+                    now,
+                    asked,
+                    (inner.core.submissions_accepted() > taken).then_some(version),
+                    &effects,
+                );
             }
         }
         for effect in effects.drain(..) {
@@ -274,11 +279,11 @@
 
     /// Requests permission to write the first byte of the request that this connection carries. Returns the time that the
     /// executor may take.
-    pub(crate) fn begin_execution(self: &Arc<Self>, link: Link) -> Result<Nanos, Refusal> {
+    pub(crate) fn begin_execution(self: &Arc<Self>, link: ConnectionId) -> Result<Nanos, Refusal> {
         let mut inner = lock(&self.inner);
         let inner = &mut *inner;
         let mut effects = std::mem::take(&mut inner.effects);
-        let permission = inner.core.begin(self.clock.now(), link, &mut effects);
+        let permission = inner.core.begin_send(self.clock.now(), link, &mut effects);
         for effect in effects.drain(..) {
             self.apply_effect(inner, effect);
         }
@@ -288,15 +293,15 @@
     }
 
     /// Returns whether one-shots can be accepted, and the outcome stored for a key; `None` if the node has no store.
-    pub(crate) fn stored_outcome(&self, key: &[u8]) -> Option<(bool, Option<Fate>)> {
+    pub(crate) fn stored_outcome(&self, key: &[u8]) -> Option<(bool, Option<StoredOutcome>)> {
         self.store_records.as_ref()?;
         let inner = lock(&self.inner);
-        Some((inner.core.remembers(), inner.core.fate(key).cloned()))
+        Some((inner.core.can_store_outcomes(), inner.core.stored_outcome(key).cloned()))
     }
 
     /// Returns whether all executions that may have run are known.
     pub(crate) fn outcomes_complete(&self) -> bool {
-        lock(&self.inner).core.sure()
+        lock(&self.inner).core.outcomes_complete()
     }
 
     /// Returns the stage of a staged start; `None` if the node does not start in stages.
@@ -305,22 +310,22 @@
     }
 
     /// Returns what this node has observed of its executors, for a peer that starts.
-    pub(crate) fn peer_snapshot(&self) -> Vec<Item> {
-        lock(&self.inner).core.tale(self.clock.now())
+    pub(crate) fn peer_snapshot(&self) -> Vec<ExecutorObservation> {
+        lock(&self.inner).core.peer_snapshot(self.clock.now())
     }
 
     /// Returns the observations in a peer's snapshot that may be used. `asked` is when the peer was queried, `young` the
     /// greatest age of an observation.
     pub(crate) fn evaluate_peer_snapshot(
         &self,
-        tale: &Tale,
+        tale: &PeerSnapshot,
         me: &str,
         asked: Nanos,
         young: Nanos,
-    ) -> Result<Vec<Heard>, Unheard> {
+    ) -> Result<Vec<Observation>, SnapshotError> {
         let inner = lock(&self.inner);
-        let own = |name: &str| inner.core.own(name);
-        learn(tale, me, (asked, self.clock.now()), young, own, inner.core.ready_workers())
+        let own = |name: &str| inner.core.local_knowledge(name);
+        usable_observations(tale, me, (asked, self.clock.now()), young, own, inner.core.ready_workers())
     }
 
     /// Records a message from discovery in the store, and the present list too if `index` gives its new version.
@@ -328,13 +333,13 @@
         let Some(store_records) = &self.store_records else { return };
         if let Some(index) = index {
             let endpoints = lock(&self.inner).core.endpoints();
-            let _ = store_records.send(Note::List(discovery::List { index, whole: true, endpoints }));
+            let _ = store_records.send(StoreRecord::List(discovery::List { index, whole: true, endpoints }));
         }
-        let _ = store_records.send(Note::Heard);
+        let _ = store_records.send(StoreRecord::ListConfirmed);
     }
 
     /// Returns the audit log, if one is kept.
-    pub fn audit_log(&self) -> Option<&Trail> {
+    pub fn audit_log(&self) -> Option<&AuditLog> {
         self.audit_log.as_ref()
     }
 
@@ -361,7 +366,7 @@
 
     /// Returns whether no further client can be accepted.
     pub(crate) fn is_at_client_limit(&self) -> bool {
-        lock(&self.inner).core.crowded()
+        lock(&self.inner).core.is_at_client_limit()
     }
 
     /// Reports the end of a watch to the reducer, which may request another one. A change in discovery may be unknown here for
@@ -377,7 +382,7 @@
             is_current
         };
         if is_current {
-            self.handle_input(Input::Unheard { lost, busy });
+            self.handle_input(Input::ListFailed { silent_for: lost, overloaded: busy });
         }
         is_current
     }
@@ -408,7 +413,7 @@
         spawn(move || discovery::watch(&node, generation));
     }
 
-    fn register_client(&self) -> (Client, Arc<Mailbox<clients::Message>>) {
+    fn register_client(&self) -> (ClientId, Arc<Mailbox<clients::Message>>) {
         let mut inner = lock(&self.inner);
         let client = inner.next_client;
         inner.next_client += 1;
@@ -417,26 +422,26 @@
         (client, mailbox)
     }
 
-    fn remove_client(&self, client: Client) {
+    fn remove_client(&self, client: ClientId) {
         lock(&self.inner).clients.remove(&client);
     }
 
     /// Returns whether the reducer still wants this connection.
-    pub(crate) fn has_connection(&self, link: Link) -> bool {
+    pub(crate) fn has_connection(&self, link: ConnectionId) -> bool {
         lock(&self.inner).links.contains_key(&link)
     }
 
-    fn remove_connection(&self, link: Link) {
+    fn remove_connection(&self, link: ConnectionId) {
         lock(&self.inner).links.remove(&link);
     }
 
     fn apply_effect(self: &Arc<Self>, inner: &mut NodeState, effect: Effect) {
-        let client = |client: Client, message: clients::Message| {
+        let client = |client: ClientId, message: clients::Message| {
             if let Some(mailbox) = inner.clients.get(&client) {
                 mailbox.send(message);
             }
         };
-        let link = |link: Link, message: executors::Message| {
+        let link = |link: ConnectionId, message: executors::Message| {
             if let Some(mailbox) = inner.links.get(&link) {
                 mailbox.send(message);
             }
@@ -447,43 +452,45 @@
             }
             Effect::CloseClient { client: to } => client(to, clients::Message::CloseIfIdle),
             Effect::DropClient { client: to } => client(to, clients::Message::Drop),
-            Effect::Send { link: to, shipment, .. } => link(to, executors::Message::Send { shipment }),
-            Effect::Probe { link: to } => link(to, executors::Message::Probe),
-            Effect::CloseLink { link: to } => {
+            Effect::Send { connection: to, request: shipment, .. } => {
+                link(to, executors::Message::Send { shipment })
+            }
+            Effect::Probe { connection: to } => link(to, executors::Message::Probe),
+            Effect::CloseConnection { connection: to } => {
                 link(to, executors::Message::Close);
                 inner.links.remove(&to);
             }
-            Effect::Open { link, address, limit } => {
+            Effect::OpenConnection { connection: link, address, timeout: limit } => {
                 let mailbox = Arc::<Mailbox<_>>::default();
                 inner.links.insert(link, Arc::clone(&mailbox));
                 let node = Arc::clone(self);
                 spawn(move || executors::run(&node, link, address, limit, &mailbox));
             }
-            Effect::Watch => {
+            Effect::RequestList => {
                 let mut watch = lock(&self.watch);
                 if !std::mem::replace(&mut watch.running, true) {
                     let (node, generation) = (Arc::clone(self), watch.generation);
                     spawn(move || discovery::watch(&node, generation));
                 }
             }
-            Effect::Keep { keep, ticket } => {
+            Effect::Persist { record: keep, ticket } => {
                 if let Some(store_records) = &self.store_records {
-                    let _ = store_records.send(Note::Fate(keep, ticket));
+                    let _ = store_records.send(StoreRecord::Outcome(keep, ticket));
                 }
             }
             Effect::Stage(stage) => {
-                tracing::info!(stage = stage.word(), waits_for = stage.why(), "start");
+                tracing::info!(stage = stage.as_str(), waits_for = stage.waits_for(), "start");
                 if let Some(audit_log) = &self.audit_log {
-                    let stage = stage.word().to_owned();
+                    let stage = stage.as_str().to_owned();
                     audit_log.write(self.clock.now(), What::Stage { stage });
                 }
             }
             Effect::Refused { id, refusal, occasion } => {
                 let id = String::from_utf8_lossy(&id);
-                let (why, when) = (refusal.word(), occasion.word());
+                let (why, when) = (refusal.as_str(), occasion.as_str());
                 tracing::debug!(%id, why, when, "execution not begun");
             }
-            Effect::Fault(what) => tracing::error!(what, "invariant broken"),
+            Effect::InvariantBroken(what) => tracing::error!(what, "invariant broken"),
             Effect::Report(stats) => {
                 tracing::info!(
                     taken = stats.taken,
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use linestack_recovery::start::{Kept, Terms};
+use linestack_recovery::start::{BootTimestamp, StartLimits};
 use serde::Deserialize;
 
 use crate::fleet::boottime;
@@ -10,7 +10,7 @@
 /// The configuration of a staged start.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    pub terms: Terms,
+    pub terms: StartLimits,
     /// A stored list that is younger than this, in nanoseconds, is used at once.
     pub list_max_age: u64,
 }
@@ -56,7 +56,7 @@
 /// Returns every error of the file, one a line, each with its key.
 pub fn read_config(path: &Path, nodes: u32) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let File { start: table } = crate::fleet::config::table(path, &text)?;
+    let File { start: table } = crate::fleet::config::parse_table(path, &text)?;
     let mut errors = Vec::new();
     let mut check = |valid: bool, key: &str, reason: &str| {
         if !valid {
@@ -89,22 +89,22 @@
     if !errors.is_empty() {
         return Err(errors.join("\n"));
     }
-    let terms = Terms {
+    let terms = StartLimits {
         nodes,
         connects_per_s: table.connects_per_s,
         lists_per_s: table.lists_per_s,
         sessions_per_s: table.sessions_per_s,
-        list_within: table.list_within_ms * 1_000_000,
-        known_within: table.known_within_ms * 1_000_000,
-        share_within: table.share_within_ms * 1_000_000,
+        list_timeout: table.list_within_ms * 1_000_000,
+        known_timeout: table.known_within_ms * 1_000_000,
+        share_timeout: table.share_within_ms * 1_000_000,
     };
     Ok(Config { terms, list_max_age: table.list_fresh_ms * 1_000_000 })
 }
 
 /// Returns the present time on a clock that survives a restart of the process, but not a reboot of the machine.
 #[must_use]
-pub fn boot_timestamp() -> Kept {
+pub fn boot_timestamp() -> BootTimestamp {
     let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
     let digits: String = boot.chars().filter(char::is_ascii_hexdigit).collect();
-    Kept { boot: u128::from_str_radix(&digits, 16).unwrap_or(0), at: boottime() }
+    BootTimestamp { boot: u128::from_str_radix(&digits, 16).unwrap_or(0), at: boottime() }
 }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,30 +1,37 @@
-//! One instance: a dispatcher and the maps between the wire's ids and its small indices.
+//! One simulated node: a dispatcher, and the maps between the ids of the wire and the dispatcher's small indices.
 
 use std::collections::HashMap;
 
 use linestack_dispatch::decide::Dispatcher;
-use linestack_dispatch::types::{Ending, Event, Listing, Nanos, Order};
+use linestack_dispatch::types::{Action, Ending, Event, Nanos, WorkerEntry};
 use linestack_settings::{ReportLayout, Settings};
-use linestack_simwire::{Entry, Incoming, Outgoing, Reply};
+use linestack_simwire::{Incoming, ListEntry, Outgoing, Reply};
 
+/// The state of one instance.
 pub struct Instance {
     node: u16,
     dispatcher: Dispatcher,
     layout: ReportLayout,
+    /// The index of the submission for each call on the wire.
     submissions: HashMap<u64, u32>,
+    /// The call on the wire for each index of a submission.
     calls: Vec<u64>,
+    /// Indices of submissions that are free again.
     free: Vec<u32>,
+    /// The index of the worker for each executor on the wire.
     workers: HashMap<u32, u32>,
+    /// The executor on the wire for each index of a worker.
     executors: Vec<u32>,
-    listings: Vec<Listing>,
+    listings: Vec<WorkerEntry>,
 }
 
 impl Instance {
-    pub fn new(node: u16, start: Settings) -> Self {
+    /// Starts an instance with these settings.
+    pub fn new(node: u16, settings: Settings) -> Self {
         Self {
             node,
-            dispatcher: Dispatcher::new(start.orders),
-            layout: start.layout,
+            dispatcher: Dispatcher::new(settings.dispatch),
+            layout: settings.layout,
             submissions: HashMap::new(),
             calls: Vec::new(),
             free: Vec::new(),
@@ -34,38 +41,42 @@
         }
     }
 
-    /// Hands one event to the dispatcher and adds its orders to the reply. Events about submissions
-    /// or workers that this instance does not know, or knows no more, are dropped.
-    pub fn take(&mut self, clock: Nanos, event: Incoming, reply: &mut Reply) {
+    /// Passes an event to the dispatcher and adds the resulting actions to the reply. Events about submissions or workers
+    /// that this instance does not know, or does not know any longer, are dropped.
+    pub fn handle(&mut self, clock: Nanos, event: Incoming, reply: &mut Reply) {
         if let Some(event) = self.translate(event) {
-            // The listings are lent to the event and taken back after it.
+            // The event borrows the entries, so they are moved out of `self` until the event is handled.
             let listings = std::mem::take(&mut self.listings);
             let event = match event {
-                Event::Listed { kind, .. } => Event::Listed { kind, entries: &listings },
+                Event::ListReceived { kind, .. } => Event::ListReceived { kind, entries: &listings },
                 other => other,
             };
             for order in self.dispatcher.decide(clock, event) {
                 let call = |submission: &u32| self.calls[*submission as usize];
                 let action = match order {
-                    Order::Execute { submission, worker, timeout } => Outgoing::Execute {
+                    Action::Execute { submission, worker, timeout } => Outgoing::Execute {
                         call: call(submission),
                         timeout: *timeout,
                         executor: self.executors[*worker as usize],
                     },
-                    Order::Cancel { submission, execution } => {
+                    Action::Cancel { submission, execution } => {
                         Outgoing::Cancel { call: call(submission), execution: *execution }
                     }
-                    Order::Dismiss { submission, come_back } => {
-                        Outgoing::Dismiss { call: call(submission), come_back: come_back.unwrap_or(0) }
+                    Action::Dismiss { submission, retry_after: come_back } => {
+                        Outgoing::Dismiss { call: call(submission), retry_after: come_back.unwrap_or(0) }
                     }
-                    Order::Abort { submission } => Outgoing::Abort { call: call(submission) },
-                    Order::Probe { worker } => Outgoing::Probe { executor: self.executors[*worker as usize] },
-                    Order::Release { worker } => {
-                        Outgoing::Release { executor: self.executors[*worker as usize] }
+                    Action::Abort { submission } => Outgoing::Abort { call: call(submission) },
+                    Action::Probe { worker } => {
+                        Outgoing::Probe { executor: self.executors[*worker as usize] }
                     }
-                    Order::Subscribe => Outgoing::Subscribe,
-                    Order::Ring { at, token } => Outgoing::Ring { at: *at, token: *token },
-                    Order::Forget { submission } => {
+                    Action::CloseIdleConnections { worker } => {
+                        Outgoing::CloseIdleConnections { executor: self.executors[*worker as usize] }
+                    }
+                    Action::Subscribe => Outgoing::Subscribe,
+                    Action::SetTimer { at, timer_id: token } => {
+                        Outgoing::SetTimer { at: *at, timer_id: *token }
+                    }
+                    Action::Forget { submission } => {
                         self.submissions.remove(&call(submission));
                         self.free.push(*submission);
                         continue;
@@ -80,18 +91,18 @@
     fn translate(&mut self, event: Incoming) -> Option<Event<'static>> {
         let known = |call: u64| self.submissions.get(&call).copied();
         Some(match event {
-            Incoming::Begin(_) | Incoming::Killed | Incoming::Peer => return None,
-            Incoming::Listed { kind, entries } => {
+            Incoming::Start(_) | Incoming::Killed | Incoming::PeerMessage => return None,
+            Incoming::ListReceived { kind, entries } => {
                 self.listings.clear();
                 for e in entries {
                     let worker = *self.workers.entry(e.executor).or_insert_with(|| {
                         self.executors.push(e.executor);
                         self.executors.len() as u32 - 1
                     });
-                    let Entry { health, kind, zone, cell, started, weight, .. } = e;
-                    self.listings.push(Listing { worker, health, kind, zone, cell, started, weight });
+                    let ListEntry { health, kind, zone, cell, started, weight, .. } = e;
+                    self.listings.push(WorkerEntry { worker, health, kind, zone, cell, started, weight });
                 }
-                Event::Listed { kind, entries: &[] }
+                Event::ListReceived { kind, entries: &[] }
             }
             Incoming::Submitted { call, job } => {
                 if known(call).is_some() {
@@ -106,11 +117,13 @@
                 self.submissions.insert(call, submission);
                 Event::Submitted { submission, job }
             }
-            Incoming::Left { call } => Event::Left { submission: known(call)? },
+            Incoming::ClientLeft { call } => Event::ClientLeft { submission: known(call)? },
             Incoming::Streaming { call, execution } => {
                 Event::Streaming { submission: known(call)?, execution }
             }
-            Incoming::Noted { call, execution } => Event::Noted { submission: known(call)?, execution },
+            Incoming::Progressed { call, execution } => {
+                Event::Progressed { submission: known(call)?, execution }
+            }
             Incoming::Ended { call, execution, executor, outcome, closed, took, figures } => {
                 Event::Ended(Ending {
                     submission: known(call)?,
@@ -119,15 +132,15 @@
                     outcome,
                     closed,
                     took,
-                    report: self.layout.report(|place| figures.get(place)),
+                    report: self.layout.report(|index| figures.get(index)),
                 })
             }
             Incoming::Probed { executor, answered, figures } => Event::Probed {
                 worker: *self.workers.get(&executor)?,
                 answered,
-                report: self.layout.report(|place| figures.get(place)),
+                report: self.layout.report(|index| figures.get(index)),
             },
-            Incoming::Rang { token } => Event::Rang { token },
+            Incoming::TimerFired { timer_id } => Event::TimerFired { timer_id },
         })
     }
 }
