--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -128,9 +128,9 @@
     let open = open.map(|entries| entries.count().saturating_sub(1));
     match open {
         Ok(open) if limit.saturating_sub(open) >= MIN_SOCKETS => Ok(()),
-        Ok(open) => Err(format!(
-            "{open} of the {limit} file descriptors that the system allows are in use; {MIN_SOCKETS} free ones are needed"
-        )),
+        Ok(open) => {
+            Err(format!("{open} of {limit} file descriptors are in use; {MIN_SOCKETS} free ones are needed"))
+        }
         Err(error) => Err(error.to_string()),
     }
 }
--- a/crates/node/src/io_failure.rs
+++ b/crates/node/src/io_failure.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Returns whether a call that opens a resource may succeed when it is repeated a moment later. `EMFILE` is not included:
-/// during the start nothing else runs in the process that could free a descriptor.
+/// Returns whether a call that opens a resource may succeed when it is repeated a moment later. `EMFILE` is not
+/// included: during the start nothing else runs in the process that could free a descriptor.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     let transient = [Errno::AGAIN, Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -21,13 +21,13 @@
 use linestack_core::{Core, Input};
 use linestack_dispatch::types::{ListKind, RepeatPolicy};
 use linestack_history::What;
-use linestack_recovery::start::{StagedStart as Starting, StartConditions};
+use linestack_recovery::start::{StagedStart, StartConditions};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
-/// The size of a coroutine's stack, in words. The most seen in use is 1,919, in a debug build; may ends the process when a
-/// stack overflows.
+/// The size of a coroutine's stack, in words. The most seen in use is 1,919, in a debug build; may ends the process
+/// when a stack overflows.
 const STACK_WORDS: usize = 0x2000;
 /// The number of unused stacks that are kept for further connections.
 const STACK_POOL_SIZE: usize = 64;
@@ -51,8 +51,9 @@
         /// Replaces a coordinator that has lost its store; `fleet replace` prints the number.
         #[arg(long)]
         replacement: Option<u32>,
-        /// A majority has lost its stores: continue from this coordinator's store, and write the state for the others into
-        /// this file. Nothing is run. Refused if a majority still has its stores, or if another coordinator answers.
+        /// A majority has lost its stores: continue from this coordinator's store, and write the state for the others
+        /// into this file. Nothing is run. Refused if a majority still has its stores, or if another coordinator
+        /// answers.
         #[arg(long, requires = "lost", conflicts_with_all = ["first", "replacement", "refounded"])]
         refound: Option<PathBuf>,
         /// The numbers of the coordinators that have lost their stores.
@@ -139,12 +140,12 @@
     let (exit_sender, exit_receiver) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
     let memory = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX);
-    let opened = |path: String| {
+    let open_store = |path: String| {
         persistence::read_config(Path::new(&path)).and_then(|config| NodeStore::open(config, &name))
     };
-    let keeper = variable("PROXY_STORE").map(opened);
-    let mut keeper = match keeper.transpose() {
-        Ok(keeper) => keeper,
+    let store = variable("PROXY_STORE").map(open_store);
+    let mut store = match store.transpose() {
+        Ok(store) => store,
         Err(error) => {
             tracing::error!(fault = error, "store");
             return ExitCode::FAILURE;
@@ -169,9 +170,9 @@
     };
     let clock = Clock::start();
     let audit_log =
-        fleet.as_ref().and_then(|(start, _)| start.config().history.as_ref().map(|path| (start, path)));
-    let audit_log = audit_log.map(|(start, path)| {
-        AuditLog::open(path, &start.config().member, start.record.incarnation.life, clock.now())
+        fleet.as_ref().and_then(|(member, _)| member.config().history.as_ref().map(|path| (member, path)));
+    let audit_log = audit_log.map(|(member, path)| {
+        AuditLog::open(path, &member.config().member, member.record.incarnation.life, clock.now())
     });
     let audit_log = match audit_log.transpose() {
         Ok(audit_log) => audit_log,
@@ -181,32 +182,30 @@
         }
     };
     let mut core = Core::new(settings.clone(), sockets, memory);
-    let (mut known, mut whole) = (known, false);
+    let (mut known, mut request_whole) = (known, false);
     if let Some(stages) = &stages {
-        let kept = keeper.as_ref().and_then(|k| k.list(stages.list_max_age));
-        let fresh = kept.as_ref().is_some_and(|(_, fresh)| *fresh);
-        if let Some((list, _)) = kept {
+        let stored_list = store.as_ref().and_then(|store| store.list(stages.list_max_age));
+        let list_is_fresh = stored_list.as_ref().is_some_and(|(_, fresh)| *fresh);
+        if let Some((list, _)) = stored_list {
             // The present discovery may not know the stored list's version, so the complete list is requested.
-            (known, whole) = (Some(list), true);
+            (known, request_whole) = (Some(list), true);
         }
         // A list of unknown age is used only once discovery has sent one or has failed to answer.
-        let old = known.take_if(|_| !fresh).map_or_else(Vec::new, |list| list.endpoints);
-        let proved = !fleet.as_ref().is_some_and(|(start, _)| start.config().mode == Mode::Strict);
+        let old_endpoints = known.take_if(|_| !list_is_fresh).map_or_else(Vec::new, |list| list.endpoints);
+        let settings_confirmed =
+            !fleet.as_ref().is_some_and(|(member, _)| member.config().mode == Mode::Strict);
         let mut rng = fastrand::Rng::with_seed(config.seed ^ fleet::random_u64());
-        let found = StartConditions {
-            settings_confirmed: proved,
-            list_is_fresh: fresh,
-            has_old_list: !old.is_empty(),
-        };
-        let start = Starting::new(stages.terms, found, [rng.f64(), rng.f64()], clock.now());
-        core.start_in_stages(clock.now(), start, old);
+        let conditions =
+            StartConditions { settings_confirmed, list_is_fresh, has_old_list: !old_endpoints.is_empty() };
+        let start = StagedStart::new(stages.limits, conditions, [rng.f64(), rng.f64()], clock.now());
+        core.start_in_stages(clock.now(), start, old_endpoints);
     }
-    let index = known.as_ref().map(|known| known.index).filter(|_| !whole);
+    let index = known.as_ref().map(|known| known.index).filter(|_| !request_whole);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
-    if let Some(keeper) = &mut keeper {
-        keeper.restore_into(&mut core, memory, clock.now(), settings.longest_deadline);
+    if let Some(store) = &mut store {
+        store.restore_into(&mut core, memory, clock.now(), settings.longest_deadline);
     }
-    let (keeper, writer) = keeper.map(NodeStore::into_writer).unzip();
+    let (store_records, writer) = store.map(NodeStore::into_writer).unzip();
     let parts = NodeParts {
         clock,
         names: settings.names.clone(),
@@ -221,7 +220,7 @@
         index,
         memory,
         audit_log,
-        store_records: keeper,
+        store_records,
         exit: Box::new(move || {
             let _ = exit_sender.send(());
         }),
@@ -230,8 +229,8 @@
     if let Some(writer) = writer {
         writer.start(Arc::clone(&node));
     }
-    if let Some((start, active)) = &fleet {
-        init_fleet_member(&node, start, *active, &settings);
+    if let Some((member, active)) = &fleet {
+        init_fleet_member(&node, member, *active, &settings);
     }
     if let Some(peers) = peers {
         if let Err(error) = peers::listen(&peers, &name, &node) {
@@ -264,8 +263,8 @@
     tracing::info!(name, %listen, %discovery, sockets, memory_mb, "started");
     warn_if_messages_expected(&config);
     let in_fleet = fleet.is_some();
-    if let Some((start, active)) = fleet {
-        start.run(Arc::clone(&node), settings, config.seed, active, stages.map(|s| s.terms));
+    if let Some((member, active)) = fleet {
+        member.run(Arc::clone(&node), settings, config.seed, active, stages.map(|s| s.limits));
     }
     while let Some(signal) = signals.forever().next() {
         if signal == SIGHUP {
@@ -274,8 +273,8 @@
         }
         tracing::info!(signal, "stopping");
         node.handle_input(Input::Stop);
-        // A second Ctrl-C ends the process at once, as users expect. SIGTERM is not treated so, since it may come twice: to
-        // the process and to its group.
+        // A second Ctrl-C ends the process at once, as users expect. SIGTERM is not treated so, since it may come
+        // twice: to the process and to its group.
         std::thread::spawn(move || {
             if signals.forever().any(|signal| signal == SIGINT) {
                 std::process::exit(1);
@@ -289,28 +288,34 @@
     ExitCode::SUCCESS
 }
 
-/// Reads the fleet's configuration file, and takes over the settings that this node used last. Returns their version too.
+/// Reads the fleet's configuration file, and takes over the settings that this node used last. Returns their version
+/// too.
 fn open_fleet_member(path: &str, config: &mut Config) -> Result<(FleetMember, u64), String> {
     let fleet = fleet::config::read_fleet(Path::new(path))?;
-    let start = FleetMember::open(fleet).map_err(|error| format!("{path}: fleet.folder: {error}"))?;
-    let kept = start.last_settings(&config.settings, config.seed);
-    let active = if kept.is_some() { start.record.active.version } else { 0 };
-    if let Some(settings) = kept {
+    let member = FleetMember::open(fleet).map_err(|error| format!("{path}: fleet.folder: {error}"))?;
+    let last_settings = member.last_settings(&config.settings, config.seed);
+    let active = if last_settings.is_some() { member.record.active.version } else { 0 };
+    if let Some(settings) = last_settings {
         config.settings = settings;
     }
-    Ok((start, active))
+    Ok((member, active))
 }
 
 /// Passes the settings and the lease of a fleet's node to the reducer before the node serves clients.
-fn init_fleet_member(node: &Arc<Node>, start: &FleetMember, active: u64, settings: &linestack_settings::Settings) {
+fn init_fleet_member(
+    node: &Arc<Node>,
+    member: &FleetMember,
+    active: u64,
+    settings: &linestack_settings::Settings,
+) {
     if active > 0 {
-        let what = What::Active { version: active, digest: start.record.active.digest() };
+        let what = What::Active { version: active, digest: member.record.active.digest() };
         if let Some(audit_log) = node.audit_log() {
             audit_log.write(node.clock.now(), what);
         }
         node.handle_input(Input::SettingsChanged { settings: Box::new(settings.clone()), version: active });
     }
-    if start.config().mode == Mode::Strict {
+    if member.config().mode == Mode::Strict {
         node.handle_input(Input::Lease { until: 0 });
     }
 }
@@ -327,8 +332,8 @@
 /// The pause before the configuration is read again after this machine lacked a resource to read it.
 const REREAD_PAUSE: Duration = Duration::from_millis(50);
 
-/// Makes the configuration be read again after a pause, by raising the signal that requests it. Other signals are handled
-/// meanwhile.
+/// Makes the configuration be read again after a pause, by raising the signal that requests it. Other signals are
+/// handled meanwhile.
 fn schedule_reread() {
     let wait = std::thread::Builder::new().spawn(|| {
         std::thread::sleep(REREAD_PAUSE);
@@ -341,8 +346,8 @@
     }
 }
 
-/// Reads the configuration again. A file with an error changes nothing. A valid one is applied as far as this is possible
-/// in a running node.
+/// Reads the configuration again. A file with an error changes nothing. A valid one is applied as far as this is
+/// possible in a running node.
 fn reload(node: &Arc<Node>, present: &mut Config, in_fleet: bool, variable: impl Fn(&str) -> Option<String>) {
     match config::reread(present, variable, |path| std::fs::read_to_string(path)) {
         Ok(newer) => {
@@ -359,7 +364,7 @@
             if in_fleet && present.differs_in_settings(&newer) {
                 // This node alone would use other settings than the rest of the fleet.
                 tracing::error!(
-                    "configuration read again: the fleet's coordinators set the settings, so those in the file are ignored"
+                    "configuration read again: the fleet sets the settings, so those in the file are ignored"
                 );
             } else if present.differs_in_settings(&newer) {
                 present.apply_settings(&newer);
--- a/crates/node/src/net/arrivals.rs
+++ b/crates/node/src/net/arrivals.rs
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Returns when the last consumed byte arrived, where the last `unconsumed` bytes that were read are not consumed yet.
+    /// Returns when the last consumed byte arrived, where the last `unconsumed` bytes that were read are not consumed
+    /// yet.
     pub fn arrival_of_consumed(&mut self, unconsumed: usize, now: Nanos) -> Nanos {
         let consumed = self.received.saturating_sub(unconsumed as u64);
         while self.marks.front().is_some_and(|mark| mark.end < consumed) {
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -192,14 +192,15 @@
         let mut dropped = false;
         while let Some(message) = mailbox.next() {
             match message {
-                // The client is out of time or evicted. Bytes that came just before are read first, since a request among
-                // them is owed an answer. A submission that the reducer has accepted meanwhile is answered in any case.
+                // The client is out of time or evicted. Bytes that came just before are read first, since a request
+                // among them is owed an answer. A submission that the reducer has accepted meanwhile is answered in any
+                // case.
                 Message::Drop => (dropped, close) = (true, true),
                 // A request may have come meanwhile; it is answered first.
                 Message::CloseIfIdle => close = true,
                 Message::Answer { answer, last } => {
-                    // A complete request that was read behind this one is owed an answer too, unless the client asked for
-                    // the connection to close.
+                    // A complete request that was read behind this one is owed an answer too, unless the client asked
+                    // for the connection to close.
                     let last = matches!(state, State::Waiting { last: true, .. })
                         || ((last || close) && !http::has_request(&input));
                     state = State::Answering { out: encode_answer(answer, last), last };
@@ -207,9 +208,9 @@
             }
         }
         if matches!(state, State::Closing) {
-            // A request that crosses the shutdown is not read, since it would be lost without an answer: the client sees
-            // the end of the connection and sends the request again. A close over unread bytes resets the connection, so it
-            // waits until the client has had the time to receive its last answer.
+            // A request that crosses the shutdown is not read, since it would be lost without an answer: the client
+            // sees the end of the connection and sends the request again. A close over unread bytes resets the
+            // connection, so it waits until the client has had the time to receive its last answer.
             match socket.inner().peek(&mut [0]) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() != io::ErrorKind::WouldBlock => return,
@@ -248,8 +249,8 @@
                     let request_started = head.is_some() || !input.is_empty();
                     if !request_started {
                         if close {
-                            // After a full close, bytes that cross it would reset the connection, and the client could lose an
-                            // answer that is still in transit.
+                            // After a full close, bytes that cross it would reset the connection, and the client could
+                            // lose an answer that is still in transit.
                             if shut_down_write(node, client, socket).is_err() {
                                 return;
                             }
@@ -281,17 +282,17 @@
                         Ok(true) => {
                             let Some(incoming) = head.take() else { break };
                             match incoming.action {
-                                RequestAction::Execute(mut intake, last) => {
+                                RequestAction::Execute(mut submission, last) => {
                                     let size = body.len();
                                     let now = node.clock.now();
                                     let waited =
                                         now.saturating_sub(arrivals.arrival_of_consumed(input.len(), now));
-                                    intake.timeout = intake.timeout.saturating_sub(waited);
-                                    if let Some(shipment) = Arc::get_mut(&mut intake.request) {
-                                        shipment.body = body.split().freeze();
+                                    submission.timeout = submission.timeout.saturating_sub(waited);
+                                    if let Some(request) = Arc::get_mut(&mut submission.request) {
+                                        request.body = body.split().freeze();
                                     }
                                     state = State::Waiting { last, size };
-                                    node.handle_input(Input::Submitted { client, submission: intake });
+                                    node.handle_input(Input::Submitted { client, submission });
                                 }
                                 RequestAction::Respond(out, last) => state = State::Answering { out, last },
                             }
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -25,8 +25,8 @@
     body: BodyDecoder,
 }
 
-/// Reads the next request from `input`. Returns true once it is complete. A request with an invalid head is rejected before
-/// any of its body is awaited.
+/// Reads the next request from `input`. Returns true once it is complete. A request with an invalid head is rejected
+/// before any of its body is awaited.
 pub(super) fn read_request(
     node: &Node,
     input: &mut BytesMut,
@@ -72,9 +72,12 @@
             ))
         }
         (b"GET", path) if path.starts_with(SUBMISSIONS_PATH) && node.stored_outcome(b"").is_some() => {
-            let fate = node.stored_outcome(&path[SUBMISSIONS_PATH.len()..]).and_then(|(_, fate)| fate);
-            let out = match fate {
-                Some(fate) => text_response(200, &format!("{{\"fate\":\"{}\"}}\n", fate.as_str()), last),
+            let outcome =
+                node.stored_outcome(&path[SUBMISSIONS_PATH.len()..]).and_then(|(_, outcome)| outcome);
+            let out = match outcome {
+                Some(outcome) => {
+                    text_response(200, &format!("{{\"fate\":\"{}\"}}\n", outcome.as_str()), last)
+                }
                 None => text_response(404, "{\"fate\":\"not known\"}\n", last),
             };
             Ok(RequestAction::Respond(out, last))
@@ -129,7 +132,7 @@
         let found = names.iter().find_map(|n| http::text_figure(extra, n));
         found.filter(|f| f.is_finite() && *f >= 0.0).map(f64::from)
     };
-    let shipment = ForwardedRequest {
+    let forwarded = ForwardedRequest {
         method: head_text.slice(request.method.clone()),
         path: head_text.slice(request.path.clone()),
         host: part(&request.host).unwrap_or_default(),
@@ -143,6 +146,6 @@
         timeout: deadline * NANOS_PER_MS,
         slots: figure(["slots", "needs"]).filter(|s| *s > 0.0).unwrap_or(1.0),
         memory: figure(["memory", "memNeeded"]).unwrap_or(0.0),
-        request: Arc::new(shipment),
+        request: Arc::new(forwarded),
     })
 }
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -35,7 +35,7 @@
 
     /// Returns by how much the system's clock has moved relative to this one since the start, in nanoseconds.
     #[must_use]
-    pub fn wall_moved(&self) -> i64 {
+    pub fn wall_clock_shift(&self) -> i64 {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos;
         wall.wrapping_sub(self.now()).cast_signed()
     }
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -1,7 +1,7 @@
 //! Opens connections to other machines, and tells local failures from remote ones.
 //!
-//! A failure on this machine (no descriptor, port, buffer or route) says nothing about the remote one. Such an attempt is
-//! repeated with a short, jittered backoff for as long as the caller can wait, and reported as local after that.
+//! A failure on this machine (no descriptor, port, buffer or route) says nothing about the remote one. Such an attempt
+//! is repeated with a short, jittered backoff for as long as the caller can wait, and reported as local after that.
 
 use std::io;
 use std::net::SocketAddr;
@@ -55,10 +55,10 @@
     }
 }
 
-/// Connects within `timeout`. After a local failure, or if the remote host is unreachable, the attempt is repeated for three
-/// quarters of that time, so that the caller learns of the failure before its own limit ends the wait. Without the retries, a
-/// loss of the network for milliseconds would look like the failure of every executor and put them all out of service.
-/// `seed` is for the backoff's random part; `wanted` is asked before each further attempt.
+/// Connects within `timeout`. After a local failure, or if the remote host is unreachable, the attempt is repeated for
+/// three quarters of that time, so that the caller learns of the failure before its own limit ends the wait. Without
+/// the retries, a loss of the network for milliseconds would look like the failure of every executor and put them all
+/// out of service. `seed` is for the backoff's random part; `wanted` is asked before each further attempt.
 ///
 /// # Errors
 ///
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -19,12 +19,12 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest time between two messages on a watch. While nothing changes discovery sends an empty line every 2 s, and
-/// it may queue a request for 3 s. A watch that brings neither a complete list nor a heartbeat for longer counts as dead,
-/// even if its connection looks open and bytes arrive. The node is also expected to know a change 6 s after discovery has
-/// it, or 4 s after the discovery address changed. The reducer's `CALL_WITHIN` depends on this value.
+/// it may queue a request for 3 s. A watch that brings neither a complete list nor a heartbeat for longer counts as
+/// dead, even if its connection looks open and bytes arrive. The node is also expected to know a change 6 s after
+/// discovery has it, or 4 s after the discovery address changed. The reducer's `CALL_WITHIN` depends on this value.
 const MESSAGE_TIMEOUT: Nanos = 3_000_000_000;
-/// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT`], so that the node still receives
-/// the status if discovery rejects the request after queueing it for 3 s.
+/// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT`], so that the node still
+/// receives the status if discovery rejects the request after queueing it for 3 s.
 const FIRST_MESSAGE_TIMEOUT: Nanos = 3_250_000_000;
 /// For so long after a change of the discovery address, a watch that fails is requested again after [`RETRY_PAUSE`].
 pub(crate) const DISCOVERY_CHANGE_RETRY: Nanos = 4_000_000_000;
@@ -159,19 +159,10 @@
         Err(_) if health == Health::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         Err(_) => return None,
     };
-    let group = u16::try_from(raw.group).unwrap_or(u16::MAX);
+    let cell = u16::try_from(raw.group).unwrap_or(u16::MAX);
     let started = linestack_settings::nanos_from_millis(raw.since_ms);
     let weight = if raw.weight.is_finite() { raw.weight.max(0.0) } else { 0.0 };
-    Some(Endpoint {
-        name: raw.name,
-        address,
-        zone: raw.zone,
-        kind: raw.kind,
-        cell: group,
-        health,
-        started,
-        weight,
-    })
+    Some(Endpoint { name: raw.name, address, zone: raw.zone, kind: raw.kind, cell, health, started, weight })
 }
 
 impl From<List> for Input {
@@ -327,7 +318,7 @@
     tracing::info!(index, whole, entries, "list");
     node.handle_input(Input::ListClocks(ListClocks {
         known_until,
-        wall_clock_shift: node.clock.wall_moved(),
+        wall_clock_shift: node.clock.wall_clock_shift(),
     }));
     node.handle_input(list.into());
     node.discovery_heard(Some(index));
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -27,7 +27,7 @@
 
 /// A message to a connection's coroutine.
 pub(crate) enum Message {
-    Send { shipment: Arc<ForwardedRequest> },
+    Send { request: Arc<ForwardedRequest> },
     Probe,
     Close,
 }
@@ -35,7 +35,7 @@
 /// The request that a connection carries, and what has come of its response.
 struct Exchange {
     /// The request to execute; none for a probe.
-    shipment: Option<Arc<ForwardedRequest>>,
+    request: Option<Arc<ForwardedRequest>>,
     /// The submission's id; none for a probe.
     id: Option<Bytes>,
     /// The id of the previous submission, to which a second response may come.
@@ -61,28 +61,29 @@
     Close,
 }
 
-/// Reports to the reducer that the connection is down when dropped, so also after a panic; the worst case is reported then.
+/// Reports to the reducer that the connection is down when dropped, so also after a panic; the worst case is reported
+/// then.
 struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
-    link: ConnectionId,
-    broken: Option<Disconnect>,
+    connection: ConnectionId,
+    disconnect: Option<Disconnect>,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        self.node.remove_connection(self.link);
-        if let Some(broken) = self.broken {
-            self.node.handle_input(Input::ExecutorDisconnected { connection: self.link, disconnect: broken });
+        self.node.remove_connection(self.connection);
+        if let Some(disconnect) = self.disconnect {
+            self.node.handle_input(Input::ExecutorDisconnected { connection: self.connection, disconnect });
         }
     }
 }
 
-/// Opens a connection to an executor and serves it until it ends. `limit` is the time to connect within.
+/// Opens a connection to an executor and serves it until it ends. `timeout` is the time to connect within.
 pub(crate) fn run(
     node: &Arc<Node>,
-    link: ConnectionId,
+    connection: ConnectionId,
     address: SocketAddr,
-    limit: Nanos,
+    timeout: Nanos,
     mailbox: &Mailbox<Message>,
 ) {
     let worst = Disconnect {
@@ -92,39 +93,40 @@
         local_fault: false,
         unexpected_data: false,
     };
-    let mut guard = DisconnectGuard { node, link, broken: Some(worst) };
+    let mut guard = DisconnectGuard { node, connection, disconnect: Some(worst) };
     // The reducer removes a connection that it closes.
-    let wanted = || node.has_connection(link);
-    let mut socket = match connect(node, address, Duration::from_nanos(limit), link, wanted) {
+    let wanted = || node.has_connection(connection);
+    let mut socket = match connect(node, address, Duration::from_nanos(timeout), connection, wanted) {
         Ok(socket) => socket,
         Err(error) => {
-            tracing::debug!(link, %address, why = %error, "no connection");
-            let here = matches!(error, ConnectError::Local(_));
-            guard.broken = Some(Disconnect { local_fault: here, ..Disconnect::default() });
+            tracing::debug!(link = connection, %address, why = %error, "no connection");
+            let local_fault = matches!(error, ConnectError::Local(_));
+            guard.disconnect = Some(Disconnect { local_fault, ..Disconnect::default() });
             return;
         }
     };
     mailbox.wake_on_message(&socket);
     let _ = socket.set_nodelay(true);
-    node.handle_input(Input::ExecutorConnected { connection: link });
+    node.handle_input(Input::ExecutorConnected { connection });
     let mut exchange: Option<Exchange> = None;
-    let (closed_here, spoilt) = match run_exchanges(node, link, &mut socket, mailbox, &mut exchange) {
-        End::ClosedByReducer => (true, false),
-        End::Broken => (false, false),
-        End::UnexpectedData => (false, true),
-    };
-    let broken =
-        exchange.map_or(Disconnect { unexpected_data: spoilt, ..Disconnect::default() }, |e| Disconnect {
+    let (closed_here, unexpected_data) =
+        match run_exchanges(node, connection, &mut socket, mailbox, &mut exchange) {
+            End::ClosedByReducer => (true, false),
+            End::Broken => (false, false),
+            End::UnexpectedData => (false, true),
+        };
+    let disconnect =
+        exchange.map_or(Disconnect { unexpected_data, ..Disconnect::default() }, |e| Disconnect {
             request_started: e.out.written > 0,
             request_written: e.fully_written,
             response_started: e.head.is_some(),
             local_fault: false,
-            unexpected_data: spoilt,
+            unexpected_data,
         });
     if !closed_here {
-        tracing::debug!(%address, ?broken, "connection to the executor lost");
+        tracing::debug!(%address, broken = ?disconnect, "connection to the executor lost");
     }
-    guard.broken = Some(broken).filter(|_| !closed_here);
+    guard.disconnect = Some(disconnect).filter(|_| !closed_here);
     // The socket is closed before the guard reports to the reducer.
     drop(socket);
 }
@@ -142,7 +144,7 @@
 /// the one that was not over.
 fn run_exchanges(
     node: &Arc<Node>,
-    link: ConnectionId,
+    connection: ConnectionId,
     socket: &mut TcpStream,
     mailbox: &Mailbox<Message>,
     exchange: &mut Option<Exchange>,
@@ -152,17 +154,17 @@
     let mut previous_id: Option<Bytes> = None;
     loop {
         while let Some(message) = mailbox.next() {
-            let (shipment, out) = match message {
+            let (request, out) = match message {
                 Message::Close => return End::ClosedByReducer,
-                Message::Send { shipment } => (Some(shipment), WriteQueue::default()),
+                Message::Send { request } => (Some(request), WriteQueue::default()),
                 Message::Probe => (None, encode_probe(node)),
             };
-            let id = shipment.as_ref().map(|shipment| shipment.id.clone());
+            let id = request.as_ref().map(|request| request.id.clone());
             let (head, body, text) = (None, None, BytesMut::new());
             let (previous_id, stale, fully_written, outcome_reported) =
                 (previous_id.take(), false, false, false);
             *exchange = Some(Exchange {
-                shipment,
+                request,
                 id,
                 previous_id,
                 stale,
@@ -176,7 +178,8 @@
         }
         let ended = read(socket, &mut input);
         let full = input.len() > MAX_UNPARSED_BYTES;
-        // Without memory for its response the connection is given up, and the execution counts as one that may have run.
+        // Without memory for its response the connection is given up, and the execution counts as one that may have
+        // run.
         if !reservation.resize(input.len() + exchange.as_ref().map_or(0, |e| e.text.len())) {
             return End::Broken;
         }
@@ -197,10 +200,10 @@
         if !current.fully_written && !ended {
             // Until the first byte is written, permission is requested anew before each attempt to write.
             if current.out.written == 0
-                && let Some(shipment) = &current.shipment
+                && let Some(request) = &current.request
             {
-                match node.begin_execution(link) {
-                    Ok(time_left) => current.out = encode_request(shipment, time_left),
+                match node.begin_execution(connection) {
+                    Ok(time_left) => current.out = encode_request(request, time_left),
                     Err(_) => {
                         previous_id = exchange.take().and_then(|exchange| exchange.previous_id);
                         continue;
@@ -212,7 +215,7 @@
                 Err(_) => return End::Broken,
             }
         }
-        match current.process(node, link, &mut input, ended) {
+        match current.process(node, connection, &mut input, ended) {
             Step::NeedMore if ended => return End::Broken,
             // Bytes left in the socket cause no further event, so it is read again after a pause for other coroutines.
             Step::NeedMore if full => node.alarm.sleep(YIELD_PAUSE),
@@ -220,18 +223,19 @@
                 socket.wait_io();
             }
             Step::Reusable if !ended && current.fully_written && input.is_empty() => {
-                let named = current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
+                let identified =
+                    current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
                 previous_id = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
-                node.handle_input(Input::ConnectionReusable { connection: link, identified: named });
+                node.handle_input(Input::ConnectionReusable { connection, identified });
             }
             Step::Reusable | Step::Close => return End::Broken,
         }
     }
 }
 
-/// Reads the available bytes. Returns true at the end of the connection. A reset counts as an end too, since the bytes before
-/// it are still valid.
+/// Reads the available bytes. Returns true at the end of the connection. A reset counts as an end too, since the bytes
+/// before it are still valid.
 fn read(socket: &mut TcpStream, input: &mut BytesMut) -> bool {
     let mut piece = [0; 4096];
     loop {
@@ -251,7 +255,13 @@
 impl Exchange {
     /// Processes the bytes received. A response that cannot be parsed ends the connection, and the reducer counts the
     /// execution as one that may have run.
-    fn process(&mut self, node: &Arc<Node>, link: ConnectionId, input: &mut BytesMut, ended: bool) -> Step {
+    fn process(
+        &mut self,
+        node: &Arc<Node>,
+        connection: ConnectionId,
+        input: &mut BytesMut,
+        ended: bool,
+    ) -> Step {
         if self.head.is_none() {
             loop {
                 match http::parse_response(input) {
@@ -272,11 +282,11 @@
         let complete = complete || (ended && body.ends_with_connection());
         let close = head.close;
         let valid = if self.id.is_none() {
-            self.process_probe_response(node, link, complete)
+            self.process_probe_response(node, connection, complete)
         } else if self.head.as_ref().is_some_and(|h| h.status == 200) {
-            self.process_lines(node, link, complete)
+            self.process_lines(node, connection, complete)
         } else {
-            self.process_status(node, link);
+            self.process_status(node, connection);
             self.text.clear();
             true
         };
@@ -284,7 +294,11 @@
             // The response to the present request is still to come.
             (self.head, self.body, self.stale, self.previous_id) = (None, None, false, None);
             self.text.clear();
-            return if input.is_empty() { Step::NeedMore } else { self.process(node, link, input, ended) };
+            return if input.is_empty() {
+                Step::NeedMore
+            } else {
+                self.process(node, connection, input, ended)
+            };
         }
         match (valid, complete) {
             (false, _) => Step::Close,
@@ -299,18 +313,18 @@
     fn report_outcome(
         &mut self,
         node: &Arc<Node>,
-        link: ConnectionId,
+        connection: ConnectionId,
         outcome: Outcome,
         result: Bytes,
         report: Option<Report>,
     ) {
         if !std::mem::replace(&mut self.outcome_reported, true) {
-            node.handle_input(Input::Ended { connection: link, outcome, result, report });
+            node.handle_input(Input::Ended { connection, outcome, result, report });
         }
     }
 
     /// Processes a response whose status is not 200: the status is the outcome.
-    fn process_status(&mut self, node: &Arc<Node>, link: ConnectionId) {
+    fn process_status(&mut self, node: &Arc<Node>, connection: ConnectionId) {
         let Some(head) = &self.head else { return };
         let report = head.load.as_deref().and_then(|text| text_report(node, text));
         let outcome = match head.status {
@@ -318,11 +332,11 @@
             400..500 => Outcome::InvalidSubmission,
             _ => Outcome::Error,
         };
-        self.report_outcome(node, link, outcome, Bytes::new(), report);
+        self.report_outcome(node, connection, outcome, Bytes::new(), report);
     }
 
     /// Processes the response to a probe. Returns false if it is too long.
-    fn process_probe_response(&mut self, node: &Arc<Node>, link: ConnectionId, complete: bool) -> bool {
+    fn process_probe_response(&mut self, node: &Arc<Node>, connection: ConnectionId, complete: bool) -> bool {
         let Some(head) = self.head.as_ref().filter(|_| complete) else {
             return self.text.len() <= MAX_LINE_BYTES;
         };
@@ -342,13 +356,13 @@
             let body = std::str::from_utf8(&self.text).unwrap_or("");
             let report = json_report(node, body).or_else(|| text_report(node, body));
             let report = report.or_else(|| head.load.as_deref().and_then(|text| text_report(node, text)));
-            node.handle_input(Input::Probed { connection: link, answered, report });
+            node.handle_input(Input::Probed { connection, answered, report });
         }
         true
     }
 
     /// Processes the complete lines of a response. Returns false if one is invalid.
-    fn process_lines(&mut self, node: &Arc<Node>, link: ConnectionId, complete: bool) -> bool {
+    fn process_lines(&mut self, node: &Arc<Node>, connection: ConnectionId, complete: bool) -> bool {
         loop {
             let line = match self.text.iter().position(|b| *b == b'\n') {
                 Some(end) => self.text.split_to(end + 1),
@@ -376,7 +390,7 @@
                 "returned" => Outcome::Overloaded,
                 "lost" => Outcome::Reset,
                 _ => {
-                    node.handle_input(Input::Progressed { connection: link });
+                    node.handle_input(Input::Progressed { connection });
                     continue;
                 }
             };
@@ -387,7 +401,7 @@
             let header = self.head.as_ref().and_then(|h| h.load.as_deref());
             let report = line.load.and_then(|load| json_report(node, load.get()));
             let report = report.or_else(|| header.and_then(|text| text_report(node, text)));
-            self.report_outcome(node, link, outcome, Bytes::from(result), report);
+            self.report_outcome(node, connection, outcome, Bytes::from(result), report);
         }
     }
 }
@@ -423,8 +437,8 @@
     })
 }
 
-/// Parses a load report in JSON. Figures that are not used stay text: parsing the report as a tree could overflow the stack
-/// where values are nested a hundred levels deep.
+/// Parses a load report in JSON. Figures that are not used stay text: parsing the report as a tree could overflow the
+/// stack where values are nested a hundred levels deep.
 fn json_report(node: &Node, load: &str) -> Option<Report> {
     let load: BTreeMap<Cow<'_, str>, &RawValue> = parse_object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
@@ -435,23 +449,23 @@
 }
 
 /// Encodes a request for an executor. `time_left` is the time until its deadline.
-fn encode_request(shipment: &ForwardedRequest, time_left: Nanos) -> WriteQueue {
+fn encode_request(request: &ForwardedRequest, time_left: Nanos) -> WriteQueue {
     let mut out = WriteQueue::default();
     let mut push = |piece: &Bytes| out.push(piece.clone());
-    push(&shipment.method);
+    push(&request.method);
     push(&Bytes::from_static(b" "));
-    push(&shipment.path);
+    push(&request.path);
     push(&Bytes::from_static(b" HTTP/1.1\r\nHost: "));
-    push(&shipment.host);
+    push(&request.host);
     push(&Bytes::from_static(b"\r\nReq-Id: "));
-    push(&shipment.id);
-    if let Some(stamp) = &shipment.stamp {
+    push(&request.id);
+    if let Some(stamp) = &request.stamp {
         push(&Bytes::from_static(b"\r\nIdempotency-Key: "));
         push(stamp);
     }
-    let (wait_ms, length) = ((time_left / 1_000_000).max(1), shipment.body.len());
+    let (wait_ms, length) = ((time_left / 1_000_000).max(1), request.body.len());
     push(&Bytes::from(format!("\r\nReq-Deadline-Ms: {wait_ms}\r\nContent-Length: {length}\r\n\r\n")));
-    push(&shipment.body);
+    push(&request.body);
     out
 }
 
--- a/crates/node/src/net/list_stream.rs
+++ b/crates/node/src/net/list_stream.rs
@@ -1,21 +1,21 @@
 //! Decodes the stream of a watch on discovery: it takes bytes in pieces of any size and returns complete lists and
 //! heartbeats. It does no I/O.
 //!
-//! A list is one JSON object. Whitespace of any kind, newlines included, may occur between objects and within them, so a
-//! list may be on one line or indented over many. A heartbeat is a line between objects that holds nothing but
+//! A list is one JSON object. Whitespace of any kind, newlines included, may occur between objects and within them, so
+//! a list may be on one line or indented over many. A heartbeat is a line between objects that holds nothing but
 //! whitespace: neither a newline within an object nor the one that ends an object's last line is a heartbeat.
 //!
-//! Each byte is scanned once, whatever the size of the pieces. The scanner follows brackets and strings only; [`List::read`]
-//! parses the text once the object's last bracket has come. An error within an object is therefore found at its end, and
-//! the caller's timeout handles an object that never ends.
+//! Each byte is scanned once, whatever the size of the pieces. The scanner follows brackets and strings only;
+//! [`List::read`] parses the text once the object's last bracket has come. An error within an object is therefore found
+//! at its end, and the caller's timeout handles an object that never ends.
 
 use bytes::{Buf as _, BytesMut};
 use thiserror::Error;
 
 use super::discovery::List;
 
-/// The longest list, in bytes from its first bracket to its last. This allows 1,100 entries of 3.8 KB; an indented entry
-/// with a name of 1,024 characters takes 1.2 KB.
+/// The longest list, in bytes from its first bracket to its last. This allows 1,100 entries of 3.8 KB; an indented
+/// entry with a name of 1,024 characters takes 1.2 KB.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Why nothing more can be decoded from the stream.
@@ -60,8 +60,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are not a list. The watch must be closed then, since the start of the next list cannot
-    /// be found.
+    /// Returns an error if the bytes are not a list. The watch must be closed then, since the start of the next list
+    /// cannot be found.
     pub fn next_message(&mut self) -> Result<Option<Message>, ListStreamError> {
         if self.scanned == 0 && self.skip_whitespace() {
             return Ok(Some(Message::Heartbeat));
@@ -70,7 +70,8 @@
         Ok(Some(Message::List(List::read(&object)?)))
     }
 
-    /// Drops the whitespace before an object, up to the end of an otherwise empty line. Returns true if that end has come.
+    /// Drops the whitespace before an object, up to the end of an otherwise empty line. Returns true if that end has
+    /// come.
     fn skip_whitespace(&mut self) -> bool {
         while let Some(byte) = self.received.first().copied().filter(u8::is_ascii_whitespace) {
             self.received.advance(1);
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -32,19 +32,20 @@
 use linestack_recovery::StoredOutcome;
 use linestack_recovery::start::Stage;
 
-/// The pause of a connection that received more than one message's worth of bytes at once. A yield is not enough: may polls
-/// its sockets only when no coroutine can run.
+/// The pause of a connection that received more than one message's worth of bytes at once. A yield is not enough: may
+/// polls its sockets only when no coroutine can run.
 pub(crate) const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
-/// The length of a listener's accept queue where a whole fleet may connect at once. The standard library's value is 128.
+/// The length of a listener's accept queue where a whole fleet may connect at once. The standard library's value is
+/// 128.
 pub(crate) const BACKLOG: i32 = 1024;
 
 /// Starts a coroutine.
 #[allow(unsafe_code)]
 pub fn spawn(work: impl FnOnce() + Send + 'static) {
-    // SAFETY: may requires that no reference to a thread-local is held over a point where the coroutine may move to another
-    // thread, and that the stack suffices. No code here holds one, and `STACK_WORDS` in the program's start is several
-    // times the measured use.
+    // SAFETY: may requires that no reference to a thread-local is held over a point where the coroutine may move to
+    // another thread, and that the stack suffices. No code here holds one, and `STACK_WORDS` in the program's start is
+    // several times the measured use.
     drop(unsafe { may::coroutine::spawn(work) });
 }
 
@@ -114,8 +115,8 @@
 }
 
 impl MemoryReservation<'_> {
-    /// Sets how many bytes the connection holds. Returns false if that is more than before and exceeds the budget. Buffers
-    /// double their capacity as they grow, so twice the number of bytes is reserved.
+    /// Sets how many bytes the connection holds. Returns false if that is more than before and exceeds the budget.
+    /// Buffers double their capacity as they grow, so twice the number of bytes is reserved.
     pub(crate) fn resize(&mut self, bytes: usize) -> bool {
         let size = 2 * bytes.saturating_sub(MemoryBudget::UNRESERVED_BYTES);
         let more = size.cast_signed() - self.size.cast_signed();
@@ -135,14 +136,14 @@
 struct NodeState {
     core: Core,
     effects: Vec<Effect>,
-    links: HashMap<ConnectionId, Arc<Mailbox<executors::Message>>>,
+    connections: HashMap<ConnectionId, Arc<Mailbox<executors::Message>>>,
     clients: HashMap<ClientId, Arc<Mailbox<clients::Message>>>,
     next_client: ClientId,
 }
 
 /// A node: the reducer, and the sockets and timers that serve it.
 pub struct Node {
-    inner: Mutex<NodeState>,
+    state: Mutex<NodeState>,
     pub clock: Clock,
     pub(crate) alarm: Alarm,
     pub names: Names,
@@ -152,8 +153,8 @@
     pub(crate) watch: Mutex<WatchState>,
     pub(crate) audit_log: Option<AuditLog>,
     store_records: Option<Sender<StoreRecord>>,
-    /// The present lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease to
-    /// end.
+    /// The present lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease
+    /// to end.
     lease_suspend_limit: AtomicU64,
     /// When a line that clients can cause was logged last.
     last_logged: Mutex<Nanos>,
@@ -217,9 +218,9 @@
             store_records,
             exit,
         } = parts;
-        let (effects, links, clients) = (Vec::new(), HashMap::new(), HashMap::new());
+        let (effects, connections, clients) = (Vec::new(), HashMap::new(), HashMap::new());
         Arc::new(Self {
-            inner: Mutex::new(NodeState { core, effects, links, clients, next_client: 0 }),
+            state: Mutex::new(NodeState { core, effects, connections, clients, next_client: 0 }),
             clock,
             alarm: Alarm::start(clock),
             names,
@@ -245,94 +246,102 @@
         })
     }
 
-    /// Passes an input to the reducer and applies the effects. This never blocks, so the lock is not held while a coroutine
-    /// yields.
+    /// Passes an input to the reducer and applies the effects. This never blocks, so the lock is not held while a
+    /// coroutine yields.
     pub fn handle_input(self: &Arc<Self>, input: Input) {
         let suspend_limit = self.lease_suspend_limit.load(Ordering::Relaxed);
         if suspend_limit > 0 && matches!(input, Input::Submitted { .. }) && time_suspended() > suspend_limit {
             self.lease_suspend_limit.store(0, Ordering::Relaxed);
             self.handle_input(Input::Lease { until: 0 });
         }
-        let mut inner = lock(&self.inner);
-        let inner = &mut *inner;
-        let mut effects = std::mem::take(&mut inner.effects);
+        let mut state = lock(&self.state);
+        let state = &mut *state;
+        let mut effects = std::mem::take(&mut state.effects);
         match &self.audit_log {
-            None => inner.core.handle(self.clock.now(), input, &mut effects),
+            None => state.core.handle(self.clock.now(), input, &mut effects),
             Some(audit_log) => {
-                let (now, asked) = (self.clock.now(), audit_log.pending_submission(&input));
-                let (version, taken) = (inner.core.settings_version(), inner.core.submissions_accepted());
-                inner.core.handle(now, input, &mut effects);
+                let (now, submission) = (self.clock.now(), audit_log.pending_submission(&input));
+                let (version, accepted_before) =
+                    (state.core.settings_version(), state.core.submissions_accepted());
+                state.core.handle(now, input, &mut effects);
                 audit_log.record_effects(
                     now,
-                    asked,
-                    (inner.core.submissions_accepted() > taken).then_some(version),
+                    submission,
+                    (state.core.submissions_accepted() > accepted_before).then_some(version),
                     &effects,
                 );
             }
         }
         for effect in effects.drain(..) {
-            self.apply_effect(inner, effect);
+            self.apply_effect(state, effect);
         }
-        inner.effects = effects;
-        self.alarm.set(inner.core.next_due());
+        state.effects = effects;
+        self.alarm.set(state.core.next_due());
     }
 
-    /// Requests permission to write the first byte of the request that this connection carries. Returns the time that the
-    /// executor may take.
-    pub(crate) fn begin_execution(self: &Arc<Self>, link: ConnectionId) -> Result<Nanos, Refusal> {
-        let mut inner = lock(&self.inner);
-        let inner = &mut *inner;
-        let mut effects = std::mem::take(&mut inner.effects);
-        let permission = inner.core.begin_send(self.clock.now(), link, &mut effects);
+    /// Requests permission to write the first byte of the request that this connection carries. Returns the time that
+    /// the executor may take.
+    pub(crate) fn begin_execution(self: &Arc<Self>, connection: ConnectionId) -> Result<Nanos, Refusal> {
+        let mut state = lock(&self.state);
+        let state = &mut *state;
+        let mut effects = std::mem::take(&mut state.effects);
+        let permission = state.core.begin_send(self.clock.now(), connection, &mut effects);
         for effect in effects.drain(..) {
-            self.apply_effect(inner, effect);
+            self.apply_effect(state, effect);
         }
-        inner.effects = effects;
-        self.alarm.set(inner.core.next_due());
+        state.effects = effects;
+        self.alarm.set(state.core.next_due());
         permission
     }
 
     /// Returns whether one-shots can be accepted, and the outcome stored for a key; `None` if the node has no store.
     pub(crate) fn stored_outcome(&self, key: &[u8]) -> Option<(bool, Option<StoredOutcome>)> {
         self.store_records.as_ref()?;
-        let inner = lock(&self.inner);
-        Some((inner.core.can_store_outcomes(), inner.core.stored_outcome(key).cloned()))
+        let state = lock(&self.state);
+        Some((state.core.can_store_outcomes(), state.core.stored_outcome(key).cloned()))
     }
 
     /// Returns whether all executions that may have run are known.
     pub(crate) fn outcomes_complete(&self) -> bool {
-        lock(&self.inner).core.outcomes_complete()
+        lock(&self.state).core.outcomes_complete()
     }
 
     /// Returns the stage of a staged start; `None` if the node does not start in stages.
     pub fn stage(&self) -> Option<Stage> {
-        lock(&self.inner).core.stage()
+        lock(&self.state).core.stage()
     }
 
     /// Returns what this node has observed of its executors, for a peer that starts.
     pub(crate) fn peer_snapshot(&self) -> Vec<ExecutorObservation> {
-        lock(&self.inner).core.peer_snapshot(self.clock.now())
+        lock(&self.state).core.peer_snapshot(self.clock.now())
     }
 
-    /// Returns the observations in a peer's snapshot that may be used. `asked` is when the peer was queried, `young` the
-    /// greatest age of an observation.
+    /// Returns the observations in a peer's snapshot that may be used. `queried_at` is when the peer was queried,
+    /// `max_age` the greatest age of an observation.
     pub(crate) fn evaluate_peer_snapshot(
         &self,
-        tale: &PeerSnapshot,
-        me: &str,
-        asked: Nanos,
-        young: Nanos,
+        snapshot: &PeerSnapshot,
+        own_name: &str,
+        queried_at: Nanos,
+        max_age: Nanos,
     ) -> Result<Vec<Observation>, SnapshotError> {
-        let inner = lock(&self.inner);
-        let own = |name: &str| inner.core.local_knowledge(name);
-        usable_observations(tale, me, (asked, self.clock.now()), young, own, inner.core.ready_workers())
+        let state = lock(&self.state);
+        let local_knowledge = |name: &str| state.core.local_knowledge(name);
+        usable_observations(
+            snapshot,
+            own_name,
+            (queried_at, self.clock.now()),
+            max_age,
+            local_knowledge,
+            state.core.ready_workers(),
+        )
     }
 
     /// Records a message from discovery in the store, and the present list too if `index` gives its new version.
     pub(crate) fn discovery_heard(&self, index: Option<u64>) {
         let Some(store_records) = &self.store_records else { return };
         if let Some(index) = index {
-            let endpoints = lock(&self.inner).core.endpoints();
+            let endpoints = lock(&self.state).core.endpoints();
             let _ = store_records.send(StoreRecord::List(discovery::List { index, whole: true, endpoints }));
         }
         let _ = store_records.send(StoreRecord::ListConfirmed);
@@ -350,11 +359,11 @@
 
     /// Returns whether the node is ready for clients.
     pub fn ready(&self) -> bool {
-        lock(&self.inner).core.ready(self.clock.now())
+        lock(&self.state).core.ready(self.clock.now())
     }
 
-    /// Returns whether a line that clients can cause may be logged now. Without a limit, a client could use up the node's time
-    /// with such lines.
+    /// Returns whether a line that clients can cause may be logged now. Without a limit, a client could use up the
+    /// node's time with such lines.
     pub(crate) fn may_log(&self) -> bool {
         let (now, mut last) = (self.clock.now(), lock(&self.last_logged));
         let allowed = now.saturating_sub(*last) >= clients::REJECTION_LOG_INTERVAL;
@@ -366,13 +375,18 @@
 
     /// Returns whether no further client can be accepted.
     pub(crate) fn is_at_client_limit(&self) -> bool {
-        lock(&self.inner).core.is_at_client_limit()
+        lock(&self.state).core.is_at_client_limit()
     }
 
-    /// Reports the end of a watch to the reducer, which may request another one. A change in discovery may be unknown here for
-    /// as long as `lost`; `busy` means that discovery rejected the request. Returns false if the watch is of an earlier
-    /// generation: it is ignored.
-    pub(crate) fn watch_ended(self: &Arc<Self>, generation: u64, lost: Nanos, busy: bool) -> bool {
+    /// Reports the end of a watch to the reducer, which may request another one. A change in discovery may be unknown
+    /// here for as long as `silent_for`; `overloaded` means that discovery rejected the request. Returns false if the
+    /// watch is of an earlier generation: it is ignored.
+    pub(crate) fn watch_ended(
+        self: &Arc<Self>,
+        generation: u64,
+        silent_for: Nanos,
+        overloaded: bool,
+    ) -> bool {
         let is_current = {
             let mut watch = lock(&self.watch);
             let is_current = watch.generation == generation;
@@ -382,13 +396,13 @@
             is_current
         };
         if is_current {
-            self.handle_input(Input::ListFailed { silent_for: lost, overloaded: busy });
+            self.handle_input(Input::ListFailed { silent_for, overloaded });
         }
         is_current
     }
 
-    /// Changes the address of discovery. Everything known and in flight stays. The complete list is requested from the new
-    /// address at once, since its versions may be unrelated to the old ones.
+    /// Changes the address of discovery. Everything known and in flight stays. The complete list is requested from the
+    /// new address at once, since its versions may be unrelated to the old ones.
     pub fn change_discovery(self: &Arc<Self>, discovery: SocketAddr) {
         let mut watch = lock(&self.watch);
         if watch.discovery == discovery {
@@ -414,57 +428,57 @@
     }
 
     fn register_client(&self) -> (ClientId, Arc<Mailbox<clients::Message>>) {
-        let mut inner = lock(&self.inner);
-        let client = inner.next_client;
-        inner.next_client += 1;
+        let mut state = lock(&self.state);
+        let client = state.next_client;
+        state.next_client += 1;
         let mailbox = Arc::default();
-        inner.clients.insert(client, Arc::clone(&mailbox));
+        state.clients.insert(client, Arc::clone(&mailbox));
         (client, mailbox)
     }
 
     fn remove_client(&self, client: ClientId) {
-        lock(&self.inner).clients.remove(&client);
+        lock(&self.state).clients.remove(&client);
     }
 
     /// Returns whether the reducer still wants this connection.
-    pub(crate) fn has_connection(&self, link: ConnectionId) -> bool {
-        lock(&self.inner).links.contains_key(&link)
+    pub(crate) fn has_connection(&self, connection: ConnectionId) -> bool {
+        lock(&self.state).connections.contains_key(&connection)
     }
 
-    fn remove_connection(&self, link: ConnectionId) {
-        lock(&self.inner).links.remove(&link);
+    fn remove_connection(&self, connection: ConnectionId) {
+        lock(&self.state).connections.remove(&connection);
     }
 
-    fn apply_effect(self: &Arc<Self>, inner: &mut NodeState, effect: Effect) {
-        let client = |client: ClientId, message: clients::Message| {
-            if let Some(mailbox) = inner.clients.get(&client) {
+    fn apply_effect(self: &Arc<Self>, state: &mut NodeState, effect: Effect) {
+        let to_client = |client: ClientId, message: clients::Message| {
+            if let Some(mailbox) = state.clients.get(&client) {
                 mailbox.send(message);
             }
         };
-        let link = |link: ConnectionId, message: executors::Message| {
-            if let Some(mailbox) = inner.links.get(&link) {
+        let to_connection = |connection: ConnectionId, message: executors::Message| {
+            if let Some(mailbox) = state.connections.get(&connection) {
                 mailbox.send(message);
             }
         };
         match effect {
-            Effect::Answer { client: to, answer, last, .. } => {
-                client(to, clients::Message::Answer { answer, last })
+            Effect::Answer { client, answer, last, .. } => {
+                to_client(client, clients::Message::Answer { answer, last })
             }
-            Effect::CloseClient { client: to } => client(to, clients::Message::CloseIfIdle),
-            Effect::DropClient { client: to } => client(to, clients::Message::Drop),
-            Effect::Send { connection: to, request: shipment, .. } => {
-                link(to, executors::Message::Send { shipment })
+            Effect::CloseClient { client } => to_client(client, clients::Message::CloseIfIdle),
+            Effect::DropClient { client } => to_client(client, clients::Message::Drop),
+            Effect::Send { connection, request, .. } => {
+                to_connection(connection, executors::Message::Send { request })
             }
-            Effect::Probe { connection: to } => link(to, executors::Message::Probe),
-            Effect::CloseConnection { connection: to } => {
-                link(to, executors::Message::Close);
-                inner.links.remove(&to);
+            Effect::Probe { connection } => to_connection(connection, executors::Message::Probe),
+            Effect::CloseConnection { connection } => {
+                to_connection(connection, executors::Message::Close);
+                state.connections.remove(&connection);
             }
-            Effect::OpenConnection { connection: link, address, timeout: limit } => {
+            Effect::OpenConnection { connection, address, timeout } => {
                 let mailbox = Arc::<Mailbox<_>>::default();
-                inner.links.insert(link, Arc::clone(&mailbox));
+                state.connections.insert(connection, Arc::clone(&mailbox));
                 let node = Arc::clone(self);
-                spawn(move || executors::run(&node, link, address, limit, &mailbox));
+                spawn(move || executors::run(&node, connection, address, timeout, &mailbox));
             }
             Effect::RequestList => {
                 let mut watch = lock(&self.watch);
@@ -473,9 +487,9 @@
                     spawn(move || discovery::watch(&node, generation));
                 }
             }
-            Effect::Persist { record: keep, ticket } => {
+            Effect::Persist { record, ticket } => {
                 if let Some(store_records) = &self.store_records {
-                    let _ = store_records.send(StoreRecord::Outcome(keep, ticket));
+                    let _ = store_records.send(StoreRecord::Outcome(record, ticket));
                 }
             }
             Effect::Stage(stage) => {
@@ -487,8 +501,7 @@
             }
             Effect::Refused { id, refusal, occasion } => {
                 let id = String::from_utf8_lossy(&id);
-                let (why, when) = (refusal.as_str(), occasion.as_str());
-                tracing::debug!(%id, why, when, "execution not begun");
+                tracing::debug!(%id, why = refusal.as_str(), when = occasion.as_str(), "execution not begun");
             }
             Effect::InvariantBroken(what) => tracing::error!(what, "invariant broken"),
             Effect::Report(stats) => {
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -10,7 +10,7 @@
 /// The configuration of a staged start.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    pub terms: StartLimits,
+    pub limits: StartLimits,
     /// A stored list that is younger than this, in nanoseconds, is used at once.
     pub list_max_age: u64,
 }
@@ -89,7 +89,7 @@
     if !errors.is_empty() {
         return Err(errors.join("\n"));
     }
-    let terms = StartLimits {
+    let limits = StartLimits {
         nodes,
         connects_per_s: table.connects_per_s,
         lists_per_s: table.lists_per_s,
@@ -98,7 +98,7 @@
         known_timeout: table.known_within_ms * 1_000_000,
         share_timeout: table.share_within_ms * 1_000_000,
     };
-    Ok(Config { terms, list_max_age: table.list_fresh_ms * 1_000_000 })
+    Ok(Config { limits, list_max_age: table.list_fresh_ms * 1_000_000 })
 }
 
 /// Returns the present time on a clock that survives a restart of the process, but not a reboot of the machine.
--- a/crates/node/src/start_attempts.rs
+++ b/crates/node/src/start_attempts.rs
@@ -1,6 +1,6 @@
-//! Detects starts that crash while they read the same stored files, so that the caller can quarantine these files after a
-//! number of attempts; their bytes are kept. A start records an attempt before it reads the files, and clears the count
-//! once it has read them.
+//! Detects starts that crash while they read the same stored files, so that the caller can quarantine these files after
+//! a number of attempts; their bytes are kept. A start records an attempt before it reads the files, and clears the
+//! count once it has read them.
 
 use std::fs::{self, File};
 use std::io::{self, Write as _};
