--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -262,7 +262,7 @@
         }
         input.extend_from_slice(&piece[..n]);
         if body.is_some() {
-            node.discovery_heard(None);
+            node.record_discovery_message(None);
         } else {
             let Some(head) =
                 http::parse_response(&input).map_err(|error| WatchError::InvalidResponse(error.reason))?
@@ -321,6 +321,6 @@
         wall_clock_shift: node.clock.wall_clock_shift(),
     }));
     node.handle_input(list.into());
-    node.discovery_heard(Some(index));
+    node.record_discovery_message(Some(index));
     Ok(())
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -338,7 +338,7 @@
     }
 
     /// Records a message from discovery in the store, and the present list too if `index` gives its new version.
-    pub(crate) fn discovery_heard(&self, index: Option<u64>) {
+    pub(crate) fn record_discovery_message(&self, index: Option<u64>) {
         let Some(store_records) = &self.store_records else { return };
         if let Some(index) = index {
             let endpoints = lock(&self.state).core.endpoints();
