--- a/crates/shim/examples/victim.rs
+++ b/crates/shim/examples/victim.rs
@@ -1,5 +1,5 @@
-//! Makes each of the calls that the library can fail a hundred times, and tells how often which error came. The library's
-//! tests run it.
+//! Makes each of the calls that the library can fail a hundred times, and prints how often each result occurred. The
+//! tests of the library run this program.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -7,18 +7,19 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant, SystemTime};
 
-const TIMES: usize = 100;
+const CALLS: usize = 100;
 
 fn main() {
     let mut counts = BTreeMap::<String, usize>::new();
-    let mut count = |what: &str, result: std::io::Result<usize>| {
+    let mut count = |call: &str, result: std::io::Result<usize>| {
         let outcome =
             result.map_or_else(|e| e.raw_os_error().unwrap_or(0).to_string(), |n| format!("ok {n}"));
-        *counts.entry(format!("{what} {outcome}")).or_default() += 1;
+        *counts.entry(format!("{call} {outcome}")).or_default() += 1;
     };
-    let listener = (0..TIMES).find_map(|_| TcpListener::bind("127.0.0.1:0").ok()).expect("a listener");
-    let address = listener.local_addr().expect("its address");
-    for _ in 0..TIMES {
+    let listener =
+        (0..CALLS).find_map(|_| TcpListener::bind("127.0.0.1:0").ok()).expect("the listener binds");
+    let address = listener.local_addr().expect("the listener has an address");
+    for _ in 0..CALLS {
         count("socket", UdpSocket::bind("127.0.0.1:0").map(|_| 0));
         let client = TcpStream::connect(address);
         count("connect", client.as_ref().map(|_| 0).map_err(copy));
@@ -26,31 +27,32 @@
         let accepted = listener.accept();
         count("accept", accepted.as_ref().map(|_| 0).map_err(copy));
         let Ok((mut server, _)) = accepted else { continue };
-        server.set_read_timeout(Some(Duration::from_secs(1))).expect("a limit");
+        server.set_read_timeout(Some(Duration::from_secs(1))).expect("the timeout is set");
         count("write", client.write(b"0123456789"));
         drop(client);
         count("read", server.read(&mut [0; 10]));
     }
     let path = std::env::temp_dir().join(format!("linestack-victim-{}", std::process::id()));
-    let mut file = File::create(&path).expect("a file");
-    for _ in 0..TIMES {
+    let mut file = File::create(&path).expect("the file is created");
+    for _ in 0..CALLS {
         count("file-write", file.write(b"0123456789"));
         count("sync", file.sync_data().map(|()| 0));
         count("open", File::open(&path).map(|_| 0));
     }
     let _ = std::fs::remove_file(&path);
-    let (wall, steady) = (SystemTime::now(), Instant::now());
+    let (wall_start, monotonic_start) = (SystemTime::now(), Instant::now());
     std::thread::sleep(Duration::from_millis(300));
-    let gone = SystemTime::now()
-        .duration_since(wall)
+    let wall_seconds = SystemTime::now()
+        .duration_since(wall_start)
         .map_or_else(|e| -(e.duration().as_secs() as i64), |d| d.as_secs() as i64);
-    println!("clock {gone}");
-    println!("steady {}", steady.elapsed().as_secs());
-    for (what, times) in counts {
-        println!("{what} x{times}");
+    println!("clock {wall_seconds}");
+    println!("steady {}", monotonic_start.elapsed().as_secs());
+    for (outcome, times) in counts {
+        println!("{outcome} x{times}");
     }
 }
 
+/// Copies an error, which can't be cloned.
 fn copy(error: &std::io::Error) -> std::io::Error {
     std::io::Error::from_raw_os_error(error.raw_os_error().unwrap_or(0))
 }
--- a/crates/shim/tests/reaches.rs
+++ b/crates/shim/tests/reaches.rs
@@ -1,13 +1,14 @@
-//! Each fault reaches the program that the library is loaded into.
+//! Each fault of a plan reaches the program into which the library is loaded.
 
 use std::path::PathBuf;
 use std::process::Command;
 
 use rstest::rstest;
 
-fn beside(name: &str) -> PathBuf {
+/// Returns the path of a build output of the same profile.
+fn build_output(name: &str) -> PathBuf {
     let mut folder = std::env::current_exe().unwrap();
-    // The test lies in `deps`, below the profile's folder.
+    // The test binary is in `deps`, below the folder of the profile.
     folder.pop();
     [folder.clone(), folder.parent().unwrap().to_owned()]
         .into_iter()
@@ -16,9 +17,10 @@
         .unwrap_or_else(|| panic!("{name} is not built"))
 }
 
-fn played(plan: Option<&str>) -> String {
-    let mut command = Command::new(beside("examples/victim"));
-    command.env("LD_PRELOAD", beside("liblinestack_shim.so"));
+/// Runs the program under a plan and returns its output.
+fn run_victim(plan: Option<&str>) -> String {
+    let mut command = Command::new(build_output("examples/victim"));
+    command.env("LD_PRELOAD", build_output("liblinestack_shim.so"));
     if let Some(plan) = plan {
         command.env("LINESTACK_SHIM", plan);
     }
@@ -29,13 +31,13 @@
 
 #[test]
 fn without_a_plan_nothing_fails() {
-    let told = played(None);
+    let output_text = run_victim(None);
     for line in
         ["connect ok 0 x100", "accept ok 0 x100", "write ok 10 x100", "read ok 10 x100", "sync ok 0 x100"]
     {
-        assert!(told.lines().any(|l| l == line), "{line} in\n{told}");
+        assert!(output_text.lines().any(|l| l == line), "{line} in\n{output_text}");
     }
-    assert!(told.contains("clock 0\n"), "{told}");
+    assert!(output_text.contains("clock 0\n"), "{output_text}");
 }
 
 #[rstest]
@@ -50,25 +52,25 @@
 #[case::step_back("clock=-3600000@100", "clock -3599")]
 #[case::step_ahead("clock=3600000@100", "clock 3600")]
 fn a_fault_reaches_the_program(#[case] plan: &str, #[case] line: &str) {
-    let told = played(Some(plan));
-    assert!(told.lines().any(|l| l.starts_with(line)), "{line} in\n{told}");
-    assert!(told.contains("steady 0\n"), "{told}");
+    let output_text = run_victim(Some(plan));
+    assert!(output_text.lines().any(|l| l.starts_with(line)), "{line} in\n{output_text}");
+    assert!(output_text.contains("steady 0\n"), "{output_text}");
 }
 
 #[test]
-fn a_part_of_the_calls_fails_and_the_same_seed_fails_the_same_part() {
-    let told = played(Some("seed=3; connect=0.5:EADDRNOTAVAIL"));
-    let failed = |told: &str| -> usize {
-        let line = told.lines().find_map(|l| l.strip_prefix("connect 99 x")).expect("some fail");
+fn a_fraction_of_the_calls_fails_and_the_same_seed_fails_the_same_number() {
+    let output_text = run_victim(Some("seed=3; connect=0.5:EADDRNOTAVAIL"));
+    let failed = |output_text: &str| -> usize {
+        let line = output_text.lines().find_map(|l| l.strip_prefix("connect 99 x")).expect("some calls fail");
         line.parse().unwrap()
     };
-    assert!((30..70).contains(&failed(&told)), "{told}");
-    assert_eq!(failed(&told), failed(&played(Some("seed=3; connect=0.5:EADDRNOTAVAIL"))));
+    assert!((30..70).contains(&failed(&output_text)), "{output_text}");
+    assert_eq!(failed(&output_text), failed(&run_victim(Some("seed=3; connect=0.5:EADDRNOTAVAIL"))));
 }
 
 #[test]
-fn a_plan_that_is_not_understood_ends_the_process() {
-    let mut command = Command::new(beside("examples/victim"));
-    command.env("LD_PRELOAD", beside("liblinestack_shim.so")).env("LINESTACK_SHIM", "conect=1");
+fn an_invalid_plan_terminates_the_process() {
+    let mut command = Command::new(build_output("examples/victim"));
+    command.env("LD_PRELOAD", build_output("liblinestack_shim.so")).env("LINESTACK_SHIM", "conect=1");
     assert_eq!(command.status().unwrap().code(), Some(97));
 }
--- a/crates/store/tests/cut.rs
+++ b/crates/store/tests/cut.rs
@@ -1,11 +1,12 @@
-//! Cut everywhere, failed everywhere, flipped everywhere: what comes back is a state that was, with all that was told
-//! to last, or a refusal. A sample is played here; STORE_FULL=1 plays all of it.
+//! Power failures, failing calls and flipped bits at every point: opening the store afterwards either restores an
+//! earlier state that includes all successful commits, or reports an error. The tests run a sample; STORE_FULL=1 runs
+//! all cases.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{Memory, Trouble};
+use common::{DiskFault, SimulatedDisk};
 use fastrand::Rng;
 use linestack_store::{Disk, Limits, Op, Store, StoreError, repair};
 use proptest::prelude::*;
@@ -17,11 +18,12 @@
     Limits { segment_size: 4096, budget: 10 * 4096, max_uncovered_segments: 3, ..Limits::default() }
 }
 
-fn full() -> bool {
+/// Whether all cases are run rather than a sample.
+fn runs_all_cases() -> bool {
     std::env::var_os("STORE_FULL").is_some()
 }
 
-/// Commits of some records each, over few keys, so that most are replaced.
+/// Returns commits of a few operations each, over few keys, so that most records are replaced.
 fn commits(seed: u64, count: usize) -> Vec<Vec<Op>> {
     let mut rng = Rng::with_seed(seed);
     let op = |rng: &mut Rng| {
@@ -30,7 +32,7 @@
             return Op::Remove { kind, key };
         }
         let length = if rng.u8(0..10) == 0 { rng.usize(500..1500) } else { rng.usize(0..40) };
-        // Zeros too, since a record of zeros must not look like nothing.
+        // Some values are all zeros, since such a record must not be read as unwritten space.
         let value = if rng.bool() { vec![0; length] } else { (0..length).map(|_| rng.u8(..)).collect() };
         Op::Put { kind, key, value, at: rng.u64(0..100) }
     };
@@ -46,42 +48,52 @@
 
 fn contents<D: Disk>(store: &Store<D>) -> Result<Map, StoreError> {
     let entries: Vec<_> = store.entries().collect();
-    // One by one and all at once is the same.
+    // Reading each record by its key gives the same as reading all records at once.
     let mut all = Map::new();
     store.for_each(|entry, value| drop(all.insert((entry.kind, entry.key), value)))?;
     let one_by_one: Map = entries
         .into_iter()
-        .map(|e| Ok(((e.kind, e.key.clone()), store.get(e.kind, &e.key)?.expect("it is listed"))))
+        .map(|e| {
+            Ok((
+                (e.kind, e.key.clone()),
+                store.get(e.kind, &e.key)?.expect("the key is listed, so it has a value"),
+            ))
+        })
         .collect::<Result<_, StoreError>>()?;
     assert_eq!(all, one_by_one);
     Ok(all)
 }
 
-/// Commits until one fails. Returns how many operations were told to last and how many were begun.
-fn play(disk: Memory, all: &[Vec<Op>], new: bool) -> (Option<Store<Memory>>, usize, usize) {
+/// Commits until one fails. Returns the store, the number of operations whose commits succeeded, and the number of
+/// operations whose commits were begun.
+fn run(disk: SimulatedDisk, all: &[Vec<Op>], new: bool) -> (Option<Store<SimulatedDisk>>, usize, usize) {
     let Ok(mut store) = Store::open(disk, limits(), new, 7) else { return (None, 0, 0) };
-    let (mut kept, mut begun) = (0, 0);
+    let (mut committed, mut begun) = (0, 0);
     for (i, ops) in all.iter().enumerate() {
         begun += ops.len();
         if store.commit(ops, 0).is_err() {
-            assert!(matches!(store.commit(ops, 0), Err(StoreError::Failed)), "it goes on after a failure");
-            return (Some(store), kept, begun);
+            assert!(
+                matches!(store.commit(ops, 0), Err(StoreError::Failed)),
+                "the store accepts a commit after a failure"
+            );
+            return (Some(store), committed, begun);
         }
-        kept += ops.len();
-        // Now and then all of the rest.
+        committed += ops.len();
+        // Compact the whole store at every 17th commit.
         if i % 17 == 16 && store.compact(0).is_err() {
-            return (Some(store), kept, begun);
+            return (Some(store), committed, begun);
         }
     }
-    (Some(store), kept, begun)
+    (Some(store), committed, begun)
 }
 
-/// Whether a map is what some of the operations make, from those that were told to last up to those that were begun.
-fn was(map: &Map, all: &[Vec<Op>], kept: usize, begun: usize) -> bool {
+/// Whether a map is the result of the first n operations, where n lies between the number of operations that were
+/// committed and the number that were begun.
+fn is_possible_state(map: &Map, all: &[Vec<Op>], committed: usize, begun: usize) -> bool {
     let mut model = Map::new();
     let ops: Vec<&Op> = all.iter().flatten().collect();
-    ops[..kept].iter().for_each(|op| apply(&mut model, op));
-    for op in &ops[kept..begun] {
+    ops[..committed].iter().for_each(|op| apply(&mut model, op));
+    for op in &ops[committed..begun] {
         if *map == model {
             return true;
         }
@@ -90,138 +102,150 @@
     *map == model
 }
 
-/// A store that was played to its end, and its disk.
-fn whole(seed: u64, count: usize) -> (Memory, Vec<Vec<Op>>, Map) {
+/// Runs commits without a fault. Returns the disk, the commits and the content of the store.
+fn run_to_end(seed: u64, count: usize) -> (SimulatedDisk, Vec<Vec<Op>>, Map) {
     let all = commits(seed, count);
-    let (store, kept, begun) = play(Memory::default(), &all, true);
+    let (store, committed, begun) = run(SimulatedDisk::default(), &all, true);
     let store = store.unwrap();
-    assert_eq!(kept, begun);
+    assert_eq!(committed, begun);
     let map = contents(&store).unwrap();
-    assert!(was(&map, &all, kept, begun));
+    assert!(is_possible_state(&map, &all, committed, begun));
     assert!(store.stats().cleaned > 3 && store.stats().segments > 3, "{:?}", store.stats());
     (store.close(), all, map)
 }
 
-// The power is cut at every step, and within every write at some byte; what was not synced is lost in any part.
+// The power fails at every step, and within every write after a random number of bytes; any part of the unsynced data
+// is lost.
 #[test]
-fn cut_at_every_step() {
+fn a_power_failure_or_kill_at_every_step() {
     let all = commits(1, 60);
-    let total = play(Memory::default(), &all, true).0.unwrap().close().steps;
+    let total = run(SimulatedDisk::default(), &all, true).0.unwrap().close().steps;
     let (mut rng, mut refused, mut opened) = (Rng::with_seed(5), 0, 0);
     for step in 1..=total {
-        for _ in 0..if full() { 40 } else { 4 } {
+        for _ in 0..if runs_all_cases() { 40 } else { 4 } {
             let bytes = if rng.bool() { rng.usize(0..64) } else { rng.usize(0..4096) };
-            let disk = Memory::with(step, Trouble::Cut(bytes));
-            let (store, kept, begun) = play(disk, &all, true);
+            let disk = SimulatedDisk::with_fault(step, DiskFault::PowerFailure(bytes));
+            let (store, committed, begun) = run(disk, &all, true);
             let Some(store) = store else { continue };
             let disk = store.close();
-            let (lost, power) =
-                if rng.bool() { (disk.after_cut(&mut rng), true) } else { (disk.after_kill(), false) };
-            let again = match Store::open(lost, limits(), false, 7) {
+            let (disk, is_power_failure) = if rng.bool() {
+                (disk.after_power_failure(&mut rng), true)
+            } else {
+                (disk.after_kill(), false)
+            };
+            let again = match Store::open(disk, limits(), false, 7) {
                 Ok(store) => store,
-                // A store that was never made; or a loud refusal.
-                Err(StoreError::Missing) if kept == 0 => continue,
-                Err(why) => {
-                    assert!(power || matches!(why, StoreError::Damaged { .. }), "step {step}: {why}");
+                // The store was not created yet. Any other error must report damage, at least after a kill.
+                Err(StoreError::Missing) if committed == 0 => continue,
+                Err(error) => {
+                    assert!(
+                        is_power_failure || matches!(error, StoreError::Damaged { .. }),
+                        "step {step}: {error}"
+                    );
                     refused += 1;
                     continue;
                 }
             };
             opened += 1;
             let map = contents(&again).unwrap();
-            assert!(was(&map, &all, kept, begun), "step {step}, power {power}: {kept} of {begun} were kept");
+            assert!(
+                is_possible_state(&map, &all, committed, begun),
+                "step {step}, power failure {is_power_failure}: {committed} of {begun} were committed"
+            );
             assert_eq!(again.verify().unwrap(), []);
         }
     }
     println!("{total} steps, {opened} opened, {refused} refused");
-    assert!(opened > 20 * refused, "hardly anything was opened: {opened}, {refused}");
+    assert!(opened > 20 * refused, "too few stores were opened: {opened}, {refused} refused");
 }
 
-// Each call of the disk fails in turn. The store takes nothing more; what was told to last is there.
+// Each call of the disk fails in turn. The store then accepts no more commits, and all successful commits are restored.
 #[test]
 fn every_call_fails_in_turn() {
     let all = commits(2, 60);
-    let total = play(Memory::default(), &all, true).0.unwrap().close().steps;
+    let total = run(SimulatedDisk::default(), &all, true).0.unwrap().close().steps;
     for step in 1..=total {
-        let disk = Memory::with(step, Trouble::Fails);
-        let (store, kept, begun) = play(disk, &all, true);
+        let disk = SimulatedDisk::with_fault(step, DiskFault::CallFails);
+        let (store, committed, begun) = run(disk, &all, true);
         let Some(store) = store else { continue };
         let again = match Store::open(store.close().after_kill(), limits(), false, 7) {
             Ok(again) => again,
-            Err(StoreError::Missing) if kept == 0 => continue,
-            Err(why) => panic!("step {step}: {why}"),
+            Err(StoreError::Missing) if committed == 0 => continue,
+            Err(error) => panic!("step {step}: {error}"),
         };
-        assert!(was(&contents(&again).unwrap(), &all, kept, begun), "step {step}");
+        assert!(is_possible_state(&contents(&again).unwrap(), &all, committed, begun), "step {step}");
     }
 }
 
-// Any file cut at any byte: all of it, or a refusal. Only a checkpoint may be done without.
+// With any file truncated at any byte, opening either restores all records or reports damage. Only a truncated
+// checkpoint is ignored.
 #[test]
-fn cut_at_every_byte_of_every_file() {
-    let (disk, _, map) = whole(3, 150);
+fn every_file_truncated_at_every_byte() {
+    let (disk, _, map) = run_to_end(3, 150);
     let mut refused = 0;
     for (name, length) in disk.files() {
-        let step = if full() { 1 } else { 23 };
+        let step = if runs_all_cases() { 1 } else { 23 };
         for cut in (0..length).step_by(step) {
-            let mut cut_disk = disk.after_kill();
-            cut_disk.cut_file(&name, cut);
-            match Store::open(cut_disk, limits(), false, 7) {
+            let mut truncated = disk.after_kill();
+            truncated.truncate_file(&name, cut);
+            match Store::open(truncated, limits(), false, 7) {
                 Ok(store) => assert_eq!(contents(&store).unwrap(), map, "{name} at {cut}"),
                 Err(StoreError::Damaged { .. }) => refused += 1,
-                Err(why) => panic!("{name} at {cut}: {why}"),
+                Err(error) => panic!("{name} at {cut}: {error}"),
             }
         }
     }
     assert!(refused > 100);
 }
 
-// Any bit of any file turned: all of it, or a refusal, at the start or when the record is read.
+// With any bit of any file flipped, either all records are restored, or the damage is reported when the store is opened
+// or the record is read.
 #[test]
 fn every_bit_flipped() {
-    let (disk, _, map) = whole(4, 110);
-    let (mut refused, mut fine) = (0, 0);
+    let (disk, _, map) = run_to_end(4, 110);
+    let (mut refused, mut restored) = (0, 0);
     for (name, length) in disk.files() {
-        let step = if full() { 1 } else { 31 };
+        let step = if runs_all_cases() { 1 } else { 31 };
         for bit in (0..length * 8).step_by(step) {
             let mut flipped = disk.after_kill();
-            flipped.flip(&name, bit);
+            flipped.flip_bit(&name, bit);
             match Store::open(flipped, limits(), false, 7).and_then(|s| contents(&s)) {
                 Ok(found) => {
-                    fine += 1;
+                    restored += 1;
                     assert_eq!(found, map, "{name}, bit {bit}");
                 }
                 Err(StoreError::Damaged { .. } | StoreError::FormatVersion { .. }) => refused += 1,
-                Err(why) => panic!("{name}, bit {bit}: {why}"),
+                Err(error) => panic!("{name}, bit {bit}: {error}"),
             }
         }
     }
-    assert!(refused > 500 && fine > 500, "{refused} {fine}");
+    assert!(refused > 500 && restored > 500, "{refused} refused, {restored} restored");
 }
 
 #[test]
-fn a_file_that_vanished_is_missed() {
-    let (disk, _, map) = whole(5, 110);
+fn a_missing_file_is_reported() {
+    let (disk, _, map) = run_to_end(5, 110);
     for (name, _) in disk.files() {
-        let mut less = disk.after_kill();
-        less.vanish(&name);
-        match Store::open(less, limits(), false, 7) {
+        let mut incomplete = disk.after_kill();
+        incomplete.remove_name(&name);
+        match Store::open(incomplete, limits(), false, 7) {
             Ok(store) => {
-                assert!(name.starts_with("checkpoint"), "{name} is not missed");
+                assert!(name.starts_with("checkpoint"), "the missing {name} is not reported");
                 assert_eq!(contents(&store).unwrap(), map);
             }
             Err(StoreError::Damaged { .. }) => {}
-            Err(why) => panic!("{name}: {why}"),
+            Err(error) => panic!("{name}: {error}"),
         }
     }
 }
 
-// Of a commit that was never finished the later part may have reached the disk. It must not come to life once other
-// records lie before it.
+// Only the later part of an unfinished commit may have reached the disk. It must not be read as a record once other
+// records precede it.
 #[test]
-fn what_was_never_finished_stays_so() {
-    // A record of 512 bytes each.
+fn an_unfinished_commit_is_never_restored() {
+    // Each record occupies 512 bytes.
     let put = |key: u8| Op::Put { kind: 1, key: vec![key; 8], value: vec![key; 475], at: 0 };
-    let mut store = Store::open(Memory::default(), limits(), true, 7).unwrap();
+    let mut store = Store::open(SimulatedDisk::default(), limits(), true, 7).unwrap();
     store.commit(&[put(1)], 0).unwrap();
     store.commit(&[put(2), put(3)], 0).unwrap();
     let mut disk = store.close().after_kill();
@@ -235,22 +259,28 @@
     assert_eq!(keys, [1, 4]);
 }
 
-// What a repair brings back was there; and it is all there but for what is told to be lost.
+// A repair restores only records that were committed, and reports damage unless it restores all current records.
 #[test]
-fn repair_invents_nothing() {
-    let (disk, all, map) = whole(6, 110);
-    let ever: Vec<&Op> = all.iter().flatten().collect();
+fn repair_restores_only_committed_records() {
+    let (disk, all, map) = run_to_end(6, 110);
+    let all_ops: Vec<&Op> = all.iter().flatten().collect();
     for (name, length) in disk.files().into_iter().filter(|(n, _)| n.ends_with(".segment")) {
         for at in (0..length).step_by(97) {
             let mut broken = disk.after_kill();
-            (0..5).for_each(|i| broken.flip(&name, (at * 8 + i * 13) % (length * 8)));
+            (0..5).for_each(|i| broken.flip_bit(&name, (at * 8 + i * 13) % (length * 8)));
             let (store, lost) = repair(broken, limits(), 9).unwrap();
             let found = contents(&store).unwrap();
             for ((kind, key), value) in &found {
-                let was = |op: &&&Op| matches!(op, Op::Put { kind: k, key: n, value: v, .. } if k == kind && n == key && v == value);
-                assert!(ever.iter().any(|op| was(&op)), "{name} at {at}: invented");
+                let matches_record = |op: &&&Op| matches!(op, Op::Put { kind: k, key: n, value: v, .. } if k == kind && n == key && v == value);
+                assert!(
+                    all_ops.iter().any(|op| matches_record(&op)),
+                    "{name} at {at}: a record was restored that was never committed"
+                );
             }
-            assert!(found == map || !lost.is_empty(), "{name} at {at}: lost without a word");
+            assert!(
+                found == map || !lost.is_empty(),
+                "{name} at {at}: a record is missing, but no damage was reported"
+            );
             assert!(store.close().list().unwrap().iter().any(|n| n.starts_with("lost-")));
         }
     }
@@ -258,20 +288,21 @@
 
 #[rstest]
 #[case::too_large(Op::Put { kind: 1, key: vec![1], value: vec![0; 5000], at: 0 })]
-fn what_does_not_fit_is_refused_and_nothing_is_done(#[case] op: Op) {
-    let mut store = Store::open(Memory::default(), limits(), true, 7).unwrap();
-    let fine = Op::Put { kind: 1, key: vec![2], value: vec![], at: 0 };
-    assert!(matches!(store.commit(&[fine.clone(), op], 0), Err(StoreError::TooLarge(_))));
+fn a_record_that_does_not_fit_is_rejected_with_its_commit(#[case] op: Op) {
+    let mut store = Store::open(SimulatedDisk::default(), limits(), true, 7).unwrap();
+    let valid = Op::Put { kind: 1, key: vec![2], value: vec![], at: 0 };
+    assert!(matches!(store.commit(&[valid.clone(), op], 0), Err(StoreError::TooLarge(_))));
     assert_eq!(store.entries().count(), 0);
-    store.commit(&[fine], 0).unwrap();
+    store.commit(&[valid], 0).unwrap();
     assert_eq!(store.entries().count(), 1);
 }
 
-// A store within its budget: what has run out goes first, then the oldest of what yields, and never what must stay.
+// To keep the budget, the store drops expired records first, then the oldest records of evictable kinds, and never
+// other records.
 #[test]
-fn the_oldest_go_by_kind() {
+fn the_oldest_records_of_evictable_kinds_are_dropped() {
     let limits = Limits { retention: vec![(1, 50)], evictable_kinds: vec![2], ..limits() };
-    let mut store = Store::open(Memory::default(), limits, true, 7).unwrap();
+    let mut store = Store::open(SimulatedDisk::default(), limits, true, 7).unwrap();
     let put = |kind, i: u64| Op::Put { kind, key: i.to_le_bytes().to_vec(), value: vec![9; 100], at: i };
     store.commit(&[put(3, 0), put(1, 1)], 1).unwrap();
     for i in 2..2_000 {
@@ -279,8 +310,11 @@
     }
     let stats = store.stats();
     assert!(stats.bytes <= 11 * 4096 && stats.evicted > 1_000, "{stats:?}");
-    assert!(store.get(3, &0_u64.to_le_bytes()).unwrap().is_some(), "what must stay is gone");
-    assert!(store.get(1, &1_u64.to_le_bytes()).unwrap().is_none(), "what has run out is there");
+    assert!(
+        store.get(3, &0_u64.to_le_bytes()).unwrap().is_some(),
+        "a record that neither expires nor is evictable was dropped"
+    );
+    assert!(store.get(1, &1_u64.to_le_bytes()).unwrap().is_none(), "an expired record was not dropped");
     assert!(store.get(2, &1_999_u64.to_le_bytes()).unwrap().is_some());
     assert!(store.get(2, &2_u64.to_le_bytes()).unwrap().is_none());
 }
@@ -288,42 +322,42 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    // Any commits, with kills and power cuts between and among them, against a plain map.
+    // Random commits with kills and power failures leave the store in the same state as a plain map.
     #[test]
-    fn like_a_plain_map(seed in any::<u64>(), cuts in prop::collection::vec((1_usize..120, any::<bool>()), 1..6)) {
+    fn like_a_plain_map(seed in any::<u64>(), faults in prop::collection::vec((1_usize..120, any::<bool>()), 1..6)) {
         let mut rng = Rng::with_seed(seed);
-        let (mut disk, mut new, mut done) = (Memory::default(), true, Vec::new());
-        for (round, (step, power)) in cuts.into_iter().enumerate() {
+        let (mut disk, mut new, mut history) = (SimulatedDisk::default(), true, Vec::new());
+        for (round, (step, is_power_failure)) in faults.into_iter().enumerate() {
             let more = commits(seed.wrapping_add(round as u64), 30);
-            disk.trouble = Some((step, Trouble::Cut(rng.usize(0..600))));
-            let before: Vec<Vec<Op>> = done.clone();
+            disk.fault = Some((step, DiskFault::PowerFailure(rng.usize(0..600))));
+            let before: Vec<Vec<Op>> = history.clone();
             let opened = Store::open(disk.clone(), limits(), new, 7);
             let Ok(mut store) = opened else { disk = disk.after_kill(); continue };
-            let kept: usize = before.iter().map(Vec::len).sum();
-            let (mut kept, mut begun) = (kept, kept);
+            let committed: usize = before.iter().map(Vec::len).sum();
+            let (mut committed, mut begun) = (committed, committed);
             for ops in &more {
                 begun += ops.len();
-                done.push(ops.clone());
+                history.push(ops.clone());
                 if store.commit(ops, 0).is_err() {
                     break;
                 }
-                kept += ops.len();
+                committed += ops.len();
             }
             disk = store.close();
-            disk = if power { disk.after_cut(&mut rng) } else { disk.after_kill() };
+            disk = if is_power_failure { disk.after_power_failure(&mut rng) } else { disk.after_kill() };
             match Store::open(disk.clone(), limits(), false, 7) {
                 Ok(again) => {
                     new = false;
                     let map = contents(&again).unwrap();
-                    prop_assert!(was(&map, &done, kept, begun));
-                    // From here on the state is what it is.
+                    prop_assert!(is_possible_state(&map, &history, committed, begun));
+                    // The next round starts from the restored state.
                     let put = |((kind, key), value): (&(u8, Vec<u8>), &Vec<u8>)| Op::Put { kind: *kind, key: key.clone(), value: value.clone(), at: 0 };
-                    done = vec![map.iter().map(put).collect()];
+                    history = vec![map.iter().map(put).collect()];
                     disk = again.close();
                 }
-                Err(StoreError::Missing) if kept == 0 => return Ok(()),
-                Err(StoreError::Damaged { .. }) if power => return Ok(()),
-                Err(why) => return Err(TestCaseError::fail(why.to_string())),
+                Err(StoreError::Missing) if committed == 0 => return Ok(()),
+                Err(StoreError::Damaged { .. }) if is_power_failure => return Ok(()),
+                Err(error) => return Err(TestCaseError::fail(error.to_string())),
             }
         }
     }
