--- a/crates/node/tests/ends/discovery.rs
+++ b/crates/node/tests/ends/discovery.rs
@@ -1,207 +1,208 @@
-//! Calls for the list and watches, and how they end. What discovery has counts as told 6 s after it had it and could be
-//! reached, so the next call must begin in time for its answer: 4.75 s after the last word, or the call that got none.
+//! List requests and watches of discovery, and the ways in which they end. A change counts as announced 6 s after discovery had it
+//! and was reachable, so the next request must begin early enough for its answer: 4.75 s after the last data, or after the request
+//! that got no answer.
 
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
 
-use crate::stand::{
-    Call, Node, Place, WATCH, ask, configuration, done, entry, hang, job, listed, message, send, status,
-    turn_away,
+use crate::harness::{
+    Connection, FakeServer, Node, WATCH_HEAD, configuration, done_response, entry, exchange, job, list_chunk,
+    never_reply, read_message, reject, send, status,
 };
 
-/// The bound, and what a machine that is busy with other tests may add.
-const NEXT: Duration = Duration::from_millis(4_750 + 500);
+/// The bound of 4.75 s, plus a tolerance for a machine that is busy with other tests.
+const RECONNECT_LIMIT: Duration = Duration::from_millis(4_750 + 500);
 
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-fn refuse(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    call.reset();
+fn refuse(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    connection.reset();
     None
 }
 
-fn answer_half_a_head(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    call.say("HTTP/1.1 200 OK\r\nTransf");
-    Some(call)
+fn send_half_head(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    connection.send("HTTP/1.1 200 OK\r\nTransf");
+    Some(connection)
 }
 
-/// A list, and then never a word.
-fn fall_silent(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    call.say(&format!("{WATCH}{}", chunk("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n")));
-    Some(call)
+/// Sends a list, and then nothing more.
+fn send_list_then_stall(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    connection.send(&format!("{WATCH_HEAD}{}", chunk("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n")));
+    Some(connection)
 }
 
-/// A byte now and then, and never a whole line.
-fn drip(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    call.say(WATCH);
+/// Sends a blank every 500 ms, and never a whole line.
+fn trickle_blanks(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    connection.send(WATCH_HEAD);
     std::thread::spawn(move || {
-        while std::io::Write::write_all(call.0.get_mut(), chunk(" ").as_bytes()).is_ok() {
+        while std::io::Write::write_all(connection.0.get_mut(), chunk(" ").as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(500));
         }
     });
     None
 }
 
-/// A newline now and then, all of them within a list that never ends.
-fn drip_in_a_list(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    call.say(&format!("{WATCH}{}", chunk("{\"index\":1,\"endpoints\":[")));
+/// Sends a newline every 500 ms, all of them within a list that never ends.
+fn trickle_newlines_within_list(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    connection.send(&format!("{WATCH_HEAD}{}", chunk("{\"index\":1,\"endpoints\":[")));
     std::thread::spawn(move || {
-        while std::io::Write::write_all(call.0.get_mut(), chunk("\n").as_bytes()).is_ok() {
+        while std::io::Write::write_all(connection.0.get_mut(), chunk("\n").as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(500));
         }
     });
     None
 }
 
-fn end_in_a_line(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    call.say(&format!("{WATCH}40\r\n{{\"index\":"));
+fn close_within_line(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    connection.send(&format!("{WATCH_HEAD}40\r\n{{\"index\":"));
     None
 }
 
-// A call that failed put the next off by up to 6 s, one that hung or a watch that fell silent by up to 9 s; a watch
-// that dripped was never given up.
+// A failed request delayed the next one by up to 6 s, a request without an answer or a silent watch by up to 9 s; a watch that
+// trickled bytes was never given up.
 #[rstest]
 #[case::refused(refuse)]
-#[case::turned_away(turn_away)]
-#[case::hangs(hang)]
-#[case::half_a_head(answer_half_a_head)]
-#[case::falls_silent(fall_silent)]
-#[case::drips(drip)]
-#[case::drips_in_a_list(drip_in_a_list)]
-#[case::ends_in_a_line(end_in_a_line)]
-fn discovery_is_asked_again_in_time(#[case] how: fn(Call) -> Option<Call>) {
-    let discovery = Place::open();
-    // As many nodes as make the spread as wide as it gets.
+#[case::rejected(reject)]
+#[case::hangs(never_reply)]
+#[case::partial_head(send_half_head)]
+#[case::stalls_after_a_list(send_list_then_stall)]
+#[case::trickles_blanks(trickle_blanks)]
+#[case::trickles_newlines_within_a_list(trickle_newlines_within_list)]
+#[case::closes_within_a_line(close_within_line)]
+fn the_list_is_requested_again_in_time(#[case] failure: fn(Connection) -> Option<Connection>) {
+    let discovery = FakeServer::open();
+    // So many nodes that the random spread of the requests is at its widest.
     let text = configuration(&[], discovery.address, &[("\"balancers\": 2", "\"balancers\": 300")]);
     let node = Node::start_with(&text);
-    let mut call = discovery.take();
+    let mut connection = discovery.accept();
     for _ in 0..3 {
         let last = Instant::now();
-        let kept = how(call);
-        call = discovery.take();
-        assert!(last.elapsed() < NEXT, "{:?}", last.elapsed());
-        drop(kept);
+        let open = failure(connection);
+        connection = discovery.accept();
+        assert!(last.elapsed() < RECONNECT_LIMIT, "{:?}", last.elapsed());
+        drop(open);
     }
-    // And what it has then is heard.
-    let place = Place::open();
-    call.asked().unwrap();
-    let list = format!("{{\"index\":5,\"snapshot\":true,\"endpoints\":[{}]}}\n", entry("w0", place.address));
-    call.say(&format!("{WATCH}{}", chunk(&list)));
-    while status(crate::stand::ask(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {}
+    // The list of the next answer takes effect.
+    let server = FakeServer::open();
+    connection.read_head().unwrap();
+    let list = format!("{{\"index\":5,\"snapshot\":true,\"endpoints\":[{}]}}\n", entry("w0", server.address));
+    connection.send(&format!("{WATCH_HEAD}{}", chunk(&list)));
+    while status(crate::harness::exchange(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {}
     let mut client = node.client();
     send(&mut client, &job(1, "look", 1_500));
-    let mut executor = place.take();
-    assert_eq!(executor.id(), Some(1));
-    executor.say(&done(1, "r"));
-    assert_eq!(status(message(&mut client)), 200);
+    let mut executor = server.accept();
+    assert_eq!(executor.read_request_id(), Some(1));
+    executor.send(&done_response(1, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
 }
 
-/// What discovery says, over many lines.
+/// Formats a JSON value over several lines.
 fn indented(text: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(text).unwrap();
     serde_json::to_string_pretty(&value).unwrap()
 }
 
-/// A list of one executor, over many lines, that is the whole list.
+/// Returns a full list of one executor, formatted over several lines.
 fn indented_list(index: u32, entry: &str) -> String {
     indented(&format!("{{\"index\":{index},\"snapshot\":true,\"endpoints\":[{entry}]}}"))
 }
 
-// Each list was refused at its first line, and the watch with it.
+// Lists over several lines were rejected at their first line, and the watch ended with them.
 #[test]
-fn indented_lists_that_come_in_pieces_are_heard() {
-    let discovery = Place::open();
+fn indented_lists_that_arrive_in_pieces_are_applied() {
+    let discovery = FakeServer::open();
     let node = Node::start_with(&configuration(&[], discovery.address, &[]));
-    let mut call = discovery.take();
-    call.asked().unwrap();
-    call.say(WATCH);
-    let (first, second) = (Place::open(), Place::open());
+    let mut connection = discovery.accept();
+    connection.read_head().unwrap();
+    connection.send(WATCH_HEAD);
+    let (first, second) = (FakeServer::open(), FakeServer::open());
     let lists = [
         indented_list(5, &entry("w0", first.address)),
         format!("{}\n", indented_list(6, &entry("w1", second.address))),
     ];
-    for (id, (place, list)) in (1..).zip([first, second].into_iter().zip(&lists)) {
-        // Each part is read before the next is sent.
+    for (id, (server, list)) in (1..).zip([first, second].into_iter().zip(&lists)) {
+        // The node reads each part before the next is sent.
         for part in list.as_bytes().chunks(list.len().div_ceil(4)) {
             for piece in part.chunks(7) {
-                call.say(&chunk(std::str::from_utf8(piece).unwrap()));
+                connection.send(&chunk(std::str::from_utf8(piece).unwrap()));
             }
-            node.fence();
+            node.barrier();
         }
         let mut client = node.client();
         send(&mut client, &job(id, "look", 1_500));
-        let mut executor = place.take();
-        assert_eq!(executor.id(), Some(id));
-        executor.say(&done(id, "r"));
-        assert_eq!(status(message(&mut client)), 200);
+        let mut executor = server.accept();
+        assert_eq!(executor.read_request_id(), Some(id));
+        executor.send(&done_response(id, "r"));
+        assert_eq!(status(read_message(&mut client)), 200);
     }
-    // It is still the first watch.
-    assert!(!discovery.waits() && !call.ready());
+    // The first watch is still in use.
+    assert!(!discovery.has_pending_connection() && !connection.has_data());
 }
 
-// A drain is told right after the return: what was decided before and waits for its connection is not sent.
+// A drain is announced while a dispatched request waits for its connection: the request must not be sent there.
 #[test]
-fn a_drain_told_while_a_connection_comes_up_late_keeps_it_unused() {
-    let discovery = Place::open();
-    let (drains, filling) = Place::full();
-    let other = Place::open();
+fn a_connection_established_after_a_drain_was_announced_is_not_used() {
+    let discovery = FakeServer::open();
+    let (draining, queued) = FakeServer::full();
+    let other = FakeServer::open();
     let changes = [("\"connectTimeoutMs\": 250.0", "\"connectTimeoutMs\": 6000.0")];
-    let text = configuration(&[drains.address], discovery.address, &changes);
+    let text = configuration(&[draining.address], discovery.address, &changes);
     let node = Node::start_with(&text);
-    let mut call = discovery.take();
-    call.asked().unwrap();
-    // Nothing has changed since the configured list.
-    call.say(&format!("{WATCH}{}", chunk("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n")));
+    let mut connection = discovery.accept();
+    connection.read_head().unwrap();
+    // No change since the configured list.
+    connection.send(&format!("{WATCH_HEAD}{}", chunk("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n")));
     node.wait_until_ready();
     let mut client = node.client();
     send(&mut client, &job(1, "pay", 5_000));
-    node.fence();
-    let leaving = entry("w0", drains.address).replace("active", "leaving");
+    node.barrier();
+    let leaving = entry("w0", draining.address).replace("active", "leaving");
     let list = format!(
         "{{\"index\":2,\"snapshot\":false,\"endpoints\":[{leaving},{}]}}\n",
         entry("w1", other.address)
     );
-    call.say(&chunk(&list));
-    node.fence();
-    filling.iter().for_each(|_| drop(drains.take()));
-    let mut late = drains.take();
-    // Sent nothing there, it goes where it may.
-    let mut executor = other.take();
-    assert_eq!(executor.id(), Some(1));
-    executor.say(&done(1, "r"));
-    assert_eq!(status(message(&mut client)), 200);
+    connection.send(&chunk(&list));
+    node.barrier();
+    queued.iter().for_each(|_| drop(draining.accept()));
+    let mut late = draining.accept();
+    // Not sent to the draining executor, the request goes to the other one.
+    let mut executor = other.accept();
+    assert_eq!(executor.read_request_id(), Some(1));
+    executor.send(&done_response(1, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
     drop(node);
-    assert_eq!(late.asked(), None);
+    assert_eq!(late.read_head(), None);
 }
 
-// What discovery has written counts as told, also where its connection breaks right behind it: the system hands out what has come
-// before it tells of the break, and so must whatever reads it.
+// A change that discovery has written counts as announced, even if its connection is reset right after it: the kernel delivers the
+// received data before the error, and the reader of the watch must process it.
 #[test]
-fn a_change_that_was_written_right_before_its_watch_broke_is_heard() {
-    let (discovery, leaving) = (Place::open(), Place::open());
+fn a_change_written_right_before_its_watch_is_reset_is_applied() {
+    let (discovery, leaving) = (FakeServer::open(), FakeServer::open());
     let node = Node::start_with(&configuration(&[leaving.address], discovery.address, &[]));
-    let mut watch = discovery.take();
-    watch.asked().unwrap();
-    watch.say(&format!("{WATCH}{}", listed(1, false, &[])));
+    let mut watch = discovery.accept();
+    watch.read_head().unwrap();
+    watch.send(&format!("{WATCH_HEAD}{}", list_chunk(1, false, &[])));
     node.wait_until_ready();
-    node.held(|| {
+    node.while_paused(|| {
         let change = entry("w0", leaving.address).replace("active", "leaving");
-        watch.say(&listed(2, false, &[change]));
+        watch.send(&list_chunk(2, false, &[change]));
         watch.reset();
     });
     let mut client = node.client();
-    // From when the change was written to the end of the grace anything may go there.
+    // Until the end of the drain's grace period requests may still go there.
     std::thread::sleep(Duration::from_millis(600));
     for id in 1..=20 {
-        assert_eq!(status(ask(&mut client, &job(id, "look", 300))), 503, "{id}");
-        assert!(!leaving.waits(), "{id}");
+        assert_eq!(status(exchange(&mut client, &job(id, "look", 300))), 503, "{id}");
+        assert!(!leaving.has_pending_connection(), "{id}");
     }
 }
--- a/crates/node/tests/ends/stand.rs
+++ b/crates/node/tests/ends/harness.rs
@@ -1,5 +1,5 @@
-//! Stand-ins whose every step the test orders, and the program between them. What crosses is forced: by a program that is
-//! held still while both things happen, or by a step taken on what was seen.
+//! Fake executors and a fake discovery that the test controls step by step, and the program under test between them. Races are
+//! forced: either the program is paused while both events happen, or the next step follows an observed one.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,11 +13,11 @@
 
 use crate::common::SETTINGS;
 
-/// Far longer than anything takes that is waited for.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Upper bound of every wait; far longer than any awaited event takes.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Reads a head and the body of the length that it names; none at the end.
-pub fn message(socket: &mut BufReader<TcpStream>) -> Option<(String, String)> {
+/// Reads a head and a body of the length given by its Content-Length. Returns `None` at the end of the stream.
+pub fn read_message(socket: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if socket.read_line(&mut head).ok()? == 0 {
@@ -36,22 +36,23 @@
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{lines}\r\n0\r\n\r\n")
 }
 
-pub fn done(id: u32, result: &str) -> String {
+pub fn done_response(id: u32, result: &str) -> String {
     chunked(&format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"{result}\"}}\n"))
 }
 
-pub const DECLINED: &str = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+pub const DECLINED_RESPONSE: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// The place of whoever is to answer: an executor, or discovery.
-pub struct Place {
+/// A listener that stands in for an executor or for discovery.
+pub struct FakeServer {
     listener: TcpListener,
     pub address: SocketAddr,
 }
 
-/// One connection that came there.
-pub struct Call(pub BufReader<TcpStream>);
+/// A connection accepted by a [`FakeServer`].
+pub struct Connection(pub BufReader<TcpStream>);
 
-impl Place {
+impl FakeServer {
     pub fn open() -> Self {
         Self::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
@@ -62,7 +63,8 @@
         Self { listener, address }
     }
 
-    /// One at which connections don't come up until `take` is called: its queue is full.
+    /// Opens a listener whose accept queue is full: further connections are not established until `accept` is called.
+    /// Also returns the connections that fill the queue.
     pub fn full() -> (Self, Vec<TcpStream>) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SockAddr::from(SocketAddr::from(([127, 0, 0, 1], 0)))).unwrap();
@@ -70,65 +72,65 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
         let first = TcpStream::connect(address).unwrap();
-        let mut filling = vec![first];
+        let mut queued = vec![first];
         while let Ok(more) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-            filling.push(more);
+            queued.push(more);
         }
-        (Self { listener, address }, filling)
+        (Self { listener, address }, queued)
     }
 
-    /// The next connection. It fails loudly if none comes.
-    pub fn take(&self) -> Call {
+    /// Accepts the next connection. Panics if none arrives within [`WAIT_LIMIT`].
+    pub fn accept(&self) -> Connection {
         let start = Instant::now();
-        while start.elapsed() < LONG {
-            if let Some(call) = self.taken() {
-                return call;
+        while start.elapsed() < WAIT_LIMIT {
+            if let Some(connection) = self.try_accept() {
+                return connection;
             }
             std::thread::sleep(Duration::from_millis(1));
         }
-        panic!("nobody came");
+        panic!("no connection within {WAIT_LIMIT:?}");
     }
 
-    /// The next connection, if one has come.
-    pub fn taken(&self) -> Option<Call> {
+    /// Accepts the next connection if one is pending.
+    pub fn try_accept(&self) -> Option<Connection> {
         self.listener.set_nonblocking(true).unwrap();
         let found = self.listener.accept();
         self.listener.set_nonblocking(false).unwrap();
         let (socket, _) = found.ok()?;
         socket.set_nonblocking(false).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
-        socket.set_write_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
+        socket.set_write_timeout(Some(WAIT_LIMIT)).unwrap();
         socket.set_nodelay(true).unwrap();
-        Some(Call(BufReader::new(socket)))
+        Some(Connection(BufReader::new(socket)))
     }
 
-    /// Whether a connection has come that nobody took.
-    pub fn waits(&self) -> bool {
-        self.taken().is_some()
+    /// Whether an unaccepted connection was pending. The connection is accepted and dropped.
+    pub fn has_pending_connection(&self) -> bool {
+        self.try_accept().is_some()
     }
 }
 
-impl Call {
-    /// The next request's head; none at the end.
-    pub fn asked(&mut self) -> Option<String> {
-        message(&mut self.0).map(|(head, _)| head)
+impl Connection {
+    /// Reads the head of the next request. Returns `None` at the end of the stream.
+    pub fn read_head(&mut self) -> Option<String> {
+        read_message(&mut self.0).map(|(head, _)| head)
     }
 
-    pub fn id(&mut self) -> Option<u32> {
-        self.asked().and_then(|head| head.lines().find_map(|l| l.strip_prefix("Req-Id: ")?.parse().ok()))
+    pub fn read_request_id(&mut self) -> Option<u32> {
+        self.read_head().and_then(|head| head.lines().find_map(|l| l.strip_prefix("Req-Id: ")?.parse().ok()))
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Whether nothing but the end comes.
-    pub fn ended(&mut self) -> bool {
+    /// Whether the connection ends without further data.
+    pub fn closed_without_data(&mut self) -> bool {
         !matches!(self.0.read(&mut [0]), Ok(1..))
     }
 
-    /// Whether something has come.
-    pub fn ready(&self) -> bool {
+    /// Whether data is waiting to be read.
+    pub fn has_data(&self) -> bool {
         let socket = self.0.get_ref();
         socket.set_nonblocking(true).unwrap();
         let found = socket.peek(&mut [0]).is_ok_and(|n| n > 0);
@@ -141,42 +143,42 @@
     }
 }
 
-/// The head of a watch's answer,
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// The head of the response to a watch request.
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// and a list on it.
-pub fn listed(index: u32, whole: bool, entries: &[String]) -> String {
+/// A list as one chunk of a watch's response body.
+pub fn list_chunk(index: u32, whole: bool, entries: &[String]) -> String {
     let list = format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{}]}}\n", entries.join(","));
     format!("{:x}\r\n{list}\r\n", list.len())
 }
 
-/// A call that discovery turns away,
-pub fn turn_away(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    call.say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+/// Rejects a request to discovery with status 503.
+pub fn reject(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    connection.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
     None
 }
 
-/// and one that it never answers.
-pub fn hang(mut call: Call) -> Option<Call> {
-    call.asked().unwrap();
-    Some(call)
+/// Reads a request and never answers it.
+pub fn never_reply(mut connection: Connection) -> Option<Connection> {
+    connection.read_head().unwrap();
+    Some(connection)
 }
 
-/// Ends a connection the hard way: what its other end has not read may be lost.
+/// Resets a connection: data that the other end has not read may be lost.
 pub fn reset(socket: BufReader<TcpStream>) {
     SockRef::from(socket.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Answers whatever comes there at once, for ever.
-pub fn willing(place: Place, result: &'static str) -> SocketAddr {
-    let address = place.address;
+/// Answers every request at once with `result`, for the rest of the test run.
+pub fn answer_all(server: FakeServer, result: &'static str) -> SocketAddr {
+    let address = server.address;
     std::thread::spawn(move || {
         loop {
-            let mut call = place.take();
+            let mut connection = server.accept();
             std::thread::spawn(move || {
-                while let Some(id) = call.id() {
-                    if call.0.get_mut().write_all(done(id, result).as_bytes()).is_err() {
+                while let Some(id) = connection.read_request_id() {
+                    if connection.0.get_mut().write_all(done_response(id, result).as_bytes()).is_err() {
                         break;
                     }
                 }
@@ -189,7 +191,7 @@
 pub struct Node {
     pub process: Child,
     pub address: SocketAddr,
-    /// What it logs from when it listens.
+    /// The log lines that follow the one with the listen address.
     pub log: Receiver<String>,
     path: PathBuf,
 }
@@ -202,26 +204,27 @@
     }
 }
 
-/// An address at which nobody listens.
-pub fn nobody() -> SocketAddr {
-    Place::open().address
+/// Returns an address without a listener.
+pub fn unused_address() -> SocketAddr {
+    FakeServer::open().address
 }
 
-/// Discovery that says to whoever asks, for ever, that the list of its configuration still holds.
-pub fn confirming() -> SocketAddr {
+/// Starts a discovery that tells every watch that the configured list is still current, and then sends heartbeats.
+pub fn confirming_discovery() -> SocketAddr {
     const HEARTBEAT: Duration = Duration::from_secs(2);
-    let place = Place::open();
-    let address = place.address;
+    let server = FakeServer::open();
+    let address = server.address;
     std::thread::spawn(move || {
-        // Nobody may ask for a while: it waits without a limit, and ends with the tests.
-        for socket in place.listener.incoming().map_while(Result::ok) {
+        // There may be no request for a long time, so it waits without a limit and ends with the test process.
+        for socket in server.listener.incoming().map_while(Result::ok) {
             std::thread::spawn(move || {
-                let mut call = Call(BufReader::new(socket));
-                let mut said = call.asked().map(|_| format!("{WATCH}{}", listed(1, false, &[])));
-                while let Some(text) = said.take() {
-                    if call.0.get_mut().write_all(text.as_bytes()).is_ok() {
+                let mut connection = Connection(BufReader::new(socket));
+                let mut next_text =
+                    connection.read_head().map(|_| format!("{WATCH_HEAD}{}", list_chunk(1, false, &[])));
+                while let Some(text) = next_text.take() {
+                    if connection.0.get_mut().write_all(text.as_bytes()).is_ok() {
                         std::thread::sleep(HEARTBEAT);
-                        said = Some("1\r\n\n\r\n".to_owned());
+                        next_text = Some("1\r\n\n\r\n".to_owned());
                     }
                 }
             });
@@ -234,7 +237,8 @@
     format!(r#"{{"name":"{name}","address":"{address}","zone":"here","type":"small","status":"active"}}"#)
 }
 
-/// The settings without probes, so that what comes at an executor is what the test caused, and with `changes`.
+/// Returns a configuration with `changes` made to its settings. Probes are off, so that executors receive only what the test
+/// caused.
 pub fn configuration(executors: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> String {
     let known: Vec<_> = executors.iter().enumerate().map(|(i, a)| entry(&format!("w{i}"), *a)).collect();
     let mut settings = SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false");
@@ -251,9 +255,9 @@
 }
 
 impl Node {
-    /// A node whose configured list discovery confirms.
+    /// Starts a node whose configured list is confirmed by discovery, and waits until it is ready if it has executors.
     pub fn start(executors: &[SocketAddr], changes: &[(&str, &str)]) -> Self {
-        let node = Self::start_with(&configuration(executors, confirming(), changes));
+        let node = Self::start_with(&configuration(executors, confirming_discovery(), changes));
         if !executors.is_empty() {
             node.wait_until_ready();
         }
@@ -262,27 +266,27 @@
 
     pub fn wait_until_ready(&self) {
         let start = Instant::now();
-        while status(ask(&mut self.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {
-            assert!(start.elapsed() < LONG, "not ready");
+        while status(exchange(&mut self.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {
+            assert!(start.elapsed() < WAIT_LIMIT, "not ready");
         }
     }
 
     pub fn start_with(text: &str) -> Self {
-        Self::start_failing(text, "")
+        Self::start_with_faults(text, "")
     }
 
-    /// One whose system calls fail by this plan, from when it begins.
-    pub fn start_failing(text: &str, plan: &str) -> Self {
-        Self::start_storing(text, plan, None)
+    /// Starts a node whose system calls fail according to this plan, with times counted from its start.
+    pub fn start_with_faults(text: &str, plan: &str) -> Self {
+        Self::start_with_store(text, plan, None)
     }
 
-    /// One that also keeps a store, as this file says.
-    pub fn start_storing(text: &str, plan: &str, store: Option<&Path>) -> Self {
+    /// Starts a node that also keeps a store, configured by the file `store`.
+    pub fn start_with_store(text: &str, plan: &str, store: Option<&Path>) -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("linestack-ends-{}-{number}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
-        // No more descriptors than the configuration names.
+        // The same limit of descriptors as in the configuration.
         let mut command = Command::new("sh");
         let script = if plan.is_empty() {
             "ulimit -n 256 && exec \"$0\""
@@ -300,12 +304,12 @@
         let mut lines = log.lines().map(Result::unwrap);
         let address = lines.find_map(|l| Some(l.split_once("listen=")?.1.split(' ').next()?.to_owned()));
         let (logged, log) = channel();
-        // Read whether anybody looks at it or not.
+        // The log is always read, so that its pipe never fills.
         std::thread::spawn(move || lines.for_each(|line| drop(logged.send(line))));
         Self { process, address: address.unwrap().parse().unwrap(), log, path }
     }
 
-    /// What it reads when it is told to read its configuration again.
+    /// Replaces the configuration file that the node reads at the next SIGHUP.
     pub fn replace_configuration(&self, text: &str) {
         std::fs::write(&self.path, text).unwrap();
     }
@@ -315,8 +319,8 @@
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    /// While it is held still, whatever happens has all happened when it goes on.
-    pub fn held(&self, meanwhile: impl FnOnce()) {
+    /// Runs `meanwhile` while the process is stopped by SIGSTOP: the process sees all of its effects at once when it continues.
+    pub fn while_paused(&self, meanwhile: impl FnOnce()) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.process.id());
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
@@ -328,23 +332,23 @@
 
     pub fn client(&self) -> BufReader<TcpStream> {
         let socket = TcpStream::connect(self.address).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         socket.set_nodelay(true).unwrap();
         BufReader::new(socket)
     }
 
-    /// The node has seen all that was there before: it has read and answered what came after it, twice.
-    pub fn fence(&self) {
+    /// Waits until the node has processed everything that it had received: it has answered two later requests.
+    pub fn barrier(&self) {
         let mut client = self.client();
         for _ in 0..2 {
-            assert!(ask(&mut client, "GET /healthz HTTP/1.1\r\n\r\n").is_some());
+            assert!(exchange(&mut client, "GET /healthz HTTP/1.1\r\n\r\n").is_some());
         }
     }
 
-    /// Its exit code, and how long it took; none if it is still there after `most`.
-    pub fn exit_within(&mut self, most: Duration) -> Option<(Option<i32>, Duration)> {
+    /// Returns the exit code and the time until the exit, or `None` if the process still runs after `limit`.
+    pub fn exit_within(&mut self, limit: Duration) -> Option<(Option<i32>, Duration)> {
         let start = Instant::now();
-        while start.elapsed() < most {
+        while start.elapsed() < limit {
             if let Some(status) = self.process.try_wait().unwrap() {
                 return Some((status.code(), start.elapsed()));
             }
@@ -354,11 +358,11 @@
     }
 }
 
-pub fn job(id: u32, kind: &str, patience: u32) -> String {
+pub fn job(id: u32, kind: &str, timeout_ms: u32) -> String {
     let stamp = if kind == "top-up" { format!("Idempotency-Key: k{id}\r\n") } else { String::new() };
     format!(
         "POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {kind}\r\nReq-Owner: first\r\n{stamp}\
-         Req-Deadline-Ms: {patience}\r\nContent-Length: 4\r\n\r\nbody"
+         Req-Deadline-Ms: {timeout_ms}\r\nContent-Length: 4\r\n\r\nbody"
     )
 }
 
@@ -366,12 +370,12 @@
     socket.get_mut().write_all(text.as_bytes()).unwrap();
 }
 
-pub fn ask(socket: &mut BufReader<TcpStream>, text: &str) -> Option<(String, String)> {
+pub fn exchange(socket: &mut BufReader<TcpStream>, text: &str) -> Option<(String, String)> {
     send(socket, text);
-    message(socket)
+    read_message(socket)
 }
 
-/// The status of an answer.
+/// Returns the status code of a response, or 0 if there was none.
 pub fn status(answer: Option<(String, String)>) -> u16 {
     answer.map_or(0, |(head, _)| head[9..12].parse().unwrap())
 }
--- a/crates/node/tests/ends/fleet_size.rs
+++ b/crates/node/tests/ends/large_fleet.rs
@@ -5,42 +5,46 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use crate::stand::{LONG, Node, Place, ask, configuration, done, entry, job, message, send, status, willing};
+use crate::harness::{
+    FakeServer, Node, WAIT_LIMIT, answer_all, configuration, done_response, entry, exchange, job,
+    read_message, send, status,
+};
 
 const PROCESSES: &str = "\"balancers\": 350";
 const EXECUTORS: usize = 1_100;
-/// Listeners that the executors share.
+/// Number of listeners that the executors share.
 const LISTENERS: usize = 4;
-/// What the process may take of the machine's memory, by its list and its jobs.
-const MOST_KB: u64 = 128 * 1024;
+/// Limit of the process's resident memory, with its list and its jobs.
+const MEMORY_LIMIT_KB: u64 = 128 * 1024;
 const CLIENTS: u32 = 16;
-const JOBS_EACH: u32 = 50;
-/// Counts are logged every 10 s.
-const COUNTED: Duration = Duration::from_secs(60);
-/// Some times between two heartbeats that are due.
+const JOBS_PER_CLIENT: u32 = 50;
+/// Limit of the wait for a log line; counts are logged every 10 s.
+const COUNTS_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval of the heartbeats; several of them fall within the interval that is required.
 const HEARTBEAT: Duration = Duration::from_millis(200);
 
-/// Discovery that tells each call what stands here, indented, anew when it changes, and sends heartbeats meanwhile.
-fn discovery(place: Place, list: Arc<Mutex<String>>) -> SocketAddr {
-    let address = place.address;
+/// Starts a discovery that sends the text in `list` to each watch, again whenever it changes, with heartbeats between.
+fn discovery(server: FakeServer, list: Arc<Mutex<String>>) -> SocketAddr {
+    let address = server.address;
     std::thread::spawn(move || {
         loop {
-            let Some(mut call) = place.taken() else {
+            let Some(mut connection) = server.try_accept() else {
                 std::thread::sleep(HEARTBEAT);
                 continue;
             };
-            let _ = call.asked();
+            let _ = connection.read_head();
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            let (mut said, mut told) = (call.0.get_mut().write_all(head.as_bytes()), String::new());
-            while said.is_ok() {
+            let (mut result, mut previous) =
+                (connection.0.get_mut().write_all(head.as_bytes()), String::new());
+            while result.is_ok() {
                 let now = list.lock().unwrap().clone();
-                let text = if now == told { "\n" } else { &now };
-                // A chunk ends where it likes.
-                said = text.as_bytes().chunks(1_000).try_for_each(|part| {
+                let text = if now == previous { "\n" } else { &now };
+                // Chunk boundaries are independent of lines and lists.
+                result = text.as_bytes().chunks(1_000).try_for_each(|part| {
                     let head = format!("{:x}\r\n", part.len());
-                    call.0.get_mut().write_all(&[head.as_bytes(), part, b"\r\n"].concat())
+                    connection.0.get_mut().write_all(&[head.as_bytes(), part, b"\r\n"].concat())
                 });
-                told = now;
+                previous = now;
                 std::thread::sleep(HEARTBEAT);
             }
         }
@@ -59,21 +63,21 @@
     format!("executor-{number:0>60}")
 }
 
-/// What the system says of the process's memory, in KiB.
+/// Returns a memory figure from the process's /proc/PID/status, in KiB.
 fn memory_kb(node: &Node, what: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{}/status", node.process.id())).unwrap();
     let line = text.lines().find_map(|l| l.strip_prefix(what)?.strip_prefix(':')).unwrap();
     line.trim().strip_suffix(" kB").unwrap().parse().unwrap()
 }
 
-/// Hands in jobs over several connections, each after the answer to the one before, and counts those that were done.
+/// Sends jobs over several connections, each after the answer to the previous one, and counts those that were done.
 fn load(node: &Node) -> u32 {
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
             let mut client = node.client();
             std::thread::spawn(move || {
-                let ids = number * JOBS_EACH..(number + 1) * JOBS_EACH;
-                ids.filter(|id| status(ask(&mut client, &job(*id, "look", 1_500))) == 200).count()
+                let ids = number * JOBS_PER_CLIENT..(number + 1) * JOBS_PER_CLIENT;
+                ids.filter(|id| status(exchange(&mut client, &job(*id, "look", 1_500))) == 200).count()
             })
         })
         .collect();
@@ -82,8 +86,8 @@
 
 #[test]
 fn a_process_of_350_serves_with_1_100_executors_within_128_mb() {
-    let shared: Vec<_> = (0..LISTENERS).map(|_| willing(Place::open(), "r")).collect();
-    let last = Place::open();
+    let shared: Vec<_> = (0..LISTENERS).map(|_| answer_all(FakeServer::open(), "r")).collect();
+    let last = FakeServer::open();
     let others = |status: &'static str| {
         let entry = move |(number, address): (usize, &SocketAddr)| {
             entry(&name(number), *address).replace("\"active\"", status)
@@ -92,36 +96,39 @@
     };
     let own = std::iter::once(entry(&name(EXECUTORS - 1), last.address));
     let text = indented(5, true, others("\"active\"").chain(own));
-    println!("a list of {} bytes", text.len());
+    println!("list of {} bytes", text.len());
     let list = Arc::new(Mutex::new(text));
     let changes = [("\"balancers\": 2", PROCESSES), ("\"quotaPerS\": 50.0", "\"quotaPerS\": 1000000.0")];
-    let address = discovery(Place::open(), Arc::clone(&list));
+    let address = discovery(FakeServer::open(), Arc::clone(&list));
     let node = Node::start_with(&configuration(&[], address, &changes));
     let start = Instant::now();
-    while status(ask(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {
-        assert!(start.elapsed() < LONG, "not ready");
+    while status(exchange(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {
+        assert!(start.elapsed() < WAIT_LIMIT, "not ready");
     }
-    // The last one does not answer by itself.
+    // The last executor does not answer on its own.
     let done_jobs = load(&node);
-    // All drain but that one: it gets what comes from then on.
+    // All but the last executor drain: it gets all requests from then on.
     *list.lock().unwrap() = indented(6, false, others("\"leaving\""));
-    let heard = |line: &String| line.contains("index=6");
-    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(COUNTED).ok());
-    lines.find(heard).expect("the change was not heard");
-    while let Some(call) = last.taken() {
-        call.reset();
+    let applied = |line: &String| line.contains("index=6");
+    let mut lines = std::iter::from_fn(|| node.log.recv_timeout(COUNTS_TIMEOUT).ok());
+    lines.find(applied).expect("the change was not logged");
+    while let Some(connection) = last.try_accept() {
+        connection.reset();
     }
     let mut client = node.client();
     send(&mut client, &job(1_000_000, "look", 5_000));
-    let mut executor = last.take();
-    assert_eq!(executor.id(), Some(1_000_000));
-    executor.say(&done(1_000_000, "r"));
-    assert_eq!(status(message(&mut client)), 200);
-    let counts = lines.find(|line| line.contains("workers=")).expect("nothing was counted");
+    let mut executor = last.accept();
+    assert_eq!(executor.read_request_id(), Some(1_000_000));
+    executor.send(&done_response(1_000_000, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
+    let counts = lines.find(|line| line.contains("workers=")).expect("no counts were logged");
     println!("{counts}");
     let (now, most) = (memory_kb(&node, "VmRSS"), memory_kb(&node, "VmHWM"));
-    println!("{done_jobs} of {} jobs done, {now} KiB resident, {most} KiB at the most", CLIENTS * JOBS_EACH);
+    println!(
+        "{done_jobs} of {} jobs done, {now} KiB resident, {most} KiB at the peak",
+        CLIENTS * JOBS_PER_CLIENT
+    );
     assert!(counts.contains(&format!("workers={EXECUTORS} ")), "{counts}");
-    assert!(now <= most && most < MOST_KB, "{now} {most}");
-    assert!(done_jobs >= CLIENTS * JOBS_EACH * 9 / 10, "{done_jobs}");
+    assert!(now <= most && most < MEMORY_LIMIT_KB, "{now} {most}");
+    assert!(done_jobs >= CLIENTS * JOBS_PER_CLIENT * 9 / 10, "{done_jobs}");
 }
--- a/crates/node/tests/ends/main.rs
+++ b/crates/node/tests/ends/main.rs
@@ -1,17 +1,18 @@
-//! Paths that end something, on real sockets: for each the instant in which something is still owed is forced.
+//! Tests on real sockets of the paths that end something (a connection, a watch, a drain, a process). Each test forces the
+//! moment at which an answer or a message is still outstanding.
 
 #[path = "../common/mod.rs"]
 mod common;
 
-mod closes;
-mod cold;
+mod client_disconnects;
+mod cold_executor;
+mod connection_close;
+mod connections;
 mod descriptors;
 mod discovery;
-mod fleet_size;
-mod gone;
-mod held;
-mod links;
+mod harness;
+mod large_fleet;
 mod machine;
-mod stand;
-mod starts;
+mod paused_process;
+mod startup;
 mod termination;
--- /dev/null
+++ b/crates/node/tests/ends/paused_process.rs
@@ -0,0 +1,147 @@
+//! A process that is paused while its inputs change: decisions made before the pause, or first thing after it, must respect
+//! the state at the time of sending.
+
+use std::time::{Duration, Instant};
+
+use crate::harness::{
+    FakeServer, Node, WATCH_HEAD, chunked, configuration, done_response, entry, exchange, job, list_chunk,
+    read_message, send, status,
+};
+
+/// Longer than the grace period of a drain and than the delay within which a client's disconnect must be noticed.
+const PAUSE: Duration = Duration::from_secs(1);
+
+/// Returns the deadline in a request's head, in milliseconds.
+fn deadline(head: &str) -> u64 {
+    head.lines().find_map(|l| l.strip_prefix("Req-Deadline-Ms: ")?.parse().ok()).unwrap()
+}
+
+// The request arrived before the list with the drain, and the process found both when it continued. It dispatched the
+// request by the old list, and the first byte went out after the new list had been read.
+#[test]
+fn a_drain_announced_while_the_process_is_paused_is_respected() {
+    let (discovery, executor) = (FakeServer::open(), FakeServer::open());
+    let node = Node::start_with(&configuration(&[executor.address], discovery.address, &[]));
+    let mut watch = discovery.accept();
+    watch.read_head().unwrap();
+    watch.send(&format!("{WATCH_HEAD}{}", list_chunk(5, true, &[entry("w0", executor.address)])));
+    node.wait_until_ready();
+    let mut client = node.client();
+    send(&mut client, &job(1, "look", 1_500));
+    let mut connection = executor.accept();
+    assert_eq!(connection.read_request_id(), Some(1));
+    connection.send(&done_response(1, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
+    node.barrier();
+    node.while_paused(|| {
+        send(&mut client, &job(2, "look", 5_000));
+        std::thread::sleep(Duration::from_millis(50));
+        let leaving = entry("w0", executor.address).replace("active", "leaving");
+        watch.send(&list_chunk(6, false, &[leaving]));
+        std::thread::sleep(PAUSE);
+    });
+    assert_eq!(status(read_message(&mut client)), 503);
+    assert!(!connection.has_data() && !executor.has_pending_connection(), "sent to a draining executor");
+}
+
+// While the process is paused, an execution is returned unstarted and then its client disconnects: no further execution may
+// begin.
+#[test]
+fn a_client_that_disconnects_while_the_process_is_paused_gets_no_further_execution() {
+    let servers = [FakeServer::open(), FakeServer::open()];
+    let addresses = [servers[0].address, servers[1].address];
+    let node = Node::start(&addresses, &[]);
+    let mut connections = Vec::new();
+    let mut client = node.client();
+    // Both executors need an idle connection from the node.
+    let mut id = 0;
+    while connections.len() < 2 {
+        id += 1;
+        let mut clients = [node.client(), node.client()];
+        send(&mut clients[0], &job(id, "look", 5_000));
+        id += 1;
+        send(&mut clients[1], &job(id, "look", 5_000));
+        let mut round: Vec<_> = (0..2)
+            .map(|_| {
+                loop {
+                    if let Some(connection) = servers.iter().find_map(FakeServer::try_accept) {
+                        break connection;
+                    }
+                    std::thread::yield_now();
+                }
+            })
+            .collect();
+        for connection in &mut round {
+            let id = connection.read_request_id().unwrap();
+            connection.send(&done_response(id, "r"));
+        }
+        for client in &mut clients {
+            assert_eq!(status(read_message(client)), 200);
+        }
+        connections = round;
+    }
+    send(&mut client, &job(900, "look", 10_000));
+    let busy = loop {
+        if let Some(busy) = connections.iter().position(|connection| connection.has_data()) {
+            break busy;
+        }
+        std::thread::yield_now();
+    };
+    assert_eq!(connections[busy].read_request_id(), Some(900));
+    node.while_paused(|| {
+        connections[busy].send(&chunked("{\"id\":\"900\",\"state\":\"returned\"}\n"));
+        std::thread::sleep(Duration::from_millis(50));
+        drop(client);
+        std::thread::sleep(PAUSE);
+    });
+    (0..5).for_each(|_| node.barrier());
+    assert!(
+        !connections[1 - busy].has_data() && servers.iter().all(|server| !server.has_pending_connection()),
+        "sent on for a client that is gone"
+    );
+}
+
+// The deadline of a pipelined request was taken relative to the start of its execution instead of its arrival, so the
+// executor was told more time than the client had left.
+#[test]
+fn a_pipelined_request_is_forwarded_with_the_remaining_time() {
+    const TIMEOUT_MS: u64 = 2_000;
+    let executor = FakeServer::open();
+    let node = Node::start(&[executor.address], &[]);
+    let mut client = node.client();
+    let sent = Instant::now();
+    send(&mut client, &(job(1, "look", TIMEOUT_MS as u32) + &job(2, "look", TIMEOUT_MS as u32)));
+    let mut connection = executor.accept();
+    assert!(connection.read_head().unwrap().contains("Req-Id: 1\r\n"));
+    std::thread::sleep(PAUSE);
+    connection.send(&done_response(1, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
+    let head = connection.read_head().unwrap();
+    assert!(head.contains("Req-Id: 2\r\n"));
+    let left = TIMEOUT_MS.saturating_sub(sent.elapsed().as_millis() as u64);
+    assert!(deadline(&head) <= left + 150, "{} ms forwarded, {left} left", deadline(&head));
+    connection.send(&done_response(2, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
+}
+
+// A pipelined request whose deadline has passed when its turn comes is refused at once and never sent.
+#[test]
+fn a_pipelined_request_past_its_deadline_is_refused() {
+    let executor = FakeServer::open();
+    let node = Node::start(&[executor.address], &[]);
+    let mut client = node.client();
+    send(&mut client, &(job(1, "look", 3_000) + &job(2, "look", 500)));
+    let mut connection = executor.accept();
+    assert!(connection.read_head().unwrap().contains("Req-Id: 1\r\n"));
+    std::thread::sleep(PAUSE);
+    connection.send(&done_response(1, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
+    assert_eq!(status(read_message(&mut client)), 503);
+    assert!(!connection.has_data());
+    // The connection stays usable.
+    send(&mut client, &job(3, "look", 1_500));
+    assert!(connection.read_head().unwrap().contains("Req-Id: 3\r\n"));
+    connection.send(&done_response(3, "r"));
+    assert_eq!(status(read_message(&mut client)), 200);
+    assert_eq!(status(exchange(&mut client, "GET /healthz HTTP/1.1\r\n\r\n")), 200);
+}
