--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! The settings that the tests share.
+//! Settings shared by the tests.
 
-/// Three products, two tenants, a list that must be asked for.
+/// Settings with three products and two tenants, in a fleet whose nodes request the list from discovery.
 pub const SETTINGS: &str = r#"{
  "az": 0, "balancers": 2, "discovery": "on_request", "excessPayoff": 0.2,
  "familyInfo": {"classStretch": [1, 1, 1], "progressMs": 1000.0, "reportX0": "free slots"},
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! The program itself, between stand-ins for clients, executors and discovery.
+//! Tests of the program between fake clients, executors and a fake discovery.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 use rstest::rstest;
 
-/// Reads a head and the body of the length that it names.
-fn message(socket: &mut BufReader<TcpStream>) -> Option<(String, String)> {
+/// Reads a head and a body of the length given by its Content-Length. Returns `None` at the end of the stream.
+fn read_message(socket: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if socket.read_line(&mut head).ok()? == 0 {
@@ -32,8 +32,8 @@
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{lines}\r\n0\r\n\r\n")
 }
 
-/// An executor that answers each job with `reply`, in which ID stands for the job's id. With no reply it
-/// stays silent. The jobs that it was sent come out of the receiver.
+/// Starts an executor that answers each job with `reply`, in which ID stands for the job's id, or never if there is no reply. The
+/// jobs that it receives come out of the receiver.
 fn executor(reply: Option<String>) -> (SocketAddr, Receiver<(String, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -43,7 +43,7 @@
             let (jobs, reply) = (jobs.clone(), reply.clone());
             std::thread::spawn(move || {
                 let mut socket = BufReader::new(socket.unwrap());
-                while let Some((head, body)) = message(&mut socket) {
+                while let Some((head, body)) = read_message(&mut socket) {
                     let answer = if head.starts_with("GET") {
                         Some("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"x0\":4,\"queue\":0,\"inflight\":0.25}".into())
                     } else {
@@ -80,9 +80,9 @@
     fn configuration(executors: &[SocketAddr], discovery: Option<SocketAddr>) -> String {
         let known = executors.iter().enumerate().map(|(i, address)| entry(&format!("w{i}"), *address));
         let known: Vec<_> = known.collect();
-        // One that says that the list of the configuration still holds.
-        let confirming = || self::discovery(UNCHANGED.to_owned()).0;
-        let discovery = discovery.unwrap_or_else(confirming);
+        // A discovery that confirms that the configured list is current.
+        let confirming_discovery = || self::discovery(UNCHANGED.to_owned()).0;
+        let discovery = discovery.unwrap_or_else(confirming_discovery);
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1","settings":{},
             "known":{{"index":1,"snapshot":true,"endpoints":[{}]}}}}"#,
@@ -99,7 +99,7 @@
         path
     }
 
-    /// A node that knows these executors, as discovery confirms.
+    /// Starts a node whose configured list of these executors is confirmed by discovery, and waits until it is ready.
     fn start(executors: &[SocketAddr]) -> Self {
         let node = Self::start_with(&Self::configuration(executors, None));
         node.wait_until_ready();
@@ -109,7 +109,7 @@
     fn wait_until_ready(&self) {
         let start = Instant::now();
         let health = "GET /healthz HTTP/1.1\r\n\r\n";
-        while !ask(&mut self.client(), health).unwrap().0.starts_with("HTTP/1.1 200") {
+        while !exchange(&mut self.client(), health).unwrap().0.starts_with("HTTP/1.1 200") {
             assert!(start.elapsed() < Duration::from_secs(20), "not ready");
         }
     }
@@ -133,7 +133,7 @@
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    /// Puts another configuration in the file's place and tells the node.
+    /// Replaces the configuration file and signals the node to read it again.
     fn reload(&self, text: &str) {
         let new = Self::file(text);
         std::fs::rename(new, &self.path).unwrap();
@@ -154,9 +154,9 @@
     )
 }
 
-fn ask(socket: &mut BufReader<TcpStream>, text: &str) -> Option<(String, String)> {
+fn exchange(socket: &mut BufReader<TcpStream>, text: &str) -> Option<(String, String)> {
     socket.get_mut().write_all(text.as_bytes()).unwrap();
-    message(socket)
+    read_message(socket)
 }
 
 const DONE: &str = "{\"id\":\"ID\",\"from\":\"w0\",\"state\":\"running\",\"share\":0.5}\n\
@@ -166,12 +166,12 @@
 const LISTED: &str = "{\"index\":41,\"snapshot\":true,\"endpoints\":[NEW]}\n";
 
 #[test]
-fn a_job_goes_through_unchanged_and_its_result_comes_back() {
+fn a_job_is_forwarded_unchanged_and_its_result_is_returned() {
     let (address, jobs) = executor(Some(DONE.into()));
     let node = Node::start(&[address]);
     let mut client = node.client();
-    assert!(ask(&mut client, "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0.starts_with("HTTP/1.1 200"));
-    let (head, body) = ask(&mut client, &job(1, "top-up", "Idempotency-Key: k1\r\n")).unwrap();
+    assert!(exchange(&mut client, "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0.starts_with("HTTP/1.1 200"));
+    let (head, body) = exchange(&mut client, &job(1, "top-up", "Idempotency-Key: k1\r\n")).unwrap();
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     assert_eq!(body, "r A 1");
     let (head, body) = jobs.recv().unwrap();
@@ -180,13 +180,13 @@
         "{head}"
     );
     assert_eq!(body, "body");
-    // Two at once on one connection are answered in turn.
+    // Two pipelined requests are answered in order.
     let two = job(2, "look", "") + &job(3, "look", "");
-    assert_eq!(ask(&mut client, &two).unwrap().1, "r A 2");
-    assert_eq!(message(&mut client).unwrap().1, "r A 3");
+    assert_eq!(exchange(&mut client, &two).unwrap().1, "r A 2");
+    assert_eq!(read_message(&mut client).unwrap().1, "r A 3");
     let chunks = job(4, "look", "Transfer-Encoding: chunked\r\n").replace("Content-Length: 4\r\n", "");
     let chunks = chunks.replace("\r\n\r\nbody", "\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n");
-    assert_eq!(ask(&mut client, &chunks).unwrap().1, "r A 4");
+    assert_eq!(exchange(&mut client, &chunks).unwrap().1, "r A 4");
     assert!(jobs.iter().take(3).all(|(_, body)| body == "body"));
 }
 
@@ -198,35 +198,35 @@
 #[case::no_id(job(1, "look", "").replace("Req-Id: 1\r\n", ""), "400")]
 #[case::no_deadline(job(1, "look", "").replace("Req-Deadline-Ms: 1500\r\n", ""), "400")]
 #[case::bad_deadline(job(1, "look", "").replace("1500", "soon"), "400")]
-#[case::no_mark(job(1, "top-up", ""), "400")]
+#[case::no_idempotency_key(job(1, "top-up", ""), "400")]
 #[case::two_lengths(job(1, "look", "Content-Length: 4\r\n"), "400")]
 #[case::oversized(job(1, "look", "").replace("Content-Length: 4", "Content-Length: 70000"), "413")]
 #[case::other_method(job(1, "look", "").replace("POST", "PUT"), "405")]
 #[case::signed_deadline(job(1, "look", "").replace("1500", "+1500"), "400")]
 #[case::negative_length(job(1, "look", "").replace("Content-Length: 4", "Content-Length: -4"), "400")]
-#[case::hidden(job(1, "look", "Transfer-Encoding: chunked\r\n"), "400")]
+#[case::length_and_chunked(job(1, "look", "Transfer-Encoding: chunked\r\n"), "400")]
 #[case::no_path(job(1, "look", "").replace("/api", "api"), "400")]
-#[case::not_plain(job(1, "look", "").replace("Req-Id: 1", "Req-Id: \u{e9}"), "400")]
-// What the head shows is not answered only when a body has come that may never come.
+#[case::not_ascii(job(1, "look", "").replace("Req-Id: 1", "Req-Id: \u{e9}"), "400")]
+// An error in the head is answered at once, without waiting for a body that may never arrive.
 #[case::before_its_body(job(1, "sing", "").replace("body", ""), "400")]
-#[case::mark_before_its_body(job(1, "top-up", "").replace("body", ""), "400")]
+#[case::no_idempotency_key_before_its_body(job(1, "top-up", "").replace("body", ""), "400")]
 #[case::chunks_without_end(
     job(1, "look", "Transfer-Encoding: chunked\r\n").replace("Content-Length: 4\r\n", "")
         .replace("body", &format!("20000\r\n{}", "x".repeat(0x1_8000))),
     "413"
 )]
-fn what_is_not_clear_is_turned_down_and_executed_nowhere(#[case] text: String, #[case] status: &str) {
+fn an_invalid_request_is_rejected_and_not_executed(#[case] text: String, #[case] status: &str) {
     let (address, jobs) = executor(Some(DONE.into()));
     let node = Node::start(&[address]);
     let mut client = node.client();
-    let (head, _) = ask(&mut client, &text).unwrap();
+    let (head, _) = exchange(&mut client, &text).unwrap();
     assert!(head.starts_with(&format!("HTTP/1.1 {status}")) && head.contains("Connection: close"), "{head}");
     assert_eq!(client.read(&mut [0; 1]).unwrap(), 0);
-    assert!(ask(&mut node.client(), &job(9, "look", "")).is_some());
+    assert!(exchange(&mut node.client(), &job(9, "look", "")).is_some());
     assert!(jobs.recv().unwrap().0.contains("Req-Id: 9"));
 }
 
-// What an executor says after the last byte, and is not understood, leaves it open whether the job ran.
+// If the executor's response to a complete request is not understood, it is unknown whether the job ran.
 #[rstest]
 #[case::silent(None)]
 #[case::wrong_id(Some("{\"id\":\"other\",\"state\":\"done\",\"result\":\"r\"}\n"))]
@@ -236,43 +236,44 @@
 #[case::no_last_line(Some("{\"id\":\"ID\",\"state\":\"started\"}\n"))]
 #[case::lost(Some("{\"id\":\"ID\",\"state\":\"lost\"}\n"))]
 #[case::failed(Some("{\"id\":\"ID\",\"state\":\"failed\"}\n"))]
-fn a_one_shot_that_may_have_run_is_aborted_before_its_cut_off(#[case] reply: Option<&str>) {
+fn a_one_shot_that_may_have_run_is_aborted_before_its_deadline(#[case] reply: Option<&str>) {
     let (one, jobs) = executor(reply.map(str::to_owned));
     let node = Node::start(&[one]);
     let start = Instant::now();
-    let (head, _) = ask(&mut node.client(), &job(1, "pay", "")).unwrap();
+    let (head, _) = exchange(&mut node.client(), &job(1, "pay", "")).unwrap();
     assert!(start.elapsed() < Duration::from_millis(1_550));
     assert!(head.starts_with("HTTP/1.1 502"), "{head}");
     assert_eq!(jobs.try_iter().count(), 1);
 }
 
-// Executors answer 4xx to what they can't use. Set aside for it, they would be out of reach for the others.
+// Executors answer 4xx to requests that they cannot process. If they were ejected for it, they would be out of service for all
+// other requests.
 #[test]
-fn what_an_executor_cannot_use_ends_there_and_leaves_it_in_use() {
+fn a_4xx_answer_aborts_the_request_and_does_not_eject_the_executor() {
     let (address, jobs) = executor(Some("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".into()));
     let node = Node::start(&[address]);
     for id in 1..4 {
-        let (head, _) = ask(&mut node.client(), &job(id, "pay", "")).unwrap();
+        let (head, _) = exchange(&mut node.client(), &job(id, "pay", "")).unwrap();
         assert!(head.starts_with("HTTP/1.1 502"), "{head}");
     }
     assert_eq!(jobs.try_iter().count(), 3);
 }
 
-// Connections that say nothing had all the places, and who came after them waited for as long as they did.
+// Connections that send nothing held all places, and later clients waited until those connections timed out.
 #[test]
-fn a_flood_of_silent_connections_keeps_nobody_waiting() {
+fn a_flood_of_silent_connections_delays_no_client() {
     let (address, _jobs) = executor(Some(DONE.into()));
     let limits = "\"limits\":{\"sockets\":256,\"memory_mb\":32},\"seed\"";
     let node = Node::start_with(&Node::configuration(&[address], None).replace("\"seed\"", limits));
     node.wait_until_ready();
     let mut usual = node.client();
-    assert!(ask(&mut usual, &job(1, "look", "")).is_some());
+    assert!(exchange(&mut usual, &job(1, "look", "")).is_some());
     let mut silent: Vec<_> = (0..400).map(|_| node.client()).collect();
     let start = Instant::now();
     for id in 2..40 {
         let mut new = node.client();
-        assert!(ask(&mut new, &job(2 * id, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
-        assert!(ask(&mut usual, &job(2 * id + 1, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
+        assert!(exchange(&mut new, &job(2 * id, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
+        assert!(exchange(&mut usual, &job(2 * id + 1, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
     }
     assert!(start.elapsed() < Duration::from_secs(2));
     // They are closed within 3 s of connecting.
@@ -280,9 +281,9 @@
     assert!(start.elapsed() < Duration::from_secs(3));
 }
 
-// Each alone is within its bounds; all together they would fill the memory, and the node would be killed.
+// Each body alone is within its limit; all together they would use up the memory, and the node would be killed.
 #[test]
-fn bodies_that_never_end_do_not_fill_the_memory() {
+fn incomplete_bodies_do_not_use_up_the_memory() {
     let (address, _jobs) = executor(Some(DONE.into()));
     let limits = "\"limits\":{\"sockets\":1024,\"memory_mb\":32},\"seed\"";
     let node = Node::start_with(&Node::configuration(&[address], None).replace("\"seed\"", limits));
@@ -295,78 +296,79 @@
     }
     let start = Instant::now();
     for id in 2..20 {
-        assert!(ask(&mut node.client(), &job(id, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
+        assert!(exchange(&mut node.client(), &job(id, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
     }
     assert!(start.elapsed() < Duration::from_secs(2));
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.process.id())).unwrap();
-    let most = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
-    let most: u64 = most.trim().trim_end_matches(" kB").parse().unwrap();
-    let of_files = status.lines().find_map(|l| l.strip_prefix("RssFile:")).unwrap();
-    let of_files: u64 = of_files.trim().trim_end_matches(" kB").parse().unwrap();
-    // The program itself, in a debug build, is none of what clients fill.
-    assert!(most - of_files < 14 << 10, "{most} kB, of files {of_files} kB");
-    let told = bad.iter_mut().filter_map(message).filter(|(head, _)| head.starts_with("HTTP/1.1 503"));
-    assert!(told.count() > 0);
+    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+    let peak: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
+    let file_pages = status.lines().find_map(|l| l.strip_prefix("RssFile:")).unwrap();
+    let file_pages: u64 = file_pages.trim().trim_end_matches(" kB").parse().unwrap();
+    // The pages of the program file, large in a debug build, do not come from clients.
+    assert!(peak - file_pages < 14 << 10, "{peak} kB, of files {file_pages} kB");
+    let rejected =
+        bad.iter_mut().filter_map(read_message).filter(|(head, _)| head.starts_with("HTTP/1.1 503"));
+    assert!(rejected.count() > 0);
 }
 
-// Read as a tree, it would overflow the coroutine's stack.
+// Parsed recursively, the report would overflow the coroutine's stack.
 #[test]
 fn a_deeply_nested_report_does_no_harm() {
-    let (open, shut) = ("{\"a\":[".repeat(60), "]}".repeat(60));
-    let load = format!("{{\"x0\":{open}{shut}}}");
+    let (open, close) = ("{\"a\":[".repeat(60), "]}".repeat(60));
+    let load = format!("{{\"x0\":{open}{close}}}");
     let line = format!("{{\"id\":\"ID\",\"state\":\"done\",\"result\":\"r\",\"load\":{load}}}\n");
     let (address, _jobs) = executor(Some(line));
-    let (head, body) = ask(&mut Node::start(&[address]).client(), &job(1, "pay", "")).unwrap();
+    let (head, body) = exchange(&mut Node::start(&[address]).client(), &job(1, "pay", "")).unwrap();
     assert!(head.starts_with("HTTP/1.1 200") && body == "r", "{head}");
 }
 
 #[test]
-fn clients_that_never_stop_sending_keep_nobody_waiting() {
+fn clients_that_never_stop_sending_delay_no_other_client() {
     let (address, _jobs) = executor(Some(DONE.into()));
     let node = Node::start(&[address]);
     for _ in 0..4 {
         let mut flood = node.client();
-        ask(&mut flood, "nonsense\r\n\r\n").unwrap();
-        // Ends when the node has had enough of it.
+        exchange(&mut flood, "nonsense\r\n\r\n").unwrap();
+        // Ends when the node closes the connection.
         std::thread::spawn(move || while flood.get_mut().write_all(&[b'x'; 1 << 16]).is_ok() {});
     }
     let start = Instant::now();
     for id in 0..100 {
-        let (head, _) = ask(&mut node.client(), &job(id, "look", "")).unwrap();
+        let (head, _) = exchange(&mut node.client(), &job(id, "look", "")).unwrap();
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     }
-    // It was 3.5 s and more while a flood was read to its end, and is 0.05 s now.
+    // It took 3.5 s and more while floods were read to their end, and takes 0.05 s now.
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
 #[test]
-fn a_job_handed_back_by_the_only_executor_is_dismissed() {
+fn a_job_returned_by_the_only_executor_is_dismissed() {
     let (address, _jobs) = executor(Some("{\"id\":\"ID\",\"state\":\"returned\"}\n".into()));
-    let (head, _) = ask(&mut Node::start(&[address]).client(), &job(1, "pay", "")).unwrap();
+    let (head, _) = exchange(&mut Node::start(&[address]).client(), &job(1, "pay", "")).unwrap();
     assert!(head.starts_with("HTTP/1.1 503") && head.contains("Retry-After: "), "{head}");
 }
 
 #[test]
-fn a_stopped_node_answers_what_it_took_and_exits_with_0() {
+fn a_stopped_node_answers_accepted_requests_and_exits_with_0() {
     let (address, jobs) = executor(None);
     let mut node = Node::start(&[address]);
     let mut client = node.client();
     client.get_mut().write_all(job(1, "pay", "").as_bytes()).unwrap();
     jobs.recv().unwrap();
-    // It may come twice, to the node and to its group; and a new configuration changes nothing any more.
+    // SIGTERM may arrive twice, sent to the node and to its process group; a reload has no effect any more.
     for signal in ["-TERM", "-TERM", "-HUP"] {
         node.signal(signal);
     }
     let mut other = node.client();
-    let health = |client: &mut _| ask(client, "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0;
+    let health = |client: &mut _| exchange(client, "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0;
     while !health(&mut other).starts_with("HTTP/1.1 503") {}
-    // What still comes is taken, on connections that were there and on new ones.
+    // Requests are still accepted, on open connections and on new ones.
     let mut late = node.client();
     for (id, client) in [&mut other, &mut late].into_iter().enumerate() {
         client.get_mut().write_all(job(2 + id as u32, "pay", "").as_bytes()).unwrap();
     }
     for client in [&mut client, &mut other, &mut late] {
-        let (head, _) = message(client).unwrap();
+        let (head, _) = read_message(client).unwrap();
         assert!(head.starts_with("HTTP/1.1 50"), "{head}");
     }
     assert_eq!(client.read(&mut [0; 1]).unwrap(), 0);
@@ -374,75 +376,79 @@
     assert_eq!(node.process.wait().unwrap().code(), Some(0));
 }
 
-/// A discovery that answers each watch with this line of a list and leaves it open. What it was asked comes
-/// out of the receiver, and `None` when the watch was dropped.
+/// Starts a discovery that answers each watch with this line and leaves it open. The heads of the requests come out of the
+/// receiver, and `None` when a watch was closed.
 fn discovery(line: String) -> (SocketAddr, Receiver<Option<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (asked, asks) = channel();
+    let (sender, requests) = channel();
     std::thread::spawn(move || {
         for socket in listener.incoming() {
-            let (asked, reply) = (asked.clone(), chunked(&line).replace("0\r\n\r\n", ""));
+            let (sender, reply) = (sender.clone(), chunked(&line).replace("0\r\n\r\n", ""));
             std::thread::spawn(move || {
                 let mut socket = BufReader::new(socket.unwrap());
-                let _ = asked.send(message(&mut socket).map(|(head, _)| head));
+                let _ = sender.send(read_message(&mut socket).map(|(head, _)| head));
                 socket.get_mut().write_all(reply.as_bytes()).unwrap();
                 let _ = socket.read(&mut [0]);
-                let _ = asked.send(None);
+                let _ = sender.send(None);
             });
         }
     });
-    (address, asks)
+    (address, requests)
 }
 
 fn entry(name: &str, address: SocketAddr) -> String {
     format!(r#"{{"name":"{name}","address":"{address}","zone":"here","type":"small","status":"active"}}"#)
 }
 
-// SIGHUP ended the node. The new list is whole: what it lacks has left, though its versions start afresh.
+// SIGHUP ended the node. The new discovery's first list counts as complete: executors that it lacks have left, although its
+// version numbers start again from 0.
 #[test]
-fn a_new_configuration_brings_a_new_discovery_and_ends_nothing() {
+fn a_new_configuration_changes_the_discovery_and_interrupts_nothing() {
     let (old, old_jobs) = executor(None);
     let (new, new_jobs) = executor(Some(DONE.into()));
-    let (first, first_asks) = discovery(LISTED.replace("NEW", &entry("w0", old)));
+    let (first, first_requests) = discovery(LISTED.replace("NEW", &entry("w0", old)));
     let listed = LISTED.replace("41", "0").replace("true", "false").replace("NEW", &entry("w1", new));
-    let (second, second_asks) = discovery(listed);
+    let (second, second_requests) = discovery(listed);
     let text = Node::configuration(&[old], Some(first));
     let node = Node::start_with(&text);
-    assert!(first_asks.recv().unwrap().unwrap().contains("after=1 "));
+    assert!(first_requests.recv().unwrap().unwrap().contains("after=1 "));
     node.wait_until_ready();
-    let mut held = node.client();
-    held.get_mut().write_all(job(1, "pay", "").as_bytes()).unwrap();
+    let mut waiting = node.client();
+    waiting.get_mut().write_all(job(1, "pay", "").as_bytes()).unwrap();
     old_jobs.recv().unwrap();
-    let terms = r#""excessPayoff": 0.1, "deductions": {"handshake": 0.08}"#;
+    let prices = r#""excessPayoff": 0.1, "deductions": {"handshake": 0.08}"#;
     let changed =
-        text.replace(&first.to_string(), &second.to_string()).replace(r#""excessPayoff": 0.2"#, terms);
-    assert!(changed.contains(terms));
-    // One at fault, in its last key, changes nothing; nor does one that wants a restart, or tells nothing new.
-    let (torn, faulty) = (changed.replace("\"w0\"", "7}"), changed.replace("\"pay\"", "7"));
-    let (out_of_range, others) = (changed.replace("0.08", "8"), changed.replace("\"look\"", "\"see\""));
-    for text in [&torn, &faulty, &out_of_range, &others, &text] {
+        text.replace(&first.to_string(), &second.to_string()).replace(r#""excessPayoff": 0.2"#, prices);
+    assert!(changed.contains(prices));
+    // A configuration with an error, even in its last key, changes nothing; nor does one that requires a restart, or an unchanged
+    // one.
+    let (not_json, invalid) = (changed.replace("\"w0\"", "7}"), changed.replace("\"pay\"", "7"));
+    let (out_of_range, other_products) =
+        (changed.replace("0.08", "8"), changed.replace("\"look\"", "\"see\""));
+    for text in [&not_json, &invalid, &out_of_range, &other_products, &text] {
         node.reload(text);
-        assert!(ask(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0.contains(" 200 "));
+        assert!(exchange(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0.contains(" 200 "));
     }
     node.reload(&changed);
-    assert!(second_asks.recv().unwrap().unwrap().starts_with("GET /v1/servers?watch=1 HTTP/1.1\r\n"));
-    assert_eq!(first_asks.recv().unwrap(), None);
-    let served = |id| ask(&mut node.client(), &job(id, "look", "")).unwrap().0.contains(" 200 ");
+    assert!(second_requests.recv().unwrap().unwrap().starts_with("GET /v1/servers?watch=1 HTTP/1.1\r\n"));
+    assert_eq!(first_requests.recv().unwrap(), None);
+    let served = |id| exchange(&mut node.client(), &job(id, "look", "")).unwrap().0.contains(" 200 ");
     let mut ids = 2..;
     while !served(ids.next().unwrap()) {}
-    // Whoever was busy before goes on, and hears no more than that.
-    assert!(message(&mut held).unwrap().0.starts_with("HTTP/1.1 502"));
+    // The request in flight at the old executor continues, and the old executor gets no new one.
+    assert!(read_message(&mut waiting).unwrap().0.starts_with("HTTP/1.1 502"));
     let before = old_jobs.try_iter().count();
     assert!((0..20).all(|_| served(ids.next().unwrap())));
     assert_eq!((old_jobs.try_iter().count(), new_jobs.try_iter().count() >= 21, before < 4), (0, true, true));
 }
 
-// A call that fails would be asked for again by the settings' time, after what it tells counts as told.
+// With the retry interval of the settings, a failed first request would be repeated only after the time at which the new
+// discovery's changes count as announced.
 #[test]
-fn a_new_discovery_that_does_not_answer_yet_is_asked_again_at_once() {
+fn a_new_discovery_that_does_not_answer_yet_is_retried_at_once() {
     let (address, _jobs) = executor(Some(DONE.into()));
-    let (first, _asks) = discovery(LISTED.replace("NEW", ""));
+    let (first, _requests) = discovery(LISTED.replace("NEW", ""));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let text = Node::configuration(&[address], Some(first));
     let node = Node::start_with(&text);
@@ -450,31 +456,31 @@
     node.reload(&text.replace(&first.to_string(), &listener.local_addr().unwrap().to_string()));
     for socket in listener.incoming().take(5) {
         let mut socket = BufReader::new(socket.unwrap());
-        assert!(message(&mut socket).unwrap().0.starts_with("GET /v1/servers?watch=1 HTTP"));
+        assert!(read_message(&mut socket).unwrap().0.starts_with("GET /v1/servers?watch=1 HTTP"));
         let _ = socket.get_mut().write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
     }
     assert!(start.elapsed() < Duration::from_secs(3));
 }
 
-// Whatever ends a watch, the next one asks for what came after the last list that was understood.
+// However a watch ends, the next one requests the changes since the last list that was understood.
 #[rstest]
 #[case::ends(chunked(&LISTED.replace("NEW", "")), "after=41")]
 #[case::breaks_in_a_line("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{\"index\":".into(), "after=1")]
-#[case::no_list(chunked("[41,true,[]]\n"), "after=1")]
+#[case::not_a_list(chunked("[41,true,[]]\n"), "after=1")]
 #[case::bad_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".into(), "after=1")]
 #[case::fails("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into(), "after=1")]
 #[case::garbage("\u{1}\u{2}\r\n\r\n".into(), "after=1")]
-fn a_watch_that_ends_is_asked_for_again(#[case] first: String, #[case] after: &str) {
+fn a_watch_that_ends_is_requested_again(#[case] first: String, #[case] after: &str) {
     let (address, _jobs) = executor(Some(DONE.into()));
     let second = chunked(&LISTED.replace("NEW", &entry("w0", address))).replace("0\r\n\r\n", "");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let text = Node::configuration(&[], Some(listener.local_addr().unwrap()));
-    let (asked, asks) = channel();
+    let (sender, requests) = channel();
     std::thread::spawn(move || {
         let mut open = Vec::new();
         for (socket, reply) in listener.incoming().zip([first, second]) {
             let mut socket = BufReader::new(socket.unwrap());
-            let _ = asked.send(message(&mut socket).unwrap().0);
+            let _ = sender.send(read_message(&mut socket).unwrap().0);
             socket.get_mut().write_all(reply.as_bytes()).unwrap();
             // The first is closed, the second stays open.
             open = vec![socket];
@@ -483,14 +489,14 @@
         drop(open);
     });
     let node = Node::start_with(&text);
-    assert!(asks.recv().unwrap().starts_with("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
-    assert!(asks.recv().unwrap().contains(&format!("{after} HTTP/1.1")));
+    assert!(requests.recv().unwrap().starts_with("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
+    assert!(requests.recv().unwrap().contains(&format!("{after} HTTP/1.1")));
     let mut client = node.client();
     let ready = |head: String| head.starts_with("HTTP/1.1 200");
-    while !ready(ask(&mut client, "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0) {
+    while !ready(exchange(&mut client, "GET /healthz HTTP/1.1\r\n\r\n").unwrap().0) {
         std::thread::yield_now();
     }
-    while !ready(ask(&mut client, &job(1, "look", "")).unwrap().0) {
+    while !ready(exchange(&mut client, &job(1, "look", "")).unwrap().0) {
         std::thread::yield_now();
     }
 }
@@ -508,7 +514,7 @@
 }
 
 #[test]
-fn a_configuration_at_fault_ends_the_start() {
+fn an_invalid_configuration_ends_the_start() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linestack"));
     let output = command.env_remove("PROXY_CONFIG").output().unwrap();
     assert_eq!(output.status.code(), Some(1));
