--- a/crates/accord/src/coordinator/mod.rs
+++ b/crates/accord/src/coordinator/mod.rs
@@ -1,16 +1,15 @@
 //! One coordinator: a replica of the register that votes in elections, and leads the others when it is elected.
 //!
-//! [`Coordinator`] holds the state and dispatches inputs. What an input causes is in the submodules, each of which is
-//! one part of the protocol:
+//! [`Coordinator`] holds the state and dispatches inputs. The submodules handle them, each for one part of the protocol:
 //!
 //! - `election`: Paxos phase 1, and how a leader steps down;
 //! - `replication`: Paxos phase 2, and heartbeats;
-//! - `apply`: what follows once a write is committed;
+//! - `apply`: the effects of a committed write;
 //! - `lease`: leases of members;
-//! - `membership`: members and coordinators that join and leave;
-//! - `change`: changes of the policy, from the proposal to the end;
+//! - `membership`: registration and removal of members, and replacement of coordinators;
+//! - `change`: changes of the policy, from the proposal to the outcome;
 //! - `operator`: requests of operators;
-//! - `role`: the state of each role, and `leadership` what a leader knows.
+//! - `role`: the state of each role; `leadership`: the state of a leader.
 
 mod apply;
 mod change;
@@ -25,32 +24,32 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use crate::config::{Broken, Terms};
-use crate::message::{Guest, Letter, Peer, Reply, Request};
-use crate::state::{Id, Nanos, Record, State};
-use crate::step::{Input, Out, Step};
+use crate::config::{ConsensusConfig, InjectedFault};
+use crate::message::{ClientSession, Envelope, PeerMessage, Reply, Request};
+use crate::state::{CoordinatorId, Nanos, Record, State};
+use crate::step::{Input, Output, Step};
 
 use self::lease::Session;
 use self::role::{LeaderLease, Promise, Replica, ReplyTo, Role};
 
-/// A coordinator. Of its state only the [`Record`] outlives the process.
+/// A coordinator. Only the [`Record`] is kept across restarts of the process.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
-    terms: Terms,
+    config: ConsensusConfig,
     record: Record,
-    /// The record differs from the one that was persisted last.
+    /// Whether the record differs from the one that was persisted last.
     record_changed: bool,
     role: Role,
-    /// Until when no other coordinator may be elected with this one's vote.
+    /// The time until which this coordinator votes for no other leader.
     leader_lease: LeaderLease,
-    /// The highest round that any message has carried.
+    /// The highest round in any message so far.
     highest_round: u32,
-    /// The sessions of a leader that has stepped down, for when it is elected again.
+    /// The sessions from an earlier term as the leader, kept for a re-election.
     former_sessions: BTreeMap<String, Session>,
-    /// The highest count of writes that each replica has reported.
+    /// The highest write count that each replica has reported.
     observed_writes: BTreeMap<Replica, u64>,
     halted: bool,
-    outputs: Vec<Out>,
+    outputs: Vec<Output>,
 }
 
 impl Hash for Coordinator {
@@ -65,17 +64,17 @@
 }
 
 impl Coordinator {
-    /// Starts a coordinator from the record that it persisted last. For a whole `hold` it elects nobody, since it may
-    /// have promised so before it stopped.
+    /// Creates a coordinator from the record that it persisted last. It votes for no candidate during the first `hold`,
+    /// because it may have acknowledged a heartbeat just before it stopped.
     #[must_use]
-    pub fn new(terms: Terms, record: Record, now: Nanos) -> Self {
+    pub fn new(config: ConsensusConfig, record: Record, now: Nanos) -> Self {
         let highest_round = record.promised.round;
         Self {
-            terms,
+            config,
             record,
             record_changed: false,
             role: Role::Follower,
-            leader_lease: LeaderLease { holder: None, until: now + terms.hold },
+            leader_lease: LeaderLease { holder: None, until: now + config.hold },
             highest_round,
             former_sessions: BTreeMap::new(),
             observed_writes: BTreeMap::new(),
@@ -84,33 +83,33 @@
         }
     }
 
-    /// The record as it is after the last input.
+    /// Returns the record as of the last input.
     #[must_use]
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// The state that is known to be committed, if this coordinator leads.
+    /// Returns the newest committed state that this coordinator knows of, if it is the leader.
     #[must_use]
-    pub fn chosen(&self) -> Option<&State> {
+    pub fn committed_state(&self) -> Option<&State> {
         match &self.role {
             Role::Leader(leadership) => leadership.committed.as_ref(),
             Role::Follower | Role::Candidate(_) => None,
         }
     }
 
-    /// Whether this coordinator leads, and no other can have been elected by now.
+    /// Returns whether this coordinator is the leader and no other one can have been elected yet.
     #[must_use]
-    pub fn speaks(&self, now: Nanos) -> bool {
+    pub fn is_leader(&self, now: Nanos) -> bool {
         match &self.role {
             Role::Leader(leadership) => {
-                leadership.committed.is_some() && now < leadership.valid_until(&self.terms)
+                leadership.committed.is_some() && now < leadership.valid_until(&self.config)
             }
             Role::Follower | Role::Candidate(_) => false,
         }
     }
 
-    /// When the next [`Input::Tick`] is due.
+    /// Returns when the next [`Input::Tick`] is due.
     #[must_use]
     pub fn next_due(&self) -> Nanos {
         if self.halted {
@@ -120,53 +119,53 @@
             Role::Follower if self.record.learning => Nanos::MAX,
             Role::Follower => self.election_due(),
             Role::Candidate(candidacy) => candidacy.retry_at,
-            Role::Leader(leadership) => leadership.next_due(&self.terms),
+            Role::Leader(leadership) => leadership.next_due(&self.config),
         }
     }
 
-    /// Processes one input.
-    pub fn take(&mut self, now: Nanos, input: Input) -> Step {
+    /// Handles one input.
+    pub fn handle(&mut self, now: Nanos, input: Input) -> Step {
         if !self.halted {
-            self.dispatch(now, input);
+            self.dispatch_input(now, input);
         }
         let record = self.changed_record();
         let mut outputs = std::mem::take(&mut self.outputs);
-        self.stamp(&mut outputs);
-        if self.terms.injects(Broken::Forgets) && outputs.iter().any(is_promise) {
+        self.add_write_counts(&mut outputs);
+        if self.config.injects(InjectedFault::UnpersistedPromise) && outputs.iter().any(is_promise) {
             return Step::new(None, outputs);
         }
         Step::new(record, outputs)
     }
 
-    fn dispatch(&mut self, now: Nanos, input: Input) {
+    fn dispatch_input(&mut self, now: Nanos, input: Input) {
         match input {
-            Input::Letter { from, letter } => self.receive(now, from, letter),
-            Input::Guest { guest, request } => {
-                let client = ReplyTo { via: None, client: guest };
+            Input::Message { from, envelope } => self.receive(now, from, envelope),
+            Input::Request { client, request } => {
+                let client = ReplyTo { via: None, client };
                 self.handle_request(now, client, request);
             }
             Input::Tick => self.tick(now),
         }
     }
 
-    /// The record with its write counted, if it is to be persisted.
+    /// Returns the record with its write counted, if it has to be persisted.
     fn changed_record(&mut self) -> Option<Record> {
         if !std::mem::take(&mut self.record_changed) {
             return None;
         }
-        self.record.mark += 1;
+        self.record.write_count += 1;
         Some(self.record.clone())
     }
 
-    /// Adds the counts of writes to messages, by which a record that was rolled back is detected.
-    fn stamp(&self, outputs: &mut [Out]) {
+    /// Adds the write counts to messages, by which a rolled-back record is detected.
+    fn add_write_counts(&self, outputs: &mut [Output]) {
         for output in outputs {
-            if let Out::Letter { to, letter } = output {
+            if let Output::Send { to, envelope } = output {
                 let receiver = Replica { id: *to, seat: self.record.state.seat(*to) };
-                letter.mark = self.record.mark;
-                letter.seat = self.record.seat;
-                letter.seen = self.observed_writes.get(&receiver).copied().unwrap_or(0);
-                letter.of = receiver.seat;
+                envelope.write_count = self.record.write_count;
+                envelope.seat = self.record.seat;
+                envelope.observed_write_count = self.observed_writes.get(&receiver).copied().unwrap_or(0);
+                envelope.observed_seat = receiver.seat;
             }
         }
     }
@@ -187,44 +186,48 @@
         }
     }
 
-    fn receive(&mut self, now: Nanos, from: Id, letter: Letter) {
-        if from >= self.terms.count || from == self.terms.me {
+    fn receive(&mut self, now: Nanos, from: CoordinatorId, envelope: Envelope) {
+        if from >= self.config.coordinators || from == self.config.id {
             return;
         }
-        if self.is_rolled_back(&letter) {
+        if self.is_rolled_back(&envelope) {
             return self.halt();
         }
-        if letter.seat < self.record.state.seat(from) {
-            // The sender was replaced. It learns so when the committed state is sent to it.
+        if envelope.seat < self.record.state.seat(from) {
+            // The sender was replaced. The committed state will tell it so.
             return;
         }
-        let sender = Replica { id: from, seat: letter.seat };
-        self.observe_writes(sender, letter.mark);
-        match letter.peer {
-            Peer::Prepare { ballot } => self.on_prepare(now, from, ballot),
-            Peer::Promise { ballot, accepted, state } => {
+        let sender = Replica { id: from, seat: envelope.seat };
+        self.observe_writes(sender, envelope.write_count);
+        match envelope.message {
+            PeerMessage::Prepare { ballot } => self.on_prepare(now, from, ballot),
+            PeerMessage::Promise { ballot, accepted, state } => {
                 self.on_promise(now, from, ballot, Promise { accepted, state, seat: sender.seat });
             }
-            Peer::Accept { ballot, state, at, agreed } => {
-                self.on_accept(now, from, ballot, state, at, agreed);
+            PeerMessage::Accept { ballot, state, at, committed } => {
+                self.on_accept(now, from, ballot, state, at, committed);
             }
-            Peer::Accepted { ballot, rev, at } => self.on_accepted(now, sender, ballot, rev, at),
-            Peer::Beat { ballot, at } => self.on_heartbeat(now, from, ballot, at),
-            Peer::Beaten { ballot, at } => self.on_heartbeat_ack(sender, ballot, at),
-            Peer::Behind { promised } => self.on_outdated(now, promised),
-            Peer::Relay { guest, request } => {
-                let client = ReplyTo { via: Some(from), client: guest };
+            PeerMessage::Accepted { ballot, revision, at } => {
+                self.on_accepted(now, sender, ballot, revision, at)
+            }
+            PeerMessage::Heartbeat { ballot, at } => self.on_heartbeat(now, from, ballot, at),
+            PeerMessage::HeartbeatAck { ballot, at } => self.on_heartbeat_ack(sender, ballot, at),
+            PeerMessage::OutdatedBallot { promised } => self.on_outdated(now, promised),
+            PeerMessage::ForwardRequest { client, request } => {
+                let client = ReplyTo { via: Some(from), client };
                 self.handle_request(now, client, request);
             }
-            Peer::Back { guest, reply } => self.outputs.push(Out::Guest { guest, reply }),
+            PeerMessage::ForwardReply { client, reply } => self.outputs.push(Output::Reply { client, reply }),
         }
     }
 
-    /// Whether the sender has seen a later write of this record than the one that was loaded.
-    fn is_rolled_back(&self, letter: &Letter) -> bool {
-        // What was seen of a predecessor in this seat says nothing of this record.
-        let of_this_replica = letter.of == self.record.seat;
-        of_this_replica && letter.seen > self.record.mark && !self.terms.injects(Broken::Forgets)
+    /// Returns whether the sender has observed a later write of this record than the one that was loaded.
+    fn is_rolled_back(&self, envelope: &Envelope) -> bool {
+        // Writes observed from a predecessor with the same id are unrelated to this record.
+        let of_this_replica = envelope.observed_seat == self.record.seat;
+        of_this_replica
+            && envelope.observed_write_count > self.record.write_count
+            && !self.config.injects(InjectedFault::UnpersistedPromise)
     }
 
     fn observe_writes(&mut self, sender: Replica, count: u64) {
@@ -234,52 +237,56 @@
 
     fn halt(&mut self) {
         self.halted = true;
-        self.outputs.push(Out::Halt);
+        self.outputs.push(Output::Halt);
     }
 
     fn handle_request(&mut self, now: Nanos, client: ReplyTo, request: Request) {
-        if !self.may_lead(now) {
+        if !self.can_serve_clients(now) {
             return self.forward(now, client, request);
         }
         match (client.client, request) {
-            (Guest::Member(member), Request::Renew(renew)) => {
+            (ClientSession::Member(member), Request::Renew(renew)) => {
                 self.renew_lease(now, client.via, member, renew);
             }
-            (operator @ Guest::Operator(_), Request::Ask(ask)) => {
-                self.handle_ask(now, ReplyTo { via: client.via, client: operator }, ask);
+            (operator @ ClientSession::Operator(_), Request::Operator(request)) => {
+                self.handle_operator_request(now, ReplyTo { via: client.via, client: operator }, request);
             }
             _ => {}
         }
     }
 
-    fn may_lead(&self, now: Nanos) -> bool {
-        self.speaks(now) || (self.terms.injects(Broken::OldSpeaker) && self.chosen().is_some())
+    fn can_serve_clients(&self, now: Nanos) -> bool {
+        self.is_leader(now)
+            || (self.config.injects(InjectedFault::StaleLeader) && self.committed_state().is_some())
     }
 
-    /// Forwards a request to the leader. It is forwarded once: its receiver leads, or knows no better.
+    /// Forwards a request to the leader. A request is forwarded only once: if its receiver is not the leader, it replies so.
     fn forward(&mut self, now: Nanos, client: ReplyTo, request: Request) {
         match self.leader_lease.holder {
             Some(leader) if client.via.is_none() && now < self.leader_lease.until => {
-                self.send(leader, Peer::Relay { guest: client.client, request });
+                self.send(leader, PeerMessage::ForwardRequest { client: client.client, request });
             }
-            _ => self.reply(client, Reply::Nobody),
+            _ => self.reply(client, Reply::NoLeader),
         }
     }
 
-    fn send(&mut self, to: Id, peer: Peer) {
-        // The counts are filled in by `stamp`.
-        let letter = Letter { mark: 0, seen: 0, of: 0, seat: 0, peer };
-        self.outputs.push(Out::Letter { to, letter });
+    fn send(&mut self, to: CoordinatorId, message: PeerMessage) {
+        // `add_write_counts` fills in the counts.
+        let envelope =
+            Envelope { write_count: 0, observed_write_count: 0, observed_seat: 0, seat: 0, message };
+        self.outputs.push(Output::Send { to, envelope });
     }
 
     fn reply(&mut self, to: ReplyTo, reply: Reply) {
         match to.via {
-            None => self.outputs.push(Out::Guest { guest: to.client, reply }),
-            Some(coordinator) => self.send(coordinator, Peer::Back { guest: to.client, reply }),
+            None => self.outputs.push(Output::Reply { client: to.client, reply }),
+            Some(coordinator) => {
+                self.send(coordinator, PeerMessage::ForwardReply { client: to.client, reply })
+            }
         }
     }
 }
 
-fn is_promise(output: &Out) -> bool {
-    matches!(output, Out::Letter { letter, .. } if matches!(letter.peer, Peer::Promise { .. }))
+fn is_promise(output: &Output) -> bool {
+    matches!(output, Output::Send { envelope, .. } if matches!(envelope.message, PeerMessage::Promise { .. }))
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -303,7 +303,7 @@
     /// The longest retry delay that clients may be given; `None` if they are given none.
     max_retry_after: Option<Nanos>,
     outcome_store: Option<outcomes::OutcomeStore>,
-    staged_start: Option<staged_start::StartProgress>,
+    staged_start: Option<staged_start::StartState>,
     /// How long the node may go on after it was told to stop.
     stop_duration: Nanos,
     /// When a stopping node must have answered everything.
@@ -354,11 +354,11 @@
 
 /// Returns how long a connection may be idle, how long a node may go on after it was told to stop, and the longest timeout
 /// that a client may ask for.
-fn time_limits(idle: Nanos, longest_cut_off: Nanos) -> (Nanos, Nanos, Nanos) {
+fn time_limits(idle: Nanos, longest_deadline: Nanos) -> (Nanos, Nanos, Nanos) {
     // The executor closes an idle connection after the time of the settings; what is written to it after that is lost.
     let idle_timeout = if idle > 0 { idle / 2 } else { SECOND };
     // Settings without a longest deadline allow any.
-    let longest = Some(longest_cut_off).filter(|longest| *longest > 0);
+    let longest = Some(longest_deadline).filter(|longest| *longest > 0);
     let stop_duration =
         longest.unwrap_or(MAX_KILL_DEADLINE).min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
     (idle_timeout, stop_duration, longest.map_or(DAY, |longest| longest * MAX_TIMEOUT_FACTOR))
@@ -381,26 +381,26 @@
         sockets: usize,
         memory: usize,
     ) -> Self {
-        let (orders, names) = (settings.dispatch, settings.names);
+        let (dispatch, names) = (settings.dispatch, settings.names);
         let (idle_timeout, stop_duration, max_client_timeout) =
-            time_limits(orders.idle_timeout, settings.longest_deadline);
+            time_limits(dispatch.idle_timeout, settings.longest_deadline);
         // 16 are left for the listener, the watch of the list, the signals and sockets that are being closed.
         let available = sockets.saturating_sub(16);
         // One eighth of the memory is for the connections of clients, another for those to executors.
         let max_by_memory = memory / 8 / CONNECTION_BYTES;
         let mut core = Self {
-            connect_timeout: orders.connect_timeout,
+            connect_timeout: dispatch.connect_timeout,
             idle_timeout,
             max_reuse_idle: idle_timeout,
-            list_on_request: orders.list_refresh_limit.is_some(),
-            may_probe: orders.may_probe,
-            may_duplicate: orders.may_duplicate,
-            products: orders.products,
+            list_on_request: dispatch.list_refresh_limit.is_some(),
+            may_probe: dispatch.may_probe,
+            may_duplicate: dispatch.may_duplicate,
+            products: dispatch.products,
             stop_duration,
             max_client_timeout,
             settings_version: 0,
             lease_until: Nanos::MAX,
-            max_retry_after: orders.retry_after,
+            max_retry_after: dispatch.retry_after,
             outcome_store: None,
             staged_start: None,
             answer_deadline: Nanos::MAX,
@@ -409,7 +409,7 @@
             max_connections: max_by_memory.min(available * 3 / 8),
             zones: names.zones,
             kinds: names.kinds,
-            rng: fastrand::Rng::with_seed(orders.seed),
+            rng: fastrand::Rng::with_seed(dispatch.seed),
             dispatcher,
             now: 0,
             workers: Vec::new(),
@@ -431,7 +431,7 @@
             list_state: ListState::Missing,
             first_list_due: Nanos::MAX,
             list_clocks: ListClocks::default(),
-            first_call_spread: first_list::first_call_spread(orders.nodes, orders.connect_timeout),
+            first_call_spread: first_list::first_call_spread(dispatch.nodes, dispatch.connect_timeout),
             next_list_call: None,
             failed_list_calls: 0,
             stopping: false,
@@ -446,17 +446,17 @@
     }
 
     /// Applies changed settings. Open submissions, executions in flight and everything learned stay; see
-    /// [`Decide::go_on_under`].
+    /// [`Decide::reconfigure`].
     fn apply_settings(&mut self, settings: Settings) {
-        let orders = settings.dispatch;
-        self.dispatcher.reconfigure(orders.clone());
-        (self.connect_timeout, self.may_probe) = (orders.connect_timeout, orders.may_probe);
-        self.may_duplicate = orders.may_duplicate;
-        self.max_retry_after = orders.retry_after;
+        let dispatch = settings.dispatch;
+        self.dispatcher.reconfigure(dispatch.clone());
+        (self.connect_timeout, self.may_probe) = (dispatch.connect_timeout, dispatch.may_probe);
+        self.may_duplicate = dispatch.may_duplicate;
+        self.max_retry_after = dispatch.retry_after;
         (self.idle_timeout, self.stop_duration, self.max_client_timeout) =
-            time_limits(orders.idle_timeout, settings.longest_deadline);
+            time_limits(dispatch.idle_timeout, settings.longest_deadline);
         self.max_reuse_idle = self.max_reuse_idle.min(self.idle_timeout);
-        self.products = orders.products;
+        self.products = dispatch.products;
     }
 
     /// Whether the node is ready for submissions from clients.
@@ -603,8 +603,8 @@
         match action {
             Action::Execute { submission, worker, timeout } => self.execute(submission, worker, timeout),
             Action::Cancel { submission, execution } => self.cancel(submission, execution),
-            Action::Dismiss { submission, retry_after: come_back } => {
-                self.answer(submission, Answer::Dismissed(come_back));
+            Action::Dismiss { submission, retry_after } => {
+                self.answer(submission, Answer::Dismissed(retry_after));
             }
             Action::Abort { submission } => self.answer(submission, Answer::Aborted),
             Action::Probe { worker } => {
@@ -651,7 +651,7 @@
                 }
                 self.free_submissions.push(submission);
             }
-            Action::SetTimer { at, timer_id: token } => self.set_timer(at, Timer::Dispatcher(token)),
+            Action::SetTimer { at, timer_id } => self.set_timer(at, Timer::Dispatcher(timer_id)),
         }
     }
 }
--- a/crates/node/src/fleet/coordinate/storage.rs
+++ b/crates/node/src/fleet/coordinate/storage.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use linestack_accord::{Incarnation, Keep, LARGEST_TEXT, Record, State};
+use linestack_accord::{Incarnation, MAX_POLICY_BYTES, Record, State, Storage};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::config;
@@ -34,10 +34,10 @@
     pub(super) incarnation: Incarnation,
 }
 
-impl Keep for Disk {
-    type Fault = StoreError;
+impl Storage for Disk {
+    type Error = StoreError;
 
-    fn keep(&mut self, record: &Record) -> Result<(), StoreError> {
+    fn persist(&mut self, record: &Record) -> Result<(), StoreError> {
         self.store.save(&Stored { incarnation: self.incarnation, record: record.clone() })
     }
 }
@@ -65,8 +65,8 @@
 /// Creates a store with this record.
 fn create(config: &config::CoordinatorConfig, record: Record) -> Result<(Disk, Record), StoreError> {
     let store = RecordStore::open(&config.folder, &owner(config), true)?;
-    let mut disk = Disk { store, incarnation: Incarnation { home: random_u64(), life: 1 } };
-    disk.keep(&record)?;
+    let mut disk = Disk { store, incarnation: Incarnation { store_id: random_u64(), run_number: 1 } };
+    disk.persist(&record)?;
     Ok((disk, record))
 }
 
@@ -74,9 +74,9 @@
 fn reopen(config: &config::CoordinatorConfig) -> Result<(Disk, Record), StoreError> {
     let store = RecordStore::open(&config.folder, &owner(config), false)?;
     let Some(Stored { mut incarnation, record }) = store.load()? else { return Err(StoreError::Missing) };
-    incarnation.life += 1;
+    incarnation.run_number += 1;
     let mut disk = Disk { store, incarnation };
-    disk.keep(&record)?;
+    disk.persist(&record)?;
     Ok((disk, record))
 }
 
@@ -85,11 +85,11 @@
     let damaged =
         |reason: String| StoreError::Damaged(format!("first-policy: {}: {reason}", first_policy.display()));
     let text = std::fs::read_to_string(first_policy).map_err(|e| damaged(e.to_string()))?;
-    if text.len() > LARGEST_TEXT {
-        return Err(damaged(format!("{} bytes, at most {LARGEST_TEXT} are allowed", text.len())));
+    if text.len() > MAX_POLICY_BYTES {
+        return Err(damaged(format!("{} bytes, at most {MAX_POLICY_BYTES} are allowed", text.len())));
     }
     policy::settings_for_zone(&text, 0, 0).map_err(damaged)?;
-    Ok(Record { state: State::first(text), ..Record::default() })
+    Ok(Record { state: State::initial(text), ..Record::default() })
 }
 
 /// Returns the record that a coordinator without a store starts with after the fleet was founded again.
@@ -101,10 +101,10 @@
         return Err(damaged(format!("the file belongs to fleet {fleet:?}")));
     }
     let me = config.number;
-    if record.accepted.by == me {
+    if record.accepted.candidate == me {
         return Err(damaged(format!(
             "it was written by coordinator {me} itself, which must start from its store"
         )));
     }
-    Ok(Record { mark: 0, seat: record.state.seat(me), ..record })
+    Ok(Record { write_count: 0, seat: record.state.seat(me), ..record })
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -136,7 +136,7 @@
     scheduler.set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(STACK_POOL_SIZE);
     // With pinning, all nodes on one machine would be pinned to its first core.
     scheduler.set_worker_pin(false);
-    let (done, finished) = std::sync::mpsc::channel();
+    let (exit_sender, exit_receiver) = std::sync::mpsc::channel();
     let Config { name, listen, discovery, known, settings, sockets, memory_mb, .. } = config.clone();
     let memory = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX);
     let opened = |path: String| {
@@ -171,7 +171,7 @@
     let audit_log =
         fleet.as_ref().and_then(|(start, _)| start.config().history.as_ref().map(|path| (start, path)));
     let audit_log = audit_log.map(|(start, path)| {
-        AuditLog::open(path, &start.config().member, start.record.incarnation.life, clock.now())
+        AuditLog::open(path, &start.config().member, start.record.incarnation.run_number, clock.now())
     });
     let audit_log = match audit_log.transpose() {
         Ok(audit_log) => audit_log,
@@ -223,7 +223,7 @@
         audit_log,
         store_records: keeper,
         exit: Box::new(move || {
-            let _ = done.send(());
+            let _ = exit_sender.send(());
         }),
     };
     let node = Node::new(core, parts);
@@ -281,7 +281,7 @@
                 std::process::exit(1);
             }
         });
-        let _ = finished.recv();
+        let _ = exit_receiver.recv();
         tracing::info!("stopped");
         break;
     }
