--- a/crates/node/tests/coordinator.rs
+++ b/crates/node/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator among those who mean it no good, or are of another time: refused, counted by reason, and it goes on.
+//! A coordinator that gets invalid, outdated or forged frames: it refuses the connection, logs the reason, and continues to serve.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,14 +11,14 @@
 use linestack_rig::stand::Fleet;
 use rstest::rstest;
 
-struct Stand {
+struct Coordinator {
     _process: Process,
     address: SocketAddr,
     log: std::path::PathBuf,
     _folder: tempfile::TempDir,
 }
 
-fn start() -> Stand {
+fn start() -> Coordinator {
     let folder = tempfile::tempdir().unwrap();
     let fleet = Fleet::start(&linestack_world::Scenario::default()).unwrap();
     let mut policy = fleet.configuration("n", 1)["settings"].clone();
@@ -38,15 +38,15 @@
     let mut process = Process::new("c0", at.join("run"), program, &words);
     process.start().unwrap();
     let address = process.listens(0).unwrap();
-    Stand { log: process.log(), _process: process, address, _folder: folder }
+    Coordinator { log: process.log(), _process: process, address, _folder: folder }
 }
 
-fn own(fleet: &str, identity: Identity) -> SenderInfo {
+fn sender(fleet: &str, identity: Identity) -> SenderInfo {
     SenderInfo { fleet: fleet.into(), identity, incarnation: Incarnation { store_id: 7, run_number: 1 } }
 }
 
 fn member() -> SenderInfo {
-    own("f", Identity::Member("n0".into()))
+    sender("f", Identity::Member("n0".into()))
 }
 
 fn renew(life: u64) -> Body {
@@ -61,21 +61,21 @@
     }))
 }
 
-/// Everything that comes until the connection is closed, which must be soon.
-fn closed(mut socket: TcpStream) {
+/// Reads until the connection is closed, which must happen within 3 s.
+fn assert_closed(mut socket: TcpStream) {
     socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let (begin, mut rest) = (Instant::now(), Vec::new());
-    // A reset is an end, too.
-    if let Err(why) = socket.read_to_end(&mut rest) {
-        assert_ne!(why.kind(), std::io::ErrorKind::WouldBlock, "it stays open");
+    // A reset counts as a close.
+    if let Err(error) = socket.read_to_end(&mut rest) {
+        assert_ne!(error.kind(), std::io::ErrorKind::WouldBlock, "the connection stays open");
     }
     assert!(begin.elapsed() < Duration::from_secs(3));
 }
 
-/// Whether it answers those who mean it well.
+/// Whether the coordinator answers a valid request.
 fn serves(address: SocketAddr) -> bool {
     let Ok((mut socket, mut reader, mut encoder)) =
-        wire::connect_session(address, &own("f", Identity::Operator))
+        wire::connect_session(address, &sender("f", Identity::Operator))
     else {
         return false;
     };
@@ -95,50 +95,50 @@
     }
 }
 
-fn hello(own: SenderInfo) -> Vec<u8> {
-    FrameEncoder::new(own, 0).encode(Body::Hello(5)).unwrap()
+fn greeting(sender: SenderInfo) -> Vec<u8> {
+    FrameEncoder::new(sender, 0).encode(Body::Hello(5)).unwrap()
 }
 
-fn with(at: usize, byte: u8) -> Vec<u8> {
-    let mut bytes = hello(member());
+fn greeting_with(at: usize, byte: u8) -> Vec<u8> {
+    let mut bytes = greeting(member());
     bytes[at] = byte;
     bytes
 }
 
-// Before they have said who they are.
+// Invalid input before the greeting is complete.
 #[rstest]
 #[case::no_frame(b"GET / HTTP/1.1\r\n\r\n".to_vec(), "no frame")]
-#[case::wire_version(with(3, 9), "wire version")]
-#[case::oversized(with(11, 255), "oversized")]
-#[case::checksum(with(30, 0), "checksum")]
-#[case::another_fleet(hello(own("g", Identity::Member("n0".into()))), "fleet")]
-#[case::cut(hello(member())[..20].to_vec(), "io")]
+#[case::wire_version(greeting_with(3, 9), "wire version")]
+#[case::oversized(greeting_with(11, 255), "oversized")]
+#[case::checksum(greeting_with(30, 0), "checksum")]
+#[case::another_fleet(greeting(sender("g", Identity::Member("n0".into()))), "fleet")]
+#[case::truncated(greeting(member())[..20].to_vec(), "io")]
 #[case::not_a_greeting(FrameEncoder::new(member(), 0).encode(renew(1)).unwrap(), "session")]
 #[case::nothing(Vec::new(), "io")]
-fn strangers(#[case] bytes: Vec<u8>, #[case] why: &str) {
-    let stand = start();
-    let mut socket = TcpStream::connect(stand.address).unwrap();
+fn an_invalid_greeting_is_refused(#[case] bytes: Vec<u8>, #[case] reason: &str) {
+    let coordinator = start();
+    let mut socket = TcpStream::connect(coordinator.address).unwrap();
     socket.write_all(&bytes).unwrap();
-    closed(socket);
-    told(&stand, why);
-    assert!(serves(stand.address));
+    assert_closed(socket);
+    assert_logged(&coordinator, reason);
+    assert!(serves(coordinator.address));
 }
 
-fn told(stand: &Stand, why: &str) {
+fn assert_logged(coordinator: &Coordinator, reason: &str) {
     let begin = Instant::now();
     loop {
-        let log = std::fs::read_to_string(&stand.log).unwrap();
+        let log = std::fs::read_to_string(&coordinator.log).unwrap();
         assert!(!log.contains("panicked"), "{log}");
-        if log.contains(&format!("refused why=\"{why}\"")) {
+        if log.contains(&format!("refused why=\"{reason}\"")) {
             return;
         }
-        assert!(begin.elapsed() < Duration::from_secs(10), "{why} is not told: {log}");
+        assert!(begin.elapsed() < Duration::from_secs(10), "{reason} is not logged: {log}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What somebody does in a session that began well.
-type Trick = fn(SocketAddr) -> TcpStream;
+/// Sends an invalid frame in a session with a valid greeting.
+type Misbehaviour = fn(SocketAddr) -> TcpStream;
 
 fn replayed(address: SocketAddr) -> TcpStream {
     let (_, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
@@ -155,7 +155,7 @@
     socket
 }
 
-fn another_run(address: SocketAddr) -> TcpStream {
+fn another_incarnation(address: SocketAddr) -> TcpStream {
     let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
     socket.write_all(&encoder.encode(renew(2)).unwrap()).unwrap();
     socket
@@ -163,30 +163,30 @@
 
 fn another_name(address: SocketAddr) -> TcpStream {
     let (mut socket, reader, _) = wire::connect_session(address, &member()).unwrap();
-    let mut encoder = FrameEncoder::new(own("f", Identity::Member("n1".into())), reader.session());
+    let mut encoder = FrameEncoder::new(sender("f", Identity::Member("n1".into())), reader.session());
     encoder.encode(renew(1)).unwrap();
     socket.write_all(&encoder.encode(renew(1)).unwrap()).unwrap();
     socket
 }
 
-fn a_letter(address: SocketAddr) -> TcpStream {
+fn a_peer_envelope(address: SocketAddr) -> TcpStream {
     let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
     let peer = PeerMessage::Prepare { ballot: Ballot { round: 1_000_000, candidate: 0 } };
-    let letter =
+    let envelope =
         Envelope { write_count: 0, observed_write_count: u64::MAX, observed_seat: 0, seat: 0, message: peer };
-    socket.write_all(&encoder.encode(Body::Envelope(letter)).unwrap()).unwrap();
+    socket.write_all(&encoder.encode(Body::Envelope(envelope)).unwrap()).unwrap();
     socket
 }
 
 #[rstest]
 #[case::replayed(replayed, "session")]
 #[case::repeated(repeated, "repeated")]
-#[case::another_run(another_run, "name")]
+#[case::another_incarnation(another_incarnation, "name")]
 #[case::another_name(another_name, "name")]
-#[case::a_letter(a_letter, "order")]
-fn in_a_session(#[case] trick: Trick, #[case] why: &str) {
-    let stand = start();
-    closed(trick(stand.address));
-    told(&stand, why);
-    assert!(serves(stand.address));
+#[case::a_peer_envelope(a_peer_envelope, "order")]
+fn an_invalid_frame_in_a_session_is_refused(#[case] misbehave: Misbehaviour, #[case] reason: &str) {
+    let coordinator = start();
+    assert_closed(misbehave(coordinator.address));
+    assert_logged(&coordinator, reason);
+    assert!(serves(coordinator.address));
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program with faults between them: a change of policy takes hold everywhere or nowhere.
+//! Several processes of the program with faults between them: a change of policy takes effect on all nodes or on none.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -9,27 +9,27 @@
 use linestack_rig::run::{Outcome, run};
 use rstest::rstest;
 
-/// One fleet at a time: the machine is to be fast enough for what is promised.
-static TURN: Mutex<()> = Mutex::new(());
+/// Fleets run one at a time, so that the machine is fast enough for the time limits under test.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn play(text: &str) -> Outcome {
+fn run_plan(text: &str) -> Outcome {
     let plan = Plan::read(text).unwrap();
-    let turn = TURN.lock();
+    let guard = ONE_AT_A_TIME.lock();
     let folder = tempfile::tempdir().unwrap();
     let outcome = run(&plan, Path::new(env!("CARGO_BIN_EXE_linestack")), folder.path()).unwrap();
-    drop(turn);
+    drop(guard);
     outcome
 }
 
-fn sound(outcome: &Outcome) {
+fn assert_sound(outcome: &Outcome) {
     assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
     assert!(outcome.findings.is_empty(), "{:?}", outcome.findings);
     let satisfied: u64 = outcome.seconds.iter().map(|s| s.satisfied).sum();
-    assert!(satisfied > 50, "there was no load to speak of: {:?}", outcome.seconds);
+    assert!(satisfied > 50, "almost no load: {:?}", outcome.seconds);
 }
 
-/// What the operator was told of a request.
-fn heard<'a>(outcome: &'a Outcome, request: &str) -> &'a str {
+/// Returns the outcome that the operator was told for a request, or "nothing".
+fn operator_outcome<'a>(outcome: &'a Outcome, request: &str) -> &'a str {
     let found = outcome.lines.iter().find_map(|l| match &l.what {
         What::Heard { request: r, outcome } if r == request => Some(outcome.as_str()),
         _ => None,
@@ -37,7 +37,7 @@
     found.unwrap_or("nothing")
 }
 
-fn decided(outcome: &Outcome) -> u64 {
+fn last_decided_version(outcome: &Outcome) -> u64 {
     let versions = outcome.lines.iter().filter_map(|l| match l.what {
         What::Decided { version, .. } => Some(version),
         _ => None,
@@ -55,86 +55,90 @@
 const PROPOSE: &str = "[[steps]]\nafter-ms = 300\ndo = \"propose\"\nrequest = \"r1\"\nbase = 1\nterms = 2\n";
 const DECIDED: &str = "[[steps]]\nline = \"decided\"\n";
 
-// Two nodes are down; one is asleep for longer than its leave lasts, and wakes in the middle of its work.
+// Two nodes are down; one is paused for longer than its lease, and resumes with requests in flight.
 #[test]
-fn down_and_asleep() {
-    let outcome = play(&plan(&format!(
+fn nodes_down_and_paused() {
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\nafter-ms = 300\ndo = \"kill\"\nto = [\"n0\", \"n1\"]\n[[steps]]\ndo = \"pause\"\nto = [\"n2\"]\n\
          {PROPOSE}{DECIDED}[[steps]]\nafter-ms = 1200\ndo = \"resume\"\nto = [\"n2\"]\n[[steps]]\ndo = \"start\"\nto = [\"n0\", \"n1\"]\n"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r1"), decided(&outcome)), ("decided", 2));
-    // It woke to requests that were waiting, and may not take them.
-    let away = |l: &&linestack_history::Line| l.by == "n2" && matches!(l.what, What::TurnedAway { .. });
-    assert!(outcome.lines.iter().filter(away).count() > 0);
+    assert_sound(&outcome);
+    assert_eq!((operator_outcome(&outcome, "r1"), last_decided_version(&outcome)), ("decided", 2));
+    // After it resumed, requests were waiting at it, and it may not accept them.
+    let rejected = |l: &&linestack_history::Line| l.by == "n2" && matches!(l.what, What::TurnedAway { .. });
+    assert!(outcome.lines.iter().filter(rejected).count() > 0);
 }
 
-// One node hears nothing of the coordinators, another is not heard by them.
+// One node receives nothing from the coordinators; from another they receive nothing.
 #[test]
-fn one_way_only() {
-    let outcome = play(&plan(&format!(
+fn connections_cut_in_one_direction() {
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\nafter-ms = 300\ndo = \"cut\"\nto = [\"n0>c*\"]\nsides = [\"back\"]\n[[steps]]\ndo = \"cut\"\nto = [\"n1>c*\"]\n\
          sides = [\"forth\"]\n{PROPOSE}{DECIDED}[[steps]]\nafter-ms = 500\ndo = \"heal\"\nto = [\"*>*\"]\n"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r1"), decided(&outcome)), ("decided", 2));
+    assert_sound(&outcome);
+    assert_eq!((operator_outcome(&outcome, "r1"), last_decided_version(&outcome)), ("decided", 2));
 }
 
-// Whoever speaks for the fleet is killed after a message of the change has passed. What becomes of it is open; that it
-// becomes of it everywhere is not.
+// The leader of the coordinators is killed after a certain message of a policy change has passed. The outcome of the change is open,
+// but it must be the same on all nodes.
 #[rstest]
-#[case::before_any_has_it("request", "o>c*", 1)]
+#[case::before_any_coordinator_has_it("request", "o>c*", 1)]
 #[case::one_has_accepted("accept", "c*>c*", 1)]
 #[case::most_have_accepted("accepted", "c*>c*", 1)]
-#[case::some_are_told("reply", "n*>c*", 14)]
-#[case::most_have_kept_it("request", "n*>c*", 24)]
+#[case::some_nodes_are_notified("reply", "n*>c*", 14)]
+#[case::most_nodes_have_persisted_it("request", "n*>c*", 24)]
 #[case::it_is_being_decided("accept", "c*>c*", 3)]
 #[case::it_is_decided("accepted", "c*>c*", 4)]
-fn the_speaker_is_killed_after(#[case] frame: &str, #[case] way: &str, #[case] count: u32) {
+fn the_leader_is_killed_after(#[case] frame: &str, #[case] way: &str, #[case] count: u32) {
     let side = if matches!(frame, "reply") { "back" } else { "forth" };
-    let outcome = play(&plan(&format!(
+    let outcome = run_plan(&plan(&format!(
         "{PROPOSE}[[steps]]\nframe = \"{frame}\"\nway = \"{way}\"\nside = \"{side}\"\ncount = {count}\ndo = \"kill\"\nto = [\"speaker\"]\n\
          [[steps]]\nline = \"established\"\n[[steps]]\nafter-ms = 300\ndo = \"start\"\nto = [\"c*\"]\n"
     )
     .replace("to = [\"c*\"]", "to = [\"down\"]")));
-    sound(&outcome);
-    assert!(["decided", "unknown"].contains(&heard(&outcome, "r1")), "{}", heard(&outcome, "r1"));
+    assert_sound(&outcome);
+    assert!(
+        ["decided", "unknown"].contains(&operator_outcome(&outcome, "r1")),
+        "{}",
+        operator_outcome(&outcome, "r1")
+    );
 }
 
-// Nothing is decided while most coordinators are down, and nobody takes anything once leaves are over.
+// While most coordinators are down nothing is decided, and no node accepts requests once the leases have expired.
 #[test]
-fn the_majority_is_lost_and_back() {
-    let outcome = play(&plan(&format!(
+fn the_majority_is_lost_and_restored() {
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\nafter-ms = 300\ndo = \"kill\"\nto = [\"c0\", \"c1\"]\n{PROPOSE}[[steps]]\nafter-ms = 1500\ndo = \"start\"\n\
          to = [\"c0\", \"c1\"]\n{DECIDED}"
     )));
-    sound(&outcome);
-    let turned = outcome.lines.iter().filter(|l| matches!(l.what, What::TurnedAway { .. })).count();
-    assert!(turned > 10, "all took on without leave: {turned}");
-    assert_eq!(decided(&outcome), 2);
+    assert_sound(&outcome);
+    let rejected = outcome.lines.iter().filter(|l| matches!(l.what, What::TurnedAway { .. })).count();
+    assert!(rejected > 10, "nodes accepted requests without a lease: {rejected} rejected");
+    assert_eq!(last_decided_version(&outcome), 2);
 }
 
-// All coordinators are down and two have lost what they stored, a change among it that only they had: the one that is left
-// is gone on from, above every version that was ever given, and changes are decided again.
+// All coordinators are down and two have lost their stores, including a change that only they had. The fleet is founded again from
+// the remaining store, with versions above all that were ever assigned, and changes are decided again.
 #[test]
 fn the_majority_lost_its_stores() {
     let other =
         PROPOSE.replace("r1", "r2").replace("base = 1", "base = 1000001").replace("terms = 2", "terms = 3");
-    let outcome = play(&plan(&format!(
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\nafter-ms = 300\ndo = \"kill\"\nto = [\"c0\", \"c1\", \"c2\"]\n[[steps]]\nafter-ms = 200\ndo = \"refound\"\n\
          to = [\"c0\"]\n[[steps]]\nline = \"established\"\n{other}{DECIDED}"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r2"), decided(&outcome)), ("decided", 1_000_002));
+    assert_sound(&outcome);
+    assert_eq!((operator_outcome(&outcome, "r2"), last_decided_version(&outcome)), ("decided", 1_000_002));
 }
 
-// It is refused while it isn't needed, and by whoever is not the one.
+// `--refound` is refused while it isn't needed, and for wrong coordinator numbers.
 #[rstest]
 #[case::a_majority_is_left("2", true, "fleet replace")]
-#[case::another_answers("1,2", false, "stop all of them first")]
+#[case::another_coordinator_answers("1,2", false, "stop all of them first")]
 #[case::itself("0,1", true, "--lost")]
-#[case::nobody("7,8", true, "--lost")]
-fn refound_is_refused(#[case] lost: &str, #[case] down: bool, #[case] why: &str) {
+#[case::unknown_numbers("7,8", true, "--lost")]
+fn refound_is_refused(#[case] lost: &str, #[case] down: bool, #[case] expected: &str) {
     use linestack_rig::process::Process;
     let folder = tempfile::tempdir().unwrap();
     let fleet = linestack_rig::stand::Fleet::start(&linestack_world::Scenario::default()).unwrap();
@@ -167,109 +171,115 @@
     let out = at.join("out");
     let mut command = std::process::Command::new(program);
     command.arg("coordinate").arg(at.join("c0.toml")).args(["--lost", lost, "--refound"]).arg(&out);
-    let done = command.output().unwrap();
-    let text = String::from_utf8([done.stdout, done.stderr].concat()).unwrap();
-    assert!(!done.status.success() && text.contains(why) && !out.exists(), "{text}");
+    let output = command.output().unwrap();
+    let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
+    assert!(!output.status.success() && text.contains(expected) && !out.exists(), "{text}");
 }
 
 #[test]
 fn two_operators_at_once() {
     let other = PROPOSE.replace("r1", "r2").replace("terms = 2", "terms = 3").replace("300", "0");
-    let outcome = play(&plan(&format!("{PROPOSE}{other}{DECIDED}")));
-    sound(&outcome);
-    let mut ends = [heard(&outcome, "r1"), heard(&outcome, "r2")];
+    let outcome = run_plan(&plan(&format!("{PROPOSE}{other}{DECIDED}")));
+    assert_sound(&outcome);
+    let mut ends = [operator_outcome(&outcome, "r1"), operator_outcome(&outcome, "r2")];
     ends.sort_unstable();
-    assert_eq!((ends, decided(&outcome)), (["decided", "refused"], 2));
+    assert_eq!((ends, last_decided_version(&outcome)), (["decided", "refused"], 2));
 }
 
-// The operator's question gets there, and the answer does not come back; asked again, the outcome is told.
+// The operator's request arrives, but the answer is lost; the repeated request returns the outcome.
 #[test]
 fn the_answer_to_the_operator_is_lost() {
-    let outcome = play(&plan(&format!(
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\ndo = \"cut-at\"\nto = [\"o>c*\"]\nside = \"back\"\nrequest = \"reply\"\nbytes = 7\n{PROPOSE}{DECIDED}"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r1"), decided(&outcome)), ("decided", 2));
+    assert_sound(&outcome);
+    assert_eq!((operator_outcome(&outcome, "r1"), last_decided_version(&outcome)), ("decided", 2));
 }
 
-// One that can't be taken, and one that builds on what is not there, are refused and nowhere.
+// An invalid change, and a change based on a version that does not exist, are refused and take effect on no node.
 #[test]
-fn refused_and_nowhere() {
-    let unbuilt = PROPOSE.replace("r1", "r2").replace("base = 1", "base = 5");
-    let outcome = play(&plan(&format!("{}{unbuilt}", PROPOSE.replace("terms = 2", "terms = 0"))));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r1"), heard(&outcome, "r2"), decided(&outcome)), ("refused", "refused", 1));
+fn refused_changes_take_effect_nowhere() {
+    let wrong_base = PROPOSE.replace("r1", "r2").replace("base = 1", "base = 5");
+    let outcome = run_plan(&plan(&format!("{}{wrong_base}", PROPOSE.replace("terms = 2", "terms = 0"))));
+    assert_sound(&outcome);
+    assert_eq!(
+        (operator_outcome(&outcome, "r1"), operator_outcome(&outcome, "r2"), last_decided_version(&outcome)),
+        ("refused", "refused", 1)
+    );
 }
 
-// Waiting for all means all; it is given up in time, once.
+// A change that requires all nodes is not decided while one is down; it is dropped at its time limit, once.
 #[test]
-fn given_up() {
+fn a_change_that_requires_all_nodes_is_dropped_at_its_time_limit() {
     let propose = PROPOSE.replace("terms = 2", "terms = 2\nall = true\ngive-up-ms = 1500");
-    let outcome = play(&plan(&format!(
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\ndo = \"kill\"\nto = [\"n0\"]\n{propose}[[steps]]\nline = \"dropped\"\ndo = \"start\"\nto = [\"n0\"]\n"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r1"), decided(&outcome)), ("dropped", 1));
+    assert_sound(&outcome);
+    assert_eq!((operator_outcome(&outcome, "r1"), last_decided_version(&outcome)), ("dropped", 1));
 }
 
-// A coordinator that comes back on an older copy must not vote: one that was copied is known by its file, one whose disk
-// went back by what the others have seen of it.
+// A coordinator that restarts on an older state must not vote: a copy is detected by the identity of its file, a disk that was rolled
+// back by the state that the other coordinators have seen.
 #[rstest]
 #[case::copied("start-older", true)]
-#[case::gone_back("start-rolled-back", false)]
+#[case::rolled_back("start-rolled-back", false)]
 fn an_older_copy_does_not_vote(#[case] start: &str, #[case] refused: bool) {
     let more = PROPOSE.replace("r1", "r2").replace("base = 1", "base = 2").replace("terms = 2", "terms = 3");
-    let gone = if refused { "" } else { "[[steps]]\ndo = \"gone\"\nto = [\"c2\"]\n" };
-    let outcome = play(&plan(&format!(
+    let stopped = if refused { "" } else { "[[steps]]\ndo = \"gone\"\nto = [\"c2\"]\n" };
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\ndo = \"kill\"\nto = [\"c2\"]\n[[steps]]\ndo = \"copy\"\nto = [\"c2\"]\n[[steps]]\ndo = \"start\"\nto = [\"c2\"]\n\
          {PROPOSE}{DECIDED}[[steps]]\nafter-ms = 400\ndo = \"kill\"\nto = [\"c2\"]\n\
-         [[steps]]\ndo = \"{start}\"\nto = [\"c2\"]\nrefused = {refused}\n{gone}{more}{DECIDED}"
+         [[steps]]\ndo = \"{start}\"\nto = [\"c2\"]\nrefused = {refused}\n{stopped}{more}{DECIDED}"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r2"), decided(&outcome)), ("decided", 3));
+    assert_sound(&outcome);
+    assert_eq!((operator_outcome(&outcome, "r2"), last_decided_version(&outcome)), ("decided", 3));
 }
 
-// A coordinator whose store is gone does not come back by itself. Another is agreed on in its place; with the one that
-// is left it is most of three, and a change is decided by these two.
+// A coordinator whose store is lost does not rejoin by itself. A replacement is agreed on; with the one remaining coordinator it is a
+// majority of three, and the two decide a change.
 #[test]
 fn a_lost_store_is_replaced_by_agreement() {
     let more = PROPOSE.replace("r1", "r2").replace("base = 1", "base = 2").replace("terms = 2", "terms = 3");
-    let outcome = play(&plan(&format!(
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\nafter-ms = 200\ndo = \"kill\"\nto = [\"c2\"]\n{PROPOSE}{DECIDED}[[steps]]\ndo = \"start-empty\"\nto = [\"c2\"]\n\
          refused = true\n[[steps]]\ndo = \"replace\"\nto = [\"c2\"]\n[[steps]]\nafter-ms = 600\ndo = \"kill\"\nto = [\"c0\"]\n\
          {more}{DECIDED}[[steps]]\ndo = \"start\"\nto = [\"c0\"]\n"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r1"), heard(&outcome, "r2"), decided(&outcome)), ("decided", "decided", 3));
+    assert_sound(&outcome);
+    assert_eq!(
+        (operator_outcome(&outcome, "r1"), operator_outcome(&outcome, "r2"), last_decided_version(&outcome)),
+        ("decided", "decided", 3)
+    );
 }
 
-// A full disk ends a coordinator before it says what it could not keep; the others go on.
+// A full disk stops a coordinator before it sends anything that it could not persist; the others continue.
 #[test]
 fn a_disk_is_full() {
-    let outcome = play(&plan(&format!(
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\nafter-ms = 200\ndo = \"kill\"\nto = [\"c2\"]\n[[steps]]\ndo = \"start\"\nto = [\"c2\"]\nfault = \"disk-full-after=2\"\n\
          {PROPOSE}{DECIDED}[[steps]]\ndo = \"gone\"\nto = [\"c2\"]\n[[steps]]\ndo = \"start\"\nto = [\"c2\"]\n"
     )));
-    sound(&outcome);
-    assert_eq!((heard(&outcome, "r1"), decided(&outcome)), ("decided", 2));
+    assert_sound(&outcome);
+    assert_eq!((operator_outcome(&outcome, "r1"), last_decided_version(&outcome)), ("decided", 2));
 }
 
-// Without coordinators a node in the other mode goes on, under the last terms that it knows.
+// In the available mode (`strict = false`) a node without coordinators continues under the last policy that it knows.
 #[test]
-fn available_goes_on() {
-    let outcome = play(&plan(
+fn available_mode_continues_without_coordinators() {
+    let outcome = run_plan(&plan(
         "strict = false\n[[steps]]\nafter-ms = 300\ndo = \"kill\"\nto = [\"c*\"]\n[[steps]]\nafter-ms = 2000\ndo = \"start\"\nto = [\"c*\"]\n",
     ));
-    sound(&outcome);
+    assert_sound(&outcome);
     assert!(!outcome.lines.iter().any(|l| matches!(l.what, What::TurnedAway { .. })));
 }
 
-// Known mistakes, by processes that make them.
+// Faulty nodes are detected: each process has a known fault switched on.
 #[rstest]
 #[case::never_fenced("unfenced", Broken::Unfenced)]
 #[case::too_early("early", Broken::Undecided)]
 fn a_broken_node_is_found(#[case] fault: &str, #[case] broken: Broken) {
-    let outcome = play(&plan(&format!(
+    let outcome = run_plan(&plan(&format!(
         "[[steps]]\ndo = \"kill\"\nto = [\"n0\"]\n[[steps]]\ndo = \"start\"\nto = [\"n0\"]\nfault = \"{fault}\"\n\
          [[steps]]\nafter-ms = 500\ndo = \"pause\"\nto = [\"n9\"]\n{PROPOSE}[[steps]]\nafter-ms = 400\ndo = \"cut\"\nto = [\"n0>c*\"]\n\
          [[steps]]\nafter-ms = 1500\ndo = \"heal\"\nto = [\"n0>c*\"]\n[[steps]]\ndo = \"resume\"\nto = [\"n9\"]\n"
