--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -1,4 +1,4 @@
-//! What is missing or wrong in the configuration is named.
+//! Reading of the configuration: errors name the missing or invalid key.
 
 mod common;
 
@@ -35,14 +35,14 @@
 #[case(None, Some("INFO"))]
 #[case(Some("debug"), Some("DEBUG"))]
 #[case(Some("loud"), None)]
-fn the_log_s_level_is_read(#[case] set: Option<&str>, #[case] level: Option<&str>) {
+fn the_log_level_is_read(#[case] set: Option<&str>, #[case] level: Option<&str>) {
     let found = config::log_level(|key| set.filter(|_| key == "PROXY_LOG").map(str::to_owned));
     assert_eq!(found.as_ref().ok().map(ToString::to_string).as_deref(), level);
-    assert!(found.err().is_none_or(|fault| fault.key == "PROXY_LOG"));
+    assert!(found.err().is_none_or(|error| error.key == "PROXY_LOG"));
 }
 
 #[test]
-fn a_whole_configuration_is_read_and_variables_go_first() {
+fn a_complete_configuration_is_read_and_variables_take_precedence() {
     let config = read(Some("there"), Some("127.0.0.1:9"), &file(("n0", "n0"))).unwrap();
     assert_eq!((config.name.as_str(), config.listen.port(), config.discovery.port()), ("n0", 9, 2));
     assert_eq!((config.seed, config.sockets, config.memory_mb), (0x8c1f_30d2_7a5b_e964, 1024, 192));
@@ -53,8 +53,8 @@
 #[rstest]
 #[case::no_limits((r#""limits""#, r#""other""#))]
 #[case::no_known((r#""known""#, r#""other""#))]
-#[case::known_makes_no_sense((r#""endpoints":[]"#, r#""endpoints":7"#))]
-fn what_has_a_default_may_be_missing(#[case] change: (&str, &str)) {
+#[case::invalid_known((r#""endpoints":[]"#, r#""endpoints":7"#))]
+fn keys_with_a_default_may_be_missing(#[case] change: (&str, &str)) {
     let config = read(Some("there"), None, &file(change)).unwrap();
     assert_eq!((config.sockets, config.memory_mb), (1024, 192));
 }
@@ -63,16 +63,16 @@
 #[case::nothing(("n0", "n0"), 2, &[])]
 #[case::discovery(("127.0.0.1:2", "127.0.0.1:7"), 7, &[])]
 #[case::none((r#""discovery":"127.0.0.1:2","#, ""), 3, &[])]
-#[case::spaces(("\"az\": 0", "\"az\":0"), 2, &[])]
+#[case::whitespace(("\"az\": 0", "\"az\":0"), 2, &[])]
 #[case::several(("n0\",", "n1\",\"x\":7,"), 2, &["name"])]
 #[case::limits(("1024", "512"), 2, &["limits"])]
-#[case::its_place(("\"az\": 0", "\"az\": 1"), 2, &["settings.az"])]
+#[case::own_zone(("\"az\": 0", "\"az\": 1"), 2, &["settings.az"])]
 #[case::a_price(("\"excessPayoff\": 0.2", "\"excessPayoff\": 0.1"), 2, &[])]
 #[case::other_products(("\"look\"", "\"see\""), 2, &["settings.products"])]
-#[case::other_promises(("\"pure\"", "\"side_effect\""), 2, &["settings.products"])]
+#[case::other_effects(("\"pure\"", "\"side_effect\""), 2, &["settings.products"])]
 #[case::other_tenants(("\"second\"", "\"third\""), 2, &["settings.tenants"])]
 #[case::other_reports(("\"backlog\", ", ""), 2, &["settings.report"])]
-fn a_running_node_takes_over_the_discovery_and_names_what_wants_a_restart(
+fn a_running_node_adopts_the_discovery_and_names_keys_that_require_a_restart(
     #[case] change: (&str, &str),
     #[case] discovery: u16,
     #[case] keys: &[&str],
@@ -89,8 +89,8 @@
         (newer.discovery.port(), present.keys_requiring_restart(&newer).as_slice()),
         (discovery, keys)
     );
-    let fault = config::reread(&present, variable, |_| Ok(file(("127.0.0.1:2", "here")))).unwrap_err();
-    assert_eq!(fault.key, "discovery");
+    let error = config::reread(&present, variable, |_| Ok(file(("127.0.0.1:2", "here")))).unwrap_err();
+    assert_eq!(error.key, "discovery");
 }
 
 #[rstest]
@@ -110,33 +110,33 @@
 #[case::settings_no_object(Some("there"), None, ("\"settings\":", "\"settings\":7,\"other\":"), "settings")]
 #[case::bad_product(Some("there"), None, ("\"payoff\": 1.0", "\"payoff\": \"1\""), "settings.products[0].payoff")]
 #[case::negative_price(Some("there"), None, ("\"excessPayoff\": 0.2", "\"deductions\": {\"handshake\": -0.1}"), "settings.deductions.handshake")]
-#[case::dear_price(Some("there"), None, ("\"excessPayoff\": 0.2", "\"deductions\": {\"probe\": 1.5}"), "settings.deductions.probe")]
+#[case::price_out_of_range(Some("there"), None, ("\"excessPayoff\": 0.2", "\"deductions\": {\"probe\": 1.5}"), "settings.deductions.probe")]
 #[case::share_out_of_range(Some("there"), None, ("\"excessPayoff\": 0.2", "\"excessPayoff\": 2"), "settings.excessPayoff")]
-#[case::cold_part(Some("there"), None, ("\"coldFrom\": 0.3", "\"coldFrom\": -0.3"), "settings.invariants.coldFrom")]
-#[case::negative_span(Some("there"), None, ("\"connIdleMs\": 60000.0", "\"connIdleMs\": -1"), "settings.limits.connIdleMs")]
-#[case::negative_stretch(Some("there"), None, ("[1, 1, 1]", "[1, -1, 1]"), "settings.familyInfo.classStretch")]
-#[case::no_number(Some("there"), None, ("\"coldMs\": 9000.0", "\"coldMs\": \"NaN\""), "settings.invariants.coldMs")]
+#[case::negative_cold_share(Some("there"), None, ("\"coldFrom\": 0.3", "\"coldFrom\": -0.3"), "settings.invariants.coldFrom")]
+#[case::negative_duration(Some("there"), None, ("\"connIdleMs\": 60000.0", "\"connIdleMs\": -1"), "settings.limits.connIdleMs")]
+#[case::negative_latency_factor(Some("there"), None, ("[1, 1, 1]", "[1, -1, 1]"), "settings.familyInfo.classStretch")]
+#[case::not_a_number(Some("there"), None, ("\"coldMs\": 9000.0", "\"coldMs\": \"NaN\""), "settings.invariants.coldMs")]
 #[case::huge(Some("there"), None, ("\"coldMs\": 9000.0", "\"coldMs\": 1e300"), "settings.invariants.coldMs")]
 #[case::no_products(Some("there"), None, ("\"products\"", "\"other\""), "settings.products")]
-fn the_key_at_fault_is_named(
+fn an_invalid_configuration_is_refused_by_key(
     #[case] path: Option<&str>,
     #[case] listen: Option<&str>,
     #[case] change: (&str, &str),
     #[case] key: &str,
 ) {
-    let fault = read(path, listen, &file(change)).unwrap_err();
-    assert_eq!(fault.key, key, "{fault}");
-    assert!(fault.to_string().starts_with(key));
+    let error = read(path, listen, &file(change)).unwrap_err();
+    assert_eq!(error.key, key, "{error}");
+    assert!(error.to_string().starts_with(key));
 }
 
-fn written(text: &str) -> (tempfile::TempDir, std::path::PathBuf) {
+fn write_file(text: &str) -> (tempfile::TempDir, std::path::PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("file.toml");
     std::fs::write(&path, text).unwrap();
     (folder, path)
 }
 
-// An operator's files for a fleet: each fault by its key, all at once.
+// An operator's files for a fleet: one error names the keys of all faults.
 #[rstest]
 #[case::two("coordinators = [\"127.0.0.1:1\", \"127.0.0.1:2\"]", &["fleet.coordinators"])]
 #[case::no_address("coordinators = [\"here\"]", &["fleet.coordinators"])]
@@ -146,9 +146,9 @@
 fn a_fleet_is_refused_by_key(#[case] lines: &str, #[case] keys: &[&str]) {
     let id = if keys.contains(&"fleet.id") { "a b" } else { "f" };
     let folder = if lines.contains("folder") { "" } else { "folder = \"x\"\n" };
-    let (_held, path) = written(&format!("[fleet]\nid = \"{id}\"\nmember = \"n0\"\n{folder}{lines}\n"));
-    let why = linestack::fleet::config::read_fleet(&path).unwrap_err();
-    assert!(keys.iter().all(|key| why.contains(key)), "{why}");
+    let (_folder, path) = write_file(&format!("[fleet]\nid = \"{id}\"\nmember = \"n0\"\n{folder}{lines}\n"));
+    let error = linestack::fleet::config::read_fleet(&path).unwrap_err();
+    assert!(keys.iter().all(|key| error.contains(key)), "{error}");
 }
 
 #[rstest]
@@ -159,12 +159,12 @@
 fn a_coordinator_is_refused_by_key(#[case] lines: &str, #[case] keys: &[&str]) {
     let peers = "peers = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]";
     let text = "[coordinator]\nfleet = \"f\"\nlisten = \"127.0.0.1:0\"\nfolder = \"x\"\nfirst-policy = \"y\"";
-    let (_held, path) = written(&format!("{text}\n{peers}\n{lines}\n"));
-    let why = linestack::fleet::config::read_coordinator(&path).unwrap_err();
-    assert!(keys.iter().all(|key| why.contains(key)), "{why}");
+    let (_folder, path) = write_file(&format!("{text}\n{peers}\n{lines}\n"));
+    let error = linestack::fleet::config::read_coordinator(&path).unwrap_err();
+    assert!(keys.iter().all(|key| error.contains(key)), "{error}");
 }
 
-// The files that are shipped are read as they are.
+// The example files in the folder deploy are valid as they are.
 #[test]
 fn shipped_files_are_read() {
     let deploy = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
--- a/crates/node/tests/http.rs
+++ b/crates/node/tests/http.rs
@@ -1,4 +1,4 @@
-//! Tables of messages, good and bad.
+//! Parsing of valid and invalid HTTP messages, and writing of responses.
 
 use std::io::{self, Write};
 
@@ -6,14 +6,14 @@
 use linestack::http::{self, BodyDecoder, Framing, WriteQueue};
 use rstest::rstest;
 
-const FINE: &str = "POST /api?a=1 HTTP/1.1\r\nHost: h\r\nReq-Id: 7\r\nReq-Extra: slots=2\r\n";
+const VALID_HEAD: &str = "POST /api?a=1 HTTP/1.1\r\nHost: h\r\nReq-Id: 7\r\nReq-Extra: slots=2\r\n";
 
 #[rstest]
 #[case::length("Content-Length: 5\r\n", Framing::Length(5))]
 #[case::no_body("", Framing::Length(0))]
 #[case::chunked("Transfer-Encoding: Chunked\r\n", Framing::Chunked)]
 fn a_head_is_parsed_in_place(#[case] more: &str, #[case] framing: Framing) {
-    let text = format!("{FINE}{more}\r\nrest");
+    let text = format!("{VALID_HEAD}{more}\r\nrest");
     let head = http::parse_request(text.as_bytes()).unwrap().unwrap();
     assert_eq!(head.framing, Some(framing));
     assert_eq!(&text[head.method], "POST");
@@ -24,7 +24,7 @@
     assert!((0..text.len() - 4).all(|n| http::parse_request(&text.as_bytes()[..n]).unwrap().is_none()));
 }
 
-// A body that two readers could end in different places lets one request hide another.
+// If two parsers could disagree on the end of a body, one request could hide another (request smuggling).
 #[rstest]
 #[case::two_lengths("Content-Length: 5\r\nContent-Length: 5\r\n", 400)]
 #[case::length_and_chunks("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", 400)]
@@ -39,9 +39,9 @@
 #[case::two_ids("Req-Id: 8\r\n", 400)]
 #[case::folded("X: a\r\n b\r\n", 400)]
 #[case::no_colon("nonsense\r\n", 400)]
-fn a_head_that_is_not_clear_is_turned_down(#[case] more: &str, #[case] status: u16) {
-    let fault = http::parse_request(format!("{FINE}{more}\r\n").as_bytes()).unwrap_err();
-    assert_eq!(fault.status, status);
+fn an_ambiguous_head_is_rejected(#[case] more: &str, #[case] status: u16) {
+    let error = http::parse_request(format!("{VALID_HEAD}{more}\r\n").as_bytes()).unwrap_err();
+    assert_eq!(error.status, status);
 }
 
 #[rstest]
@@ -49,7 +49,7 @@
 #[case::many_headers("POST /api HTTP/1.1\r\n".to_owned() + &"A: b\r\n".repeat(100) + "\r\n", 431)]
 #[case::old_version("POST /api HTTP/1.0\r\n\r\n".to_owned(), 505)]
 #[case::garbage("\x01\x02\x03\r\n\r\n".to_owned(), 400)]
-fn a_head_out_of_bounds_is_turned_down(#[case] text: String, #[case] status: u16) {
+fn a_head_beyond_the_limits_is_rejected(#[case] text: String, #[case] status: u16) {
     assert_eq!(http::parse_request(text.as_bytes()).unwrap_err().status, status);
 }
 
@@ -60,7 +60,7 @@
 #[case::bad_size(Framing::Chunked, "zz\r\nab\r\n", Err(400))]
 #[case::long_chunk(Framing::Chunked, "2\r\nabc\r\n", Err(400))]
 #[case::no_size(Framing::Chunked, "\r\n\r\n", Err(400))]
-fn a_body_is_the_same_in_whatever_pieces_it_comes(
+fn a_body_is_decoded_alike_in_pieces_of_any_size(
     #[case] framing: Framing,
     #[case] text: &str,
     #[case] wanted: Result<(&str, &str), u16>,
@@ -97,7 +97,7 @@
 )]
 #[case::closing("200 OK\r\nConnection: close\r\nContent-Length: 1\r\n", 200, Framing::Length(1), false, true)]
 #[case::until_close("200 OK\r\n", 200, Framing::Close, false, true)]
-fn an_answer_s_head_tells_its_framing(
+fn the_framing_of_a_response_is_parsed(
     #[case] text: &str,
     #[case] status: u16,
     #[case] framing: Framing,
@@ -114,24 +114,24 @@
 #[case("TEXT inflight=7", "light", None)]
 #[case("TEXT inflight=many", "inflight", None)]
 #[case("", "inflight", None)]
-fn a_report_in_text_is_read(#[case] text: &str, #[case] name: &str, #[case] figure: Option<f32>) {
+fn a_text_report_is_parsed(#[case] text: &str, #[case] name: &str, #[case] figure: Option<f32>) {
     assert_eq!(http::text_figure(text, name), figure);
 }
 
-/// Takes a few bytes at a time, and then none for a while.
-struct Narrow {
-    taken: Vec<u8>,
-    rest: bool,
+/// A writer that accepts three bytes at every second call, and none at the others.
+struct SlowWriter {
+    written: Vec<u8>,
+    blocked: bool,
 }
 
-impl Write for Narrow {
+impl Write for SlowWriter {
     fn write(&mut self, piece: &[u8]) -> io::Result<usize> {
-        self.rest = !self.rest;
-        if self.rest {
+        self.blocked = !self.blocked;
+        if self.blocked {
             return Err(io::ErrorKind::WouldBlock.into());
         }
         let n = piece.len().min(3);
-        self.taken.extend_from_slice(&piece[..n]);
+        self.written.extend_from_slice(&piece[..n]);
         Ok(n)
     }
 
@@ -141,11 +141,11 @@
 }
 
 #[test]
-fn a_message_goes_out_whole_through_a_narrow_socket() {
+fn a_message_is_written_whole_to_a_slow_socket() {
     let mut out = WriteQueue::default();
     ["one ", "", "two ", "three"].into_iter().for_each(|piece| out.push(piece));
-    let mut socket = Narrow { taken: Vec::new(), rest: false };
+    let mut socket = SlowWriter { written: Vec::new(), blocked: false };
     let turns = (0..100).take_while(|_| !out.write(&mut socket).unwrap()).count();
     assert!(turns > 0 && out.is_done());
-    assert_eq!((socket.taken.as_slice(), out.written), (&b"one two three"[..], 13));
+    assert_eq!((socket.written.as_slice(), out.written), (&b"one two three"[..], 13));
 }
--- a/crates/node/tests/identity.rs
+++ b/crates/node/tests/identity.rs
@@ -1,9 +1,9 @@
-//! Which file a record is in.
+//! The identity of the file that holds a store's records.
 
 use linestack::fleet::store::same_file;
 
 #[test]
-fn a_device_may_have_another_number() {
+fn a_changed_device_number_keeps_the_identity() {
     assert!(same_file(&(1, 7, 99), &(2, 7, 99)) && same_file(&(1, 7, 0), &(1, 7, 0)));
     assert!(
         !same_file(&(1, 7, 99), &(1, 7, 98))
--- a/crates/node/tests/list.rs
+++ b/crates/node/tests/list.rs
@@ -1,4 +1,4 @@
-//! The list of executors, as discovery words it.
+//! The list of executors in discovery's format.
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,19 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::whole("{\"index\":3,\"snapshot\":true,\"endpoints\":[E]}", Some(1))]
+#[case::valid("{\"index\":3,\"snapshot\":true,\"endpoints\":[E]}", Some(1))]
 #[case::bad_entry_left_out(
     "{\"index\":3,\"endpoints\":[E,7,{\"name\":\"x\"},{\"name\":\"y\",\"address\":\"?\",\"status\":\"active\"}]}",
     Some(1)
 )]
 #[case::array("[3,true,[]]", None)]
 #[case::nothing_listed("{}", None)]
-#[case::cut_short("{\"index\":3,\"endpoints\":[E", None)]
-#[case::no_text("\u{1}", None)]
-fn a_list_is_read_as_far_as_it_makes_sense(#[case] text: &str, #[case] entries: Option<usize>) {
+#[case::truncated("{\"index\":3,\"endpoints\":[E", None)]
+#[case::not_json("\u{1}", None)]
+fn invalid_entries_are_left_out_and_invalid_lists_refused(
+    #[case] text: &str,
+    #[case] entries: Option<usize>,
+) {
     let entry = "{\"name\":\"w0\",\"address\":\"127.0.0.1:5\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\
                  \"status\":\"leaving\",\"weight\":1.0,\"since_ms\":1500}";
     let list = List::read(text.replace('E', entry).as_bytes());
@@ -30,9 +33,9 @@
     }
 }
 
-// Kept in a node's store, so that it knows whom to ask when it comes back.
+// A node stores its list, so that it knows its executors after a restart.
 #[test]
-fn a_list_of_eleven_hundred_executors_with_long_names_can_be_kept() {
+fn a_list_of_1_100_executors_with_long_names_can_be_stored() {
     let entry = |i: u32| Endpoint {
         name: format!("{i:0>1024}"),
         address: SocketAddr::from(([127, 0, 0, 1], 5)),
@@ -51,6 +54,6 @@
     let open = |new| Store::open(Folder::open(folder.path()).unwrap(), Limits::default(), new, 1).unwrap();
     let put = Op::Put { kind: 2, key: b"list".to_vec(), value: text, at: 1 };
     open(true).commit(&[put], 1).unwrap();
-    let kept = open(false).get(2, b"list").unwrap().unwrap();
-    assert_eq!(List::read(&kept).unwrap(), list);
+    let stored = open(false).get(2, b"list").unwrap().unwrap();
+    assert_eq!(List::read(&stored).unwrap(), list);
 }
--- a/crates/node/tests/scale.rs
+++ b/crates/node/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The scale run's short form: hollow members beside real coordinators, limits on counts alone.
+//! The short form of the scale run: simulated fleet members with real coordinators; only counts are checked against limits.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -11,20 +11,20 @@
 use linestack_lab::scale::stop::{Stop, Stopped};
 use rustix::process::{Signal, getpid, kill_process};
 
-/// One run at a time: each looks at the processes of this one.
-static TURN: Mutex<()> = Mutex::new(());
-const SHORT: &str = include_str!("../../../scenarios/scale/short.toml");
+/// Runs go one at a time, since each checks the child processes of this test process.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+const SHORT_PLAN: &str = include_str!("../../../scenarios/scale/short.toml");
 
 fn read(text: &str) -> Scale {
     parse(text, &Machine::read().unwrap()).unwrap()
 }
 
-fn play(scale: &Scale, stop: &Stop) -> Result<Report, Box<dyn std::error::Error>> {
+fn run_scale(scale: &Scale, stop: &Stop) -> Result<Report, Box<dyn std::error::Error>> {
     let program = Path::new(env!("CARGO_BIN_EXE_linestack"));
     run(scale, Machine::read().unwrap(), program, Path::new("no-lab"), stop, &|_| {})
 }
 
-/// Processes that this one started and that run still.
+/// Returns the child processes of this process that still exist.
 fn children() -> Vec<String> {
     let own = std::process::id().to_string();
     let entries = std::fs::read_dir("/proc").unwrap().flatten();
@@ -37,31 +37,32 @@
 }
 
 #[test]
-fn counts_keep_to_their_limits() {
-    let _turn = TURN.lock();
-    let scale = read(SHORT);
-    let report = play(&scale, &Stop::after(scale.span)).unwrap();
+fn counts_stay_within_their_limits() {
+    let _guard = ONE_AT_A_TIME.lock();
+    let scale = read(SHORT_PLAN);
+    let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
     assert_eq!(report.judged.len(), 3, "{:?}", report.judged);
     assert!(report.holds(), "{}", report.text());
     assert_eq!(children(), Vec::<String>::new());
 }
 
 #[test]
-fn a_limit_that_is_passed_is_told() {
-    let _turn = TURN.lock();
+fn an_exceeded_limit_is_reported() {
+    let _guard = ONE_AT_A_TIME.lock();
     let tight = [("= 12\n", "= 5\n"), ("= 360\n", "= 100\n"), ("a-member = 60", "a-member = 40")];
-    let text =
-        tight.iter().fold(SHORT.replace("[50, 100]", "[10, 20]"), |text, (from, to)| text.replace(from, to));
+    let text = tight
+        .iter()
+        .fold(SHORT_PLAN.replace("[50, 100]", "[10, 20]"), |text, (from, to)| text.replace(from, to));
     let scale = read(&text);
-    let report = play(&scale, &Stop::after(scale.span)).unwrap();
-    let held: Vec<&str> = report.judged.iter().filter(|j| j.holds).map(|j| j.limit).collect();
-    assert_eq!((report.judged.len(), held), (3, Vec::new()), "{}", report.text());
+    let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
+    let kept: Vec<&str> = report.judged.iter().filter(|j| j.holds).map(|j| j.limit).collect();
+    assert_eq!((report.judged.len(), kept), (3, Vec::new()), "{}", report.text());
 }
 
 #[test]
-fn an_interrupt_ends_all_that_was_started() {
-    let _turn = TURN.lock();
-    let scale = read(&SHORT.replace("idle-s = 4", "idle-s = 50"));
+fn an_interrupt_ends_all_started_processes() {
+    let _guard = ONE_AT_A_TIME.lock();
+    let scale = read(&SHORT_PLAN.replace("idle-s = 4", "idle-s = 50"));
     let stop = Stop::after(scale.span);
     stop.on_signals().unwrap();
     let interrupts = std::thread::spawn(|| {
@@ -71,8 +72,8 @@
         std::thread::sleep(Duration::from_millis(500));
         kill_process(getpid(), Signal::INT).unwrap();
     });
-    let why = play(&scale, &stop).err().and_then(|why| why.downcast::<Stopped>().ok());
+    let reason = run_scale(&scale, &stop).err().and_then(|error| error.downcast::<Stopped>().ok());
     interrupts.join().unwrap();
-    assert_eq!(why.as_deref(), Some(&Stopped::Interrupted));
+    assert_eq!(reason.as_deref(), Some(&Stopped::Interrupted));
     assert_eq!(children(), Vec::<String>::new());
 }
--- a/crates/node/tests/starts.rs
+++ b/crates/node/tests/starts.rs
@@ -1,4 +1,4 @@
-//! The program started and stopped some hundreds of times, many at once, beside executors that are busy.
+//! Starts and stops the program several hundred times, many processes at once, while its executors are under load.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use rstest::rstest;
 
 #[test]
-fn every_start_serves_and_every_stop_ends_well() {
+fn every_start_serves_and_every_stop_is_clean() {
     let product = Product { agreed_ms: 50.0, cut_off_ms: 100.0, ..Product::default() };
     let scenario = Scenario { products: vec![product], ..Scenario::default() };
     let fleet = Fleet::start(&scenario).unwrap();
@@ -32,12 +32,12 @@
 }
 
 #[rstest]
-#[case::a_thousand(1_024, true)]
-#[case::more(1_025, false)]
-fn nodes_alive_at_a_time(#[case] at_once: usize, #[case] fine: bool) {
+#[case::at_the_limit(1_024, true)]
+#[case::above_the_limit(1_025, false)]
+fn the_number_of_concurrent_nodes_is_limited(#[case] at_once: usize, #[case] accepted: bool) {
     let fleet = Fleet::start(&Scenario::default()).unwrap();
     let within = Duration::from_secs(60);
     let plan = Plan { count: 1, at_once, ready_within: within, hung_after: within, via: Vec::new() };
     let counted = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan);
-    assert_eq!(counted.is_ok(), fine, "{counted:?}");
+    assert_eq!(counted.is_ok(), accepted, "{counted:?}");
 }
