--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -60,7 +60,7 @@
 )]
 #[case::discovery_silent("do = \"cut\"\nto = [\"n*>d\"]", "do = \"heal\"\nto = [\"n*>d\"]")]
 #[case::discovery_overbooked("do = \"overbook\"\nms = 150", "do = \"overbook\"\nms = 0")]
-#[case::a_third_of_executors_gone(
+#[case::a_third_of_executors_hung(
     "do = \"ail\"\nfault = \"hang\"\nto = [\"e0\", \"e1\"]",
     "do = \"well\"\nfault = \"hang\"\nto = [\"e0\", \"e1\"]"
 )]
--- a/crates/node/tests/ends/client_disconnects.rs
+++ b/crates/node/tests/ends/client_disconnects.rs
@@ -26,13 +26,13 @@
 #[rstest]
 #[case::closed(String::new(), close)]
 #[case::reset(String::new(), reset_connection)]
-#[case::closed_behind_half_a_request(job(2, "look", 1_500)[..60].to_owned(), close)]
+#[case::closed_behind_a_partial_request(job(2, "look", 1_500)[..60].to_owned(), close)]
 #[case::closed_behind_a_request(job(2, "look", 1_500), close)]
 #[case::closed_behind_a_flood(flood(), close)]
 #[case::reset_behind_a_flood(flood(), reset_connection)]
 fn executions_for_a_disconnected_client_are_cancelled(
     #[case] behind: String,
-    #[case] go: fn(BufReader<TcpStream>),
+    #[case] disconnect: fn(BufReader<TcpStream>),
 ) {
     let server = FakeServer::open();
     let node = Node::start(&[server.address], &[]);
@@ -42,7 +42,7 @@
     assert_eq!(connection.read_request_id(), Some(1));
     send(&mut client, &behind);
     let start = Instant::now();
-    go(client);
+    disconnect(client);
     assert!(connection.closed_without_data());
     // At the request's deadline the execution would be cancelled anyway. The required bound is 0.1 s; this one tolerates a machine
     // that is busy with other tests.
@@ -58,7 +58,7 @@
 #[case::reset_behind_a_flood(flood(), reset_connection)]
 fn no_further_execution_begins_for_a_disconnected_client(
     #[case] behind: String,
-    #[case] go: fn(BufReader<TcpStream>),
+    #[case] disconnect: fn(BufReader<TcpStream>),
 ) {
     let (first, second) = (FakeServer::open(), FakeServer::open());
     let node = Node::start(&[first.address, second.address], &[("\"cancel\": true", "\"cancel\": false")]);
@@ -75,7 +75,7 @@
     };
     assert_eq!(connection.read_request_id(), Some(1));
     send(&mut client, &behind);
-    go(client);
+    disconnect(client);
     // The flood is read in turns of a millisecond; each barrier gives the node several turns.
     (0..20).for_each(|_| node.barrier());
     connection.send(&chunked("{\"id\":\"1\",\"state\":\"returned\"}\n"));
--- a/crates/node/tests/ends/cold_executor.rs
+++ b/crates/node/tests/ends/cold_executor.rs
@@ -62,15 +62,15 @@
     let text = configuration(&warm, confirming_discovery(), &changes);
     let cold_entry = entry("cold", cold).replace("\"status\"", &format!("\"since_ms\":{started},\"status\""));
     let text = text.replacen("\"endpoints\":[", &format!("\"endpoints\":[{cold_entry},"), 1);
-    let (over, ids) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(1)));
+    let (finished, ids) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(1)));
     let clients = |node: &Node| {
         let address = node.address;
         for _ in 0..16 {
-            let (over, ids) = (Arc::clone(&over), Arc::clone(&ids));
+            let (finished, ids) = (Arc::clone(&finished), Arc::clone(&ids));
             std::thread::spawn(move || {
                 let socket = std::net::TcpStream::connect(address).unwrap();
                 let mut socket = std::io::BufReader::new(socket);
-                while !over.load(Ordering::Relaxed) {
+                while !finished.load(Ordering::Relaxed) {
                     let id = ids.fetch_add(1, Ordering::Relaxed);
                     if status(exchange(&mut socket, &job(id, "look", 1_000))) == 0 {
                         break;
@@ -95,7 +95,7 @@
             nodes.push(node);
         }
     }
-    over.store(true, Ordering::Relaxed);
+    finished.store(true, Ordering::Relaxed);
     // The executor has one slot, as far as the processes know, and all jobs have the mean duration.
     let allowed = |at: f64| {
         LOAD_FACTOR * (COLD_START_SHARE + (1.0 - COLD_START_SHARE) * (at / COLD_DURATION_S).min(1.0))
--- a/crates/node/tests/ends/harness.rs
+++ b/crates/node/tests/ends/harness.rs
@@ -31,15 +31,18 @@
     Some((head, String::from_utf8(body).unwrap()))
 }
 
+/// Returns a response with these lines as its chunked body.
 pub fn chunked(lines: &str) -> String {
     let length = lines.len();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{lines}\r\n0\r\n\r\n")
 }
 
+/// Returns an executor's response for a completed job.
 pub fn done_response(id: u32, result: &str) -> String {
     chunked(&format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"{result}\"}}\n"))
 }
 
+/// The response of an executor that declines a job: the job has not run there.
 pub const DECLINED_RESPONSE: &str =
     "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
@@ -53,10 +56,12 @@
 pub struct Connection(pub BufReader<TcpStream>);
 
 impl FakeServer {
+    /// Opens a listener at a free port.
     pub fn open() -> Self {
         Self::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
+    /// Opens a listener at this address.
     pub fn at(address: SocketAddr) -> Self {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
@@ -116,10 +121,12 @@
         read_message(&mut self.0).map(|(head, _)| head)
     }
 
+    /// Reads the next request and returns its id. Returns `None` at the end of the stream, or without an id.
     pub fn read_request_id(&mut self) -> Option<u32> {
         self.read_head().and_then(|head| head.lines().find_map(|l| l.strip_prefix("Req-Id: ")?.parse().ok()))
     }
 
+    /// Sends these bytes as they are.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
@@ -138,6 +145,7 @@
         found
     }
 
+    /// Resets the connection.
     pub fn reset(self) {
         reset(self.0);
     }
@@ -188,6 +196,7 @@
     address
 }
 
+/// A running process of the program; it is killed when dropped.
 pub struct Node {
     pub process: Child,
     pub address: SocketAddr,
@@ -233,6 +242,7 @@
     address
 }
 
+/// Returns the list entry of an active executor.
 pub fn entry(name: &str, address: SocketAddr) -> String {
     format!(r#"{{"name":"{name}","address":"{address}","zone":"here","type":"small","status":"active"}}"#)
 }
@@ -264,6 +274,7 @@
         node
     }
 
+    /// Waits until the node reports that it is ready. Panics after [`WAIT_LIMIT`].
     pub fn wait_until_ready(&self) {
         let start = Instant::now();
         while status(exchange(&mut self.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {
@@ -271,6 +282,7 @@
         }
     }
 
+    /// Starts a node with this configuration.
     pub fn start_with(text: &str) -> Self {
         Self::start_with_faults(text, "")
     }
@@ -314,6 +326,7 @@
         std::fs::write(&self.path, text).unwrap();
     }
 
+    /// Sends a signal to the process, given as an argument of `kill`.
     pub fn signal(&self, signal: &str) {
         let pid = self.process.id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
@@ -330,6 +343,7 @@
         self.signal("-CONT");
     }
 
+    /// Connects a client.
     pub fn client(&self) -> BufReader<TcpStream> {
         let socket = TcpStream::connect(self.address).unwrap();
         socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -358,6 +372,7 @@
     }
 }
 
+/// Returns a client's request with its whole body. A request for the product `top-up` has an idempotency key.
 pub fn job(id: u32, kind: &str, timeout_ms: u32) -> String {
     let stamp = if kind == "top-up" { format!("Idempotency-Key: k{id}\r\n") } else { String::new() };
     format!(
@@ -366,10 +381,12 @@
     )
 }
 
+/// Sends these bytes from a client.
 pub fn send(socket: &mut BufReader<TcpStream>, text: &str) {
     socket.get_mut().write_all(text.as_bytes()).unwrap();
 }
 
+/// Sends a request from a client and reads the response.
 pub fn exchange(socket: &mut BufReader<TcpStream>, text: &str) -> Option<(String, String)> {
     send(socket, text);
     read_message(socket)
