--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,10 @@
-//! The reducer: all that the node knows beside the decisions. It takes one input at a time, asks the
-//! dispatcher, and returns the effects that sockets and clocks are to carry out. It does no I/O itself.
+//! The reducer, which holds all state of a node except that of the dispatcher.
+//!
+//! It handles one input at a time, asks the dispatcher for decisions, and returns the effects that the node's sockets and
+//! clocks carry out. It does no I/O itself.
 
-/// What must hold: asserted in debug builds, counted in release builds.
-macro_rules! must {
+/// Checks an invariant: a violation panics in debug builds, and is counted and reported in release builds.
+macro_rules! check_invariant {
     ($core:expr, $holds:expr, $what:literal) => {
         if !$holds {
             debug_assert!(false, $what);
@@ -39,7 +41,7 @@
 };
 use linestack_settings::Settings;
 
-use linestack_recovery::start::Stage as Step;
+use linestack_recovery::start::Stage;
 
 use first_list::ListState;
 
@@ -51,83 +53,110 @@
 
 const SECOND: Nanos = 1_000_000_000;
 const DAY: Nanos = 86_400 * SECOND;
-/// A client may take this long to take its answer, and to hand in a request: a newcomer from when it
-/// connected, silent or not, lest those that never ask take the place of those that do.
-const CLIENT_PATIENCE: Nanos = 5 * SECOND;
-const HANDING_IN: Nanos = SECOND * 5 / 2;
-/// A client that asks for nothing for so long has been forgotten by whatever was between.
-const CLIENT_IDLE: Nanos = 300 * SECOND;
-/// After SIGTERM new connections go on coming for up to 0.4 s, and clients go on using those that they have.
-/// What crosses the closing of an idle one is sent once more, so the node stays a little longer than that.
+/// How long a client may take to read its response.
+const RESPONSE_READ_TIMEOUT: Nanos = 5 * SECOND;
+/// How long a client may take to send a request. For a newcomer the time runs from its connecting, whether it sends anything
+/// or not, so that clients that never send a request do not keep out those that do.
+const REQUEST_READ_TIMEOUT: Nanos = SECOND * 5 / 2;
+/// How long a client's connection may be idle. After this time, network devices on the path have probably dropped their state
+/// of the connection.
+const CLIENT_IDLE_TIMEOUT: Nanos = 300 * SECOND;
+/// How long a node that was told to stop serves its clients at least. New connections arrive for up to 0.4 s after SIGTERM,
+/// and clients go on using their connections.
 const STOP_GRACE: Nanos = SECOND * 9 / 20;
-const STAY: Nanos = SECOND / 4;
-/// The node is not killed sooner than the longest cut-off after this, and that counts as so long at most. An
-/// answer must be out some time before.
-const KILLED_AFTER: Nanos = SECOND * 7 / 10;
-const KILLED_AT_MOST: Nanos = 3 * SECOND;
+/// How long a stopping node waits for a request on a connection that is new or being closed, and how long it goes on after it
+/// has begun to close idle connections. A client whose request was on the way when its connection was closed sends the request
+/// again.
+const CLOSE_GRACE: Nanos = SECOND / 4;
+/// A node that was told to stop is not killed before its longest deadline and this delay have passed.
+const KILL_DELAY: Nanos = SECOND * 7 / 10;
+/// A longer deadline than this does not put off the kill any further.
+const MAX_KILL_DEADLINE: Nanos = 3 * SECOND;
+/// All submissions must be answered this long before the node may be killed.
 const KILL_MARGIN: Nanos = SECOND / 5;
-/// For how long a connection stands idle at least, and by what part and what step a good one raises the time
-/// at which jobs may find it.
-const IDLE_AT_LEAST: Nanos = SECOND / 4;
-const KEPT_REGAINS: Nanos = 32;
-const KEPT_STEP: Nanos = SECOND / 1000;
-const REPORT_EVERY: Nanos = 10 * SECOND;
-/// Where changes are pushed: how soon a watch that ended is opened again, at the earliest.
-const WATCH_AGAIN: Nanos = SECOND / 2;
-/// Where the list is asked for, what discovery has counts as told 6 s after it had it and could be reached. The next
-/// call begins at most `CALL_WITHIN` after the last moment from which nothing can have been missed: the call that
-/// failed at once, the last line of a watch that fell silent, the start of a call that hung (3.25 s of it are gone
-/// then). That leaves 1.25 s for the answer.
-const CALL_WITHIN: Nanos = SECOND * 19 / 4;
-const CALL_PAUSE: Nanos = SECOND / 4;
-/// Discovery bears little more calls than the settings' time for asking spreads over all nodes, works on those that
-/// were given up too, and fails those that waited: the first calls after an end are spread by chance, and each node
-/// keeps its place from then on. One that waited for so long and was turned away had too many others before it,
-/// and is spread anew, after a pause.
-const CALL_WAITED: Nanos = SECOND / 2;
-const CALL_TURNED_AWAY: Nanos = SECOND;
-/// A second answer may come some milliseconds after the first. One that names no submission, read as the next one's,
-/// could say of what runs that it never did.
-const SECOND_ANSWER: Nanos = SECOND / 20;
-/// A process that ends breaks all its connections within this.
-const TOGETHER: Nanos = SECOND / 50;
-/// So many that could not be made, and none in between that could, tell of its end.
-const UNMADE: u32 = 2;
-/// Bytes that a connection takes: of its stack, what is touched, and the first of its buffers.
-const CONNECTION: usize = 20 * 1024;
-/// A client may say that it waits this many times as long as the longest cut-off; more is remembered in vain.
-const LONGER: Nanos = 4;
-/// Names that a list may bring beyond those of the settings.
-const MOST_NAMES: usize = 1024;
-/// Executors that have left and are kept beside as many as are there: all of a large fleet, should a list leave them out.
-const KEPT_LEFT: usize = 1024;
-
+/// How long a connection is kept idle at least.
+const MIN_IDLE_TIMEOUT: Nanos = SECOND / 4;
+/// Each idle connection that proves usable raises the longest idle time after which jobs may reuse one: by this fraction of it
+/// (one part in 32) plus [`REUSE_GROWTH_STEP`].
+const REUSE_GROWTH_DIVISOR: Nanos = 32;
+/// The fixed part of each such raise.
+const REUSE_GROWTH_STEP: Nanos = SECOND / 1000;
+/// How often the statistics are reported.
+const REPORT_INTERVAL: Nanos = 10 * SECOND;
+/// The shortest delay before a watch that ended is opened again, where discovery pushes changes.
+const WATCH_RETRY_DELAY: Nanos = SECOND / 2;
+/// The longest delay of a list call after the last moment at which nothing can have been missed, where the list is asked for:
+/// the time of a call that failed at once, of the last line of a watch that fell silent, or of the start of a call that hung
+/// (of which 3.25 s have passed by then).
+///
+/// A node counts as informed of what discovery knows 6 s after discovery knew it and could be reached, so 1.25 s are left for
+/// the answer.
+const MAX_LIST_CALL_DELAY: Nanos = SECOND * 19 / 4;
+/// The shortest delay before the list is asked for again.
+const MIN_LIST_CALL_DELAY: Nanos = SECOND / 4;
+/// A call that waited at least this long before discovery turned it away had too many other calls ahead of it.
+///
+/// Discovery can handle little more than the calls of all nodes spread evenly over the list refresh limit; it also works on
+/// calls that were abandoned, and fails those that waited. So the first calls after a failure are spread at random, and each
+/// node keeps its place in that order from then on. A call that waited for this long and was turned away gets a new random
+/// place after [`OVERLOADED_CALL_DELAY`].
+const LONG_CALL_WAIT: Nanos = SECOND / 2;
+/// The shortest delay before the list is asked for again after discovery was overloaded.
+const OVERLOADED_CALL_DELAY: Nanos = SECOND;
+/// How long a connection is not reused after a response that names no submission. An executor may send a second response some
+/// milliseconds after the first; taken for the response to the next execution, it could say of a running job that it never
+/// ran.
+const DUPLICATE_RESPONSE_WINDOW: Nanos = SECOND / 20;
+/// A process that ends breaks all its connections within this time.
+const PROCESS_LOSS_WINDOW: Nanos = SECOND / 50;
+/// This many failed connection attempts in a row show that the executor's process has ended.
+const PROCESS_LOSS_CONNECT_FAILURES: u32 = 2;
+/// Bytes of memory for one connection: the part of its stack that is touched, and its initial buffers.
+const CONNECTION_BYTES: usize = 20 * 1024;
+/// A client's timeout counts up to this many times the longest deadline; holding a submission for longer serves no purpose.
+const MAX_TIMEOUT_FACTOR: Nanos = 4;
+/// The most names of zones, and of kinds, that are kept; lists may bring names that the settings do not have.
+const MAX_NAMES: usize = 1024;
+/// Executors that have left are remembered up to the number of those present plus this: a whole large fleet, in case a list
+/// leaves it out by mistake.
+const MAX_EXTRA_DEPARTED: usize = 1024;
+
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Ring(u64),
-    Link(ConnectionId),
+    /// A timer of the dispatcher, with its identifier.
+    Dispatcher(u64),
+    /// The time limit of a connection to an executor.
+    Connection(ConnectionId),
+    /// The time limit of a client's connection.
     Client(ClientId),
-    CutOff(Submission, u64),
-    Watch,
-    Refuse,
-    Leave,
-    /// All that was taken must be answered now,
-    LastCall,
-    /// and whatever is not over by then would be killed.
-    End,
+    /// The deadline of a submission, with its serial number.
+    Deadline(Submission, u64),
+    /// The list of executors is to be asked for.
+    ListCall,
+    /// A stopping node closes the connections of its clients.
+    CloseClients,
+    /// A stopping node exits as soon as it has no clients.
+    ExitWhenEmpty,
+    /// A stopping node answers all open submissions.
+    AnswerDeadline,
+    /// A stopping node exits, before it is killed.
+    Exit,
+    /// Statistics are due.
     Report,
-    /// The start may go on by time alone.
-    Stage,
-    /// A connection's turn has come.
-    Open(ConnectionId),
-    /// Clients hold all the room.
-    Room,
+    /// A staged start may proceed because time has passed.
+    StagedStart,
+    /// A staged start allows this connection to be opened.
+    OpenConnection(ConnectionId),
+    /// Room for clients is to be checked, since the limit was reached.
+    ClientRoom,
 }
 
-/// A time limit that is moved often and seldom reached: one timer stands for all its moves.
+/// A time limit that is moved often and seldom reached. Only one timer is set for it, which is set again when it fires early.
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     until: Nanos,
+    /// When the timer that is set fires.
     armed: Nanos,
 }
 
@@ -135,79 +164,88 @@
     const NONE: Self = Self { until: Nanos::MAX, armed: Nanos::MAX };
 }
 
+/// A connection of a client.
 #[derive(Debug)]
 struct ClientState {
     submission: Option<Submission>,
     phase: Phase,
+    /// When the phase began.
     since: Nanos,
-    /// When it connected, until it has handed in something that was taken.
-    newcomer: Option<Nanos>,
-    /// It was told to go, so that others have room.
+    /// When the client connected; `None` once a submission of it was accepted or answered.
+    newcomer_since: Option<Nanos>,
+    /// The connection is being closed to make room for others.
     evicted: bool,
     limit: Limit,
 }
 
+/// A submission that was accepted and is not over yet.
 #[derive(Debug)]
-struct Taken {
-    /// Told apart from those that had this index before.
-    number: u64,
+struct AcceptedSubmission {
+    /// Tells the submission apart from those that had this index before.
+    serial: u64,
+    /// The client that waits for the answer.
     client: Option<ClientId>,
-    /// It left before it was answered.
+    /// The client disconnected before it was answered.
     client_left: bool,
-    /// Of the terms that held when it was taken; it keeps it to its end.
-    version: u64,
-    /// That it may have run is written down, where it has to be.
-    kept: bool,
+    /// The version of the settings under which the submission was accepted; it holds to the end.
+    settings_version: u64,
+    /// The record that the submission may have run is durable.
+    persisted: bool,
     product: u8,
-    cut_off: Nanos,
+    deadline: Nanos,
     request: Arc<ForwardedRequest>,
-    executions: Vec<Sent>,
+    executions: Vec<Attempt>,
 }
 
+/// One execution of a submission.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct Attempt {
     worker: Worker,
-    at: Nanos,
-    until: Nanos,
+    started_at: Nanos,
+    deadline: Nanos,
+    /// The connection that carries the execution, or will; `None` when the execution has ended.
     connection: Option<ConnectionId>,
 }
 
+/// What a connection carries, or is opened for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Load {
+enum Exchange {
     Execution(Submission, Execution),
     Probe,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum ConnectionPhase {
     Opening,
     Busy,
-    /// The outcome is known, the last bytes are not in.
+    /// The outcome of the exchange is known, but the end of the response has not arrived.
     Finishing,
     Idle,
 }
 
+/// A connection to an executor.
 #[derive(Debug)]
-struct Line {
+struct ConnectionState {
     worker: Worker,
-    /// Where it leads: the executor of this name may be elsewhere by now.
+    /// The address that it was opened to; the executor may have moved since.
     address: SocketAddr,
-    stage: Stage,
-    load: Option<Load>,
-    /// Nothing more is wanted of it than what it carries.
-    last: bool,
-    /// Until then a second answer may come that nobody could tell from the next one's.
-    doubtful: Nanos,
-    /// It was made.
-    up: bool,
-    /// For how long it had stood idle before what it carries now: it may have been closed at the other end.
-    idled: Option<Nanos>,
+    phase: ConnectionPhase,
+    exchange: Option<Exchange>,
+    /// The connection is not to be reused after its present exchange.
+    close_after_exchange: bool,
+    /// Until then a duplicate response may arrive that could be taken for the response to the next exchange.
+    reusable_at: Nanos,
+    established: bool,
+    /// How long the connection had been idle before the present exchange; the executor may have closed it in that time.
+    idle_before_exchange: Option<Nanos>,
+    /// When it was opened or became idle.
     since: Nanos,
     limit: Limit,
 }
 
+/// An executor, with the reducer's own observations of it.
 #[derive(Debug)]
-struct Place {
+struct WorkerState {
     name: Arc<str>,
     address: SocketAddr,
     health: Health,
@@ -215,115 +253,127 @@
     zone: u16,
     cell: u16,
     weight: f32,
-    started: start_times::Started,
-    idle: Vec<ConnectionId>,
-    /// Connections to it, and executions there of submissions that are still known: while there are any, its
-    /// index can mean no other.
-    lines: usize,
-    known: usize,
-    /// It waits in `left`.
-    left: bool,
-    seen: Seen,
-    /// When something was seen of it last, whether it answered, and its report if it told one.
-    said: Option<(Nanos, bool, Option<Report>)>,
+    start_time: start_times::StartTime,
+    idle_connections: Vec<ConnectionId>,
+    /// The number of connections to it. While there are any, its index is not given to another executor.
+    open_connections: usize,
+    /// The number of executions on it of submissions that are not forgotten yet. While there are any, its index is not given
+    /// to another executor.
+    known_executions: usize,
+    /// Its index is in [`Core::departed`].
+    is_departed: bool,
+    failure_signs: FailureSigns,
+    /// When it was last observed, whether it answered then, and the report that came with the answer.
+    last_observation: Option<(Nanos, bool, Option<Report>)>,
 }
 
-/// What was seen of an executor's connections, as far as it tells whether its process was lost.
+/// Observations of an executor's connections that show whether its process was lost.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    /// Those that are up.
-    up: usize,
-    /// How many broke together, until when, and whether one of them carried something.
-    breaks: usize,
-    broke: Nanos,
-    busy: bool,
-    /// How many in a row could not be made.
-    unmade: u32,
-    /// Nothing has answered since something went unanswered.
-    silent: bool,
+struct FailureSigns {
+    /// The number of established connections.
+    established: usize,
+    /// How many connections broke within [`PROCESS_LOSS_WINDOW`] of each other.
+    recent_disconnects: usize,
+    /// When the last of them broke.
+    last_disconnect: Nanos,
+    /// One of them broke in the middle of a response.
+    exchange_interrupted: bool,
+    /// How many connections in a row could not be opened.
+    failed_connects: u32,
+    /// An exchange timed out, and none has been answered since.
+    unanswered: bool,
 }
 
+/// The state of a node. See the [module documentation](self).
 pub struct Core {
     dispatcher: Box<dyn Decide + Send>,
     connect_timeout: Nanos,
-    idle: Nanos,
-    /// How long a connection may have been idle and still get a job, as far as was seen.
-    kept: Nanos,
-    asks: bool,
+    idle_timeout: Nanos,
+    /// The longest idle time after which a connection may still carry a job, learned from connections found closed.
+    max_reuse_idle: Nanos,
+    /// Whether the list of executors must be asked for; otherwise discovery pushes changes.
+    list_on_request: bool,
     may_probe: bool,
     may_duplicate: bool,
     products: Vec<Product>,
-    longest_wait: Nanos,
-    /// The version of the terms, and until when anything may be taken.
-    version: u64,
-    leave: Nanos,
-    /// The longest come-back time that may be named.
-    come_back: Option<Nanos>,
-    book: Option<outcomes::Book>,
-    start: Option<staged_start::Starting>,
-    /// How long it may go on after it was told to stop.
-    last_span: Nanos,
-    /// When all that is taken from now on must be answered.
-    last_call: Nanos,
-    most_clients: usize,
-    room: eviction::Room,
-    most_links: usize,
+    max_client_timeout: Nanos,
+    settings_version: u64,
+    /// Submissions are accepted until this time only.
+    lease_until: Nanos,
+    /// The longest retry delay that clients may be given; `None` if they are given none.
+    max_retry_after: Option<Nanos>,
+    outcome_store: Option<outcomes::OutcomeStore>,
+    staged_start: Option<staged_start::StartProgress>,
+    /// How long the node may go on after it was told to stop.
+    stop_duration: Nanos,
+    /// When a stopping node must have answered everything.
+    answer_deadline: Nanos,
+    max_clients: usize,
+    client_room: eviction::ClientRoom,
+    max_connections: usize,
     zones: Vec<String>,
     kinds: Vec<String>,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     now: Nanos,
-    workers: Vec<Place>,
-    names: HashMap<Arc<str>, Worker>,
-    /// Those that are gone, the first first, and the indices that mean nobody.
-    left: VecDeque<Worker>,
-    vacant: Vec<Worker>,
-    /// How many are not gone.
-    present: usize,
-    taken: Vec<Option<Taken>>,
-    /// Those taken, by their ids.
-    ids: HashSet<Bytes>,
-    free: Vec<Submission>,
+    workers: Vec<WorkerState>,
+    workers_by_name: HashMap<Arc<str>, Worker>,
+    /// Executors that are gone from the list, in the order in which they left.
+    departed: VecDeque<Worker>,
+    /// Indices that belong to no executor.
+    free_workers: Vec<Worker>,
+    /// The number of executors that are not gone.
+    present_workers: usize,
+    accepted: Vec<Option<AcceptedSubmission>>,
+    /// The request ids of accepted submissions.
+    open_ids: HashSet<Bytes>,
+    free_submissions: Vec<Submission>,
     clients: HashMap<ClientId, ClientState>,
-    links: HashMap<ConnectionId, Line>,
-    next_link: ConnectionId,
+    connections: HashMap<ConnectionId, ConnectionState>,
+    next_connection: ConnectionId,
     timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
     next_timer: u64,
-    pending: VecDeque<Event<'static>>,
+    pending_events: VecDeque<Event<'static>>,
     effects: Vec<Effect>,
     stats: Stats,
     list_state: ListState,
-    /// When clients are admitted whether or not discovery has answered.
+    /// When the node reports itself ready although discovery has not answered.
     first_list_due: Nanos,
     list_clocks: ListClocks,
     first_call_spread: Nanos,
-    /// When the list is asked for next, if that is settled, and how often in a row that failed.
-    call_at: Option<Nanos>,
-    unheard: u32,
+    /// When the list is asked for next, if the reducer has scheduled that itself.
+    next_list_call: Option<Nanos>,
+    /// How many list calls in a row have failed.
+    failed_list_calls: u32,
+    /// The node was told to stop.
     stopping: bool,
-    refusing: bool,
-    leaving: bool,
+    /// Client connections are closed as soon as they are idle.
+    closing_clients: bool,
+    /// The node exits when its last client has disconnected.
+    exit_when_empty: bool,
 }
 
-/// How long a connection may stand idle, how long a node told to stop may go on, and how long a client may say
-/// that it waits.
-fn spans(idle: Nanos, longest_cut_off: Nanos) -> (Nanos, Nanos, Nanos) {
-    // The executor closes it after that, and what is written to it from then on is lost.
-    let idle = if idle > 0 { idle / 2 } else { SECOND };
-    // Where they name none, it may be any.
-    let longest = Some(longest_cut_off).filter(|l| *l > 0);
-    let last = longest.unwrap_or(KILLED_AT_MOST).min(KILLED_AT_MOST) + KILLED_AFTER - KILL_MARGIN;
-    (idle, last, longest.map_or(DAY, |l| l * LONGER))
+/// Returns how long a connection may be idle, how long a node may go on after it was told to stop, and the longest timeout
+/// that a client may ask for.
+fn time_limits(idle: Nanos, longest_cut_off: Nanos) -> (Nanos, Nanos, Nanos) {
+    // The executor closes an idle connection after the time of the settings; what is written to it after that is lost.
+    let idle_timeout = if idle > 0 { idle / 2 } else { SECOND };
+    // Settings without a longest deadline allow any.
+    let longest = Some(longest_cut_off).filter(|longest| *longest > 0);
+    let stop_duration =
+        longest.unwrap_or(MAX_KILL_DEADLINE).min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+    (idle_timeout, stop_duration, longest.map_or(DAY, |longest| longest * MAX_TIMEOUT_FACTOR))
 }
 
 impl Core {
-    /// `sockets` is the limit on descriptors, `memory` that on bytes.
+    /// Creates the reducer of a node with the dispatcher that the settings configure. `sockets` is the limit on file
+    /// descriptors, `memory` the limit on memory in bytes.
     #[must_use]
     pub fn new(settings: Settings, sockets: usize, memory: usize) -> Self {
         let dispatcher = Box::new(Dispatcher::new(settings.dispatch.clone()));
         Self::with_dispatcher(dispatcher, settings, sockets, memory)
     }
 
-    /// With decisions of another's making: for comparison, and for tests.
+    /// Creates the reducer with another dispatcher, for comparisons and tests.
     #[must_use]
     pub fn with_dispatcher(
         dispatcher: Box<dyn Decide + Send>,
@@ -332,215 +382,225 @@
         memory: usize,
     ) -> Self {
         let (orders, names) = (settings.dispatch, settings.names);
-        let (idle, last_span, longest_wait) = spans(orders.idle_timeout, settings.longest_deadline);
-        // The rest is for the listener, the watch, the signals, and what is just being closed.
-        let spare = sockets.saturating_sub(16);
-        // An eighth of the memory for what each client's connection takes, as much for executors'.
-        let most = memory / 8 / CONNECTION;
+        let (idle_timeout, stop_duration, max_client_timeout) =
+            time_limits(orders.idle_timeout, settings.longest_deadline);
+        // 16 are left for the listener, the watch of the list, the signals and sockets that are being closed.
+        let available = sockets.saturating_sub(16);
+        // One eighth of the memory is for the connections of clients, another for those to executors.
+        let max_by_memory = memory / 8 / CONNECTION_BYTES;
         let mut core = Self {
             connect_timeout: orders.connect_timeout,
-            idle,
-            kept: idle,
-            asks: orders.list_refresh_limit.is_some(),
+            idle_timeout,
+            max_reuse_idle: idle_timeout,
+            list_on_request: orders.list_refresh_limit.is_some(),
             may_probe: orders.may_probe,
             may_duplicate: orders.may_duplicate,
             products: orders.products,
-            last_span,
-            longest_wait,
-            version: 0,
-            leave: Nanos::MAX,
-            come_back: orders.retry_after,
-            book: None,
-            start: None,
-            last_call: Nanos::MAX,
-            most_clients: most.min(spare / 2),
-            room: eviction::Room::default(),
-            most_links: most.min(spare * 3 / 8),
+            stop_duration,
+            max_client_timeout,
+            settings_version: 0,
+            lease_until: Nanos::MAX,
+            max_retry_after: orders.retry_after,
+            outcome_store: None,
+            staged_start: None,
+            answer_deadline: Nanos::MAX,
+            max_clients: max_by_memory.min(available / 2),
+            client_room: eviction::ClientRoom::default(),
+            max_connections: max_by_memory.min(available * 3 / 8),
             zones: names.zones,
             kinds: names.kinds,
-            chance: fastrand::Rng::with_seed(orders.seed),
+            rng: fastrand::Rng::with_seed(orders.seed),
             dispatcher,
             now: 0,
             workers: Vec::new(),
-            names: HashMap::new(),
-            left: VecDeque::new(),
-            vacant: Vec::new(),
-            present: 0,
-            taken: Vec::new(),
-            ids: HashSet::new(),
-            free: Vec::new(),
+            workers_by_name: HashMap::new(),
+            departed: VecDeque::new(),
+            free_workers: Vec::new(),
+            present_workers: 0,
+            accepted: Vec::new(),
+            open_ids: HashSet::new(),
+            free_submissions: Vec::new(),
             clients: HashMap::new(),
-            links: HashMap::new(),
-            next_link: 0,
+            connections: HashMap::new(),
+            next_connection: 0,
             timers: BinaryHeap::new(),
             next_timer: 0,
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
             effects: Vec::new(),
             stats: Stats::default(),
             list_state: ListState::Missing,
             first_list_due: Nanos::MAX,
             list_clocks: ListClocks::default(),
             first_call_spread: first_list::first_call_spread(orders.nodes, orders.connect_timeout),
-            call_at: None,
-            unheard: 0,
+            next_list_call: None,
+            failed_list_calls: 0,
             stopping: false,
-            refusing: false,
-            leaving: false,
+            closing_clients: false,
+            exit_when_empty: false,
         };
-        core.arm(0, Timer::Report);
-        if !core.asks {
-            core.call_at(0);
+        core.set_timer(0, Timer::Report);
+        if !core.list_on_request {
+            core.schedule_list_call(0);
         }
         core
     }
 
-    /// What is held, in flight and known stays; see the dispatcher's `go_on_under`.
-    fn go_on_under(&mut self, settings: Settings) {
+    /// Applies changed settings. Open submissions, executions in flight and everything learned stay; see
+    /// [`Decide::go_on_under`].
+    fn apply_settings(&mut self, settings: Settings) {
         let orders = settings.dispatch;
         self.dispatcher.reconfigure(orders.clone());
         (self.connect_timeout, self.may_probe) = (orders.connect_timeout, orders.may_probe);
         self.may_duplicate = orders.may_duplicate;
-        self.come_back = orders.retry_after;
-        (self.idle, self.last_span, self.longest_wait) =
-            spans(orders.idle_timeout, settings.longest_deadline);
-        self.kept = self.kept.min(self.idle);
+        self.max_retry_after = orders.retry_after;
+        (self.idle_timeout, self.stop_duration, self.max_client_timeout) =
+            time_limits(orders.idle_timeout, settings.longest_deadline);
+        self.max_reuse_idle = self.max_reuse_idle.min(self.idle_timeout);
         self.products = orders.products;
     }
 
-    /// Whether clients should come.
+    /// Whether the node is ready for submissions from clients.
     #[must_use]
     pub fn ready(&self, now: Nanos) -> bool {
         self.list_admits_clients(now)
             && !self.stopping
-            && now < self.leave
-            && self.stage().is_none_or(Step::serves)
+            && now < self.lease_until
+            && self.stage().is_none_or(Stage::serves)
     }
 
-    /// Submissions taken since the start.
+    /// The number of submissions accepted since the start.
     #[must_use]
     pub fn submissions_accepted(&self) -> u64 {
         self.stats.taken
     }
 
-    /// The version of the terms that hold.
+    /// The version of the settings in force.
     #[must_use]
     pub fn settings_version(&self) -> u64 {
-        self.version
+        self.settings_version
     }
 
-    /// Whether no further client can be let in.
+    /// Whether the limit of client connections is reached.
     #[must_use]
     pub fn is_at_client_limit(&self) -> bool {
-        self.clients.len() >= self.most_clients
+        self.clients.len() >= self.max_clients
     }
 
+    /// When [`Input::Tick`] is due next.
     #[must_use]
     pub fn next_due(&self) -> Nanos {
         self.timers.peek().map_or(Nanos::MAX, |Reverse((at, ..))| *at)
     }
 
+    /// The statistics as of now.
     #[must_use]
     pub fn stats(&self) -> Stats {
-        let (clients, links, workers) = (self.clients.len(), self.links.len(), self.workers.len());
-        Stats { clients, links, workers, open: self.taken.iter().flatten().count(), ..self.stats }
+        let (clients, links, workers) = (self.clients.len(), self.connections.len(), self.workers.len());
+        Stats { clients, links, workers, open: self.accepted.iter().flatten().count(), ..self.stats }
     }
 
-    /// Takes one input and adds to `effects` what is to be done, in order.
+    /// Handles one input and appends to `effects` what is to be done, in order.
     pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match input {
             Input::SettingsChanged { settings, version } => {
-                self.version = version;
-                self.go_on_under(*settings);
+                self.settings_version = version;
+                self.apply_settings(*settings);
             }
             Input::Lease { until } => {
-                self.leave = until;
-                self.proved();
+                self.lease_until = until;
+                self.lease_received();
             }
-            Input::Persisted { ticket, durable: lasts } => self.kept(ticket, lasts),
-            Input::StoreRecovered => self.store_back(),
+            Input::Persisted { ticket, durable } => self.persisted(ticket, durable),
+            Input::StoreRecovered => self.store_recovered(),
             Input::ListClocks(clocks) => self.list_clocks = clocks,
-            Input::ListReceived { kind, endpoints } => self.listed(kind, endpoints),
-            Input::ListFailed { silent_for: lost, overloaded: busy } => self.unheard(lost, busy),
-            Input::PeerObservations { observations: items } => self.heard(items),
-            Input::ClientConnected { client } => self.client_up(client),
+            Input::ListReceived { kind, endpoints } => self.list_received(kind, endpoints),
+            Input::ListFailed { silent_for, overloaded } => self.list_failed(silent_for, overloaded),
+            Input::PeerObservations { observations } => self.peer_observations(observations),
+            Input::ClientConnected { client } => self.client_connected(client),
             Input::ClientPhase { client, phase } => self.client_phase(client, phase),
-            Input::ClientDisconnected { client } => self.client_gone(client),
+            Input::ClientDisconnected { client } => self.client_disconnected(client),
             Input::RequestRejected { client } => {
                 self.stats.turned_down += 1;
                 self.client_phase(client, Phase::Answering);
             }
-            Input::Submitted { client, submission: intake } => self.submitted(client, intake),
-            Input::ExecutorConnected { connection } => self.link_up(connection),
-            Input::ExecutorDisconnected { connection, disconnect } => self.link_down(connection, disconnect),
+            Input::Submitted { client, submission } => self.submitted(client, submission),
+            Input::ExecutorConnected { connection } => self.connection_established(connection),
+            Input::ExecutorDisconnected { connection, disconnect } => {
+                self.connection_lost(connection, disconnect)
+            }
             Input::Progressed { connection } => {
-                if let Some(Load::Execution(submission, execution)) =
-                    self.links.get(&connection).and_then(|l| l.load)
+                if let Some(Exchange::Execution(submission, execution)) =
+                    self.connections.get(&connection).and_then(|c| c.exchange)
                 {
-                    self.pending.push_back(Event::Progressed { submission, execution });
+                    self.pending_events.push_back(Event::Progressed { submission, execution });
                 }
             }
             Input::Ended { connection, outcome, result, report } => {
-                if let Some(Load::Execution(submission, execution)) = self.unload(connection) {
-                    self.ended(submission, execution, outcome, Some(result), report);
+                if let Some(Exchange::Execution(submission, execution)) = self.finish_exchange(connection) {
+                    self.execution_ended(submission, execution, outcome, Some(result), report);
                 }
             }
             Input::Probed { connection, answered, report } => {
-                let worker = self.links.get(&connection).map(|l| l.worker);
-                if let (Some(worker), Some(Load::Probe)) = (worker, self.unload(connection)) {
-                    self.probed(worker, answered, report);
+                let worker = self.connections.get(&connection).map(|c| c.worker);
+                if let (Some(worker), Some(Exchange::Probe)) = (worker, self.finish_exchange(connection)) {
+                    self.probe_ended(worker, answered, report);
                 }
             }
-            Input::ConnectionReusable { connection, identified: named } => {
-                if let Some(line) = self.links.get_mut(&connection).filter(|l| l.stage == Stage::Finishing) {
-                    line.doubtful = if named { 0 } else { self.now + SECOND_ANSWER };
-                    self.rest(connection);
+            Input::ConnectionReusable { connection, identified } => {
+                if let Some(state) =
+                    self.connections.get_mut(&connection).filter(|c| c.phase == ConnectionPhase::Finishing)
+                {
+                    state.reusable_at = if identified { 0 } else { self.now + DUPLICATE_RESPONSE_WINDOW };
+                    self.make_idle(connection);
                 }
             }
             Input::Tick => self.tick(),
             Input::Stop => {
                 if !std::mem::replace(&mut self.stopping, true) {
-                    // Its clients have nobody else until they are told to go, and where nodes restart in turn
-                    // the one before may not be back. It serves them for half of the time that it has; what it
-                    // takes from now on must be done in all of it, for a kill would lose it.
-                    self.last_call = self.now + self.last_span;
-                    self.arm(self.now + STOP_GRACE.max(self.last_span / 2), Timer::Refuse);
-                    self.arm(self.last_call, Timer::LastCall);
-                    self.arm(self.last_call + KILL_MARGIN / 2, Timer::End);
+                    // The clients have no other node until their connections are closed, and in a rolling restart the
+                    // previous node may not be back yet. So the node serves them for half of the time that it has.
+                    // Submissions accepted from now on must be answered within the whole of it, since a kill would lose
+                    // them.
+                    self.answer_deadline = self.now + self.stop_duration;
+                    self.set_timer(self.now + STOP_GRACE.max(self.stop_duration / 2), Timer::CloseClients);
+                    self.set_timer(self.answer_deadline, Timer::AnswerDeadline);
+                    self.set_timer(self.answer_deadline + KILL_MARGIN / 2, Timer::Exit);
                 }
             }
         }
-        self.settle();
-        self.go_on_starting();
-        if self.leaving && self.clients.is_empty() {
+        self.process_events();
+        self.advance_start();
+        if self.exit_when_empty && self.clients.is_empty() {
             self.effects.push(Effect::Exit);
         }
         effects.append(&mut self.effects);
     }
 
-    /// Hands the dispatcher what has happened, until nothing more follows from it.
-    /// Where the worker with this index can be reached, if it means one.
+    /// The address of the executor with this index, if there is one.
     #[must_use]
     pub fn address(&self, worker: Worker) -> Option<SocketAddr> {
-        let place = self.workers.get(worker as usize)?;
-        self.names.contains_key(&place.name).then_some(place.address)
+        let worker_state = self.workers.get(worker as usize)?;
+        self.workers_by_name.contains_key(&worker_state.name).then_some(worker_state.address)
     }
 
-    pub(crate) fn settle(&mut self) {
-        while let Some(event) = self.pending.pop_front() {
-            self.decide(event);
+    /// Passes all pending events to the dispatcher, including those that its actions cause.
+    pub(crate) fn process_events(&mut self) {
+        while let Some(event) = self.pending_events.pop_front() {
+            self.dispatch_event(event);
         }
     }
 
-    pub(crate) fn decide(&mut self, event: Event<'_>) {
-        let orders = self.dispatcher.decide(self.now, event).to_vec();
-        for order in orders {
-            self.carry_out(order);
+    /// Passes one event to the dispatcher and carries out its actions.
+    pub(crate) fn dispatch_event(&mut self, event: Event<'_>) {
+        let actions = self.dispatcher.decide(self.now, event).to_vec();
+        for action in actions {
+            self.carry_out(action);
         }
     }
 
-    pub(crate) fn carry_out(&mut self, order: Action) {
-        match order {
+    pub(crate) fn carry_out(&mut self, action: Action) {
+        match action {
             Action::Execute { submission, worker, timeout } => self.execute(submission, worker, timeout),
             Action::Cancel { submission, execution } => self.cancel(submission, execution),
             Action::Dismiss { submission, retry_after: come_back } => {
@@ -548,42 +608,50 @@
             }
             Action::Abort { submission } => self.answer(submission, Answer::Aborted),
             Action::Probe { worker } => {
-                must!(self, self.may_probe, "a probe where none may be sent");
+                check_invariant!(self, self.may_probe, "dispatcher sent a probe that the settings forbid");
                 if !self.may_probe {
                     return;
                 }
                 self.stats.probes += 1;
-                match self.pooled(worker, Load::Probe) {
-                    Some(connection) => self.hand(connection, Load::Probe),
-                    None => self.open(worker, Load::Probe),
+                match self.take_idle_connection(worker, Exchange::Probe) {
+                    Some(connection) => self.assign(connection, Exchange::Probe),
+                    None => self.open_connection(worker, Exchange::Probe),
                 }
             }
             Action::CloseIdleConnections { worker } => {
-                let idle = self.workers.get_mut(worker as usize).map(|w| std::mem::take(&mut w.idle));
-                idle.into_iter().flatten().for_each(|connection| self.close_link(connection));
-                // The one whose end led to this is not idle yet: its last bytes are not in.
-                let here = self.links.values_mut().filter(|l| l.worker == worker);
-                here.filter(|l| l.stage == Stage::Finishing).for_each(|l| l.last = true);
+                let idle =
+                    self.workers.get_mut(worker as usize).map(|w| std::mem::take(&mut w.idle_connections));
+                idle.into_iter().flatten().for_each(|connection| self.close_connection(connection));
+                // The connection whose exchange led to this action is not idle yet, because the end of the response has not
+                // arrived.
+                let to_worker = self.connections.values_mut().filter(|c| c.worker == worker);
+                to_worker
+                    .filter(|c| c.phase == ConnectionPhase::Finishing)
+                    .for_each(|c| c.close_after_exchange = true);
             }
-            // The reducer times the next call itself where it knows how the last one ended.
-            Action::Subscribe if self.call_at.is_some() => {}
+            // After a failed call the reducer schedules the next one itself.
+            Action::Subscribe if self.next_list_call.is_some() => {}
             Action::Subscribe => self.effects.push(Effect::RequestList),
             Action::Forget { submission } => {
-                let taken = self.taken.get_mut(submission as usize).and_then(Option::take);
-                if let Some(taken) = &taken {
-                    self.ids.remove(&taken.request.id);
-                    self.hold_key(taken.product, &taken.request, false);
+                let accepted = self.accepted.get_mut(submission as usize).and_then(Option::take);
+                if let Some(accepted) = &accepted {
+                    self.open_ids.remove(&accepted.request.id);
+                    self.set_key_open(accepted.product, &accepted.request, false);
                 }
-                let over = taken.as_ref().is_some_and(|t| {
-                    t.client.is_none() && t.executions.iter().all(|a| a.connection.is_none())
+                let is_over = accepted.as_ref().is_some_and(|accepted| {
+                    accepted.client.is_none() && accepted.executions.iter().all(|a| a.connection.is_none())
                 });
-                must!(self, over, "forgotten while something was owed or out");
-                for sent in taken.iter().flat_map(|t| &t.executions) {
-                    self.workers[sent.worker as usize].known -= 1;
+                check_invariant!(
+                    self,
+                    is_over,
+                    "submission forgotten before its answer or its last execution"
+                );
+                for attempt in accepted.iter().flat_map(|accepted| &accepted.executions) {
+                    self.workers[attempt.worker as usize].known_executions -= 1;
                 }
-                self.free.push(submission);
+                self.free_submissions.push(submission);
             }
-            Action::SetTimer { at, timer_id: token } => self.arm(at, Timer::Ring(token)),
+            Action::SetTimer { at, timer_id: token } => self.set_timer(at, Timer::Dispatcher(token)),
         }
     }
 }
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -1,16 +1,16 @@
-//! What this node tells one that starts, and what it takes from others when it starts itself.
+//! Observations of executors that nodes exchange: a running node reports them to one that starts.
 
 use linestack_peers::{ExecutorObservation, LoadFigures, LocalKnowledge, Observation};
 
 use super::*;
 
 impl Core {
-    /// What was seen here of each executor that is ready, and how long ago.
+    /// The latest observation of each ready executor, with its age.
     #[must_use]
     pub fn peer_snapshot(&self, now: Nanos) -> Vec<ExecutorObservation> {
         let ready = self.workers.iter().filter(|w| w.health == Health::Ready);
         let items = ready.filter_map(|w| {
-            let (at, answered, report) = w.said?;
+            let (at, answered, report) = w.last_observation?;
             let figures = report.map(|r| LoadFigures {
                 free_slots: r.free_slots,
                 free_memory: r.free_memory,
@@ -23,25 +23,28 @@
         items.collect()
     }
 
-    /// What is known here of an executor with this name, and how many are ready.
+    /// What this node knows about the executor with this name.
     #[must_use]
     pub fn local_knowledge(&self, name: &str) -> LocalKnowledge {
-        let place = self.names.get(name).and_then(|w| self.workers.get(*w as usize));
-        place.map_or(LocalKnowledge::default(), |w| LocalKnowledge {
+        let worker_state = self.workers_by_name.get(name).and_then(|w| self.workers.get(*w as usize));
+        worker_state.map_or(LocalKnowledge::default(), |w| LocalKnowledge {
             ready: w.health == Health::Ready,
-            seen: w.said.map(|(at, ..)| at),
+            seen: w.last_observation.map(|(at, ..)| at),
         })
     }
 
+    /// The number of ready executors.
     #[must_use]
     pub fn ready_workers(&self) -> usize {
         self.workers.iter().filter(|w| w.health == Health::Ready).count()
     }
 
-    /// Each enters as a probe's answer would; that another was answered proves nothing of whether this one would be.
-    pub(crate) fn heard(&mut self, items: Vec<Observation>) {
+    /// Passes the observations of a peer to the dispatcher, each like the result of a probe.
+    ///
+    /// That the peer got an answer is not passed on: it does not prove that this node would get one.
+    pub(crate) fn peer_observations(&mut self, items: Vec<Observation>) {
         for Observation { name, unresponsive, figures } in items {
-            let Some(worker) = self.names.get(name.as_str()).copied() else { continue };
+            let Some(worker) = self.workers_by_name.get(name.as_str()).copied() else { continue };
             if self.workers[worker as usize].health != Health::Ready {
                 continue;
             }
@@ -52,7 +55,7 @@
                 active_jobs: f.active_jobs,
             });
             let answered = unresponsive.then_some(false);
-            self.pending.push_back(Event::Probed { worker, answered, report });
+            self.pending_events.push_back(Event::Probed { worker, answered, report });
         }
     }
 }
