--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -3,17 +3,18 @@
 //! `types.rs`. Nothing here reads a clock or shares state.
 //!
 //! A submission normally goes to a random worker below threshold, else to a random ready one. In addition:
-//! 1. Worker health: a worker is ejected after a failure or silence and returns after answered probes.
+//! 1. Worker health: a worker is ejected after a failure or silence, and is used again after it has
+//!    answered a number of probes.
 //! 2. Overdue executions: a copy is sent to another worker if the product allows a repeat; or the execution
 //!    is cancelled first, and the submission is sent on.
 //! 3. Slow start: cold workers are drawn with a probability that keeps the jobs of all nodes together below
-//!    what a worker bears just after its start.
-//! 4. Admission: the slots in flight are limited by the ratio of the shortest to the present answer time, and
+//!    what a worker can handle just after its start.
+//! 4. Admission: the slots in flight are limited by the ratio of the shortest to the current answer time, and
 //!    no queue is joined that would make answers late.
 //! 5. Fairness: part of the capacity is reserved against submissions beyond a tenant's share, and against
 //!    products that pay less.
-//! 6. Upkeep: the list is followed, reports are refreshed by probes as far as their cost allows, and idle
-//!    connections are closed.
+//! 6. Periodic work: the list of workers is requested, reports are refreshed by probes as far as their cost
+//!    allows, and idle connections are closed.
 
 use std::borrow::Cow;
 
@@ -32,7 +33,8 @@
 const COMPLETIONS_PER_SLOT: u32 = 4;
 /// How often repeated failures may double the probes needed or the time until the next try.
 const MAX_DOUBLINGS: u32 = 6;
-/// The points of the result that refreshing reports may cost.
+/// The points per submission that the probes for refreshing reports may cost, in the unit of
+/// [`DispatchConfig::probe_cost`].
 const REFRESH_COST_LIMIT: f64 = 0.015;
 /// The part of the workers reserved for the products that pay best.
 const RESERVED_SHARE: f64 = 0.2;
@@ -44,11 +46,12 @@
 const REPORT_LIFETIME: f64 = 2.0;
 /// The age, in answer times, up to which a report is fresh, where not all workers are known.
 const FRESH_REPORT_AGE: f64 = 0.25;
-/// The debt of probes up to which ejected workers are still probed.
+/// The number of probes by which probing ejected workers may overdraw the probe budget.
 const MAX_PROBE_DEBT: f64 = 8.0;
 /// The part of the jobs that must start at once before a waiting job is moved.
 const MIN_PROMPT_SHARE: f64 = 0.25;
-/// The probability that an unknown worker has room. It is drawn blindly, so room is found only by chance.
+/// The probability that an unknown worker has room. Such a worker is drawn without a report, so room is found
+/// only by chance.
 const UNKNOWN_ROOM: f64 = 0.5;
 /// The share of workers with room below which any submission may be dismissed.
 const MIN_ROOM: f64 = 0.1;
@@ -77,8 +80,8 @@
     /// Requests for the list that failed in a row.
     pub(crate) failed_list_requests: u32,
     best_payoff: f64,
-    /// The points that refreshing reports may cost. Where starts are reported, less is spent: a start shows
-    /// at once what a report shows late.
+    /// The points per submission that the probes for refreshing reports may cost. Where starts are reported,
+    /// the limit is lower: a start shows at once what a report shows late.
     refresh_cost_limit: f64,
     actions: Vec<Action>,
 }
@@ -184,8 +187,8 @@
     }
 
     /// Closes idle connections that are unlikely to be used before they close by themselves. With many nodes
-    /// they would fill a worker's connection table, and each costs the worker; so with many nodes per slot,
-    /// one must be likely to be used even within two answer times.
+    /// they would fill a worker's connection table, and each costs the worker. So with many nodes per slot, a
+    /// connection is kept only if it is likely to be used within two answer times.
     fn close_rarely_used_connections(&mut self, worker: Worker) {
         let Some(state) = self.fleet.workers.get(worker as usize).filter(|s| s.in_flight.is_empty()) else {
             return;
@@ -369,8 +372,8 @@
         }
         let mut pick = below.pick.or(unknown_pick).or(others.pick);
         // A cold worker is drawn with its own probability and for first executions only. When all other
-        // workers are full, each submission chooses again and again, and the cold one would get the retries
-        // of all.
+        // workers are full, a worker is chosen for each submission again and again, and the cold worker would
+        // get all these retries.
         let mut remaining = rng.f64();
         for &worker in fleet.cold.iter().filter(|_| state.executions == 0) {
             let candidate = &fleet[worker];
@@ -381,8 +384,8 @@
                 self.below_threshold(candidate, state, mean_own_slots)
             };
             let wanted = self.is_available(candidate) && (same_zone(candidate) || below.pick.is_none());
-            let equals = (below.offered + unknown).max(1) as f64;
-            let share = probability.min(fleet.relative_size(candidate) / fleet.mean_size / equals);
+            let warm_candidates = (below.offered + unknown).max(1) as f64;
+            let share = probability.min(fleet.relative_size(candidate) / fleet.mean_size / warm_candidates);
             remaining -= if empty && wanted && self.may_execute(state, worker) { share } else { 0.0 };
             if remaining < 0.0 {
                 pick = Some(worker);
@@ -415,8 +418,8 @@
         if own + job.slots > threshold || own > mean_own_slots + job.slots || has_unstarted {
             return false;
         }
-        // Reports older than the jobs that they count say nothing of the present load; this node's own slots
-        // do.
+        // Reports older than the jobs that they count do not show the current load, so this node's own slots
+        // are compared.
         if self.traffic.report_delay(self.now) as f64 > slowest_answer_time(&self.answer_times) {
             return own <= mean_own_slots;
         }
@@ -439,9 +442,9 @@
         !self.config.counts_memory || left >= job.memory || free.is_some_and(|f| f >= worker.known_slots)
     }
 
-    /// Returns whether a job sent there would wait for at most `max_wait` answer times, the least latency
-    /// target of all products. Otherwise queues would fill until every answer is late, or the product with
-    /// the longest target would fill them until the others get nothing.
+    /// Returns whether a job sent to this worker would wait for at most `max_wait`, the least latency target
+    /// of all products in multiples of the mean answer time. Without this check queues would fill until every
+    /// answer is late, or the product with the longest target would fill them until the others get nothing.
     fn answers_in_time(&self, worker: &WorkerState, max_wait: f64) -> bool {
         let since = worker.sent_since_report(self.traffic.report_delay(self.now), |e| e.slots);
         let (free, queued) = (worker.report.free_slots, worker.report.queued_jobs);
@@ -449,15 +452,15 @@
         ahead / worker.known_slots.max(1.0) <= max_wait
     }
 
-    /// Returns whether it gets work: it is ready, not ejected, and no probe is overdue.
+    /// Returns whether a worker gets work: it is ready, not ejected, and no answer to a probe is overdue.
     fn is_available(&self, worker: &WorkerState) -> bool {
         let probe_overdue =
             worker.probe_sent_at.is_some_and(|p| self.now - p > self.config.connect_timeout / 4);
         worker.entry.health == Health::Ready && worker.probes_to_return == 0 && !probe_overdue
     }
 
-    /// Returns whether the rules on executions permit one. `execute`, the only place that orders executions,
-    /// checks this again.
+    /// Returns whether the submission may be executed on this worker under the rules for repeats, deadlines
+    /// and restrictions. `execute`, the only place that orders executions, checks this again.
     fn may_execute(&self, submission: &SubmissionState, worker: Worker) -> bool {
         let state = &self.fleet[worker];
         let product = &self.config.products[usize::from(submission.job.product)];
@@ -479,9 +482,9 @@
         }
     }
 
-    /// Returns the probability with which a submission may go from here to a cold worker, or `None` if it is
-    /// warm. All nodes learn of its start at once, so each sends its part at random, and the expected sum of
-    /// all nodes stays far below what the worker bears in a window.
+    /// Returns the probability with which this node may send a submission to a cold worker, or `None` if the
+    /// worker is warm. All nodes learn of the worker's start at once, so each sends its part at random, and
+    /// the expected sum of all nodes stays far below what the worker can handle in a window.
     fn slow_start_probability(&self, worker: &WorkerState) -> Option<f64> {
         let age = self.now.saturating_sub(worker.entry.started);
         if worker.entry.started == 0 || age >= self.config.slow_start_duration {
@@ -608,7 +611,7 @@
             Outcome::Error if idempotent => worker.probes_to_return = worker.probes_to_return.max(1),
             Outcome::Error => eject(worker, false),
             Outcome::InvalidSubmission => state.executions = self.config.max_executions,
-            // The connection was silently dropped while it was idle, which says nothing of the worker.
+            // The connection was silently dropped while it was idle, which says nothing about the worker.
             Outcome::Reset
                 if execution.connection_idle_time > 0
                     && execution.unstarted
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -1,4 +1,4 @@
-//! The interface of the decisions: events in, actions out, and the configuration that holds in between.
+//! The interface of the decisions: the events that go in, the actions that come out, and the configuration.
 //!
 //! Times are nanoseconds on the caller's monotonic clock. Submissions and workers are small indices that
 //! the caller assigns. A submission keeps its index until its last execution has ended, and a worker keeps
@@ -52,7 +52,7 @@
     }
 }
 
-/// The terms of one class of submissions.
+/// The requirements and the value of one class of submissions.
 #[derive(Clone, Debug)]
 pub struct Product {
     pub repeat_policy: RepeatPolicy,
@@ -124,9 +124,9 @@
     /// A worker collapses when it gets more than this multiple of its capacity within `overload_window`.
     pub overload_factor: f64,
     pub overload_window: Nanos,
-    /// The longest time between two requests for the list, where the node must request it.
+    /// The longest time between two requests for the list, or `None` if discovery pushes changes.
     pub list_refresh_limit: Option<Nanos>,
-    /// The time between two progress messages of a job, where workers send them.
+    /// The time between two progress messages of a job, or `None` if workers send none.
     pub progress_interval: Option<Nanos>,
     /// Whether workers report that a job has started.
     pub reports_start: bool,
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -79,18 +79,18 @@
     pub(crate) recent_answers: DecayingSum,
     /// The sum of the recent answers' times, each as a multiple of the mean at that time.
     pub(crate) recent_ratios: DecayingSum,
-    /// Since when a connection to it has been idle.
+    /// The time since which a connection to the worker has been idle.
     pub(crate) idle_since: Option<Nanos>,
     /// When the outstanding probe was sent.
     pub(crate) probe_sent_at: Option<Nanos>,
-    /// It is in the fleet's list of tracked workers.
+    /// The worker is in [`Fleet::tracked`].
     pub(crate) tracked: bool,
-    /// The answered probes that are still needed before it gets work again. It is ejected while this is not
-    /// 0.
+    /// The answered probes that are still needed before the worker gets work again. The worker is ejected
+    /// while this is not 0.
     pub(crate) probes_to_return: u32,
-    /// How often it was ejected lately; each ejection doubles the probes needed.
+    /// How often the worker was ejected recently; each ejection doubles the probes needed.
     pub(crate) recent_ejections: u32,
-    /// Probes in a row that it did not answer.
+    /// The consecutive probes that the worker did not answer.
     pub(crate) unanswered_probes: u32,
     /// The earliest time of the next probe while it is ejected.
     pub(crate) next_probe_at: Nanos,
@@ -174,22 +174,22 @@
         self.idle_since.is_some_and(|l| ((now - l) as f64) < lifetime)
     }
 
-    /// Drops what was true of the process before the restart.
+    /// Resets what applied only to the worker's process before its restart.
     pub(crate) fn reset_after_restart(&mut self) {
         self.idle_since = None;
         (self.reported_at, self.loss_suspected, self.process_lost) = (None, false, false);
         (self.unanswered_probes, self.next_probe_at) = (0, 0);
     }
 
-    /// Returns whether it lost its process before it came back, and clears the marks. Without probes, a
-    /// suspected loss counts as one.
+    /// Returns whether the worker lost its process before it was available again, and clears the marks.
+    /// Without probes, a suspected loss counts as one.
     pub(crate) fn take_process_loss(&mut self, without_probes: bool) -> bool {
         let lost = self.loss_suspected && (self.process_lost || without_probes);
         (self.loss_suspected, self.process_lost) = (false, false);
         lost
     }
 
-    /// Returns the memory left there, on the assumption that the jobs of other nodes need as much as this
+    /// Returns the memory left at the worker, on the assumption that the jobs of other nodes need as much as this
     /// node's.
     pub(crate) fn memory_left(&self, report_delay: Nanos, memory_per_slot: f64) -> f64 {
         let free = self.report.free_slots.map_or(0.0, rounded);
@@ -349,7 +349,7 @@
 pub(crate) struct AnswerTime {
     pub(crate) samples: f64,
     pub(crate) mean: f64,
-    /// The lowest mean; it drifts slowly towards the present one.
+    /// The lowest mean; it drifts slowly towards the current mean.
     pub(crate) shortest: f64,
 }
 
@@ -468,7 +468,7 @@
         });
     }
 
-    /// Returns the executions of a submission that have not ended, of the workers that it was sent to.
+    /// Returns the executions of a submission that have not ended, at the workers that it was sent to.
     pub(crate) fn in_flight(
         &self,
         submission: Submission,
@@ -549,8 +549,8 @@
         let age = state.apply_report(report, now);
         let (kind, after) = (usize::from(state.entry.kind), state.known_slots);
         if let Some(Some(kind)) = self.kinds.get_mut(kind) {
-            // The threshold moves by as much as its initial value does. What overloaded workers have taken
-            // off it stays off.
+            // The threshold changes by as much as its initial value does. Reductions because of overloaded
+            // workers are kept.
             let initial = kind.initial_threshold();
             kind.slots += after - before;
             kind.workers += f64::from(u8::from(before == 0.0 && after > 0.0));
@@ -589,7 +589,7 @@
     f64::from(figure).round()
 }
 
-/// Returns the weighted median of the values of the indices of `weights`.
+/// Returns the weighted median of `value(i)` over the indices of `weights`.
 pub(crate) fn weighted_median(weights: &[f64], value: impl Fn(usize) -> f64) -> f64 {
     let half = weights.iter().sum::<f64>() / 2.0;
     let up_to =
