--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -21,8 +21,8 @@
         self.make_room_after(client);
     }
 
-    /// Closes an idle connection while the node stops. A newcomer is given [`CLOSE_GRACE`] first, because its request is
-    /// probably on the way.
+    /// Closes an idle connection while the node stops. A client that has just connected is given [`CLOSE_GRACE`] first,
+    /// because its request is probably in transit.
     pub(crate) fn close_when_idle(&mut self, client: ClientId) {
         let Some(state) = self.clients.get(&client) else { return };
         let close_at = match (state.phase, state.newcomer_since) {
@@ -83,7 +83,7 @@
         let Some(state) = self.clients.get_mut(&client) else { return };
         check_invariant!(self, state.submission.is_none(), "two open submissions on one client connection");
         // The lease is checked here, against the time of this very input: a node whose machine was suspended would otherwise
-        // accept submissions after its lease has expired and before anything has told it so.
+        // accept submissions after its lease has expired and before any input has informed it of this.
         if self.now >= self.lease_until {
             self.stats.fenced += 1;
             state.newcomer_since = None;
--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -85,7 +85,7 @@
         self.effects.push(Effect::OpenConnection { connection, address, timeout });
     }
 
-    /// Reports an exchange that could not be sent for a reason other than the worker.
+    /// Reports an exchange that could not be sent for a reason that does not lie with the executor.
     pub(crate) fn not_sent(&mut self, worker: Worker, exchange: Exchange) {
         match exchange {
             Exchange::Execution(submission, execution) => {
@@ -159,8 +159,8 @@
         exchange
     }
 
-    /// Returns an established connection to the pool, or closes it if it is of no more use: its executor has left or moved, or
-    /// it was to be closed after its last exchange.
+    /// Returns an established connection to the pool. The connection is closed instead if its executor has left or moved, or
+    /// if it was to be closed after its last exchange.
     pub(crate) fn make_idle(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         let worker_state = &mut self.workers[state.worker as usize];
--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -29,7 +29,7 @@
 /// least come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
-    /// It has not sent a request yet. A flood of connections therefore evicts its own.
+    /// It has not sent a request yet. A flood of connections without requests therefore evicts its own connections first.
     Newcomer,
     /// It has sent requests before and is idle.
     Idle,
@@ -105,7 +105,7 @@
     /// Evicts one connection: of the first class that has any, the oldest.
     ///
     /// The connection is closed in one direction, and the node waits for the client to close the other, so that data that is
-    /// still on the way does not reset it. When there is little room even for connections that are being closed, or no other
+    /// still in transit does not reset it. When there is little room even for connections that are being closed, or no other
     /// can be evicted, the one that has been closing for longest is dropped as well.
     fn make_room(&mut self, except: Option<ClientId>) {
         let evicted = self.first_to_evict(except);
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -42,7 +42,7 @@
         accepted.executions.get_mut(usize::from(execution))
     }
 
-    /// Cancels an execution that waits for its connection or is under way.
+    /// Cancels an execution that waits for its connection or is in flight.
     pub(crate) fn cancel(&mut self, submission: Submission, execution: Execution) {
         let Some(connection) = self.attempt(submission, execution).and_then(|a| a.connection) else { return };
         let Some(state) = self.connections.get_mut(&connection) else { return };
@@ -98,7 +98,7 @@
         self.pending_events.push_back(Event::Ended(ending));
     }
 
-    /// Records the end of a probe; `answered` is `None` if it says nothing about the worker.
+    /// Records the end of a probe; `answered` is `None` if the probe says nothing about the worker.
     pub(crate) fn probe_ended(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) {
         self.stats.probes_failed += u64::from(answered != Some(true));
         if let Some(answered) = answered {
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -30,7 +30,7 @@
     pub health: Health,
     /// When the executor started last, on the node's clock; 0 for long ago.
     pub started: Nanos,
-    /// Its size, or what of it is free where weights are live; 0 if the list gives none.
+    /// The executor's size, or the free part of it where weights are live; 0 if the list gives none.
     pub weight: f32,
 }
 
@@ -81,7 +81,7 @@
     pub request_written: bool,
     /// Part of a response had arrived.
     pub response_started: bool,
-    /// The fault is on this machine, which had no file descriptor left.
+    /// The failure is local: this machine had no file descriptor left.
     pub local_fault: bool,
     /// Data arrived that was not a response to any request.
     pub unexpected_data: bool,
@@ -90,15 +90,15 @@
 /// An input of the reducer.
 #[derive(Debug)]
 pub enum Input {
-    /// Other settings are in force from now on; [`Settings::key_needing_restart`] has found that no restart is needed. Submissions
-    /// accepted before keep the version under which they were accepted.
+    /// Other settings are in force from now on; the caller has checked with [`Settings::key_needing_restart`] that no restart
+    /// is needed. Submissions accepted before keep the version under which they were accepted.
     SettingsChanged { settings: Box<Settings>, version: u64 },
     /// Submissions may be accepted until this time, unless the lease is renewed. A node that never gets this input may accept
     /// them for ever.
     Lease { until: Nanos },
     /// The record of an [`Effect::Persist`] is durable, or could not be made so.
     Persisted { ticket: PersistTicket, durable: bool },
-    /// The clocks by which the times in the next list were read.
+    /// The state of the clocks by which the start times in the next list are interpreted.
     ListClocks(ListClocks),
     /// Records can be made durable again after a failure.
     StoreRecovered,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -55,26 +55,26 @@
 const DAY: Nanos = 86_400 * SECOND;
 /// How long a client may take to read its response.
 const RESPONSE_READ_TIMEOUT: Nanos = 5 * SECOND;
-/// How long a client may take to send a request. For a newcomer the time runs from its connecting, whether it sends anything
-/// or not, so that clients that never send a request do not keep out those that do.
+/// How long a client may take to send a request. For a new connection the time counts from the moment it was established, even
+/// if nothing arrives, so that clients that never send a request do not keep out those that do.
 const REQUEST_READ_TIMEOUT: Nanos = SECOND * 5 / 2;
 /// How long a client's connection may be idle. After this time, network devices on the path have probably dropped their state
 /// of the connection.
 const CLIENT_IDLE_TIMEOUT: Nanos = 300 * SECOND;
-/// How long a node that was told to stop serves its clients at least. New connections arrive for up to 0.4 s after SIGTERM,
+/// The least time for which a stopping node serves its clients. New connections arrive for up to 0.4 s after SIGTERM,
 /// and clients go on using their connections.
 const STOP_GRACE: Nanos = SECOND * 9 / 20;
 /// How long a stopping node waits for a request on a connection that is new or being closed, and how long it goes on after it
-/// has begun to close idle connections. A client whose request was on the way when its connection was closed sends the request
+/// has begun to close idle connections. A client whose request was in transit when its connection was closed sends the request
 /// again.
 const CLOSE_GRACE: Nanos = SECOND / 4;
-/// A node that was told to stop is not killed before its longest deadline and this delay have passed.
+/// A stopping node is not killed before its longest deadline and this delay have passed.
 const KILL_DELAY: Nanos = SECOND * 7 / 10;
-/// A longer deadline than this does not put off the kill any further.
+/// A longer deadline than this does not postpone the kill any further.
 const MAX_KILL_DEADLINE: Nanos = 3 * SECOND;
 /// All submissions must be answered this long before the node may be killed.
 const KILL_MARGIN: Nanos = SECOND / 5;
-/// How long a connection is kept idle at least.
+/// The lower bound of the time for which an idle connection is kept, unless the idle timeout is shorter.
 const MIN_IDLE_TIMEOUT: Nanos = SECOND / 4;
 /// Each idle connection that proves usable raises the longest idle time after which jobs may reuse one: by this fraction of it
 /// (one part in 32) plus [`REUSE_GROWTH_STEP`].
@@ -98,8 +98,8 @@
 ///
 /// Discovery can handle little more than the calls of all nodes spread evenly over the list refresh limit; it also works on
 /// calls that were abandoned, and fails those that waited. So the first calls after a failure are spread at random, and each
-/// node keeps its place in that order from then on. A call that waited for this long and was turned away gets a new random
-/// place after [`OVERLOADED_CALL_DELAY`].
+/// node keeps its time slot from then on. A call that waited for this long and was turned away gets a new random
+/// time slot after [`OVERLOADED_CALL_DELAY`].
 const LONG_CALL_WAIT: Nanos = SECOND / 2;
 /// The shortest delay before the list is asked for again after discovery was overloaded.
 const OVERLOADED_CALL_DELAY: Nanos = SECOND;
@@ -113,7 +113,7 @@
 const PROCESS_LOSS_CONNECT_FAILURES: u32 = 2;
 /// Bytes of memory for one connection: the part of its stack that is touched, and its initial buffers.
 const CONNECTION_BYTES: usize = 20 * 1024;
-/// A client's timeout counts up to this many times the longest deadline; holding a submission for longer serves no purpose.
+/// A client's timeout is capped at this many times the longest deadline; holding a submission for longer serves no purpose.
 const MAX_TIMEOUT_FACTOR: Nanos = 4;
 /// The most names of zones, and of kinds, that are kept; lists may bring names that the settings do not have.
 const MAX_NAMES: usize = 1024;
@@ -304,7 +304,7 @@
     max_retry_after: Option<Nanos>,
     outcome_store: Option<outcomes::OutcomeStore>,
     staged_start: Option<staged_start::StartState>,
-    /// How long the node may go on after it was told to stop.
+    /// How long the node may continue after [`Input::Stop`].
     stop_duration: Nanos,
     /// When a stopping node must have answered everything.
     answer_deadline: Nanos,
@@ -344,7 +344,7 @@
     next_list_call: Option<Nanos>,
     /// How many list calls in a row have failed.
     failed_list_calls: u32,
-    /// The node was told to stop.
+    /// The node has received [`Input::Stop`].
     stopping: bool,
     /// Client connections are closed as soon as they are idle.
     closing_clients: bool,
@@ -352,7 +352,7 @@
     exit_when_empty: bool,
 }
 
-/// Returns how long a connection may be idle, how long a node may go on after it was told to stop, and the longest timeout
+/// Returns how long a connection may be idle, how long a node may continue after [`Input::Stop`], and the longest timeout
 /// that a client may ask for.
 fn time_limits(idle: Nanos, longest_deadline: Nanos) -> (Nanos, Nanos, Nanos) {
     // The executor closes an idle connection after the time of the settings; what is written to it after that is lost.
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -5,8 +5,8 @@
 impl Core {
     /// Handles a list call that failed or a watch that ended, and schedules the next call.
     ///
-    /// The reducer schedules it itself, whatever the dispatcher asks for later: the dispatcher's rule would put off the next call
-    /// by the whole time within which changes must become known.
+    /// The reducer schedules the call itself, whatever the dispatcher asks for later: by the dispatcher's rule the next call
+    /// would be delayed by the whole time within which changes must become known.
     pub(crate) fn list_failed(&mut self, silent_for: Nanos, overloaded: bool) {
         self.failed_list_calls += 1;
         let latest = MAX_LIST_CALL_DELAY.saturating_sub(silent_for).max(2 * MIN_LIST_CALL_DELAY);
@@ -140,11 +140,11 @@
         worker
     }
 
-    /// Forgets the executors that left first, if many more have left than are present.
+    /// Forgets those executors that left earliest, if many more have left than are present.
     ///
-    /// What is known of an executor is worth keeping in case it comes back soon, but remembering all that ever existed would
-    /// fill the memory. An index with open connections or executions is not given to another executor, since their ends would
-    /// be attributed to the wrong one.
+    /// What is known of an executor is worth keeping in case it is listed again soon, but remembering all that ever existed
+    /// would fill the memory. An index with open connections or executions is not given to another executor, since their ends
+    /// would be attributed to the wrong one.
     fn retire_workers(&mut self) {
         for _ in 0..self.departed.len() {
             let Some(worker) = self.departed.pop_front() else { break };
@@ -173,7 +173,7 @@
             names.len() - 1
         })
     });
-    // A name beyond the limit gets an index that no other has. With the index of a known name, the executor would be open to
-    // products that may not run there.
+    // A name for which there is no room gets an index that no known name has. With the index of a known name, the executor
+    // would be open to products that may not run there.
     known.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX)
 }
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -100,7 +100,7 @@
         // Without a key a repeated submission could not be recognized and would run again.
         let Some(key) = self.outcome_key(&new.request) else { return Some(dismissed) };
         if store.open_keys.contains(&key) {
-            // Neither has an outcome yet, so both would be sent.
+            // Neither of the two has an outcome yet, so both would be sent.
             return Some(Answer::DuplicateId);
         }
         match store.outcomes.outcome(&key) {
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -167,7 +167,7 @@
         permission
     }
 
-    /// Returns how long the executor may be told to take, when the first byte of a request is about to be written. If the
+    /// Returns the time limit to send to the executor, when the first byte of a request is about to be written. If the
     /// execution may not begin any more, the connection becomes idle, and what follows from that is appended to `effects`.
     ///
     /// # Errors
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -110,7 +110,7 @@
         self.effects.push(Effect::OpenConnection { connection, address, timeout });
     }
 
-    /// When the list may be asked for, if a staged start puts the call off.
+    /// When the list may be asked for, if a staged start delays the call.
     pub(crate) fn postponed_list_call(&mut self) -> Option<Nanos> {
         let at = self.staged_start.as_mut()?.start.schedule_list_request(self.now);
         (at > self.now).then_some(at)
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -16,7 +16,7 @@
 /// What is known about the clocks from which the times of a list were read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListClocks {
-    /// At this time discovery was in contact and reported none of the starts that it reports now; 0 if that is unknown.
+    /// A time at which discovery was in contact and had not reported any of the starts that it reports now; 0 if it is unknown.
     pub known_until: Nanos,
     /// How far this machine's wall clock has moved against the node's own clock since the node started, in nanoseconds.
     pub wall_clock_shift: i64,
