--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -201,7 +201,7 @@
         let (log_time, now) = (monotonic(), boottime());
         let step = self.coordinator.handle(now, input);
         let outputs = step.finish(&mut self.disk).map_err(|error| {
-            // The record may or may not be durable, and no other process was told that it is.
+            // The record may or may not be durable, and no message that depends on it was sent.
             tracing::error!(why = %error, "store failed; this coordinator ends");
             ExitCode::FAILURE
         })?;
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -30,7 +30,7 @@
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 /// The shortest time between two log lines of the same kind.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// The number of consecutive starts that may die while they read the store, before it is set aside.
+/// The number of consecutive starts that may die while they read the store, before its files are quarantined.
 const MAX_FAILED_STARTS: u32 = 3;
 
 /// The state of a member that must survive a restart.
@@ -69,9 +69,9 @@
         if start_attempts::record_attempt(&fleet.folder)? >= MAX_FAILED_STARTS {
             // The member starts with an empty store as a new run, and learns everything from the coordinators again.
             drop(store);
-            let aside = start_attempts::quarantine_files(&fleet.folder, |name| name.ends_with(".redb"))?;
+            let quarantine = start_attempts::quarantine_files(&fleet.folder, |name| name.ends_with(".redb"))?;
             tracing::error!(
-                aside = %aside.display(),
+                aside = %quarantine.display(),
                 "repeated starts died while reading this member's store; it was set aside"
             );
             store = open(&fleet.folder)?;
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// What a process tells about itself in every frame.
+/// What a process states about itself in every frame.
 #[derive(Clone, Debug)]
 pub struct SenderInfo {
     /// The id of its fleet.
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -216,14 +216,14 @@
 
 #[derive(Debug)]
 enum BodyState {
-    /// So many bytes are still to come.
+    /// This many bytes are still to come.
     Remaining(usize),
     UntilClose,
     ChunkSize,
-    /// So many bytes of the present chunk are still to come.
+    /// This many bytes of the current chunk are still to come.
     Chunk(u64),
     ChunkEnd,
-    /// So many bytes of the trailer have come.
+    /// This many bytes of the trailer have arrived.
     Trailer(usize),
 }
 
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -26,7 +26,7 @@
 const NANOS_PER_MS: u64 = 1_000_000;
 /// The pause before the next accept when no descriptor or no room for clients is left.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// After accepting so many connections in a row the listener pauses, so that the accepted ones are read: only what they
+/// After accepting this many connections in a row the listener pauses, so that the accepted ones are read: only what they
 /// have sent distinguishes them from a flood of silent connections.
 const ACCEPT_BURST: u32 = 8;
 /// If an accept blocked for at least this long, the listener's queue was empty before.
@@ -208,7 +208,7 @@
             }
         }
         if matches!(state, State::Closing) {
-            // A request that crosses the shutdown is not read, since it would be lost without an answer: the client
+            // A request that arrives after the shutdown is not read, since it would be lost without an answer: the client
             // sees the end of the connection and sends the request again. A close over unread bytes resets the
             // connection, so it waits until the client has had the time to receive its last answer.
             match socket.inner().peek(&mut [0]) {
--- a/crates/node/src/net/clients/reading.rs
+++ b/crates/node/src/net/clients/reading.rs
@@ -10,7 +10,7 @@
 /// The number of unprocessed bytes above which no more are kept: one head and one body of the longest kind.
 pub(super) const READ_AHEAD_BYTES: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
-/// What is done with bytes beyond those that may be read ahead. The variants are ordered by how much is dropped.
+/// What is done with bytes in excess of those that may be read ahead. The variants are ordered by how much is dropped.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Overflow {
     /// They stay in the socket, and an end of the connection behind them is not noticed.
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -51,7 +51,7 @@
     Ok(complete)
 }
 
-/// How a request is answered; the flag tells whether the connection closes after the answer.
+/// How a request is answered; the flag is whether the connection closes after the answer.
 pub(super) enum RequestAction {
     /// By the execution of a submission.
     Execute(NewSubmission, bool),
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Connects within `timeout`. After a local failure, or if the remote host is unreachable, the attempt is repeated for
+/// Connects within `timeout`. After a local failure, or if the remote host is unreachable, attempts are repeated for
 /// three quarters of that time, so that the caller learns of the failure before its own limit ends the wait. Without
 /// the retries, a loss of the network for milliseconds would look like the failure of every executor and put them all
 /// out of service. `seed` is for the backoff's random part; `wanted` is asked before each further attempt.
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -21,12 +21,12 @@
 /// The longest time between two messages on a watch. While nothing changes discovery sends an empty line every 2 s, and
 /// it may queue a request for 3 s. A watch that brings neither a complete list nor a heartbeat for longer counts as
 /// dead, even if its connection looks open and bytes arrive. The node is also expected to know a change 6 s after
-/// discovery has it, or 4 s after the discovery address changed. The reducer's `CALL_WITHIN` depends on this value.
+/// discovery has it, or 4 s after the discovery address changed. The reducer's `MAX_LIST_CALL_DELAY` depends on this value.
 const MESSAGE_TIMEOUT: Nanos = 3_000_000_000;
 /// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT`], so that the node still
 /// receives the status if discovery rejects the request after queueing it for 3 s.
 const FIRST_MESSAGE_TIMEOUT: Nanos = 3_250_000_000;
-/// For so long after a change of the discovery address, a watch that fails is requested again after [`RETRY_PAUSE`].
+/// The time after a change of the discovery address during which a failed watch is requested again after [`RETRY_PAUSE`].
 pub(crate) const DISCOVERY_CHANGE_RETRY: Nanos = 4_000_000_000;
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -61,8 +61,7 @@
     Close,
 }
 
-/// Reports to the reducer that the connection is down when dropped, so also after a panic; the worst case is reported
-/// then.
+/// Reports to the reducer, when dropped, that the connection is down. After a panic the worst case is reported.
 struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
     connection: ConnectionId,
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// The bytes that a group of connections may hold in total, beside what each may hold without a reservation.
+/// The bytes that a group of connections may hold in total, in addition to what each may hold without a reservation.
 pub(crate) struct MemoryBudget(AtomicIsize);
 
 impl MemoryBudget {
@@ -156,13 +156,13 @@
     /// The present lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease
     /// to end.
     lease_suspend_limit: AtomicU64,
-    /// When a line that clients can cause was logged last.
+    /// When a log line that clients can cause was written last.
     last_logged: Mutex<Nanos>,
     /// The number of attempts to connect that failed on this machine.
     pub(crate) local_failures: AtomicU64,
-    /// For requests of clients and the responses to them.
+    /// The memory budget for requests of clients and the responses to them.
     pub(crate) client_memory: MemoryBudget,
-    /// For responses of executors.
+    /// The memory budget for responses of executors.
     pub(crate) executor_memory: MemoryBudget,
     exit: Mutex<Option<Box<dyn FnOnce() + Send>>>,
 }
@@ -362,7 +362,7 @@
         lock(&self.state).core.ready(self.clock.now())
     }
 
-    /// Returns whether a line that clients can cause may be logged now. Without a limit, a client could use up the
+    /// Returns whether a log line that clients can cause may be written now. Without a limit, a client could use up the
     /// node's time with such lines.
     pub(crate) fn may_log(&self) -> bool {
         let (now, mut last) = (self.clock.now(), lock(&self.last_logged));
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -28,13 +28,13 @@
 const KIND_OWNER: u8 = 4;
 /// The kind of the record that marks the store as the replacement of one that was lost.
 const KIND_LOST: u8 = 5;
-/// The number of consecutive starts that may die while they read the store, before it is set aside.
+/// The number of consecutive starts that may die while they read the store, before its files are quarantined.
 const MAX_FAILED_STARTS: u32 = 3;
 /// The largest number of records in one commit.
 const GROUP_SIZE: usize = 512;
 // The largest result must fit into a record, because a record that is too large would fail the store.
 const _: () = assert!(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES < MAX_RECORD_LENGTH);
-/// Stored outcomes may take one part in so many of the program's memory.
+/// Stored outcomes may take one part in this many of the program's memory.
 const OUTCOMES_MEMORY_DIVISOR: usize = 8;
 
 /// The request header by which repeated submissions of a one-shot are recognized.
@@ -149,7 +149,7 @@
 
 /// A record to be written to the store.
 pub enum StoreRecord {
-    /// The outcome of a one-shot, and the ticket by which the reducer is told whether it is durable, if it waits for that.
+    /// The outcome of a one-shot, and the reducer's ticket if it waits for the record to be durable.
     Outcome(OutcomeRecord, Option<PersistTicket>),
     /// The current list of executors.
     List(List),
@@ -232,10 +232,10 @@
         let failed_starts = start_attempts::record_attempt(&path).map_err(|e| message(&e.into()))?;
         let (mut store, mut outcomes) = if failed_starts >= MAX_FAILED_STARTS {
             let is_content = |name: &str| name != "lock" && name != "tries";
-            let aside =
+            let quarantine =
                 start_attempts::quarantine_files(&path, is_content).map_err(|e| message(&e.into()))?;
             tracing::error!(
-                aside = %aside.display(),
+                aside = %quarantine.display(),
                 "repeated starts died while reading the store; it was set aside and a new one created"
             );
             let mut store =
@@ -299,7 +299,7 @@
         tracing::info!(known = outcomes.len(), folder = %self.config.folder.display(), "store read");
         let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
         // Clients of the process before this one notice at once that it is gone, and retry within their own deadlines. So
-        // after the longest deadline nobody asks for a submission that the lost store may have known.
+        // after the longest deadline no client retries a submission that the lost store may have known.
         let incomplete_until = if self.lost { now + longest_deadline + LOST_SLACK } else { 0 };
         if self.lost {
             tracing::error!(
@@ -328,8 +328,8 @@
     records: Receiver<StoreRecord>,
 }
 
-/// How long beyond the longest deadline one-shots are aborted after a store was lost, to allow for delays of clients and
-/// networks.
+/// After a store was lost, one-shots are aborted for the longest deadline plus this time, which allows for delays of
+/// clients and networks.
 const LOST_SLACK: Nanos = 1_000_000_000;
 /// The shortest time between two writes of [`KIND_LIST_CONFIRMED`].
 const LIST_CONFIRMED_INTERVAL: Duration = Duration::from_millis(500);
