--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -264,16 +264,19 @@
             return 0.0;
         }
         let now = self.now;
-        let span = f64::max(2e9, SHARE_SAMPLE / self.traffic.arrivals.read(now));
-        self.tenants[tenant].sent.add(now, span, 1.0);
+        let time_constant = f64::max(2e9, SHARE_SAMPLE / self.traffic.arrivals.read(now));
+        self.tenants[tenant].sent.add(now, time_constant, 1.0);
         let (quotas, tenants) = (&self.config.quotas, &self.tenants);
-        let part =
-            weighted_median(quotas, |t| tenants[t].sent.read(now, span) / quotas[t].max(f64::MIN_POSITIVE));
-        let part = part.max(span / 1e9 / f64::from(self.config.nodes));
-        let (share, sent) = (part * quotas[tenant], self.tenants[tenant].sent.read(now, span));
+        let submissions_per_quota = weighted_median(quotas, |t| {
+            tenants[t].sent.read(now, time_constant) / quotas[t].max(f64::MIN_POSITIVE)
+        });
+        let submissions_per_quota =
+            submissions_per_quota.max(time_constant / 1e9 / f64::from(self.config.nodes));
+        let (share, sent) =
+            (submissions_per_quota * quotas[tenant], self.tenants[tenant].sent.read(now, time_constant));
         // If a node gets few submissions of a tenant, they exceed its share now and then by chance alone.
-        if self.tenants[tenant].within_share.read(now, span) < share || sent < share + share.sqrt() {
-            self.tenants[tenant].within_share.add(now, span, 1.0);
+        if self.tenants[tenant].within_share.read(now, time_constant) < share || sent < share + share.sqrt() {
+            self.tenants[tenant].within_share.add(now, time_constant, 1.0);
             return 0.0;
         }
         (sent / share - 1.0).clamp(0.0, 1.0)
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -714,7 +714,7 @@
         self.probe_budget = ((self.probe_budget.0 + rate * (now - self.probe_budget.1) as f64).min(max), now);
     }
 
-    /// Returns the slot time that a submission takes on average, without waiting. It uses the present answer
+    /// Returns the slot time that a submission takes on average, without waiting. It uses the current answer
     /// times: at a low rate, most of the averaged submissions came before the first answer.
     pub(crate) fn mean_work(&self, answer_times: &[AnswerTime]) -> f64 {
         self.slots_by_product.iter().zip(answer_times).map(|(slots, answer)| slots * answer.shortest).sum()
