--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -262,12 +262,12 @@
     pub list_failures: u64,
     /// Violated invariants.
     pub broken: u64,
-    /// Client connections at present.
+    /// Client connections that are open now.
     pub clients: usize,
-    /// Connections to executors at present.
+    /// Connections to executors that are open now.
     pub links: usize,
     /// Indices of executors in use, including those of executors that have left and are remembered, and free ones.
     pub workers: usize,
-    /// Submissions accepted and not forgotten yet, at present.
+    /// Submissions accepted and not forgotten yet, now.
     pub open: usize,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -231,12 +231,12 @@
     address: SocketAddr,
     phase: ConnectionPhase,
     exchange: Option<Exchange>,
-    /// The connection is not to be reused after its present exchange.
+    /// The connection is not to be reused after its current exchange.
     close_after_exchange: bool,
     /// Until then a duplicate response may arrive that could be taken for the response to the next exchange.
     reusable_at: Nanos,
     established: bool,
-    /// How long the connection had been idle before the present exchange; the executor may have closed it in that time.
+    /// How long the connection had been idle before the current exchange; the executor may have closed it in that time.
     idle_before_exchange: Option<Nanos>,
     /// When it was opened or became idle.
     since: Nanos,
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -50,8 +50,8 @@
     if listed == 0 {
         return 0;
     }
-    let by_present_wall_clock = listed.saturating_add_signed(clocks.wall_clock_shift.saturating_neg());
-    let possible = [listed, by_present_wall_clock].into_iter().filter(|start| *start <= now + MAX_CLOCK_SKEW);
+    let by_current_wall_clock = listed.saturating_add_signed(clocks.wall_clock_shift.saturating_neg());
+    let possible = [listed, by_current_wall_clock].into_iter().filter(|start| *start <= now + MAX_CLOCK_SKEW);
     let start = possible.max().unwrap_or(now).min(now);
     if start + MAX_REPORT_DELAY < clocks.known_until { clocks.known_until } else { start }
 }
