--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -146,7 +146,7 @@
 }
 
 /// Reads the configuration again while the node runs. The `discovery` in the file has precedence over the variable
-/// PROXY_DISCOVERY, which cannot have changed since the start; if the file has none, the present address stays.
+/// PROXY_DISCOVERY, which cannot have changed since the start; if the file has none, the current address stays.
 pub fn reread(
     present: &Config,
     variable: impl Fn(&str) -> Option<String>,
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -213,7 +213,7 @@
         match output {
             Output::Send { to, envelope } => self.send_to_peer(to, envelope),
             Output::Reply { client, reply } => self.reply(&client, reply),
-            Output::Audit(note) => self.log_note(log_time, note),
+            Output::Audit(entry) => self.log_entry(log_time, entry),
             Output::Halt => {
                 tracing::error!(
                     "the store is older than what other coordinators have seen of it; this coordinator must not vote and ends"
@@ -245,15 +245,15 @@
 
     /// Writes an entry of the audit log with the time of the step, which may be earlier than the present if the process was
     /// stopped in between.
-    fn log_note(&mut self, time: u64, note: AuditEntry) {
-        if let Some(what) = self.describe(note) {
+    fn log_entry(&mut self, time: u64, entry: AuditEntry) {
+        if let Some(what) = self.describe(entry) {
             self.audit_log.write(time, what);
         }
     }
 
     /// Logs and counts an event of the state machine, and returns its entry for the audit log, if there is one.
-    fn describe(&mut self, note: AuditEntry) -> Option<HistoryEvent> {
-        Some(match note {
+    fn describe(&mut self, entry: AuditEntry) -> Option<HistoryEvent> {
+        Some(match entry {
             AuditEntry::Established { round } => {
                 tracing::info!(round, "elected leader");
                 HistoryEvent::Established { round: u64::from(round) }
--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -97,7 +97,7 @@
 
 impl Arguments {
     /// Sends a request to the coordinator at this index. Advances the index if there is no reply.
-    fn send(&self, index: &mut usize, ask: &OperatorRequest) -> Answer {
+    fn send(&self, index: &mut usize, operator_request: &OperatorRequest) -> Answer {
         let incarnation = Incarnation { store_id: random_u64(), run_number: 1 };
         let sender = SenderInfo { fleet: self.fleet.clone(), identity: Identity::Operator, incarnation };
         let address = self.coordinators[*index % self.coordinators.len()];
@@ -105,7 +105,7 @@
             *index += 1;
             return Answer::NotReceived;
         };
-        let Ok(bytes) = encoder.encode(Body::Request(Request::Operator(ask.clone()))) else {
+        let Ok(bytes) = encoder.encode(Body::Request(Request::Operator(operator_request.clone()))) else {
             return Answer::NotReceived;
         };
         let started = Instant::now();
@@ -134,10 +134,10 @@
     }
 
     /// Sends a request until a coordinator replies, or the time is over. Only for requests that may be repeated.
-    fn send_until_reply(&self, ask: &OperatorRequest) -> Option<Reply> {
+    fn send_until_reply(&self, operator_request: &OperatorRequest) -> Option<Reply> {
         let (started, mut index) = (Instant::now(), 0);
         while started.elapsed() < Duration::from_millis(self.wait_ms) {
-            if let Answer::Reply(reply) = self.send(&mut index, ask) {
+            if let Answer::Reply(reply) = self.send(&mut index, operator_request) {
                 return Some(reply);
             }
             std::thread::sleep(RETRY_PAUSE);
@@ -146,13 +146,13 @@
     }
 
     /// Proposes a change, and waits for its outcome.
-    fn propose(&self, ask: &OperatorRequest, request: &str) -> u8 {
+    fn propose(&self, operator_request: &OperatorRequest, request: &str) -> u8 {
         let (started, mut index, mut lost) = (Instant::now(), 0, false);
         loop {
             if started.elapsed() >= Duration::from_millis(self.wait_ms) {
                 return self.report("unknown", request, &[], UNKNOWN);
             }
-            match self.send(&mut index, ask) {
+            match self.send(&mut index, operator_request) {
                 Answer::Reply(Reply::Pending { .. }) => return self.wait_for_outcome(request, started),
                 Answer::Reply(Reply::Ended(ended)) => return self.report_ended(&ended),
                 // A request whose answer was lost may still be carried out, so a later refusal is final only if no
@@ -172,9 +172,9 @@
 
     /// Waits until a change has ended, or the time since `started` is over.
     fn wait_for_outcome(&self, request: &str, started: Instant) -> u8 {
-        let (mut index, ask) = (0, OperatorRequest::Outcome { request: request.to_owned() });
+        let (mut index, operator_request) = (0, OperatorRequest::Outcome { request: request.to_owned() });
         while started.elapsed() < Duration::from_millis(self.wait_ms) {
-            if let Answer::Reply(Reply::Ended(ended)) = self.send(&mut index, &ask) {
+            if let Answer::Reply(Reply::Ended(ended)) = self.send(&mut index, &operator_request) {
                 return self.report_ended(&ended);
             }
             std::thread::sleep(OUTCOME_POLL_INTERVAL);
@@ -268,14 +268,14 @@
             Ok(text) => {
                 let request = request.clone().unwrap_or_else(|| format!("{:x}", random_u64()));
                 let give_up = give_up_ms.map(|ms| ms.saturating_mul(1_000_000));
-                let ask = OperatorRequest::Propose {
+                let operator_request = OperatorRequest::Propose {
                     request: request.clone(),
                     base_version: *base,
                     text,
                     require_all: *all,
                     give_up_after: give_up,
                 };
-                a.propose(&ask, &request)
+                a.propose(&operator_request, &request)
             }
         },
         Command::Outcome { request } => {
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -73,7 +73,7 @@
             Self::Welcome(_) => "welcome",
             Self::Request(_) => "request",
             Self::Reply(_) => "reply",
-            Self::Envelope(letter) => match letter.message {
+            Self::Envelope(envelope) => match envelope.message {
                 PeerMessage::Prepare { .. } => "prepare",
                 PeerMessage::Promise { .. } => "promise",
                 PeerMessage::Accept { .. } => "accept",
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -26,7 +26,7 @@
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
-/// The size of a coroutine's stack, in words. The most seen in use is 1,919, in a debug build; may ends the process
+/// The size of a coroutine's stack, in words. The most seen in use is 1,919, in a debug build; `may` ends the process
 /// when a stack overflows.
 const STACK_WORDS: usize = 0x2000;
 /// The number of unused stacks that are kept for further connections.
@@ -187,7 +187,7 @@
         let stored_list = store.as_ref().and_then(|store| store.list(stages.list_max_age));
         let list_is_fresh = stored_list.as_ref().is_some_and(|(_, fresh)| *fresh);
         if let Some((list, _)) = stored_list {
-            // The present discovery may not know the stored list's version, so the complete list is requested.
+            // The current discovery may not know the stored list's version, so the complete list is requested.
             (known, request_whole) = (Some(list), true);
         }
         // A list of unknown age is used only once discovery has sent one or has failed to answer.
@@ -239,7 +239,7 @@
         }
         peers::query(peers, name.clone(), Arc::clone(&node));
     }
-    // This is passed on even without a known list, since it makes the reducer request the list.
+    // The list is passed on even if it is empty, since this input makes the reducer request the list.
     node.handle_input(Input::ListReceived { kind: ListKind::Cached, endpoints });
     let mut attempts = 0..LISTEN_ATTEMPTS;
     let listen = loop {
--- a/crates/node/src/net/clients/answer.rs
+++ b/crates/node/src/net/clients/answer.rs
@@ -42,10 +42,10 @@
             out.push(Bytes::from(format!("Content-Length: {}\r\n\r\n", result.len())));
             out.push(result);
         }
-        Answer::Dismissed(come_back) => {
+        Answer::Dismissed(retry_after) => {
             out.push(&b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n"[..]);
             out.push(connection_header);
-            if let Some(wait) = come_back {
+            if let Some(wait) = retry_after {
                 out.push(Bytes::from(format!("Retry-After: {:.3}\r\n", wait as f64 / 1e9)));
             }
             out.push(&b"\r\n"[..]);
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -44,7 +44,7 @@
 /// Starts a coroutine that accepts clients for as long as the program runs.
 /// Returns the address that it listens on.
 pub fn accept(node: &Arc<Node>, listen: SocketAddr) -> io::Result<SocketAddr> {
-    // may sets SO_REUSEPORT, so a second node at the same address would silently take some of the first one's clients.
+    // `may` sets SO_REUSEPORT, so a second node at the same address would silently take some of the first one's clients.
     // Binding a socket without that option first reports that the address is in use.
     let exclusive = Socket::new(Domain::for_address(listen), Type::STREAM, None)?;
     exclusive.set_reuse_address(true)?;
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -20,14 +20,14 @@
 }
 
 impl Clock {
-    /// Starts a clock at the present Unix time.
+    /// Starts a clock at the current Unix time.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { started_at: Instant::now(), base: unix.as_nanos() as Nanos }
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Nanos {
         self.base + self.started_at.elapsed().as_nanos() as Nanos
@@ -41,7 +41,7 @@
     }
 }
 
-/// Wakes coroutines at given times, from its own thread. may's timers are not used: they treat a timeout of less than a
+/// Wakes coroutines at given times, from its own thread. The timers of `may` are not used: they treat a timeout of less than a
 /// millisecond as none at all, and lose a timeout that expires while the coroutine is still being suspended. In both
 /// cases the coroutine would wait for ever, and the node's timeouts would stop working.
 struct Waker {
@@ -170,14 +170,14 @@
     }
 
     /// Suspends the calling coroutine for a time.
-    pub fn sleep(&self, span: Duration) {
-        let until = self.clock.now() + span.as_nanos() as Nanos;
+    pub fn sleep(&self, duration: Duration) {
+        let until = self.clock.now() + duration.as_nanos() as Nanos;
         self.waker.schedule(until, coroutine::current());
         while self.clock.now() < until {
             coroutine::park();
         }
-        // If a wake comes while may is parking a coroutine, may resumes the coroutine from within its own call of
-        // park. If the coroutine ended there, that call would wait for itself, and no coroutine would run any more.
+        // If a wake comes while `may` is parking a coroutine, `may` resumes the coroutine from within its own call of
+        // `park`. If the coroutine ended there, that call would wait for itself, and no coroutine would run any more.
         // After a yield the coroutine runs from the scheduler's queue.
         coroutine::yield_now();
     }
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -17,7 +17,7 @@
 
 const MIN_PAUSE: Duration = Duration::from_millis(1);
 const MAX_PAUSE: Duration = Duration::from_millis(50);
-/// may treats a timeout of less than a millisecond as none at all.
+/// `may` treats a timeout of less than a millisecond as none at all.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Why no connection was opened. No byte was sent.
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -248,7 +248,7 @@
     let mut first_is_whole = after.is_none();
     loop {
         let mut piece = [0; 4096];
-        // may treats a timeout of less than a millisecond as none at all.
+        // `may` treats a timeout of less than a millisecond as none at all.
         let left = due.saturating_sub(node.clock.now());
         let left = Duration::from_nanos(left).max(Duration::from_millis(1));
         socket.set_read_timeout(Some(left)).map_err(watch_error)?;
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -177,7 +177,7 @@
         }
         let ended = read(socket, &mut input);
         let full = input.len() > MAX_UNPARSED_BYTES;
-        // Without memory for its response the connection is given up, and the execution counts as one that may have
+        // Without memory for its response the connection is closed, and the execution counts as one that may have
         // run.
         if !reservation.resize(input.len() + exchange.as_ref().map_or(0, |e| e.text.len())) {
             return End::Broken;
@@ -216,7 +216,7 @@
         }
         match current.process(node, connection, &mut input, ended) {
             Step::NeedMore if ended => return End::Broken,
-            // Bytes left in the socket cause no further event, so it is read again after a pause for other coroutines.
+            // Bytes left in the socket cause no further event, so the socket is read again after a pause for other coroutines.
             Step::NeedMore if full => node.alarm.sleep(YIELD_PAUSE),
             Step::NeedMore => {
                 socket.wait_io();
@@ -290,7 +290,7 @@
             true
         };
         if self.stale && complete && valid {
-            // The response to the present request is still to come.
+            // The response to the current request is still to come.
             (self.head, self.body, self.stale, self.previous_id) = (None, None, false, None);
             self.text.clear();
             return if input.is_empty() {
--- a/crates/node/src/net/list_stream.rs
+++ b/crates/node/src/net/list_stream.rs
@@ -46,7 +46,7 @@
     /// How many of the bytes received are scanned already: those of an object whose end has not come.
     scanned: usize,
     object: Nesting,
-    /// Whether something other than whitespace is on the present line.
+    /// Whether something other than whitespace is on the current line.
     line_in_use: bool,
 }
 
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -32,7 +32,7 @@
 use linestack_recovery::StoredOutcome;
 use linestack_recovery::start::Stage;
 
-/// The pause of a connection that received more than one message's worth of bytes at once. A yield is not enough: may
+/// The pause of a connection that received more than one message's worth of bytes at once. A yield is not enough: `may`
 /// polls its sockets only when no coroutine can run.
 pub(crate) const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
@@ -43,7 +43,7 @@
 /// Starts a coroutine.
 #[allow(unsafe_code)]
 pub fn spawn(work: impl FnOnce() + Send + 'static) {
-    // SAFETY: may requires that no reference to a thread-local is held over a point where the coroutine may move to
+    // SAFETY: `may` requires that no reference to a thread-local is held over a point where the coroutine may move to
     // another thread, and that the stack suffices. No code here holds one, and `STACK_WORDS` in the program's start is
     // several times the measured use.
     drop(unsafe { may::coroutine::spawn(work) });
@@ -153,7 +153,7 @@
     pub(crate) watch: Mutex<WatchState>,
     pub(crate) audit_log: Option<AuditLog>,
     store_records: Option<Sender<StoreRecord>>,
-    /// The present lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease
+    /// The current lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease
     /// to end.
     lease_suspend_limit: AtomicU64,
     /// When a log line that clients can cause was written last.
@@ -337,7 +337,7 @@
         )
     }
 
-    /// Records a message from discovery in the store, and the present list too if `index` gives its new version.
+    /// Records a message from discovery in the store, and the current list too if `index` gives its new version.
     pub(crate) fn record_discovery_message(&self, index: Option<u64>) {
         let Some(store_records) = &self.store_records else { return };
         if let Some(index) = index {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -188,9 +188,9 @@
 /// Asks peers for their observations, one after the other in random order, until one answers. Runs in a thread of its own.
 pub fn query(config: Config, name: String, node: Arc<Node>) {
     std::thread::spawn(move || {
-        let mut order = config.addresses.clone();
-        fastrand::Rng::with_seed(crate::fleet::random_u64()).shuffle(&mut order);
-        for peer in order.into_iter().take(MAX_ATTEMPTS) {
+        let mut addresses = config.addresses.clone();
+        fastrand::Rng::with_seed(crate::fleet::random_u64()).shuffle(&mut addresses);
+        for peer in addresses.into_iter().take(MAX_ATTEMPTS) {
             let asked_at = node.clock.now();
             let answer = TcpStream::connect_timeout(&peer, IO_TIMEOUT).and_then(|mut socket| {
                 socket.set_write_timeout(Some(IO_TIMEOUT))?;
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -101,7 +101,7 @@
     Ok(Config { limits, list_max_age: table.list_fresh_ms * 1_000_000 })
 }
 
-/// Returns the present time on a clock that survives a restart of the process, but not a reboot of the machine.
+/// Returns the current time on a clock that survives a restart of the process, but not a reboot of the machine.
 #[must_use]
 pub fn boot_timestamp() -> BootTimestamp {
     let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
