--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -22,7 +22,7 @@
     workers: HashMap<u32, u32>,
     /// The executor on the wire for each index of a worker.
     executors: Vec<u32>,
-    listings: Vec<WorkerEntry>,
+    entries: Vec<WorkerEntry>,
 }
 
 impl Instance {
@@ -37,7 +37,7 @@
             free: Vec::new(),
             workers: HashMap::new(),
             executors: Vec::new(),
-            listings: Vec::new(),
+            entries: Vec::new(),
         }
     }
 
@@ -46,14 +46,14 @@
     pub fn handle(&mut self, clock: Nanos, event: Incoming, reply: &mut Reply) {
         if let Some(event) = self.translate(event) {
             // The event borrows the entries, so they are moved out of `self` until the event is handled.
-            let listings = std::mem::take(&mut self.listings);
+            let entries = std::mem::take(&mut self.entries);
             let event = match event {
-                Event::ListReceived { kind, .. } => Event::ListReceived { kind, entries: &listings },
+                Event::ListReceived { kind, .. } => Event::ListReceived { kind, entries: &entries },
                 other => other,
             };
-            for order in self.dispatcher.decide(clock, event) {
+            for action in self.dispatcher.decide(clock, event) {
                 let call = |submission: &u32| self.calls[*submission as usize];
-                let action = match order {
+                let outgoing = match action {
                     Action::Execute { submission, worker, timeout } => Outgoing::Execute {
                         call: call(submission),
                         timeout: *timeout,
@@ -62,8 +62,8 @@
                     Action::Cancel { submission, execution } => {
                         Outgoing::Cancel { call: call(submission), execution: *execution }
                     }
-                    Action::Dismiss { submission, retry_after: come_back } => {
-                        Outgoing::Dismiss { call: call(submission), retry_after: come_back.unwrap_or(0) }
+                    Action::Dismiss { submission, retry_after } => {
+                        Outgoing::Dismiss { call: call(submission), retry_after: retry_after.unwrap_or(0) }
                     }
                     Action::Abort { submission } => Outgoing::Abort { call: call(submission) },
                     Action::Probe { worker } => {
@@ -73,18 +73,16 @@
                         Outgoing::CloseIdleConnections { executor: self.executors[*worker as usize] }
                     }
                     Action::Subscribe => Outgoing::Subscribe,
-                    Action::SetTimer { at, timer_id: token } => {
-                        Outgoing::SetTimer { at: *at, timer_id: *token }
-                    }
+                    Action::SetTimer { at, timer_id } => Outgoing::SetTimer { at: *at, timer_id: *timer_id },
                     Action::Forget { submission } => {
                         self.submissions.remove(&call(submission));
                         self.free.push(*submission);
                         continue;
                     }
                 };
-                reply.push(self.node, action);
+                reply.push(self.node, outgoing);
             }
-            self.listings = listings;
+            self.entries = entries;
         }
     }
 
@@ -93,14 +91,14 @@
         Some(match event {
             Incoming::Start(_) | Incoming::Killed | Incoming::PeerMessage => return None,
             Incoming::ListReceived { kind, entries } => {
-                self.listings.clear();
+                self.entries.clear();
                 for e in entries {
                     let worker = *self.workers.entry(e.executor).or_insert_with(|| {
                         self.executors.push(e.executor);
                         self.executors.len() as u32 - 1
                     });
                     let ListEntry { health, kind, zone, cell, started, weight, .. } = e;
-                    self.listings.push(WorkerEntry { worker, health, kind, zone, cell, started, weight });
+                    self.entries.push(WorkerEntry { worker, health, kind, zone, cell, started, weight });
                 }
                 Event::ListReceived { kind, entries: &[] }
             }
