--- a/crates/accord/src/coordinator/change.rs
+++ b/crates/accord/src/coordinator/change.rs
@@ -143,7 +143,7 @@
         if self.can_be_decided(now, config, pending, state) {
             return Some(End::Decided);
         }
-        let give_up_at = pending.give_up_after.map(|span| self.pending_since.at.saturating_add(span));
+        let give_up_at = pending.give_up_after.map(|timeout| self.pending_since.at.saturating_add(timeout));
         give_up_at.is_some_and(|at| now >= at).then_some(End::GivenUp)
     }
 
--- a/crates/accord/src/coordinator/lease.rs
+++ b/crates/accord/src/coordinator/lease.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Declined {
     pub(super) version: u64,
-    /// The policy key that prevents it.
+    /// The policy key that the member can't apply.
     pub(super) key: String,
 }
 
--- a/crates/accord/src/coordinator/membership.rs
+++ b/crates/accord/src/coordinator/membership.rs
@@ -91,9 +91,9 @@
     }
 
     /// Returns whether a coordinator has acknowledged a message within this period, or this leader was elected within it.
-    fn acknowledged_within(&self, now: Nanos, span: Nanos, coordinator: CoordinatorId) -> bool {
+    fn acknowledged_within(&self, now: Nanos, period: Nanos, coordinator: CoordinatorId) -> bool {
         let acknowledged = self.acknowledged_at.get(&coordinator);
-        acknowledged.is_some_and(|at| now < at + span) || now < self.elected_at + span
+        acknowledged.is_some_and(|at| now < at + period) || now < self.elected_at + period
     }
 
     /// Writes the members that join or are removed, and the coordinator that is replaced, into the next state.
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -257,7 +257,7 @@
     }
 
     fn handle_grant(&mut self, now: Nanos, grant: Grant, outputs: &mut Vec<Output>) {
-        let Grant { incarnation, requested_at: at, duration: span, version, policy, change } = grant;
+        let Grant { incarnation, requested_at: at, duration, version, policy, change } = grant;
         // A grant for another incarnation, or for a request already answered by a newer grant, is out of date.
         if incarnation != self.incarnation
             || at > now
@@ -268,16 +268,16 @@
         self.granted_request = at;
         if at == self.requested_at {
             self.answered = true;
-            self.next = now.max(at + (span / 3).max(1));
+            self.next = now.max(at + (duration / 3).max(1));
         }
-        self.lease_duration = span;
+        self.lease_duration = duration;
         if version < self.active {
             let notice = Notice::CoordinatorsBehind { own: self.active, theirs: version };
             outputs.push(Output::Notify(notice));
             return;
         }
         let from = if self.injected_fault == Some(InjectedFault::LeaseFromReceipt) { now } else { at };
-        let until = from + (span - span / 1000 * self.drift);
+        let until = from + (duration - duration / 1000 * self.drift);
         if version == self.active {
             self.serve(until, outputs);
         } else if self.pending_lease.is_none_or(|(v, _)| v != version) {
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Returns whether there is no room for another submission, which must then be rejected: to forget one that may have
-    /// run would be worse.
+    /// Returns whether there is no room for another submission, which must then be rejected: forgetting a submission that
+    /// may have run would let it run twice.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.known.len() >= self.max_entries || self.used_bytes >= self.max_bytes
--- a/crates/recovery/src/start.rs
+++ b/crates/recovery/src/start.rs
@@ -68,9 +68,9 @@
     pub sessions_per_s: f64,
     /// After this time without a list from discovery the node uses a stored list, if it has one.
     pub list_timeout: Nanos,
-    /// The longest time in [`Stage::Known`]; the next stage then begins without the evidence.
+    /// The longest time in [`Stage::Known`]; the next stage then begins even if too few executors have answered.
     pub known_timeout: Nanos,
-    /// The longest time in [`Stage::Share`]; the next stage then begins without the evidence.
+    /// The longest time in [`Stage::Share`]; the next stage then begins even if submissions are still rejected.
     pub share_timeout: Nanos,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -410,7 +410,7 @@
         allowed_zones: zones,
     };
     let field = |name: &str| raw.report.fields.iter().position(|f| f == name);
-    // The meaning of the fields x0 and x1 depends on the family, which describes it in words.
+    // The meaning of the fields x0 and x1 depends on the family, whose settings describe each field by a text.
     let extra_field = |word: &str| {
         let x0 = field("x0").filter(|_| family.report_x0.contains(word));
         x0.or_else(|| field("x1").filter(|_| family.report_x1.contains(word)))
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -74,7 +74,7 @@
         call: u64,
         job: Job,
     },
-    /// The client left, or was answered by others.
+    /// The client left, or was answered by another node.
     ClientLeft {
         call: u64,
     },
--- a/crates/store/src/store/compaction.rs
+++ b/crates/store/src/store/compaction.rs
@@ -97,7 +97,7 @@
     }
 
     fn is_expired(&self, record: &Record, now: u64) -> bool {
-        let span = self.limits.retention.iter().find(|(kind, _)| *kind == record.kind);
-        span.is_some_and(|(_, span)| record.time.saturating_add(*span) < now)
+        let retention = self.limits.retention.iter().find(|(kind, _)| *kind == record.kind);
+        retention.is_some_and(|(_, duration)| record.time.saturating_add(*duration) < now)
     }
 }
