--- a/crates/dispatch/src/reconfigure.rs
+++ b/crates/dispatch/src/reconfigure.rs
@@ -1,9 +1,9 @@
 //! Replaces the configuration of a running dispatcher.
 //!
-//! State whose meaning does not depend on the configuration is kept: the list, the starts, the health and the ejections of
-//! the workers, the slots that each was seen to have, the submissions and their executions in flight, and the
-//! time of the next request for the list. Reports, shares, limits, thresholds and answer times were measured
-//! under the previous configuration and start anew.
+//! State whose meaning does not depend on the configuration is kept: the list, the starts, the health and the
+//! ejections of the workers, the slots that each was seen to have, the submissions and their executions in
+//! flight, and the time of the next request for the list. Reports, shares, limits, thresholds and
+//! answer times were measured under the previous configuration and start anew.
 
 use crate::decide::Dispatcher;
 use crate::types::{DispatchConfig, Nanos};
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -47,7 +47,7 @@
     pub(crate) submission: Submission,
     pub(crate) execution: Execution,
     pub(crate) sent_at: Nanos,
-    /// The time of its last message, or of sending it.
+    /// When the worker last sent a message about it; until then, when it was sent.
     pub(crate) last_progress: Nanos,
     pub(crate) slots: f64,
     pub(crate) memory: f64,
@@ -113,15 +113,15 @@
         self.in_flight.push(execution);
     }
 
-    /// Returns whether it is ejected and due for a probe. A draining worker gets no work even if it answers,
-    /// so it is not probed.
+    /// Returns whether the worker is ejected and due for a probe. A draining worker gets no work even if it
+    /// answers, so it is not probed.
     pub(crate) fn is_due_for_probe(&self, now: Nanos) -> bool {
         self.probes_to_return > 0 && self.entry.health == Health::Ready && now >= self.next_probe_at
     }
 
-    /// Returns its recent answer times as a multiple of the mean; four answers at the mean are assumed to
-    /// begin with. An execution that already takes longer than the mean counts with its time so far, because
-    /// the answers of a worker that slows down come too late to show it.
+    /// Returns the worker's recent answer times as a multiple of the mean. Four answers at the mean are
+    /// assumed to begin with. An execution that already takes longer than the mean counts with its
+    /// time so far, because the answers of a worker that slows down come too late to show it.
     pub(crate) fn answer_time_ratio(&self, now: Nanos, time_constant: Nanos) -> f64 {
         let time_constant = time_constant as f64;
         let overdue = self
@@ -139,8 +139,8 @@
         self.recent_answers.add(now, time_constant as f64, 1.0);
     }
 
-    /// Stores a report. If the report counts fewer jobs than this node has in flight there, it was taken
-    /// before the newest of them arrived; returns the minimum age of the report that follows from this.
+    /// Stores a report. If the report counts fewer jobs than this node has in flight at the worker, it was
+    /// taken before the newest of these jobs arrived. Returns the minimum age of the report that follows.
     pub(crate) fn apply_report(&mut self, mut report: Report, now: Nanos) -> Option<Nanos> {
         let free = report.free_slots.map_or(0.0, rounded);
         // If reports have no count of active jobs, the size is estimated by the largest figure of free slots
@@ -189,8 +189,8 @@
         lost
     }
 
-    /// Returns the memory left at the worker, on the assumption that the jobs of other nodes need as much as this
-    /// node's.
+    /// Returns the memory left at the worker, on the assumption that the jobs of other nodes need as much as
+    /// this node's.
     pub(crate) fn memory_left(&self, report_delay: Nanos, memory_per_slot: f64) -> f64 {
         let free = self.report.free_slots.map_or(0.0, rounded);
         let others = (self.known_slots - free - self.own_slots).max(0.0) * memory_per_slot;
@@ -653,7 +653,7 @@
 #[derive(Debug)]
 pub(crate) struct TrafficStats {
     pub(crate) arrivals: Rate,
-    /// The arrivals of the last fraction of a second.
+    /// The recent arrivals, with the time constant [`TrafficStats::RECENT_NS`].
     pub(crate) recent_arrivals: DecayingSum,
     /// The slots of all executions in flight.
     pub(crate) slots_in_flight: f64,
@@ -666,7 +666,7 @@
     pub(crate) slots_by_product: Vec<f64>,
     /// The number of submissions in that average, up to its limit.
     pub(crate) averaged: f64,
-    /// The time for which an idle connection has proved to stay usable, at most `idle_timeout`.
+    /// How long idle connections were found to stay usable, at most `idle_timeout`.
     pub(crate) idle_lifetime: f64,
     pub(crate) idle_timeout: f64,
     /// The part of the executions that started at once.
@@ -687,6 +687,7 @@
         }
     }
 
+    /// The time constant of `recent_arrivals`.
     const RECENT_NS: f64 = 0.25e9;
     /// The number of submissions over which the needed slots are averaged.
     const AVERAGE_OVER: f64 = 64.0;
