--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -226,9 +226,10 @@
     pub left: u64,
     /// Submissions dismissed without being accepted, because the node had no lease.
     pub fenced: u64,
-    /// Submissions answered from a stored outcome, or dismissed because their outcome could not be stored.
+    /// Submissions of one-shots answered from a stored outcome, rejected because a one-shot with the same key is open, or
+    /// dismissed because their outcome could not be stored.
     pub remembered: u64,
-    /// Requests rejected as invalid or for a duplicate id.
+    /// Requests rejected as invalid or for a duplicate request id.
     pub turned_down: u64,
     /// Client connections closed to make room.
     pub evicted: u64,
@@ -252,7 +253,7 @@
     pub not_sent: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Probes without an answer.
+    /// Probes that did not succeed: without an answer, answered with an error, turned away by the executor, or not sent.
     pub probes_failed: u64,
     /// Connections to executors opened.
     pub links_opened: u64,
