--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -15,7 +15,9 @@
 use super::Node;
 use crate::io_failure::IoFailure;
 
+/// The first pause between two attempts to connect, of which half is random.
 const MIN_PAUSE: Duration = Duration::from_millis(1);
+/// The longest pause between two attempts to connect.
 const MAX_PAUSE: Duration = Duration::from_millis(50);
 /// `may` treats a timeout of less than a millisecond as none at all.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -17,6 +17,7 @@
 use crate::http;
 use linestack_core::{Endpoint, Input, ListClocks};
 
+/// The longest time for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest time between two messages on a watch. While nothing changes discovery sends an empty line every 2 s, and
 /// it may queue a request for 3 s. A watch that brings neither a complete list nor a heartbeat for longer counts as
@@ -28,6 +29,8 @@
 const FIRST_MESSAGE_TIMEOUT: Nanos = 3_250_000_000;
 /// The time after a change of the discovery address during which a failed watch is requested again after [`RETRY_PAUSE`].
 pub(crate) const DISCOVERY_CHANGE_RETRY: Nanos = 4_000_000_000;
+/// The pause before a watch is requested again without the reducer: after a change of the discovery address, or after a
+/// failure on this machine.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why a watch on discovery ended.
@@ -233,7 +236,7 @@
         if watch.generation != generation {
             return Err(WatchError::Replaced);
         }
-        // Without this handle a replaced watch ends only at its next message.
+        // The handle is used to shut down a replaced watch, which would otherwise end only at its next message.
         watch.socket = socket.inner().try_clone().ok();
     }
     socket.set_write_timeout(Some(Duration::from_nanos(MESSAGE_TIMEOUT))).map_err(watch_error)?;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -440,7 +440,7 @@
         lock(&self.state).clients.remove(&client);
     }
 
-    /// Returns whether the reducer still wants this connection.
+    /// Returns whether this connection is open or being opened for the reducer, which has not closed it.
     pub(crate) fn has_connection(&self, connection: ConnectionId) -> bool {
         lock(&self.state).connections.contains_key(&connection)
     }
