--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -173,8 +173,8 @@
                     self.close_rarely_used_connections(worker);
                 }
             }
-            // If the worker were used again at once, it would get as many jobs as a warm worker before the list
-            // shows its start.
+            // If the worker were used again at once, it would get as many jobs as a warm worker before the
+            // list shows its start.
             Event::ProcessLost { worker } => self.fleet.get_mut(worker).into_iter().for_each(|state| {
                 (state.probes_to_return, state.loss_suspected, state.process_lost) =
                     (state.probes_to_return.max(1), true, true);
