--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -235,7 +235,7 @@
     pub evicted: u64,
     /// Submissions dismissed because a start may not accept them yet.
     pub held_back: u64,
-    /// Executions started.
+    /// Executions that the dispatcher started, including those that were refused or not sent.
     pub executions: u64,
     /// Executions refused by the check before they begin.
     pub refused: Refusals,
