--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -93,7 +93,7 @@
     injected_fault: Option<InjectedFault>,
 }
 
-/// The delay before the next request after a rejection: 200 ms.
+/// The delay before the next request after the coordinators refused the member: 200 ms.
 const REFUSED_RETRY_DELAY: Nanos = 200_000_000;
 
 impl Member {
--- a/crates/node/src/fleet/coordinate/peers.rs
+++ b/crates/node/src/fleet/coordinate/peers.rs
@@ -54,7 +54,8 @@
     }
 }
 
-/// Whether the other end has closed the connection. It never sends anything on it.
+/// Whether the other end has closed the connection. The other end never sends anything on this connection after the
+/// handshake.
 fn is_closed(socket: &TcpStream) -> bool {
     let peeked = socket.set_nonblocking(true).and_then(|()| socket.peek(&mut [0]));
     let is_open = matches!(&peeked, Err(e) if e.kind() == ErrorKind::WouldBlock);
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Writes an entry of the audit log with the time of the step, which may be earlier than the present if the process was
-    /// stopped in between.
+    /// Writes an entry of the audit log with the time of the step, which may be earlier than the current time if the
+    /// process was stopped in between.
     fn log_entry(&mut self, time: u64, entry: AuditEntry) {
         if let Some(what) = self.describe(entry) {
             self.audit_log.write(time, what);
