--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -201,7 +201,7 @@
         let (log_time, now) = (monotonic(), boottime());
         let step = self.coordinator.handle(now, input);
         let outputs = step.finish(&mut self.disk).map_err(|error| {
-            // The record may or may not be durable, and no other process was told that it is.
+            // The record may or may not be durable, and no message that depends on it was sent.
             tracing::error!(why = %error, "store failed; this coordinator ends");
             ExitCode::FAILURE
         })?;
@@ -213,7 +213,7 @@
         match output {
             Output::Send { to, envelope } => self.send_to_peer(to, envelope),
             Output::Reply { client, reply } => self.reply(&client, reply),
-            Output::Audit(note) => self.log_note(log_time, note),
+            Output::Audit(entry) => self.log_entry(log_time, entry),
             Output::Halt => {
                 tracing::error!(
                     "the store is older than what other coordinators have seen of it; this coordinator must not vote and ends"
@@ -243,17 +243,17 @@
         }
     }
 
-    /// Writes an entry of the audit log with the time of the step, which may be earlier than the present if the process was
-    /// stopped in between.
-    fn log_note(&mut self, time: u64, note: AuditEntry) {
-        if let Some(what) = self.describe(note) {
+    /// Writes an entry of the audit log with the time of the step, which may be earlier than the current time if the
+    /// process was stopped in between.
+    fn log_entry(&mut self, time: u64, entry: AuditEntry) {
+        if let Some(what) = self.describe(entry) {
             self.audit_log.write(time, what);
         }
     }
 
     /// Logs and counts an event of the state machine, and returns its entry for the audit log, if there is one.
-    fn describe(&mut self, note: AuditEntry) -> Option<HistoryEvent> {
-        Some(match note {
+    fn describe(&mut self, entry: AuditEntry) -> Option<HistoryEvent> {
+        Some(match entry {
             AuditEntry::Established { round } => {
                 tracing::info!(round, "elected leader");
                 HistoryEvent::Established { round: u64::from(round) }
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -26,7 +26,7 @@
 const NANOS_PER_MS: u64 = 1_000_000;
 /// The pause before the next accept when no descriptor or no room for clients is left.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// After accepting so many connections in a row the listener pauses, so that the accepted ones are read: only what they
+/// After accepting this many connections in a row the listener pauses, so that the accepted ones are read: only what they
 /// have sent distinguishes them from a flood of silent connections.
 const ACCEPT_BURST: u32 = 8;
 /// If an accept blocked for at least this long, the listener's queue was empty before.
@@ -44,7 +44,7 @@
 /// Starts a coroutine that accepts clients for as long as the program runs.
 /// Returns the address that it listens on.
 pub fn accept(node: &Arc<Node>, listen: SocketAddr) -> io::Result<SocketAddr> {
-    // may sets SO_REUSEPORT, so a second node at the same address would silently take some of the first one's clients.
+    // `may` sets SO_REUSEPORT, so a second node at the same address would silently take some of the first one's clients.
     // Binding a socket without that option first reports that the address is in use.
     let exclusive = Socket::new(Domain::for_address(listen), Type::STREAM, None)?;
     exclusive.set_reuse_address(true)?;
@@ -208,7 +208,7 @@
             }
         }
         if matches!(state, State::Closing) {
-            // A request that crosses the shutdown is not read, since it would be lost without an answer: the client
+            // A request that arrives after the shutdown is not read, since it would be lost without an answer: the client
             // sees the end of the connection and sends the request again. A close over unread bytes resets the
             // connection, so it waits until the client has had the time to receive its last answer.
             match socket.inner().peek(&mut [0]) {
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -17,17 +17,20 @@
 use crate::http;
 use linestack_core::{Endpoint, Input, ListClocks};
 
+/// The longest time for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest time between two messages on a watch. While nothing changes discovery sends an empty line every 2 s, and
 /// it may queue a request for 3 s. A watch that brings neither a complete list nor a heartbeat for longer counts as
 /// dead, even if its connection looks open and bytes arrive. The node is also expected to know a change 6 s after
-/// discovery has it, or 4 s after the discovery address changed. The reducer's `CALL_WITHIN` depends on this value.
+/// discovery has it, or 4 s after the discovery address changed. The reducer's `MAX_LIST_CALL_DELAY` depends on this value.
 const MESSAGE_TIMEOUT: Nanos = 3_000_000_000;
 /// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT`], so that the node still
 /// receives the status if discovery rejects the request after queueing it for 3 s.
 const FIRST_MESSAGE_TIMEOUT: Nanos = 3_250_000_000;
-/// For so long after a change of the discovery address, a watch that fails is requested again after [`RETRY_PAUSE`].
+/// The time after a change of the discovery address during which a failed watch is requested again after [`RETRY_PAUSE`].
 pub(crate) const DISCOVERY_CHANGE_RETRY: Nanos = 4_000_000_000;
+/// The pause before a watch is requested again without the reducer: after a change of the discovery address, or after a
+/// failure on this machine.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why a watch on discovery ended.
@@ -233,7 +236,7 @@
         if watch.generation != generation {
             return Err(WatchError::Replaced);
         }
-        // Without this handle a replaced watch ends only at its next message.
+        // The handle is used to shut down a replaced watch, which would otherwise end only at its next message.
         watch.socket = socket.inner().try_clone().ok();
     }
     socket.set_write_timeout(Some(Duration::from_nanos(MESSAGE_TIMEOUT))).map_err(watch_error)?;
@@ -248,7 +251,7 @@
     let mut first_is_whole = after.is_none();
     loop {
         let mut piece = [0; 4096];
-        // may treats a timeout of less than a millisecond as none at all.
+        // `may` treats a timeout of less than a millisecond as none at all.
         let left = due.saturating_sub(node.clock.now());
         let left = Duration::from_nanos(left).max(Duration::from_millis(1));
         socket.set_read_timeout(Some(left)).map_err(watch_error)?;
