--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -1,8 +1,8 @@
 //! Scenarios drawn at random: small worlds with overlapping troubles.
 
 use linestack_world::{
-    Backoff, Clients, Discovery, Executors, Fault, Limits, Load, Network, Nodes, Product, Repeats, Reports,
-    Scenario, Shape, Tenant, Trouble,
+    Backoff, Clients, Discovery, Executors, Fault, FaultSpec, Limits, Load, Network, Nodes, Product,
+    RepeatPolicy, Reports, Scenario, Shape, Tenant,
 };
 use rand::{Rng as _, SeedableRng as _, seq::IndexedRandom as _};
 use rand_pcg::Pcg64Mcg;
@@ -62,7 +62,7 @@
             }
         })
         .collect();
-    let kinds = [Repeats::Harmless, Repeats::Stamped, Repeats::OneShot];
+    let kinds = [RepeatPolicy::Idempotent, RepeatPolicy::Stamped, RepeatPolicy::OneShot];
     let products = (0..r.random_range(1..=3))
         .map(|i| {
             let work_ms = r.random_range(20.0..800.0_f64).round();
@@ -71,12 +71,12 @@
                 share: tenth(r, 0.2, 2.0).max(0.1),
                 work_ms,
                 cv: tenth(r, 0.0, 1.5),
-                agreed_ms: (work_ms * r.random_range(0.5..2.0)).max(50.0).round(),
-                stretch: tenth(r, 1.0, 2.5),
-                cut_off_ms: r.random_range(3000.0..9000.0_f64).round(),
+                latency_target_ms: (work_ms * r.random_range(0.5..2.0)).max(50.0).round(),
+                latency_target_factor: tenth(r, 1.0, 2.5),
+                deadline_ms: r.random_range(3000.0..9000.0_f64).round(),
                 payoff: f64::from(r.random_range(1..=5)),
-                repeats: *kinds.choose(r).unwrap_or(&Repeats::OneShot),
-                memory_s: r.random_range(2.0..10.0_f64).round(),
+                repeats: *kinds.choose(r).unwrap_or(&RepeatPolicy::OneShot),
+                dedup_window_s: r.random_range(2.0..10.0_f64).round(),
                 ..Product::default()
             }
         })
@@ -88,8 +88,8 @@
             usage: if r.random_bool(0.2) { 2.5 } else { 1.0 },
         })
         .collect();
-    let troubles: Vec<Trouble> = (0..r.random_range(1..=4))
-        .map(|_| Trouble {
+    let troubles: Vec<FaultSpec> = (0..r.random_range(1..=4))
+        .map(|_| FaultSpec {
             kind: *FAULTS.choose(r).unwrap_or(&Fault::Crash),
             at_s: tenth(r, 1.0, span_s - 4.0),
             for_s: tenth(r, 0.5, 10.0),
@@ -113,12 +113,12 @@
         },
         executors,
         reports: Reports {
-            told: r.random_bool(0.85),
+            enabled: r.random_bool(0.85),
             period_ms: if r.random_bool(0.4) { r.random_range(5.0..1000.0_f64).round() } else { 0.0 },
             delay_ms: if r.random_bool(0.3) { r.random_range(5.0..800.0_f64).round() } else { 0.0 },
             noise: if r.random_bool(0.3) { 0.05 } else { 0.0 },
         },
-        tells_start: r.random_bool(0.4),
+        reports_start: r.random_bool(0.4),
         progress_s: *[0.0, 1.0, 2.0].choose(r).unwrap_or(&1.0),
         products,
         tenants,
@@ -130,13 +130,13 @@
         clients: Clients {
             retries: r.random_range(0..=2),
             backoff: *backoffs.choose(r).unwrap_or(&Backoff::Fixed),
-            heed: *[0.0, 0.5, 1.0].choose(r).unwrap_or(&1.0),
+            heed_retry_after: *[0.0, 0.5, 1.0].choose(r).unwrap_or(&1.0),
             leave: if r.random_bool(0.3) { 0.05 } else { 0.0 },
             ..Clients::default()
         },
         network: Network { jitter: tenth(r, 0.0, 1.0), ..Network::default() },
         discovery: Discovery {
-            asked: r.random_bool(0.3),
+            polled: r.random_bool(0.3),
             late_s: tenth(r, 0.1, 3.0),
             ..Discovery::default()
         },
@@ -145,7 +145,7 @@
             may_cancel: r.random_bool(0.8),
             may_duplicate: r.random_bool(0.7),
             max_executions: r.random_range(1..=5),
-            come_back_ms: if r.random_bool(0.7) { 2000.0 } else { 0.0 },
+            max_retry_after_ms: if r.random_bool(0.7) { 2000.0 } else { 0.0 },
             excess_payoff: if r.random_bool(0.5) { 0.2 } else { 1.0 },
             ..Limits::default()
         },
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,7 +1,7 @@
 //! Searches worlds for a broken rule, or for the largest loss against another policy, and cuts what it finds
 //! down to the smallest scenario that still shows it.
 
-use linestack_world::{Executors, Product, Rule, Scenario, Step, Tenant, Trouble};
+use linestack_world::{Executors, FaultSpec, Product, Rule, Scenario, Step, Tenant};
 use rayon::prelude::*;
 use toml::{Table, Value};
 
@@ -142,7 +142,7 @@
     add(&|t| t.limits = plain.limits.clone());
     add(&|t| t.load.shape = plain.load.shape);
     add(&|t| t.nodes = linestack_world::Nodes { count: t.nodes.count, ..plain.nodes.clone() });
-    add(&|t| t.tells_start = false);
+    add(&|t| t.reports_start = false);
     add(&|t| t.progress_s = plain.progress_s);
     for i in 0..s.troubles.len() {
         add(&|t| t.troubles[i].for_s = (t.troubles[i].for_s / 2.0).max(0.1));
@@ -191,7 +191,7 @@
     keep(&mut table, "executors", plain(Value::try_from(Executors::default())));
     keep(&mut table, "products", plain(Value::try_from(Product::default())));
     keep(&mut table, "tenants", plain(Value::try_from(Tenant::default())));
-    keep(&mut table, "troubles", plain(Value::try_from(Trouble::default())));
+    keep(&mut table, "troubles", plain(Value::try_from(FaultSpec::default())));
     if let Some(Value::Table(load)) = table.get_mut("load") {
         keep(load, "steps", plain(Value::try_from(Step::default())));
     }
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -7,7 +7,7 @@
 use linestack_rig::load::{self, Loaded, Plan};
 use linestack_rig::stand::Fleet;
 use linestack_rig::started::Started;
-use linestack_world::{Executors, Fault, Product, Repeats, Scenario, Trouble};
+use linestack_world::{Executors, Fault, FaultSpec, Product, RepeatPolicy, Scenario};
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
@@ -55,7 +55,7 @@
 pub fn large(workers: u32, slots: u32, work_ms: f64) -> Scenario {
     let cores = f64::from(slots);
     let executors = Executors { count: workers, slots, cores, speed_spread: 0.0, ..Executors::default() };
-    let product = Product { work_ms, cv: 0.0, agreed_ms: 400.0, ..Product::default() };
+    let product = Product { work_ms, cv: 0.0, latency_target_ms: 400.0, ..Product::default() };
     let nodes = linestack_world::Nodes { count: 1, sockets: 2048, ..Default::default() };
     Scenario { executors: vec![executors], products: vec![product], nodes, ..Scenario::default() }
 }
@@ -71,8 +71,14 @@
     let s = Scenario {
         nodes: linestack_world::Nodes { count: 2, ..Default::default() },
         executors: vec![Executors { count: 5, slots: 4, ..Executors::default() }],
-        products: vec![product("look", Repeats::Harmless), product("pay", Repeats::OneShot)],
-        troubles: vec![Trouble { kind: Fault::Hang, at_s: 3.0, for_s: 2.0, part: 0.2, ..Trouble::default() }],
+        products: vec![product("look", RepeatPolicy::Idempotent), product("pay", RepeatPolicy::OneShot)],
+        troubles: vec![FaultSpec {
+            kind: Fault::Hang,
+            at_s: 3.0,
+            for_s: 2.0,
+            part: 0.2,
+            ..FaultSpec::default()
+        }],
         ..Scenario::default()
     };
     let program = Started::program()?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -403,7 +403,7 @@
 
 fn many_starts(program: &std::path::Path, plan: &starts::Plan) -> Fallible<ExitCode> {
     // A short cut-off, since a node that stops serves on for half of it.
-    let product = Product { agreed_ms: 50.0, cut_off_ms: 100.0, ..Product::default() };
+    let product = Product { latency_target_ms: 50.0, deadline_ms: 100.0, ..Product::default() };
     let fleet = Fleet::start(&Scenario { products: vec![product], ..Scenario::default() })?;
     let begin = Instant::now();
     let c = starts::starts(program, &fleet, plan)?;
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -9,7 +9,7 @@
     Action, Decide, DedupScope, DispatchConfig, Ending, Event, Health, Job, ListKind, Outcome, RepeatPolicy,
     Report, Submission, Worker, WorkerEntry,
 };
-use linestack_world::{Machine, Seat, Truth, linestack};
+use linestack_world::{GroundTruth, NodeSetup, SimulatedNode, production_node};
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -39,12 +39,12 @@
 
     /// Makes a whole node that decides by this policy.
     #[must_use]
-    pub fn make(self, seat: Seat) -> Box<dyn Machine> {
+    pub fn make(self, seat: NodeSetup) -> Box<dyn SimulatedNode> {
         if self == Self::Linestack {
-            return linestack(seat);
+            return production_node(seat);
         }
         let plain = Plain::new(self, seat.settings.dispatch.clone(), seat.node, Arc::clone(&seat.truth));
-        seat.with(Box::new(plain))
+        seat.build_with(Box::new(plain))
     }
 }
 
@@ -72,7 +72,7 @@
     policy: Policy,
     terms: DispatchConfig,
     node: usize,
-    truth: Arc<Mutex<Truth>>,
+    truth: Arc<Mutex<GroundTruth>>,
     rng: Pcg64Mcg,
     now: Nanos,
     desks: Vec<Desk>,
@@ -82,7 +82,7 @@
 }
 
 impl Plain {
-    fn new(policy: Policy, terms: DispatchConfig, node: usize, truth: Arc<Mutex<Truth>>) -> Self {
+    fn new(policy: Policy, terms: DispatchConfig, node: usize, truth: Arc<Mutex<GroundTruth>>) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(terms.seed);
         let (desks, held, orders) = (Vec::new(), Vec::new(), Vec::new());
         Self { policy, terms, node, truth, rng, now: 0, desks, held, turn: 0, orders }
@@ -142,9 +142,9 @@
             }
             Policy::TrueState => {
                 let truth = self.truth.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                let places = &truth.places[self.node];
+                let executor_of_worker = &truth.executor_of_worker[self.node];
                 let load = |w: Worker| {
-                    let executor = places.get(w as usize).copied().flatten();
+                    let executor = executor_of_worker.get(w as usize).copied().flatten();
                     let state = executor.and_then(|e| truth.executors.get(e));
                     // Free slots count down from nothing; one that is down comes last.
                     state.map_or(f64::MAX, |(up, free, capacity)| {
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -13,7 +13,7 @@
 use linestack_lab::sweep::{Axis, grid};
 use linestack_rig::load::{Plan, load};
 use linestack_rig::stand::Fleet;
-use linestack_world::{Executors, Fault, Product, Scenario, Trouble};
+use linestack_world::{Executors, Fault, FaultSpec, Product, Scenario};
 use rstest::rstest;
 
 fn scenarios(folder: &str) -> Vec<PathBuf> {
@@ -66,7 +66,7 @@
 fn a_find_is_cut_down_and_written_out() {
     // Executors that err make one-shots fail; a policy that sees the true state does better in the hang.
     let troubles = [(Fault::Hang, 0.4), (Fault::Lie, 0.1), (Fault::Slow, 0.2)];
-    let trouble = |(kind, part)| Trouble { kind, part, at_s: 2.0, for_s: 6.0, ..Trouble::default() };
+    let trouble = |(kind, part)| FaultSpec { kind, part, at_s: 2.0, for_s: 6.0, ..FaultSpec::default() };
     let scenario = Scenario {
         span_s: 12.0,
         executors: vec![Executors { count: 6, ..Executors::default() }],
@@ -90,7 +90,7 @@
     let points = grid(&Scenario::default(), &axes).unwrap();
     let last = &points[3].1;
     assert_eq!((points.len(), last.executors[0].slots, last.load.of_capacity), (4, 8, 1.0));
-    assert!(!last.reports.told);
+    assert!(!last.reports.enabled);
     let fault = |axis: &str| grid(&Scenario::default(), &[axis.parse().unwrap()]).unwrap_err();
     assert!(fault("executors.7.slots=2").contains("no such key"));
     assert!(fault("executors.0.slots=0").contains("executors[0].slots"));
--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -12,7 +12,7 @@
 use linestack_rig::process::{Process, copy};
 use linestack_rig::run::{Outcome, run};
 use linestack_rig::stand::Fleet;
-use linestack_world::{Product, Repeats, Scenario, Tenant};
+use linestack_world::{Product, RepeatPolicy, Scenario, Tenant};
 use rstest::rstest;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linestack");
@@ -266,7 +266,7 @@
 impl Node {
     fn new() -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let job = Product { repeats: Repeats::OneShot, ..Product::default() };
+        let job = Product { repeats: RepeatPolicy::OneShot, ..Product::default() };
         let all = Tenant { name: "all".into(), ..Tenant::default() };
         let s = Scenario { products: vec![job], tenants: vec![all], ..Scenario::default() };
         let fleet = Fleet::start(&s).unwrap();
--- a/crates/node/tests/starts.rs
+++ b/crates/node/tests/starts.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn every_start_serves_and_every_stop_ends_well() {
-    let product = Product { agreed_ms: 50.0, cut_off_ms: 100.0, ..Product::default() };
+    let product = Product { latency_target_ms: 50.0, deadline_ms: 100.0, ..Product::default() };
     let scenario = Scenario { products: vec![product], ..Scenario::default() };
     let fleet = Fleet::start(&scenario).unwrap();
     let plan = Plan {
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -158,7 +158,7 @@
             text,
             "POST /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: {}\r\nReq-Owner: {}\r\n\
              Idempotency-Key: {id}\r\nReq-Deadline-Ms: {}\r\nContent-Length: 0\r\n\r\n",
-            product.name, tenant.name, product.cut_off_ms as u64
+            product.name, tenant.name, product.deadline_ms as u64
         );
         let answered = open.get_mut().write_all(text.as_bytes()).and_then(|()| message(open));
         let counts = Instant::now() >= counted && sent >= begin;
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::Sender;
 
 use linestack_history::Line;
-use linestack_world::{Executors, Product, Repeats, Scenario, Tenant};
+use linestack_world::{Executors, Product, RepeatPolicy, Scenario, Tenant};
 use serde_json::{Value, json};
 
 use super::observations::{LogTails, Observations};
@@ -38,8 +38,8 @@
     let product = |name: &str, repeats| Product {
         name: name.into(),
         work_ms: plan.work_ms,
-        agreed_ms: plan.load.cut_off_ms as f64 / 2.0,
-        cut_off_ms: plan.load.cut_off_ms as f64,
+        latency_target_ms: plan.load.cut_off_ms as f64 / 2.0,
+        deadline_ms: plan.load.cut_off_ms as f64,
         repeats,
         ..Product::default()
     };
@@ -55,8 +55,8 @@
         seed: plan.seed,
         executors: vec![executors],
         products: vec![
-            product(clients::ONE_SHOT, Repeats::OneShot),
-            product(clients::HARMLESS, Repeats::Harmless),
+            product(clients::ONE_SHOT, RepeatPolicy::OneShot),
+            product(clients::HARMLESS, RepeatPolicy::Idempotent),
         ],
         tenants: vec![Tenant { name: "all".into(), ..Tenant::default() }],
         ..Scenario::default()
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use linestack_history::What;
-use linestack_world::standin::{Offer, StandIn, Ticket};
-use linestack_world::{Repeats, Scenario, Trouble};
+use linestack_world::executor_model::{ExecutorModel, JobId, Offer};
+use linestack_world::{FaultSpec, RepeatPolicy, Scenario};
 use serde_json::{Value, json};
 
 use crate::http::{PATIENCE, header, message};
@@ -17,11 +17,11 @@
 use crate::lock;
 
 /// Where the answer to each job that is held goes, and the id that it names.
-type Waiting = HashMap<Ticket, (TcpStream, String)>;
+type Waiting = HashMap<JobId, (TcpStream, String)>;
 
 /// A stand-in executor's state, shared by its connections and its clock.
 struct Stand {
-    model: Mutex<(StandIn, Waiting)>,
+    model: Mutex<(ExecutorModel, Waiting)>,
     changed: Condvar,
     next: AtomicU64,
     start: Instant,
@@ -37,7 +37,7 @@
         self.start.elapsed().as_nanos() as u64 + 1
     }
 
-    fn load(model: &mut StandIn, now: u64) -> String {
+    fn load(model: &mut ExecutorModel, now: u64) -> String {
         model.report(now).map_or(String::new(), |r| {
             let figure = |f: Option<f32>| f.unwrap_or(0.0);
             let (x0, queue, inflight) = (figure(r.free_slots), figure(r.queued_jobs), figure(r.active_jobs));
@@ -45,7 +45,7 @@
         })
     }
 
-    fn line(model: &mut StandIn, now: u64, id: &str, state: &str) -> String {
+    fn line(model: &mut ExecutorModel, now: u64, id: &str, state: &str) -> String {
         let load = Self::load(model, now);
         let load = if load.is_empty() { load } else { format!(",\"load\":{load}") };
         let (from, result) = (model.name(), if state == "done" { ",\"result\":\"ok\"" } else { "" });
@@ -59,7 +59,7 @@
         while !self.stop.load(Ordering::Relaxed) {
             let mut guard = lock(&self.model);
             let now = self.now();
-            let (done, next) = guard.0.turn(now);
+            let (done, next) = guard.0.advance(now);
             let mut answers = Vec::with_capacity(done.len());
             for ticket in done {
                 if let Some((socket, id)) = guard.1.remove(&ticket) {
@@ -94,7 +94,7 @@
             };
             if head.starts_with("GET") {
                 let mut guard = lock(&self.model);
-                if guard.0.answers() {
+                if guard.0.is_responsive() {
                     let load = Self::load(&mut guard.0, self.now());
                     drop(guard);
                     let length = load.len();
@@ -108,10 +108,10 @@
             let mut guard = lock(&self.model);
             let now = self.now();
             let answer = match guard.0.offer(now, ticket, &kind) {
-                Offer::Taken => {
+                Offer::Queued => {
                     if let Some(seen) = &self.seen {
                         let (executor, key) = (guard.0.name().to_owned(), String::from_utf8_lossy(&body));
-                        if guard.0.pushed_over(now, &kind) {
+                        if guard.0.record_cold_job(now, &kind) {
                             seen(What::PushedOver { executor: executor.clone() });
                         }
                         seen(What::Took { id: id.clone(), key: key.into_owned(), executor });
@@ -121,7 +121,7 @@
                     None
                 }
                 Offer::Lost => None,
-                Offer::Full => Some(Self::line(&mut guard.0, now, &id, "returned")),
+                Offer::Overloaded => Some(Self::line(&mut guard.0, now, &id, "returned")),
                 Offer::Failed => Some(Self::line(&mut guard.0, now, &id, "failed")),
             };
             drop(guard);
@@ -133,7 +133,7 @@
         if let Some(ticket) = held {
             let mut guard = lock(&self.model);
             if let Some((_, id)) = guard.1.remove(&ticket) {
-                let unbegun = guard.0.withdraw(self.now(), ticket);
+                let unbegun = guard.0.cancel(self.now(), ticket);
                 if let Some(seen) = self.seen.as_ref().filter(|_| unbegun) {
                     seen(What::Unbegun { id });
                 }
@@ -270,7 +270,7 @@
         let count: u32 = scenario.executors.iter().map(|e| e.count).sum();
         let (mut stands, mut executors, mut endpoints) = (Vec::new(), Vec::new(), Vec::new());
         for index in 0..count as usize {
-            let model = StandIn::new(scenario, index);
+            let model = ExecutorModel::new(scenario, index);
             let entry = json!({"name": model.name(), "zone": format!("z{}", model.zone()), "type": model.kind(),
                 "group": model.group(), "status": "active", "weight": 1.0, "since_ms": 0});
             let stand = Arc::new(Stand {
@@ -377,8 +377,8 @@
     pub fn renew(&self, place: usize) {
         let Some(stand) = self.stands.get(place) else { return };
         let mut guard = lock(&stand.model);
-        let mut model = StandIn::new(&self.scenario, place);
-        model.begun(stand.now());
+        let mut model = ExecutorModel::new(&self.scenario, place);
+        model.mark_started(stand.now());
         guard.0 = model;
         for (socket, _) in guard.1.drain().map(|(_, held)| held) {
             let _ = socket.shutdown(std::net::Shutdown::Both);
@@ -397,12 +397,12 @@
     pub fn ail(&self, place: usize, kind: linestack_world::Fault, size: f64, begins: bool) {
         let Some(stand) = self.stands.get(place) else { return };
         let now = stand.now();
-        lock(&stand.model).0.ail(now, kind, size, begins);
+        lock(&stand.model).0.set_fault(now, kind, size, begins);
         stand.changed.notify_one();
     }
 
     /// Begins or ends a trouble at the first executors that make up its part.
-    pub fn trouble(&self, t: &Trouble, begins: bool) -> usize {
+    pub fn trouble(&self, t: &FaultSpec, begins: bool) -> usize {
         let count = ((self.stands.len() as f64 * t.part).round() as usize).clamp(1, self.stands.len());
         (0..count).for_each(|place| self.ail(place, t.kind, t.size, begins));
         count
@@ -425,14 +425,14 @@
     #[must_use]
     pub fn configuration(&self, name: &str, seed: u64) -> Value {
         let s = &self.scenario;
-        let effect = |r: Repeats| match r {
-            Repeats::Harmless => "pure",
-            Repeats::Stamped => "token",
-            Repeats::OneShot => "side_effect",
+        let effect = |r: RepeatPolicy| match r {
+            RepeatPolicy::Idempotent => "pure",
+            RepeatPolicy::Stamped => "token",
+            RepeatPolicy::OneShot => "side_effect",
         };
         let products: Vec<Value> = s.products.iter().map(|p| {
-            json!({"name": p.name, "agreedTimeMs": p.agreed_ms, "aimStretch": p.stretch, "cutOffMs": p.cut_off_ms,
-                "effect": effect(p.repeats), "dedupScope": "cell", "memorySpanMs": p.memory_s * 1e3,
+            json!({"name": p.name, "agreedTimeMs": p.latency_target_ms, "aimStretch": p.latency_target_factor, "cutOffMs": p.deadline_ms,
+                "effect": effect(p.repeats), "dedupScope": "cell", "memorySpanMs": p.dedup_window_s * 1e3,
                 "payoff": p.payoff, "latePayoff": p.late_payoff})
         }).collect();
         let shares: f64 = s.tenants.iter().map(|t| t.share).sum();
@@ -453,18 +453,18 @@
             "limits": {"memory_mb": s.nodes.memory_mb, "sockets": s.nodes.sockets},
             "settings": {
                 "az": 0, "balancers": s.nodes.count, "discovery": "push", "excessPayoff": l.excess_payoff,
-                "deductions": {"probe": l.probe_price, "crossZone": l.crossing_price},
+                "deductions": {"probe": l.probe_cost, "crossZone": l.zone_crossing_cost},
                 "familyInfo": {"progressMs": s.progress_s * 1e3, "reportX0": "free slots", "tellsStart": false},
-                "invariants": {"answerSlackMs": l.answer_slack_ms, "coldFrom": least(&|e| e.cold_from),
+                "invariants": {"answerSlackMs": l.deadline_margin_ms, "coldFrom": least(&|e| e.cold_from),
                     "coldMs": cold_s * 1e3, "drainGraceMs": s.rules.drain_grace_ms,
-                    "fallMs": s.rules.fall_window_ms, "fallMultiple": s.rules.fall_multiple},
+                    "fallMs": s.rules.overload_window_ms, "fallMultiple": s.rules.overload_factor},
                 "kinds": kinds, "zones": zones,
                 "limits": {"cancel": l.may_cancel, "connIdleMs": least(&|e| e.idle_s) * 1e3,
                     "connectTimeoutMs": l.connect_ms, "maxExecutions": l.max_executions,
-                    "maxRetryAfterMs": l.come_back_ms, "mayDuplicate": l.may_duplicate,
-                    "mayProbe": l.may_probe, "retryAfter": l.come_back_ms > 0.0},
+                    "maxRetryAfterMs": l.max_retry_after_ms, "mayDuplicate": l.may_duplicate,
+                    "mayProbe": l.may_probe, "retryAfter": l.max_retry_after_ms > 0.0},
                 "products": products,
-                "report": {"fields": if s.reports.told { vec!["x0", "backlog", "outstanding"] } else { vec![] }},
+                "report": {"fields": if s.reports.enabled { vec!["x0", "backlog", "outstanding"] } else { vec![] }},
                 "tenants": tenants}})
     }
 }
--- a/crates/world/src/standin.rs
+++ b/crates/world/src/executor_model.rs
@@ -13,15 +13,15 @@
 use crate::scenario::{Fault, Scenario, millis};
 
 /// A job's number, given out by the caller and never again.
-pub type Ticket = u64;
+pub type JobId = u64;
 
 /// What becomes of a job that is offered to an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It will be among those that [`StandIn::turn`] returns.
-    Taken,
+    /// It will be among those that [`ExecutorModel::advance`] returns.
+    Queued,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// Failed at once.
     Failed,
     /// Lost without a word.
@@ -29,7 +29,7 @@
 }
 
 /// One executor, in real or any other time that only goes forward, in nanoseconds.
-pub struct StandIn {
+pub struct ExecutorModel {
     executor: Executor,
     scenario: Scenario,
     rng: Pcg64Mcg,
@@ -38,7 +38,7 @@
     recent: RecentWork,
 }
 
-impl StandIn {
+impl ExecutorModel {
     /// Executor `index` of the scenario, counted over all kinds.
     #[must_use]
     pub fn new(s: &Scenario, index: usize) -> Self {
@@ -63,18 +63,18 @@
     }
 
     /// Its process began at this time: it is cold.
-    pub fn begun(&mut self, now: Nanos) {
+    pub fn mark_started(&mut self, now: Nanos) {
         self.executor.started = now.max(1);
     }
 
     /// A job of a product is on its way to it. True if that is more than it bears, cold as it is.
-    pub fn pushed_over(&mut self, now: Nanos, product: &str) -> bool {
+    pub fn record_cold_job(&mut self, now: Nanos, product: &str) -> bool {
         if !self.executor.is_cold(now) {
             return false;
         }
         let place = self.products.get(product).copied().unwrap_or(0);
         let (rules, work) = (&self.scenario.rules, self.scenario.products[place].work_ms / 1e3);
-        let terms = ColdTerms { multiple: rules.fall_multiple, window: millis(rules.fall_window_ms) };
+        let terms = ColdTerms { multiple: rules.overload_factor, window: millis(rules.overload_window_ms) };
         self.recent.add(now, work, terms.window);
         self.recent.exceeds(terms.bearable(self.executor.capacity(now)))
     }
@@ -104,13 +104,13 @@
     }
 
     /// Offers a job of a product; one that is not known counts as the first.
-    pub fn offer(&mut self, now: Nanos, ticket: Ticket, product: &str) -> Offer {
+    pub fn offer(&mut self, now: Nanos, ticket: JobId, product: &str) -> Offer {
         let place = self.products.get(product).copied().unwrap_or(0);
         let p = &self.scenario.products[place];
         let faults = &self.executor.faults;
         if !faults.hangs {
             if self.executor.draining || self.rng.random::<f64>() < faults.refusal_rate {
-                return Offer::Full;
+                return Offer::Overloaded;
             }
             if self.rng.random::<f64>() < faults.error_rate || (faults.product_fails && place == 0) {
                 return Offer::Failed;
@@ -123,7 +123,7 @@
         let ahead: f64 = self.executor.waiting.iter().map(|j| j.slots).sum();
         let full = self.executor.in_use + ahead + p.slots > self.executor.slots;
         if p.slots > self.executor.slots || (full && self.queued() >= self.executor.queue) {
-            return Offer::Full;
+            return Offer::Overloaded;
         }
         let mean = p.work_ms / 1e3;
         let left = if p.cv > 0.0 {
@@ -136,7 +136,7 @@
         self.executor.advance(now);
         let connection = ConnectionId { node: 0, incarnation: 0, link: ticket };
         self.executor.waiting.push_back(Job { connection, attempt: 0, left, slots: p.slots, started: 0 });
-        Offer::Taken
+        Offer::Queued
     }
 
     /// How many wait beyond the slots.
@@ -150,7 +150,7 @@
     }
 
     /// Its client has gone away. Whether it had not begun.
-    pub fn withdraw(&mut self, now: Nanos, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, now: Nanos, ticket: JobId) -> bool {
         self.executor.advance(now);
         let waited = self.executor.waiting.len();
         self.executor.waiting.retain(|j| j.connection.link != ticket);
@@ -162,7 +162,7 @@
     }
 
     /// What is done by now, and when to look again.
-    pub fn turn(&mut self, now: Nanos) -> (Vec<Ticket>, Option<Nanos>) {
+    pub fn advance(&mut self, now: Nanos) -> (Vec<JobId>, Option<Nanos>) {
         self.executor.advance(now);
         let done = if self.executor.is_stalled() { Vec::new() } else { self.executor.done() };
         self.executor.start(now);
@@ -173,17 +173,17 @@
     pub fn report(&mut self, now: Nanos) -> Option<Report> {
         let r = &self.scenario.reports;
         let (period, delay) = (millis(r.period_ms), millis(r.delay_ms));
-        r.told.then(|| self.executor.report(now, period, delay, r.noise, &mut self.rng))
+        r.enabled.then(|| self.executor.report(now, period, delay, r.noise, &mut self.rng))
     }
 
     /// Whether it answers anything, probes too.
     #[must_use]
-    pub fn answers(&self) -> bool {
+    pub fn is_responsive(&self) -> bool {
         !self.executor.is_stalled()
     }
 
     /// A trouble begins or ends. False for one that is not an executor's own.
-    pub fn ail(&mut self, now: Nanos, kind: Fault, size: f64, begins: bool) -> bool {
+    pub fn set_fault(&mut self, now: Nanos, kind: Fault, size: f64, begins: bool) -> bool {
         self.executor.advance(now);
         let part = if begins { size } else { 0.0 };
         let faults = &mut self.executor.faults;
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -8,7 +8,7 @@
 
 use crate::cold::{ColdTerms, RecentWork};
 use crate::executor::{ConnectionId, NodeProcess};
-use crate::scenario::Repeats;
+use crate::scenario::RepeatPolicy;
 
 /// The rules, by what breaks them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 struct Case {
     process: NodeProcess,
-    repeats: Repeats,
+    repeats: RepeatPolicy,
     memory: Nanos,
     deadline: Nanos,
     answered: Option<Nanos>,
@@ -130,7 +130,7 @@
         &mut self,
         attempt: usize,
         process: NodeProcess,
-        repeats: Repeats,
+        repeats: RepeatPolicy,
         memory: Nanos,
         deadline: Nanos,
     ) {
@@ -156,7 +156,7 @@
         let second = case.answered.replace(now).is_some();
         let late = now > case.deadline + self.slack && !case.excused;
         let may_have = case.sent.iter().any(|s| s.ran == Ran::MayHave);
-        let harmful = case.repeats != Repeats::Harmless && may_have;
+        let harmful = case.repeats != RepeatPolicy::Idempotent && may_have;
         let made = case.made;
         if second {
             self.breach(Rule::AnsweredTwice, now, format!("{attempt}"));
@@ -201,10 +201,10 @@
             self.breach(Rule::SentAfterAnswer, now, format!("{attempt}"));
         }
         match (repeats, earlier.first()) {
-            (Repeats::OneShot, Some(_)) => {
+            (RepeatPolicy::OneShot, Some(_)) => {
                 self.breach(Rule::ResentMayHaveRun, now, format!("{attempt}"));
             }
-            (Repeats::Stamped, Some(first)) if first.group != group || now > first.at + memory => {
+            (RepeatPolicy::Stamped, Some(first)) if first.group != group || now > first.at + memory => {
                 self.breach(Rule::OutsideGroup, now, format!("{attempt}"));
             }
             _ => {}
@@ -222,7 +222,7 @@
     pub(crate) fn ran(&mut self, attempt: usize, now: Nanos) {
         let Some(case) = self.cases.get_mut(&attempt) else { return };
         case.runs += 1;
-        if case.runs > 1 && case.repeats != Repeats::Harmless {
+        if case.runs > 1 && case.repeats != RepeatPolicy::Idempotent {
             self.breach(Rule::RanTwice, now, format!("{attempt}"));
         }
     }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -6,13 +6,13 @@
 
 #![warn(missing_docs)]
 
-pub mod broken;
 mod cold;
 mod executor;
+pub mod executor_model;
 mod judge;
 mod outcome;
 mod scenario;
-pub mod standin;
+pub mod tampered;
 mod world;
 
 use std::net::SocketAddr;
@@ -29,23 +29,23 @@
 pub use world::run;
 
 /// A node without its sockets.
-pub trait Machine {
+pub trait SimulatedNode {
     /// Takes one input, and adds what the node asks for to `effects`.
-    fn take(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>);
+    fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>);
     /// When it wants [`Input::Tick`] next.
     fn next_due(&self) -> Nanos;
     /// Whether clients should come.
     fn ready(&self, now: Nanos) -> bool;
     /// Whether it accepts no connection of a client for now.
-    fn crowded(&self) -> bool;
+    fn is_at_client_limit(&self) -> bool;
     /// What it counts of itself.
     fn stats(&self) -> Stats;
     /// The address of an executor that it knows by this index.
     fn address(&self, worker: Worker) -> Option<SocketAddr>;
 }
 
-impl Machine for Core {
-    fn take(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
+impl SimulatedNode for Core {
+    fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         Self::handle(self, now, input, effects);
     }
 
@@ -57,7 +57,7 @@
         Self::ready(self, now)
     }
 
-    fn crowded(&self) -> bool {
+    fn is_at_client_limit(&self) -> bool {
         Self::is_at_client_limit(self)
     }
 
@@ -72,15 +72,15 @@
 
 /// The true state of all executors, for policies that may see it.
 #[derive(Debug, Default)]
-pub struct Truth {
+pub struct GroundTruth {
     /// By executor: whether it serves, its free slots less those that wait, and its capacity now.
     pub executors: Vec<(bool, f64, f64)>,
     /// By node and worker: the executor.
-    pub places: Vec<Vec<Option<usize>>>,
+    pub executor_of_worker: Vec<Vec<Option<usize>>>,
 }
 
 /// What a node is started with.
-pub struct Seat {
+pub struct NodeSetup {
     /// Its index.
     pub node: usize,
     /// The settings of the fleet, for its zone.
@@ -90,7 +90,7 @@
     /// The most that it may hold, in bytes.
     pub memory: usize,
     /// The true state of all executors, for policies that may see it.
-    pub truth: Arc<Mutex<Truth>>,
+    pub truth: Arc<Mutex<GroundTruth>>,
     /// The time of the start.
     pub now: Nanos,
     /// What a start in stages keeps to.
@@ -99,10 +99,10 @@
     pub remembered: Option<StoredOutcomes>,
 }
 
-impl Seat {
+impl NodeSetup {
     /// A whole node that decides by another policy.
     #[must_use]
-    pub fn with(self, decisions: Box<dyn Decide + Send>) -> Box<dyn Machine> {
+    pub fn build_with(self, decisions: Box<dyn Decide + Send>) -> Box<dyn SimulatedNode> {
         let core = Core::with_dispatcher(decisions, self.settings, self.sockets, self.memory);
         Box::new(started(core, self.now, self.start, self.remembered))
     }
@@ -126,7 +126,7 @@
 
 /// A whole node as it is served.
 #[must_use]
-pub fn linestack(seat: Seat) -> Box<dyn Machine> {
+pub fn production_node(seat: NodeSetup) -> Box<dyn SimulatedNode> {
     let core = Core::new(seat.settings, seat.sockets, seat.memory);
     Box::new(started(core, seat.now, seat.start, seat.remembered))
 }
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use crate::judge::{Breach, Rule};
-use crate::scenario::{Fault, Scenario, Trouble};
+use crate::scenario::{Fault, FaultSpec, Scenario};
 
 /// What waste costs in the score, as a part of the worth.
 const WASTE_PRICE: f64 = 0.02;
@@ -101,8 +101,8 @@
     #[must_use]
     pub fn score(&self, s: &Scenario) -> f64 {
         let each = 1.0 / (self.asked.max(1)) as f64;
-        let crossings = self.crossings as f64 * each * s.limits.crossing_price;
-        let probes = self.probes as f64 * each * s.limits.probe_price;
+        let crossings = self.crossings as f64 * each * s.limits.zone_crossing_cost;
+        let probes = self.probes as f64 * each * s.limits.probe_cost;
         self.goodput - crossings - probes - WASTE_PRICE * self.waste
     }
 
@@ -131,7 +131,7 @@
         let first_trouble = s.troubles.iter().map(|t| t.at_s).fold(s.span_s, f64::min) as usize;
         let before: Vec<f64> = (0..first_trouble).filter_map(|second| self.won_part(second)).collect();
         let usual = before.iter().sum::<f64>() / before.len().max(1) as f64;
-        let recovery = |t: &Trouble| {
+        let recovery = |t: &FaultSpec| {
             let ended_s = t.at_s + t.for_s;
             let after_s = if before.is_empty() { None } else { self.back_after(ended_s, usual) };
             Recovery { trouble: t.kind, ended_s, after_s }
--- a/crates/world/src/scenario/check.rs
+++ b/crates/world/src/scenario/check.rs
@@ -1,6 +1,6 @@
 //! Whether a scenario makes sense.
 
-use super::{Executors, Product, Scenario, Trouble};
+use super::{Executors, FaultSpec, Product, Scenario};
 
 /// What is wrong with a scenario, a line for each fault.
 #[derive(Default)]
@@ -95,7 +95,7 @@
         faults.must(positive(load.period_s), "load.period_s", "must be over 0");
         let steps = load.steps.iter().all(|s| not_negative(s.times));
         faults.must(steps, "load.steps", "must not be under 0");
-        faults.must((0.0..=1.0).contains(&clients.heed), "clients.heed", "must be from 0 to 1");
+        faults.must((0.0..=1.0).contains(&clients.heed_retry_after), "clients.heed", "must be from 0 to 1");
         faults.must((0.0..=1.0).contains(&clients.leave), "clients.leave", "must be from 0 to 1");
         faults.must(not_negative(clients.wait_ms), "clients.wait_ms", "must not be under 0");
     }
@@ -108,11 +108,11 @@
         faults.must(lines, "discovery.lines_per_s", "must be over 0");
         faults.must(positive(self.limits.connect_ms), "limits.connect_ms", "must be over 0");
         faults.must(self.limits.max_executions > 0, "limits.max_executions", "at least one");
-        faults.must(positive(self.rules.fall_window_ms), "rules.fall_window_ms", "must be over 0");
-        faults.must(self.rules.fall_multiple >= 1.0, "rules.fall_multiple", "must not be under 1");
+        faults.must(positive(self.rules.overload_window_ms), "rules.fall_window_ms", "must be over 0");
+        faults.must(self.rules.overload_factor >= 1.0, "rules.fall_multiple", "must not be under 1");
     }
 
-    fn check_trouble(&self, index: usize, trouble: &Trouble, faults: &mut Faults) {
+    fn check_trouble(&self, index: usize, trouble: &FaultSpec, faults: &mut Faults) {
         let key = |k: &str| format!("troubles[{index}].{k}");
         faults.must(not_negative(trouble.at_s), &key("at_s"), "must not be under 0");
         faults.must(not_negative(trouble.for_s), &key("for_s"), "must not be under 0");
@@ -154,8 +154,8 @@
         faults.must(positive(self.work_ms), &key("work_ms"), "must be over 0");
         faults.must(not_negative(self.cv), &key("cv"), "must not be under 0");
         faults.must(positive(self.slots), &key("slots"), "must be over 0");
-        faults.must(positive(self.agreed_ms), &key("agreed_ms"), "must be over 0");
-        let deadline = self.cut_off_ms >= self.agreed_ms;
+        faults.must(positive(self.latency_target_ms), &key("agreed_ms"), "must be over 0");
+        let deadline = self.deadline_ms >= self.latency_target_ms;
         faults.must(deadline, &key("cut_off_ms"), "must not be under the agreed time");
         faults.must(positive(self.payoff), &key("payoff"), "must be over 0");
         let late_payoff = not_negative(self.late_payoff) && self.late_payoff <= 1.0;
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -49,7 +49,8 @@
         /// The load reports of executors.
         reports: Reports = Reports::default(),
         /// Whether executors tell when a job starts.
-        tells_start: bool = false,
+        #[serde(rename = "tells_start")]
+        reports_start: bool = false,
         /// How often executors tell of the progress of a job; 0: never.
         progress_s: f64 = 1.0,
         /// What clients ask for.
@@ -69,7 +70,7 @@
         /// The bounds by which the judge goes.
         rules: Rules = Rules::default(),
         /// The faults, in no particular order.
-        troubles: Vec<Trouble> = Vec::new(),
+        troubles: Vec<FaultSpec> = Vec::new(),
     }
 }
 
@@ -151,7 +152,8 @@
     /// The load reports that executors send with their answers.
     Reports {
         /// Whether executors report at all.
-        told: bool = true,
+        #[serde(rename = "told")]
+        enabled: bool = true,
         /// How long a report stands before it is renewed; 0: it is made with each answer.
         period_ms: f64 = 0.0,
         /// How late a report is.
@@ -164,9 +166,10 @@
 /// Whether a job may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeats {
+pub enum RepeatPolicy {
     /// As often as one likes.
-    Harmless,
+    #[serde(rename = "harmless")]
+    Idempotent,
     /// Within the group of executors that knows its idempotency key, for as long as it does.
     Stamped,
     /// Never.
@@ -186,20 +189,24 @@
         cv: f64 = 0.5,
         /// Slots that a job takes.
         slots: f64 = 1.0,
-        /// A result pays in full up to this time, and what `stretch` adds.
-        agreed_ms: f64 = 400.0,
+        /// A result pays in full up to this time, and what `latency_target_factor` adds.
+        #[serde(rename = "agreed_ms")]
+        latency_target_ms: f64 = 400.0,
         /// By how many times its own running time the agreed time grows.
-        stretch: f64 = 1.25,
+        #[serde(rename = "stretch")]
+        latency_target_factor: f64 = 1.25,
         /// The client's deadline for an answer.
-        cut_off_ms: f64 = 5000.0,
+        #[serde(rename = "cut_off_ms")]
+        deadline_ms: f64 = 5000.0,
         /// What a result in time is worth.
         payoff: f64 = 1.0,
         /// The part of it that a late result is worth.
         late_payoff: f64 = 0.3,
         /// Whether a job may be executed more than once.
-        repeats: Repeats = Repeats::Harmless,
+        repeats: RepeatPolicy = RepeatPolicy::Idempotent,
         /// For how long a group drops repeats of a stamped one.
-        memory_s: f64 = 7.5,
+        #[serde(rename = "memory_s")]
+        dedup_window_s: f64 = 7.5,
     }
 }
 
@@ -269,7 +276,8 @@
         /// The mean of the first wait.
         wait_ms: f64 = 100.0,
         /// The part of them that heed a come-back time.
-        heed: f64 = 1.0,
+        #[serde(rename = "heed")]
+        heed_retry_after: f64 = 1.0,
         /// The part that leave before the cut-off, at a time drawn evenly.
         leave: f64 = 0.0,
         /// How long they go on coming to a node that has died.
@@ -309,7 +317,8 @@
     /// How discovery learns of changes and answers.
     Discovery {
         /// Whether it must be asked for changes, or the node is expected to hold a watch.
-        asked: bool = false,
+        #[serde(rename = "asked")]
+        polled: bool = false,
         /// How late it notices a change that a process tells of, on average.
         late_s: f64 = 0.5,
         /// The same for a change that nobody tells of.
@@ -331,17 +340,21 @@
         /// The most executions of one submission.
         max_executions: u16 = 3,
         /// The longest come-back time that may be named; 0: none is named.
-        come_back_ms: f64 = 2000.0,
+        #[serde(rename = "come_back_ms")]
+        max_retry_after_ms: f64 = 2000.0,
         /// How long a node waits for a connection.
         connect_ms: f64 = 250.0,
         /// Nodes answer this long before the deadline.
-        answer_slack_ms: f64 = 16.0,
+        #[serde(rename = "answer_slack_ms")]
+        deadline_margin_ms: f64 = 16.0,
         /// The part of its worth that traffic beyond a quota has.
         excess_payoff: f64 = 1.0,
         /// What an execution in another zone costs.
-        crossing_price: f64 = 0.02,
+        #[serde(rename = "crossing_price")]
+        zone_crossing_cost: f64 = 0.02,
         /// What a probe costs.
-        probe_price: f64 = 0.002,
+        #[serde(rename = "probe_price")]
+        probe_cost: f64 = 0.002,
     }
 }
 
@@ -351,9 +364,11 @@
         /// For how long jobs may still be sent to an executor that drains.
         drain_grace_ms: f64 = 500.0,
         /// A cold executor bears this multiple of its capacity.
-        fall_multiple: f64 = 2.5,
+        #[serde(rename = "fall_multiple")]
+        overload_factor: f64 = 2.5,
         /// The window over which that counts.
-        fall_window_ms: f64 = 1000.0,
+        #[serde(rename = "fall_window_ms")]
+        overload_window_ms: f64 = 1000.0,
         /// Added to every time limit.
         slack_ms: f64 = 50.0,
     }
@@ -420,7 +435,7 @@
 
 table! {
     /// A fault that begins and ends.
-    Trouble {
+    FaultSpec {
         /// What happens.
         kind: Fault = Fault::Crash,
         /// When it begins.
--- a/crates/world/src/scenario/settings.rs
+++ b/crates/world/src/scenario/settings.rs
@@ -1,22 +1,22 @@
 //! The settings that a scenario's nodes are started with.
 
 use linestack_dispatch::types::{
-    DedupScope, DispatchConfig, Product as ProductTerms, RepeatPolicy as RepeatTerms,
+    DedupScope, DispatchConfig, Product as DispatchProduct, RepeatPolicy as DispatchRepeatPolicy,
 };
 use linestack_settings::{Names, ReportLayout, Settings};
 
-use super::{Product, Repeats, Scenario, millis, seconds};
+use super::{Product, RepeatPolicy, Scenario, millis, seconds};
 
 /// Where discovery must be asked for changes, it is asked within so many seconds.
-const ASK_WITHIN_S: f64 = 10.0;
+const LIST_REFRESH_LIMIT_S: f64 = 10.0;
 
 impl Scenario {
     /// The settings of a node in a zone. `seed` is that of its decisions.
     #[must_use]
     pub fn settings(&self, zone: u16, seed: u64) -> Settings {
-        let deadlines = self.products.iter().map(|p| p.cut_off_ms);
+        let deadlines = self.products.iter().map(|p| p.deadline_ms);
         Settings {
-            dispatch: self.standing_orders(zone, seed),
+            dispatch: self.dispatch_config(zone, seed),
             layout: ReportLayout {
                 free_slots: Some(0),
                 free_memory: None,
@@ -29,7 +29,7 @@
         }
     }
 
-    fn standing_orders(&self, zone: u16, seed: u64) -> DispatchConfig {
+    fn dispatch_config(&self, zone: u16, seed: u64) -> DispatchConfig {
         let (limits, rules, executors) = (&self.limits, &self.rules, &self.executors);
         let cold_from = executors.iter().map(|e| e.cold_from).fold(1.0, f64::min);
         let cold_s = executors.iter().map(|e| e.cold_s).fold(0.0, f64::max);
@@ -39,27 +39,27 @@
             seed,
             nodes: self.nodes.count,
             zone,
-            products: self.products.iter().map(product_terms).collect(),
+            products: self.products.iter().map(dispatch_product).collect(),
             quotas: self.quotas(),
             excess_payoff: limits.excess_payoff,
-            probe_cost: limits.probe_price,
-            zone_crossing_cost: if self.zones > 1 { limits.crossing_price } else { 0.0 },
+            probe_cost: limits.probe_cost,
+            zone_crossing_cost: if self.zones > 1 { limits.zone_crossing_cost } else { 0.0 },
             connection_cost: 0.0,
             max_executions: limits.max_executions,
             may_duplicate: limits.may_duplicate,
             may_probe: limits.may_probe,
             may_cancel: limits.may_cancel,
-            retry_after: unless_zero(limits.come_back_ms),
+            retry_after: unless_zero(limits.max_retry_after_ms),
             connect_timeout: millis(limits.connect_ms),
             idle_timeout: seconds(idle_s),
-            deadline_margin: millis(limits.answer_slack_ms),
+            deadline_margin: millis(limits.deadline_margin_ms),
             cold_capacity_share: cold_from,
             slow_start_duration: seconds(cold_s),
-            overload_factor: rules.fall_multiple,
-            overload_window: millis(rules.fall_window_ms),
-            list_refresh_limit: self.discovery.asked.then(|| seconds(ASK_WITHIN_S)),
+            overload_factor: rules.overload_factor,
+            overload_window: millis(rules.overload_window_ms),
+            list_refresh_limit: self.discovery.polled.then(|| seconds(LIST_REFRESH_LIMIT_S)),
             progress_interval: unless_zero(self.progress_s * 1e3),
-            reports_start: self.tells_start,
+            reports_start: self.reports_start,
             weights_are_sizes: false,
             counts_memory: false,
         }
@@ -82,17 +82,18 @@
     }
 }
 
-fn product_terms(product: &Product) -> ProductTerms {
-    ProductTerms {
+fn dispatch_product(product: &Product) -> DispatchProduct {
+    DispatchProduct {
         repeat_policy: match product.repeats {
-            Repeats::Harmless => RepeatTerms::Idempotent,
-            Repeats::Stamped => {
-                RepeatTerms::Stamped { scope: DedupScope::Cell, dedup_window: seconds(product.memory_s) }
-            }
-            Repeats::OneShot => RepeatTerms::OneShot,
+            RepeatPolicy::Idempotent => DispatchRepeatPolicy::Idempotent,
+            RepeatPolicy::Stamped => DispatchRepeatPolicy::Stamped {
+                scope: DedupScope::Cell,
+                dedup_window: seconds(product.dedup_window_s),
+            },
+            RepeatPolicy::OneShot => DispatchRepeatPolicy::OneShot,
         },
-        latency_target: millis(product.agreed_ms),
-        latency_target_factor: product.stretch,
+        latency_target: millis(product.latency_target_ms),
+        latency_target_factor: product.latency_target_factor,
         payoff: product.payoff,
         late_payoff: product.late_payoff,
         allowed_kinds: None,
--- a/crates/world/src/broken.rs
+++ b/crates/world/src/tampered.rs
@@ -10,11 +10,11 @@
 };
 use linestack_dispatch::types::{Health, Worker};
 
-use crate::Machine;
+use crate::SimulatedNode;
 
 /// How a node breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Tampering {
     /// Breaks [`Rule::AnsweredTwice`](crate::Rule::AnsweredTwice).
     AnswersTwice,
     /// Breaks [`Rule::Lost`](crate::Rule::Lost).
@@ -44,9 +44,9 @@
 const ANSWER_LIMIT: Nanos = 5_000_000_000;
 
 /// A node of which some effects are tampered with.
-pub struct Tampered {
-    node: Box<dyn Machine>,
-    way: Way,
+pub struct TamperedNode {
+    node: Box<dyn SimulatedNode>,
+    way: Tampering,
     /// What the node has on its links.
     in_flight: HashMap<ConnectionId, Arc<ForwardedRequest>>,
     /// Clients whose submissions may have run, on links that broke.
@@ -60,10 +60,10 @@
     next_link: ConnectionId,
 }
 
-impl Tampered {
+impl TamperedNode {
     /// Tampers with a sound node.
     #[must_use]
-    pub fn new(node: Box<dyn Machine>, way: Way) -> Self {
+    pub fn new(node: Box<dyn SimulatedNode>, way: Tampering) -> Self {
         Self {
             node,
             way,
@@ -156,8 +156,8 @@
     ) {
         self.in_flight.insert(link, Arc::clone(shipment));
         let elsewhere = match self.way {
-            Way::SendsToDrained => self.drained.first().copied(),
-            Way::FloodsCold => self.cold,
+            Tampering::SendsToDrained => self.drained.first().copied(),
+            Tampering::FloodsCold => self.cold,
             _ => None,
         };
         if let Some(address) = elsewhere {
@@ -168,10 +168,10 @@
     /// The answers that the client gets for one of the node's.
     fn tamper_with_answer(&self, client: ClientId, answer: Answer) -> Vec<Answer> {
         match (self.way, answer) {
-            (Way::AnswersNothing, _) => Vec::new(),
-            (Way::AnswersTwice, answer) => vec![answer.clone(), answer],
-            (Way::MakesUp, _) => vec![Answer::Completed("".into())],
-            (Way::DismissesWhatRan, Answer::Aborted) if self.may_have_run.contains(&client) => {
+            (Tampering::AnswersNothing, _) => Vec::new(),
+            (Tampering::AnswersTwice, answer) => vec![answer.clone(), answer],
+            (Tampering::MakesUp, _) => vec![Answer::Completed("".into())],
+            (Tampering::DismissesWhatRan, Answer::Aborted) if self.may_have_run.contains(&client) => {
                 vec![Answer::Dismissed(None)]
             }
             (_, answer) => vec![answer],
@@ -197,7 +197,7 @@
                 for answer in self.tamper_with_answer(client, answer) {
                     effects.push(Effect::Answer { client, answer, last, version });
                 }
-                if self.way == Way::SendsAfterAnswer {
+                if self.way == Tampering::SendsAfterAnswer {
                     self.send_after_answer(client, effects);
                 }
             }
@@ -211,8 +211,8 @@
     std::str::from_utf8(&shipment.id).ok().and_then(|id| id.parse().ok()).unwrap_or(0)
 }
 
-impl Machine for Tampered {
-    fn take(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
+impl SimulatedNode for TamperedNode {
+    fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         if self.takes_for_itself(&input, effects) {
             return;
         }
@@ -224,8 +224,8 @@
         }
         let broken = self.note_broken(&input);
         let mut asked = Vec::new();
-        self.node.take(now, input, &mut asked);
-        if let (Way::ResendsOneShots | Way::ForgetsGroups, Some(shipment)) = (self.way, broken) {
+        self.node.handle(now, input, &mut asked);
+        if let (Tampering::ResendsOneShots | Tampering::ForgetsGroups, Some(shipment)) = (self.way, broken) {
             for address in self.ready.clone() {
                 self.send_beside(address, Arc::clone(&shipment), effects);
             }
@@ -243,8 +243,8 @@
         self.node.ready(now)
     }
 
-    fn crowded(&self) -> bool {
-        self.node.crowded()
+    fn is_at_client_limit(&self) -> bool {
+        self.node.is_at_client_limit()
     }
 
     fn stats(&self) -> Stats {
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -11,7 +11,7 @@
 use super::{MILLISECOND, SECOND, World};
 use crate::executor::NodeProcess;
 use crate::judge::Rule;
-use crate::scenario::{Backoff, Repeats, millis, seconds};
+use crate::scenario::{Backoff, RepeatPolicy, millis, seconds};
 
 /// How many further nodes a client tries at once when one refuses its connection.
 const MAX_REFUSALS: u32 = 3;
@@ -121,7 +121,7 @@
     /// Schedules the attempt's deadline, and for some clients an earlier moment at which they leave.
     fn schedule_give_up(&mut self, attempt: usize) {
         let product = self.requests[self.attempts[attempt].request].product;
-        let deadline = millis(self.scenario.products[product].cut_off_ms);
+        let deadline = millis(self.scenario.products[product].deadline_ms);
         let reason = GiveUp::DeadlinePassed;
         self.schedule_after(deadline, Event::ClientGivesUp { attempt, reason });
         let leaving_part = self.scenario.clients.leave;
@@ -148,7 +148,7 @@
             let outcome = ClientOutcome::Refused;
             return self.schedule_after(FAILURE_SEEN_AFTER, Event::ResponseAtClient { attempt, outcome });
         };
-        if machine.crowded() {
+        if machine.is_at_client_limit() {
             return self.schedule_after(ACCEPT_RETRY, Event::RequestAtNode { attempt });
         }
         self.submit(attempt, node, state.incarnation);
@@ -162,7 +162,7 @@
         let intake = self.intake(attempt);
         // The node counts the deadline from when it reads the submission, for nothing tells it more.
         let deadline = self.now + intake.timeout;
-        let memory = seconds(product.memory_s);
+        let memory = seconds(product.dedup_window_s);
         let process = NodeProcess { node, incarnation };
         self.judge.taken(attempt, process, product.repeats, memory, deadline);
         let client = attempt as ClientId;
@@ -175,13 +175,13 @@
         let index = self.attempts[attempt].request;
         let request = &self.requests[index];
         let product = &self.scenario.products[request.product];
-        let stamped = product.repeats == Repeats::Stamped || self.scenario.nodes.store;
+        let stamped = product.repeats == RepeatPolicy::Stamped || self.scenario.nodes.store;
         let stamp = stamped.then(|| index.to_string().into());
         let id = Bytes::from(attempt.to_string());
         NewSubmission {
             product: request.product as u8,
             tenant: request.tenant as u16,
-            timeout: millis(product.cut_off_ms),
+            timeout: millis(product.deadline_ms),
             slots: product.slots,
             memory: 0.0,
             request: Arc::new(ForwardedRequest { id, stamp, ..ForwardedRequest::default() }),
@@ -252,7 +252,8 @@
         }
         let product = &self.scenario.products[request.product];
         let took_s = (self.now - request.created_at) as f64 / 1e9;
-        let in_time = took_s <= product.agreed_ms / 1e3 + product.stretch * request.work;
+        let in_time =
+            took_s <= product.latency_target_ms / 1e3 + product.latency_target_factor * request.work;
         let worth = if in_time { product.payoff } else { product.payoff * product.late_payoff };
         self.outcome.in_time += u64::from(in_time);
         self.outcome.won_by_second[(request.created_at / SECOND) as usize] += worth;
@@ -290,7 +291,7 @@
     }
 
     fn heeds_retry_after(&mut self) -> bool {
-        self.rng.random::<f64>() < self.scenario.clients.heed
+        self.rng.random::<f64>() < self.scenario.clients.heed_retry_after
     }
 
     fn end_request(&mut self, request: usize) {
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -10,7 +10,7 @@
 use super::network::InFlight;
 use super::{MILLISECOND, World};
 use crate::executor::ConnectionId;
-use crate::scenario::{Repeats, millis, seconds};
+use crate::scenario::{RepeatPolicy, millis, seconds};
 
 /// A node sees after this time that a connection was reset while it sent.
 const RESET_SEEN_AFTER: Nanos = 3 * MILLISECOND;
@@ -119,7 +119,7 @@
         if self.happens_at_rate(faults.loss_rate) {
             return Admission::Lost;
         }
-        if product.repeats == Repeats::Stamped && self.is_duplicate(index, attempt) {
+        if product.repeats == RepeatPolicy::Stamped && self.is_duplicate(index, attempt) {
             return Admission::Answered(ExecutionOutcome::Completed);
         }
         if !self.executors[index].admits(product.slots) {
@@ -165,7 +165,7 @@
         let reports = &self.scenario.reports;
         let (period, delay) = (millis(reports.period_ms), millis(reports.delay_ms));
         let executor = &mut self.executors[index];
-        reports.told.then(|| executor.report(self.now, period, delay, reports.noise, &mut self.rng))
+        reports.enabled.then(|| executor.report(self.now, period, delay, reports.noise, &mut self.rng))
     }
 
     /// The reply to a job reaches the node, if it still waits for one.
--- a/crates/world/src/world/execution.rs
+++ b/crates/world/src/world/execution.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::event::Event;
 use crate::executor::{ConnectionId, Job};
-use crate::scenario::{Repeats, seconds};
+use crate::scenario::{RepeatPolicy, seconds};
 use linestack_core::Outcome as ExecutionOutcome;
 
 impl World<'_> {
@@ -63,19 +63,19 @@
         let (connection, attempt) = (job.connection, job.attempt);
         let request = self.attempts[attempt].request;
         let repeats = self.scenario.products[self.requests[request].product].repeats;
-        if repeats == Repeats::Stamped {
+        if repeats == RepeatPolicy::Stamped {
             if self.is_duplicate(index, attempt) {
                 return self.executors[index].skip(connection);
             }
             self.mark_executed(index, attempt);
         }
         self.judge.ran(attempt, self.now);
-        if repeats == Repeats::OneShot {
+        if repeats == RepeatPolicy::OneShot {
             let request = &mut self.requests[request];
             request.executions_begun += 1;
             self.outcome.ran_again += u64::from(request.executions_begun == 2);
         }
-        if self.scenario.tells_start {
+        if self.scenario.reports_start {
             self.pass_to_node(connection, Event::ProgressAtNode { connection, attempt });
         }
         if self.scenario.progress_s > 0.0 {
--- a/crates/world/src/world/faults/executors.rs
+++ b/crates/world/src/world/faults/executors.rs
@@ -5,7 +5,7 @@
 use rand::Rng as _;
 
 use crate::executor::ActiveFaults;
-use crate::scenario::{Fault, Trouble, seconds};
+use crate::scenario::{Fault, FaultSpec, seconds};
 use crate::world::discovery::Detection;
 use crate::world::event::{Event, FaultPhase};
 use crate::world::{SECOND, World};
@@ -32,7 +32,7 @@
 
 impl World<'_> {
     /// [`Fault::Grow`]: new executors join one after the other, like those that are there.
-    pub(super) fn grow(&mut self, trouble: &Trouble) {
+    pub(super) fn grow(&mut self, trouble: &FaultSpec) {
         let count = (self.executors.len() as f64 * trouble.part).round().max(1.0) as usize;
         for place in 0..count {
             let model = &self.executors[place % self.executors.len()];
@@ -43,7 +43,7 @@
     }
 
     /// [`Fault::Roll`]: one executor after the other is replaced by a new one.
-    pub(super) fn roll(&mut self, trouble: &Trouble, targets: &[usize]) {
+    pub(super) fn roll(&mut self, trouble: &FaultSpec, targets: &[usize]) {
         let gap_s = trouble.for_s / targets.len() as f64;
         for (place, &executor) in targets.iter().enumerate() {
             let joins = seconds(gap_s * place as f64);
@@ -109,7 +109,7 @@
 
     /// [`Fault::Cut`]: when it is over neither side knows what the other missed, so that all connections are
     /// reset and the executor's jobs are lost.
-    fn cut(&mut self, index: usize, trouble: &Trouble, phase: FaultPhase) {
+    fn cut(&mut self, index: usize, trouble: &FaultSpec, phase: FaultPhase) {
         let faults = &mut self.executors[index].faults;
         faults.inbound_cut = phase.begins() && trouble.size != CUT_ANSWERS_ALONE;
         faults.outbound_cut = phase.begins() && trouble.size != CUT_SENDS_ALONE;
@@ -160,7 +160,7 @@
 }
 
 /// Sets or clears a fault that is a single figure or flag of an executor.
-fn impair(faults: &mut ActiveFaults, trouble: &Trouble, phase: FaultPhase) {
+fn impair(faults: &mut ActiveFaults, trouble: &FaultSpec, phase: FaultPhase) {
     let on = phase.begins();
     let size = if on { trouble.size } else { 0.0 };
     match trouble.kind {
--- a/crates/world/src/world/faults/mod.rs
+++ b/crates/world/src/world/faults/mod.rs
@@ -9,7 +9,7 @@
 
 use super::World;
 use super::event::FaultPhase;
-use crate::scenario::{Fault, Trouble};
+use crate::scenario::{Fault, FaultSpec};
 
 /// What a fault is done to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     }
 
     /// Draws the part of the nodes or executors that a fault takes, one at least if there is one.
-    fn draw_targets(&mut self, trouble: &Trouble) -> Vec<usize> {
+    fn draw_targets(&mut self, trouble: &FaultSpec) -> Vec<usize> {
         let mut candidates = match target_kind(trouble.kind) {
             TargetKind::Nodes => (0..self.nodes.len()).collect(),
             TargetKind::Executors => self.executors_open_to(trouble),
@@ -77,7 +77,7 @@
     }
 
     /// Executors that run, do not drain and lie in the fault's zone, if it names one.
-    fn executors_open_to(&self, trouble: &Trouble) -> Vec<usize> {
+    fn executors_open_to(&self, trouble: &FaultSpec) -> Vec<usize> {
         let executors = self.executors.iter().enumerate();
         executors
             .filter(|(_, e)| e.alive && !e.draining && trouble.zone.is_none_or(|zone| zone == e.zone))
@@ -86,7 +86,7 @@
     }
 
     /// [`Fault::Resets`]
-    fn resets(&mut self, trouble: &Trouble, phase: FaultPhase) {
+    fn resets(&mut self, trouble: &FaultSpec, phase: FaultPhase) {
         self.reset_rate = if phase.begins() { trouble.size } else { 0.0 };
     }
 }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -3,7 +3,7 @@
 use linestack_core::Input;
 use rand::Rng as _;
 
-use crate::scenario::{Trouble, seconds};
+use crate::scenario::{FaultSpec, seconds};
 use crate::world::World;
 use crate::world::event::{Event, FaultPhase};
 
@@ -30,7 +30,7 @@
     }
 
     /// [`Fault::NodeRoll`](crate::Fault::NodeRoll)
-    pub(super) fn node_roll(&mut self, trouble: &Trouble, targets: &[usize]) {
+    pub(super) fn node_roll(&mut self, trouble: &FaultSpec, targets: &[usize]) {
         let gap_s = trouble.for_s / targets.len() as f64;
         for (place, &node) in targets.iter().enumerate() {
             self.schedule_after(seconds(gap_s * place as f64), Event::NodeStops { node });
@@ -38,7 +38,7 @@
     }
 
     /// [`Fault::NodePause`](crate::Fault::NodePause)
-    pub(super) fn node_pause(&mut self, trouble: &Trouble, targets: &[usize]) {
+    pub(super) fn node_pause(&mut self, trouble: &FaultSpec, targets: &[usize]) {
         let until = self.now + seconds(trouble.for_s);
         for &node in targets {
             self.nodes[node].busy_until = until;
@@ -48,7 +48,7 @@
 
     /// [`Fault::NodeSlow`](crate::Fault::NodeSlow): with `size` of its time gone, each input takes so much
     /// longer.
-    pub(super) fn node_slow(&mut self, trouble: &Trouble, targets: &[usize], phase: FaultPhase) {
+    pub(super) fn node_slow(&mut self, trouble: &FaultSpec, targets: &[usize], phase: FaultPhase) {
         let usual_us = self.scenario.nodes.cpu_us;
         let time_left = 1.0 - trouble.size.min(MAX_TIME_TAKEN);
         let cpu_per_input = match phase {
@@ -92,7 +92,7 @@
         self.next_flood_client += 1;
         let state = &self.nodes[node];
         let incarnation = state.incarnation;
-        if state.machine.as_ref().is_some_and(|machine| !machine.crowded()) {
+        if state.machine.as_ref().is_some_and(|machine| !machine.is_at_client_limit()) {
             self.give_input(node, incarnation, Input::ClientConnected { client });
         }
         let gap = seconds(1.0 / trouble.size.max(MIN_FLOOD_RATE));
--- a/crates/world/src/world/idempotency.rs
+++ b/crates/world/src/world/idempotency.rs
@@ -73,6 +73,6 @@
     /// For how long a group remembers work of an attempt's product.
     fn memory_of(&self, attempt: usize) -> Nanos {
         let request = &self.requests[self.attempts[attempt].request];
-        seconds(self.scenario.products[request.product].memory_s)
+        seconds(self.scenario.products[request.product].dedup_window_s)
     }
 }
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -44,7 +44,7 @@
 use crate::judge::Judge;
 use crate::outcome::Outcome;
 use crate::scenario::{Rules, Scenario, millis, seconds};
-use crate::{Machine, Seat, Truth};
+use crate::{GroundTruth, NodeSetup, SimulatedNode};
 
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
@@ -82,8 +82,8 @@
     fault_targets: Vec<Vec<usize>>,
     judge: Judge,
     outcome: Outcome,
-    truth: Arc<Mutex<Truth>>,
-    make_node: &'a dyn Fn(Seat) -> Box<dyn Machine>,
+    truth: Arc<Mutex<GroundTruth>>,
+    make_node: &'a dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>,
     /// An empty buffer for a node's effects, kept for its memory.
     effects: Vec<Effect>,
     next_flood_client: ClientId,
@@ -96,7 +96,7 @@
 /// Plays a scenario that [`Scenario::check`] finds no fault with. `maker` makes the nodes.
 ///
 /// The same scenario and the same kind of nodes give the same outcome, to the byte.
-pub fn run(s: &Scenario, maker: &dyn Fn(Seat) -> Box<dyn Machine>) -> Outcome {
+pub fn run(s: &Scenario, maker: &dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>) -> Outcome {
     let mut world = World::new(s, maker);
     world.set_up();
     let end = seconds(s.span_s);
@@ -113,7 +113,7 @@
 }
 
 impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, make_node: &'a dyn Fn(Seat) -> Box<dyn Machine>) -> Self {
+    fn new(scenario: &'a Scenario, make_node: &'a dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>) -> Self {
         Self {
             scenario,
             rng: Pcg64Mcg::seed_from_u64(scenario.seed),
@@ -161,7 +161,7 @@
         for node in 0..self.scenario.nodes.count as usize {
             let zone = (node % usize::from(self.scenario.zones)) as u16;
             self.nodes.push(NodeState::new(zone, self.scenario.nodes.cpu_us));
-            lock(&self.truth).places.push(Vec::new());
+            lock(&self.truth).executor_of_worker.push(Vec::new());
             let spread = self.rng.random_range(0..START_SPREAD);
             self.schedule_after(spread, Event::NodeStarts { node });
         }
@@ -210,7 +210,7 @@
 }
 
 fn judge_of(rules: &Rules) -> Judge {
-    let cold_terms = ColdTerms { multiple: rules.fall_multiple, window: millis(rules.fall_window_ms) };
+    let cold_terms = ColdTerms { multiple: rules.overload_factor, window: millis(rules.overload_window_ms) };
     Judge::new(millis(rules.drain_grace_ms), millis(rules.slack_ms), cold_terms)
 }
 
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -14,7 +14,7 @@
 use super::{MILLISECOND, SECOND, World, lock};
 use crate::executor::{ConnectionId, NodeProcess};
 use crate::scenario::seconds;
-use crate::{Machine, Seat};
+use crate::{NodeSetup, SimulatedNode};
 
 /// The front looks at a node's health this long after its start.
 const HEALTH_CHECK_AFTER_START: Nanos = 10 * MILLISECOND;
@@ -39,7 +39,7 @@
 /// A node's place, over all incarnations of its process.
 pub(super) struct NodeState {
     /// The process, while it runs.
-    pub(super) machine: Option<Box<dyn Machine>>,
+    pub(super) machine: Option<Box<dyn SimulatedNode>>,
     /// Counts the starts of the process.
     pub(super) incarnation: u32,
     pub(super) zone: u16,
@@ -168,7 +168,7 @@
             self.attempts[*client as usize].read_at = Some(self.now);
         }
         let mut effects = std::mem::take(&mut self.effects);
-        machine.take(self.now, input, &mut effects);
+        machine.handle(self.now, input, &mut effects);
         let due = machine.next_due();
         if lists_executors {
             self.record_worker_places(node);
@@ -185,7 +185,7 @@
         let Some(machine) = &self.nodes[node].machine else { return };
         let workers = 0..self.executors.len() as u32 + WORKER_INDEX_MARGIN;
         let places = workers.map(|worker| machine.address(worker).map(executor_at)).collect();
-        lock(&self.truth).places[node] = places;
+        lock(&self.truth).executor_of_worker[node] = places;
     }
 
     /// Schedules a node's timer, if none comes as early.
@@ -205,7 +205,7 @@
         let settings_seed = self.rng.random();
         self.nodes[node].reset(self.scenario.nodes.cpu_us);
         let start = self.scenario.nodes.starts.on.then(|| self.start_in_stages());
-        let seat = Seat {
+        let seat = NodeSetup {
             now: self.now,
             start,
             remembered: self.scenario.nodes.store.then(|| self.remembered(node)),
--- a/crates/world/tests/judge.rs
+++ b/crates/world/tests/judge.rs
@@ -1,8 +1,8 @@
 //! Nodes that break a rule on purpose: the judge must name the rule, and find nothing in a sound node.
 
-use linestack_world::broken::{Tampered, Way};
+use linestack_world::tampered::{TamperedNode, Tampering};
 use linestack_world::{
-    Executors, Fault, Load, Nodes, Product, Repeats, Rule, Scenario, Trouble, linestack, run,
+    Executors, Fault, FaultSpec, Load, Nodes, Product, RepeatPolicy, Rule, Scenario, production_node, run,
 };
 use rstest::rstest;
 
@@ -14,33 +14,33 @@
         nodes: Nodes { count: 2, ..Nodes::default() },
         executors: vec![Executors { count: 6, cores: 2.0, slots: 2, ..Executors::default() }],
         products: vec![
-            product("any", Repeats::Harmless),
-            product("marked", Repeats::Stamped),
-            product("once", Repeats::OneShot),
+            product("any", RepeatPolicy::Idempotent),
+            product("marked", RepeatPolicy::Stamped),
+            product("once", RepeatPolicy::OneShot),
         ],
         load: Load { of_capacity: 0.5, ..Load::default() },
-        troubles: vec![Trouble { kind, at_s: 4.0, for_s: 8.0, part, size, zone: None }],
+        troubles: vec![FaultSpec { kind, at_s: 4.0, for_s: 8.0, part, size, zone: None }],
         ..Scenario::default()
     }
 }
 
 #[rstest]
-#[case::twice(Way::AnswersTwice, Rule::AnsweredTwice, Fault::Slow)]
-#[case::nothing(Way::AnswersNothing, Rule::Lost, Fault::Slow)]
-#[case::made_up(Way::MakesUp, Rule::MadeUp, Fault::Resets)]
-#[case::one_shot_again(Way::ResendsOneShots, Rule::ResentMayHaveRun, Fault::Resets)]
-#[case::one_shot_twice(Way::ResendsOneShots, Rule::RanTwice, Fault::Resets)]
-#[case::other_group(Way::ForgetsGroups, Rule::OutsideGroup, Fault::Resets)]
-#[case::dismissed(Way::DismissesWhatRan, Rule::DismissedMayHaveRun, Fault::Resets)]
-#[case::drained(Way::SendsToDrained, Rule::SentToDrained, Fault::Drain)]
-#[case::cold(Way::FloodsCold, Rule::ColdPushedOver, Fault::Grow)]
-#[case::after(Way::SendsAfterAnswer, Rule::SentAfterAnswer, Fault::Slow)]
-fn a_broken_node_is_caught_by_name(#[case] way: Way, #[case] rule: Rule, #[case] kind: Fault) {
+#[case::twice(Tampering::AnswersTwice, Rule::AnsweredTwice, Fault::Slow)]
+#[case::nothing(Tampering::AnswersNothing, Rule::Lost, Fault::Slow)]
+#[case::made_up(Tampering::MakesUp, Rule::MadeUp, Fault::Resets)]
+#[case::one_shot_again(Tampering::ResendsOneShots, Rule::ResentMayHaveRun, Fault::Resets)]
+#[case::one_shot_twice(Tampering::ResendsOneShots, Rule::RanTwice, Fault::Resets)]
+#[case::other_group(Tampering::ForgetsGroups, Rule::OutsideGroup, Fault::Resets)]
+#[case::dismissed(Tampering::DismissesWhatRan, Rule::DismissedMayHaveRun, Fault::Resets)]
+#[case::drained(Tampering::SendsToDrained, Rule::SentToDrained, Fault::Drain)]
+#[case::cold(Tampering::FloodsCold, Rule::ColdPushedOver, Fault::Grow)]
+#[case::after(Tampering::SendsAfterAnswer, Rule::SentAfterAnswer, Fault::Slow)]
+fn a_broken_node_is_caught_by_name(#[case] way: Tampering, #[case] rule: Rule, #[case] kind: Fault) {
     let world = world(kind, 0.2, 0.3);
-    let sound = run(&world, &linestack);
+    let sound = run(&world, &production_node);
     assert_eq!(sound.breaches, [], "a sound node breaks nothing");
     assert!(sound.satisfied > 100);
-    let broken = run(&world, &|seat| Box::new(Tampered::new(linestack(seat), way)));
+    let broken = run(&world, &|seat| Box::new(TamperedNode::new(production_node(seat), way)));
     assert!(broken.rules().contains(&rule), "{:?} and not {rule:?}", broken.rules());
 }
 
@@ -48,7 +48,7 @@
 #[test]
 fn a_seed_is_an_outcome() {
     let s = world(Fault::Crash, 0.3, 0.5);
-    let told = |s: &Scenario| format!("{:?}", run(s, &linestack));
+    let told = |s: &Scenario| format!("{:?}", run(s, &production_node));
     assert_eq!(told(&s), told(&s));
     assert_ne!(told(&s), told(&Scenario { seed: 2, ..s.clone() }));
 }
@@ -88,7 +88,7 @@
     #[values(1, 2, 3)] seed: u64,
 ) {
     let s = Scenario { seed, zones: 2, ..world(kind, 0.3, 0.5) };
-    let outcome = run(&s, &linestack);
+    let outcome = run(&s, &production_node);
     assert_eq!(outcome.breaches, [], "{kind:?}");
     let part = outcome.satisfied as f64 / outcome.asked as f64;
     assert!(part > 0.4, "{kind:?}: only {part:.2} satisfied of {}", outcome.asked);
@@ -102,15 +102,15 @@
     #[values(1, 2, 3)] seed: u64,
 ) {
     let mut s = Scenario { seed, zones: 2, ..world(kind, 0.3, 0.5) };
-    let without = run(&s, &linestack);
+    let without = run(&s, &production_node);
     let (at_s, for_s) = (s.troubles[0].at_s + 1.0, 4.0);
-    s.troubles.push(Trouble { kind: Fault::Switch, at_s, for_s, part: 1.0, size: 0.0, zone: None });
-    let with = run(&s, &linestack);
+    s.troubles.push(FaultSpec { kind: Fault::Switch, at_s, for_s, part: 1.0, size: 0.0, zone: None });
+    let with = run(&s, &production_node);
     assert_eq!(with.breaches, []);
     let kept = with.goodput / without.goodput;
     assert!(kept > 0.9, "{kept:.2} of what is won without a switch");
     s.troubles[1].kind = Fault::NodeRoll;
-    let fresh = run(&s, &linestack);
+    let fresh = run(&s, &production_node);
     // Those go on with copies and probes, which the other terms forbid.
     let kept = with.goodput / fresh.goodput;
     assert!(kept > 0.95, "{kept:.2} of what nodes started afresh win");
