--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -51,7 +51,7 @@
     for policy in &policies {
         let worlds: Vec<&Played> = of(*policy).collect();
         let ask = |f: &dyn Fn(&Played) -> f64| mean(&worlds.iter().map(|p| f(p)).collect::<Vec<_>>());
-        let part = |n: u64, p: &Played| n as f64 / p.outcome.asked.max(1) as f64;
+        let part = |n: u64, p: &Played| n as f64 / p.outcome.submissions.max(1) as f64;
         writeln!(
             html,
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{:.3}</td><td>{:.3}</td><td>{:.3}</td><td>{:.2}</td></tr>",
@@ -79,7 +79,7 @@
     html += "<h2>Rules broken</h2>\n<table><tr><th>policy</th><th>seed</th><th>rule</th><th>at, s</th><th>what</th></tr>\n";
     for p in played {
         for b in &p.outcome.breaches {
-            let (name, seed, what) = (p.policy.name(), p.outcome.seed, escape(&b.what));
+            let (name, seed, what) = (p.policy.name(), p.outcome.seed, escape(&b.detail));
             writeln!(
                 html,
                 "<tr><td>{name}</td><td>{seed}</td><td>{:?}</td><td>{:.2}</td><td>{what}</td></tr>",
@@ -190,13 +190,13 @@
 }
 
 fn by_second(worlds: &[&Played]) -> Vec<(f64, f64)> {
-    let seconds = worlds.iter().map(|p| p.outcome.asked_by_second.len()).max().unwrap_or(0);
+    let seconds = worlds.iter().map(|p| p.outcome.offered_payoff_by_second.len()).max().unwrap_or(0);
     let sum = |f: &dyn Fn(&Played) -> &Vec<f64>, s: usize| -> f64 {
         worlds.iter().map(|p| f(p).get(s).copied().unwrap_or(0.0)).sum()
     };
     let point = |s: usize| {
-        let asked = sum(&|p| &p.outcome.asked_by_second, s);
-        (asked > 0.0).then(|| (s as f64, sum(&|p| &p.outcome.won_by_second, s) / asked))
+        let asked = sum(&|p| &p.outcome.offered_payoff_by_second, s);
+        (asked > 0.0).then(|| (s as f64, sum(&|p| &p.outcome.earned_payoff_by_second, s) / asked))
     };
     (0..seconds).filter_map(point).collect()
 }
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -37,7 +37,7 @@
     for p in played {
         let o = &p.outcome;
         let rules: Vec<String> = o.rules().iter().map(|r| format!("{r:?}")).collect();
-        let part = |n: u64| n as f64 / o.asked.max(1) as f64;
+        let part = |n: u64| n as f64 / o.submissions.max(1) as f64;
         text += &format!(
             "{:<10}  {:.3}  {:.3}    {:.3}    {:<7} {:<8}  {:<7}  {:<4}  {:.3}   {:.3}   {:.2}    {:.2}     {:.2}   {}\n",
             o.seed,
@@ -56,11 +56,11 @@
             if rules.is_empty() { "none".into() } else { rules.join(" ") }
         );
         for b in o.breaches.iter().take(5) {
-            text += &format!("  {:?} at {:.3} s: {}\n", b.rule, b.at_s, b.what);
+            text += &format!("  {:?} at {:.3} s: {}\n", b.rule, b.at_s, b.detail);
         }
         for r in &o.recoveries {
             let after = r.after_s.map_or("not within the run".into(), |s| format!("{s:.0} s"));
-            text += &format!("  {:?} until {:.0} s: recovered after {after}\n", r.trouble, r.ended_s);
+            text += &format!("  {:?} until {:.0} s: recovered after {after}\n", r.fault, r.ended_s);
         }
     }
     text
@@ -81,7 +81,7 @@
         let scores = of(*p, &score);
         let less: Vec<f64> = scores.iter().zip(&reference).map(|(a, b)| a - b).collect();
         let ask = |f: &dyn Fn(&Played) -> f64| mean(&of(*p, f)).mean;
-        let part = |n: u64, x: &Played| n as f64 / x.outcome.asked.max(1) as f64;
+        let part = |n: u64, x: &Played| n as f64 / x.outcome.submissions.max(1) as f64;
         text += &format!(
             "{:<16}  {:<14}  {:<15}  {:.3}    {:.3}   {:.3} ({:.3})          {:.2}    {}\n",
             p.name(),
--- a/crates/world/src/cold.rs
+++ b/crates/world/src/cold.rs
@@ -1,29 +1,31 @@
-//! How much work a cold executor bears.
+//! How much work a cold executor can be sent before it is overloaded.
 
 use std::collections::VecDeque;
 
 use linestack_core::Nanos;
 
-/// A little more than what a cold executor bears is let pass, for chance.
-const ALLOWANCE_FOR_CHANCE: f64 = 1.25;
+/// Factor by which the limit may be exceeded: several nodes that choose independently can hit one executor
+/// together by chance.
+const CHANCE_ALLOWANCE: f64 = 1.25;
 
-/// The terms by which a cold executor is overloaded.
+/// The load above which a cold executor is overloaded.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ColdTerms {
-    /// It bears this multiple of its capacity.
-    pub(crate) multiple: f64,
-    /// The window over which that counts.
+pub(crate) struct ColdLoadLimit {
+    /// The tolerated load, as a multiple of the executor's current capacity.
+    pub(crate) overload_factor: f64,
+    /// The sliding window over which the load is summed.
     pub(crate) window: Nanos,
 }
 
-impl ColdTerms {
-    /// Seconds of work in a window that an executor bears which can do `capacity` seconds of it in a second.
-    pub(crate) fn bearable(self, capacity: f64) -> f64 {
-        ALLOWANCE_FOR_CHANCE * self.multiple * capacity * self.window as f64 / 1e9
+impl ColdLoadLimit {
+    /// Returns the seconds of work per window that an executor tolerates if it can do `capacity` seconds of
+    /// work per second.
+    pub(crate) fn max_work(self, capacity: f64) -> f64 {
+        CHANCE_ALLOWANCE * self.overload_factor * capacity * self.window as f64 / 1e9
     }
 }
 
-/// Work that was sent to a cold executor lately.
+/// The work that was recently sent to a cold executor.
 #[derive(Debug, Default)]
 pub(crate) struct RecentWork {
     jobs: VecDeque<SentJob>,
@@ -36,7 +38,7 @@
 }
 
 impl RecentWork {
-    /// Adds a job's seconds of work, and forgets what is older than the window.
+    /// Adds a job with its seconds of work, and drops the jobs older than the window.
     pub(crate) fn add(&mut self, now: Nanos, work: f64, window: Nanos) {
         self.jobs.push_back(SentJob { at: now, work });
         while self.jobs.front().is_some_and(|job| job.at + window < now) {
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Seconds of work in the window.
+    /// Returns the seconds of work in the window.
     pub(crate) fn total(&self) -> f64 {
         self.jobs.iter().map(|job| job.work).sum()
     }
 
-    /// Whether it is more than `bearable`. A single job is nobody's overload.
-    pub(crate) fn exceeds(&self, bearable: f64) -> bool {
-        self.total() > bearable && self.jobs.len() > 1
+    /// Returns whether the work exceeds `max_work`. A single job never counts as an overload.
+    pub(crate) fn exceeds(&self, max_work: f64) -> bool {
+        self.total() > max_work && self.jobs.len() > 1
     }
 }
--- a/crates/world/src/executor_model.rs
+++ b/crates/world/src/executor_model.rs
@@ -1,4 +1,5 @@
-//! The executor model for other clocks than the world's: a stand-in on sockets feeds it with real time.
+//! The executor model for use outside the simulation: a caller, such as a simulated executor on real sockets,
+//! drives it with its own clock.
 
 use std::collections::HashMap;
 
@@ -8,38 +9,38 @@
 use rand_distr::{Distribution as _, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-use crate::cold::{ColdTerms, RecentWork};
+use crate::cold::{ColdLoadLimit, RecentWork};
 use crate::executor::{ConnectionId, Executor, Job};
 use crate::scenario::{Fault, Scenario, millis};
 
-/// A job's number, given out by the caller and never again.
+/// The number of a job. The caller assigns it and never reuses it.
 pub type JobId = u64;
 
-/// What becomes of a job that is offered to an executor.
+/// What happens to a job that is offered to an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It will be among those that [`ExecutorModel::advance`] returns.
+    /// The executor accepted it; [`ExecutorModel::advance`] returns it once it is done.
     Queued,
-    /// Turned away unseen.
+    /// The executor turned it away without looking at it.
     Overloaded,
-    /// Failed at once.
+    /// It failed at once.
     Failed,
-    /// Lost without a word.
+    /// It was lost without an answer.
     Lost,
 }
 
-/// One executor, in real or any other time that only goes forward, in nanoseconds.
+/// One executor, driven by any clock that only moves forward. Times are in nanoseconds.
 pub struct ExecutorModel {
     executor: Executor,
     scenario: Scenario,
     rng: Pcg64Mcg,
     products: HashMap<String, usize>,
-    /// Work that it was sent while it was cold.
-    recent: RecentWork,
+    /// The work that it was recently sent while it was cold.
+    recent_work: RecentWork,
 }
 
 impl ExecutorModel {
-    /// Executor `index` of the scenario, counted over all kinds.
+    /// Creates executor `index` of the scenario, counted over all kinds.
     #[must_use]
     pub fn new(s: &Scenario, index: usize) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(s.seed ^ (index as u64) << 32);
@@ -58,68 +59,71 @@
             scenario: s.clone(),
             rng,
             products,
-            recent: RecentWork::default(),
+            recent_work: RecentWork::default(),
         }
     }
 
-    /// Its process began at this time: it is cold.
+    /// Sets the start time of its process, from which it is cold.
     pub fn mark_started(&mut self, now: Nanos) {
         self.executor.started = now.max(1);
     }
 
-    /// A job of a product is on its way to it. True if that is more than it bears, cold as it is.
+    /// Records a job of a product that is sent to it. Returns true if it is cold and now overloaded.
     pub fn record_cold_job(&mut self, now: Nanos, product: &str) -> bool {
         if !self.executor.is_cold(now) {
             return false;
         }
-        let place = self.products.get(product).copied().unwrap_or(0);
-        let (rules, work) = (&self.scenario.rules, self.scenario.products[place].work_ms / 1e3);
-        let terms = ColdTerms { multiple: rules.overload_factor, window: millis(rules.overload_window_ms) };
-        self.recent.add(now, work, terms.window);
-        self.recent.exceeds(terms.bearable(self.executor.capacity(now)))
+        let index = self.products.get(product).copied().unwrap_or(0);
+        let (rules, work) = (&self.scenario.rules, self.scenario.products[index].work_ms / 1e3);
+        let limit = ColdLoadLimit {
+            overload_factor: rules.overload_factor,
+            window: millis(rules.overload_window_ms),
+        };
+        self.recent_work.add(now, work, limit.window);
+        self.recent_work.exceeds(limit.max_work(self.executor.capacity(now)))
     }
 
-    /// Its name in discovery.
+    /// Returns its name in discovery.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.executor.name
     }
 
-    /// The kind that discovery lists it as.
+    /// Returns the kind that discovery lists it as.
     #[must_use]
     pub fn kind(&self) -> &str {
         &self.scenario.executors[self.executor.spec].kind
     }
 
-    /// Its zone.
+    /// Returns its zone.
     #[must_use]
     pub fn zone(&self) -> u16 {
         self.executor.zone
     }
 
-    /// The group of executors that share the memory of idempotency keys.
+    /// Returns its group. The executors of a group share their memory of idempotency keys.
     #[must_use]
     pub fn group(&self) -> u16 {
         self.executor.group
     }
 
-    /// Offers a job of a product; one that is not known counts as the first.
-    pub fn offer(&mut self, now: Nanos, ticket: JobId, product: &str) -> Offer {
-        let place = self.products.get(product).copied().unwrap_or(0);
-        let p = &self.scenario.products[place];
+    /// Offers a job of a product. An unknown product counts as the first one.
+    pub fn offer(&mut self, now: Nanos, job: JobId, product: &str) -> Offer {
+        let index = self.products.get(product).copied().unwrap_or(0);
+        let p = &self.scenario.products[index];
         let faults = &self.executor.faults;
         if !faults.hangs {
             if self.executor.draining || self.rng.random::<f64>() < faults.refusal_rate {
                 return Offer::Overloaded;
             }
-            if self.rng.random::<f64>() < faults.error_rate || (faults.product_fails && place == 0) {
+            if self.rng.random::<f64>() < faults.error_rate || (faults.product_fails && index == 0) {
                 return Offer::Failed;
             }
             if self.rng.random::<f64>() < faults.loss_rate {
                 return Offer::Lost;
             }
         }
-        // Those that wait here may only not have been looked at yet.
+        // Jobs in the queue may fit into free slots: they start only at the next `advance`.
         let ahead: f64 = self.executor.waiting.iter().map(|j| j.slots).sum();
         let full = self.executor.in_use + ahead + p.slots > self.executor.slots;
         if p.slots > self.executor.slots || (full && self.queued() >= self.executor.queue) {
@@ -134,12 +138,12 @@
             mean
         };
         self.executor.advance(now);
-        let connection = ConnectionId { node: 0, incarnation: 0, link: ticket };
+        let connection = ConnectionId { node: 0, incarnation: 0, link: job };
         self.executor.waiting.push_back(Job { connection, attempt: 0, left, slots: p.slots, started: 0 });
         Offer::Queued
     }
 
-    /// How many wait beyond the slots.
+    /// Returns the number of waiting jobs that do not fit into free slots.
     fn queued(&self) -> usize {
         let mut free = self.executor.slots - self.executor.in_use;
         let waits = |j: &&Job| {
@@ -149,19 +153,19 @@
         self.executor.waiting.iter().filter(waits).count()
     }
 
-    /// Its client has gone away. Whether it had not begun.
-    pub fn cancel(&mut self, now: Nanos, ticket: JobId) -> bool {
+    /// Cancels a job whose client has gone. Returns whether the job had not started.
+    pub fn cancel(&mut self, now: Nanos, job: JobId) -> bool {
         self.executor.advance(now);
         let waited = self.executor.waiting.len();
-        self.executor.waiting.retain(|j| j.connection.link != ticket);
+        self.executor.waiting.retain(|j| j.connection.link != job);
         if self.scenario.executors[self.executor.spec].cancels {
-            self.executor.running.retain(|j| j.connection.link != ticket);
+            self.executor.running.retain(|j| j.connection.link != job);
             self.executor.count();
         }
         self.executor.waiting.len() < waited
     }
 
-    /// What is done by now, and when to look again.
+    /// Advances to a time. Returns the jobs that are done, and when to call again.
     pub fn advance(&mut self, now: Nanos) -> (Vec<JobId>, Option<Nanos>) {
         self.executor.advance(now);
         let done = if self.executor.is_stalled() { Vec::new() } else { self.executor.done() };
@@ -169,33 +173,33 @@
         (done.into_iter().map(|j| j.connection.link).collect(), self.executor.next(now))
     }
 
-    /// The load report of an answer that is sent now, if executors report at all.
+    /// Returns the load report for an answer sent now, if executors send reports.
     pub fn report(&mut self, now: Nanos) -> Option<Report> {
         let r = &self.scenario.reports;
         let (period, delay) = (millis(r.period_ms), millis(r.delay_ms));
         r.enabled.then(|| self.executor.report(now, period, delay, r.noise, &mut self.rng))
     }
 
-    /// Whether it answers anything, probes too.
+    /// Returns whether it answers anything, including probes.
     #[must_use]
     pub fn is_responsive(&self) -> bool {
         !self.executor.is_stalled()
     }
 
-    /// A trouble begins or ends. False for one that is not an executor's own.
+    /// Sets or clears a fault. Returns false for a fault that does not concern a single executor.
     pub fn set_fault(&mut self, now: Nanos, kind: Fault, size: f64, begins: bool) -> bool {
         self.executor.advance(now);
-        let part = if begins { size } else { 0.0 };
+        let rate = if begins { size } else { 0.0 };
         let faults = &mut self.executor.faults;
         match kind {
             Fault::Hang => faults.hangs = begins,
             Fault::Pauses => faults.paused = begins,
             Fault::Slow => faults.slowed_to = begins.then_some(size.max(0.01)),
-            Fault::Neighbour => (faults.neighbour_share, faults.neighbour_active) = (part, begins),
-            Fault::FastErrors => faults.error_rate = part,
+            Fault::Neighbour => (faults.neighbour_share, faults.neighbour_active) = (rate, begins),
+            Fault::FastErrors => faults.error_rate = rate,
             Fault::ProductFails => faults.product_fails = begins,
-            Fault::Lose => faults.loss_rate = part,
-            Fault::Refuse => faults.refusal_rate = part,
+            Fault::Lose => faults.loss_rate = rate,
+            Fault::Refuse => faults.refusal_rate = rate,
             Fault::Lie => faults.reports_idle = begins,
             _ => return false,
         }
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -1,4 +1,5 @@
-//! The judge. It sees what crossed the wires and what executors ran, and trusts no node.
+//! The judge: checks the invariants against the simulated wire traffic and the executions. It uses no
+//! information that a node reports about itself.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,158 +7,177 @@
 use linestack_dispatch::types::Health;
 use serde::Serialize;
 
-use crate::cold::{ColdTerms, RecentWork};
+use crate::cold::{ColdLoadLimit, RecentWork};
 use crate::executor::{ConnectionId, NodeProcess};
 use crate::scenario::RepeatPolicy;
 
-/// The rules, by what breaks them.
+/// The rules, each named after the violation that breaks it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Taken, and no final answer before the deadline.
+    /// A node accepted a submission and gave no final answer before the deadline.
     Lost,
-    /// A second final answer.
+    /// A submission got a second final answer.
     AnsweredTwice,
-    /// Satisfied with what no executor made for it.
+    /// A submission was answered with a result that no executor produced for it.
     MadeUp,
-    /// Something new was sent after the final answer.
+    /// A new execution was sent after the final answer.
     SentAfterAnswer,
-    /// One that must not run twice ran twice.
+    /// A submission that must not run twice ran twice.
     RanTwice,
-    /// Sent again although it may have run.
+    /// A one-shot submission was sent again although it may have run.
     ResentMayHaveRun,
-    /// A repeat went to those who do not know its mark, or know it no longer.
+    /// A stamped submission was sent again to an executor outside the group that knows its idempotency key, or
+    /// after the deduplication window.
     OutsideGroup,
-    /// Dismissed although it may have run.
+    /// A submission was dismissed although it may have run.
     DismissedMayHaveRun,
-    /// Sent to an executor that drains or is gone, after the grace.
+    /// A job was sent to an executor that was draining or gone, after the grace period.
     SentToDrained,
-    /// A cold executor was sent more than it bears.
+    /// A cold executor was sent more work than it tolerates.
     ColdPushedOver,
-    /// A node found that something which must hold did not.
+    /// A node reported that one of its own invariants was broken.
     Invariant,
 }
 
-/// A rule that was broken once.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
-    /// Which one.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When, in seconds.
+    /// The simulated time, in seconds.
     pub at_s: f64,
-    /// What was broken, and how.
-    pub what: String,
+    /// The submission or executor concerned, and what happened.
+    #[serde(rename = "what")]
+    pub detail: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ran {
-    /// Nothing proves that it did not.
-    MayHave,
-    Never,
+enum RunStatus {
+    /// Nothing proves that it did not run.
+    MayHaveRun,
+    NeverRan,
 }
 
+/// One execution that a node sent.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentExecution {
     connection: ConnectionId,
     group: u16,
     at: Nanos,
-    ran: Ran,
+    run_status: RunStatus,
 }
 
-/// A submission that a node took.
+/// A submission that a node accepted.
 #[derive(Clone, Debug)]
-struct Case {
+struct SubmissionRecord {
     process: NodeProcess,
     repeats: RepeatPolicy,
-    memory: Nanos,
+    dedup_window: Nanos,
     deadline: Nanos,
     answered: Option<Nanos>,
-    /// The client left, or the node died: nothing is owed.
+    /// No answer is required any more: the client left, or the node's process ended.
     excused: bool,
-    sent: Vec<Sent>,
+    sent: Vec<SentExecution>,
     runs: u32,
-    made: bool,
+    /// An executor's result for it has reached the node.
+    has_result: bool,
 }
 
-/// An executor, as one node hears of it.
+/// An executor in the list that one node has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Listed {
+struct ListKey {
     node: usize,
     executor: usize,
 }
 
-/// What a node last heard of an executor, and when.
+/// The health of an executor that discovery last told a node, and when.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ListedHealth {
     at: Nanos,
     health: Health,
 }
 
-/// Compares what nodes do with the rules.
+/// Compares the actions of the nodes with the rules.
 #[derive(Debug, Default)]
 pub struct Judge {
     pub breaches: Vec<Breach>,
     pub broken: u64,
-    cases: BTreeMap<usize, Case>,
-    heard: HashMap<Listed, Heard>,
-    /// By executor that is cold.
-    cold: HashMap<usize, RecentWork>,
+    submissions: BTreeMap<usize, SubmissionRecord>,
+    listed_health: HashMap<ListKey, ListedHealth>,
+    /// By cold executor: the work that it was recently sent.
+    cold_work: HashMap<usize, RecentWork>,
     grace: Nanos,
-    slack: Nanos,
-    cold_terms: ColdTerms,
+    tolerance: Nanos,
+    cold_limit: ColdLoadLimit,
 }
 
-/// The most breaches that are described; the rest are counted.
-const MAX_DESCRIBED: usize = 64;
-/// What is over is forgotten so long after its deadline: whatever may still come has come by then.
-const FORGOTTEN_AFTER: Nanos = 20_000_000_000;
+/// The maximum number of breaches kept with their details; further ones are only counted.
+const MAX_DESCRIBED_BREACHES: usize = 64;
+/// A submission is dropped this long after its deadline: no message about it can arrive later.
+const RETENTION_AFTER_DEADLINE: Nanos = 20_000_000_000;
 
 impl Judge {
-    /// `grace` is the time in which jobs may still be sent to an executor that drains, `slack` what is added
-    /// to every bound.
-    pub(crate) fn new(grace: Nanos, slack: Nanos, cold_terms: ColdTerms) -> Self {
-        Self { grace, slack, cold_terms, ..Self::default() }
+    /// Creates a judge. `grace` is the time for which jobs may still be sent to a draining executor;
+    /// `tolerance` is added to every time limit.
+    pub(crate) fn new(grace: Nanos, tolerance: Nanos, cold_limit: ColdLoadLimit) -> Self {
+        Self { grace, tolerance, cold_limit, ..Self::default() }
     }
 
-    pub(crate) fn breach(&mut self, rule: Rule, now: Nanos, what: String) {
+    /// Counts a breach, and keeps its details unless there are too many already.
+    pub(crate) fn breach(&mut self, rule: Rule, now: Nanos, detail: String) {
         self.broken += 1;
-        if self.breaches.len() < MAX_DESCRIBED {
-            self.breaches.push(Breach { rule, at_s: now as f64 / 1e9, what });
+        if self.breaches.len() < MAX_DESCRIBED_BREACHES {
+            self.breaches.push(Breach { rule, at_s: now as f64 / 1e9, detail });
         }
     }
 
-    pub(crate) fn taken(
+    /// A node accepted a submission.
+    pub(crate) fn accepted(
         &mut self,
         attempt: usize,
         process: NodeProcess,
         repeats: RepeatPolicy,
-        memory: Nanos,
+        dedup_window: Nanos,
         deadline: Nanos,
     ) {
-        let (answered, excused, sent, runs, made) = (None, false, Vec::new(), 0, false);
-        let case = Case { process, repeats, memory, deadline, answered, excused, sent, runs, made };
-        self.cases.insert(attempt, case);
+        let (answered, excused, sent, runs, has_result) = (None, false, Vec::new(), 0, false);
+        let submission = SubmissionRecord {
+            process,
+            repeats,
+            dedup_window,
+            deadline,
+            answered,
+            excused,
+            sent,
+            runs,
+            has_result,
+        };
+        self.submissions.insert(attempt, submission);
     }
 
+    /// No answer to this submission is required any more.
     pub(crate) fn excuse(&mut self, attempt: usize) {
-        self.cases.get_mut(&attempt).into_iter().for_each(|c| c.excused = true);
+        self.submissions.get_mut(&attempt).into_iter().for_each(|c| c.excused = true);
     }
 
-    /// A node died or ended: what it holds is left to the clients.
-    pub(crate) fn died(&mut self, process: NodeProcess) {
-        self.cases.values_mut().filter(|c| c.process == process).for_each(|c| c.excused = true);
-        self.heard.retain(|listed, _| listed.node != process.node);
+    /// A node's process ended. Its open submissions need no answer: the clients see their connections close and
+    /// decide about retries themselves.
+    pub(crate) fn process_ended(&mut self, process: NodeProcess) {
+        self.submissions.values_mut().filter(|c| c.process == process).for_each(|c| c.excused = true);
+        self.listed_health.retain(|key, _| key.node != process.node);
     }
 
+    /// A node gave a final answer.
     pub(crate) fn answered(&mut self, attempt: usize, answer: &Answer, now: Nanos) {
-        let Some(case) = self.cases.get_mut(&attempt) else {
+        let Some(submission) = self.submissions.get_mut(&attempt) else {
             return self.breach(Rule::AnsweredTwice, now, format!("{attempt}: not taken, or long over"));
         };
-        let second = case.answered.replace(now).is_some();
-        let late = now > case.deadline + self.slack && !case.excused;
-        let may_have = case.sent.iter().any(|s| s.ran == Ran::MayHave);
-        let harmful = case.repeats != RepeatPolicy::Idempotent && may_have;
-        let made = case.made;
+        let second = submission.answered.replace(now).is_some();
+        let late = now > submission.deadline + self.tolerance && !submission.excused;
+        let may_have_run = submission.sent.iter().any(|s| s.run_status == RunStatus::MayHaveRun);
+        let harmful = submission.repeats != RepeatPolicy::Idempotent && may_have_run;
+        let has_result = submission.has_result;
         if second {
             self.breach(Rule::AnsweredTwice, now, format!("{attempt}"));
         }
@@ -165,7 +185,7 @@
             self.breach(Rule::Lost, now, format!("{attempt}: answered after its cut-off"));
         }
         match answer {
-            Answer::Completed(_) if !made => self.breach(Rule::MadeUp, now, format!("{attempt}")),
+            Answer::Completed(_) if !has_result => self.breach(Rule::MadeUp, now, format!("{attempt}")),
             Answer::Dismissed(_) if harmful => {
                 self.breach(Rule::DismissedMayHaveRun, now, format!("{attempt}"));
             }
@@ -173,7 +193,7 @@
         }
     }
 
-    /// The first byte of an execution left a node.
+    /// A node sent the first byte of an execution.
     pub(crate) fn sent(
         &mut self,
         attempt: usize,
@@ -182,21 +202,22 @@
         group: u16,
         now: Nanos,
     ) {
-        if let Some(heard) = self.heard.get(&Listed { node: connection.node, executor })
-            && heard.health != Health::Ready
-            && now > heard.at + self.grace + self.slack
+        if let Some(listed) = self.listed_health.get(&ListKey { node: connection.node, executor })
+            && listed.health != Health::Ready
+            && now > listed.at + self.grace + self.tolerance
         {
-            let ago_s = (now - heard.at) as f64 / 1e9;
-            let what = format!("{attempt} to {executor}, told {ago_s:.2} s before");
-            self.breach(Rule::SentToDrained, now, what);
+            let ago_s = (now - listed.at) as f64 / 1e9;
+            let detail = format!("{attempt} to {executor}, told {ago_s:.2} s before");
+            self.breach(Rule::SentToDrained, now, detail);
         }
-        let Some(case) = self.cases.get_mut(&attempt) else {
+        let Some(submission) = self.submissions.get_mut(&attempt) else {
             return self.breach(Rule::SentAfterAnswer, now, format!("{attempt}: long over"));
         };
-        let answered = case.answered.is_some();
-        let earlier: Vec<_> = case.sent.iter().filter(|s| s.ran == Ran::MayHave).cloned().collect();
-        case.sent.push(Sent { connection, group, at: now, ran: Ran::MayHave });
-        let (repeats, memory) = (case.repeats, case.memory);
+        let answered = submission.answered.is_some();
+        let earlier: Vec<_> =
+            submission.sent.iter().filter(|s| s.run_status == RunStatus::MayHaveRun).cloned().collect();
+        submission.sent.push(SentExecution { connection, group, at: now, run_status: RunStatus::MayHaveRun });
+        let (repeats, dedup_window) = (submission.repeats, submission.dedup_window);
         if answered {
             self.breach(Rule::SentAfterAnswer, now, format!("{attempt}"));
         }
@@ -204,75 +225,77 @@
             (RepeatPolicy::OneShot, Some(_)) => {
                 self.breach(Rule::ResentMayHaveRun, now, format!("{attempt}"));
             }
-            (RepeatPolicy::Stamped, Some(first)) if first.group != group || now > first.at + memory => {
+            (RepeatPolicy::Stamped, Some(first)) if first.group != group || now > first.at + dedup_window => {
                 self.breach(Rule::OutsideGroup, now, format!("{attempt}"));
             }
             _ => {}
         }
     }
 
-    /// What went over the connection is proved not to have run.
+    /// The execution sent over this connection provably did not run.
     pub(crate) fn never_ran(&mut self, attempt: usize, connection: ConnectionId) {
-        let case = self.cases.get_mut(&attempt);
-        let sent = case.and_then(|c| c.sent.iter_mut().rfind(|s| s.connection == connection));
-        sent.into_iter().for_each(|s| s.ran = Ran::Never);
+        let submission = self.submissions.get_mut(&attempt);
+        let sent = submission.and_then(|c| c.sent.iter_mut().rfind(|s| s.connection == connection));
+        sent.into_iter().for_each(|s| s.run_status = RunStatus::NeverRan);
     }
 
-    /// An executor began to carry it out.
-    pub(crate) fn ran(&mut self, attempt: usize, now: Nanos) {
-        let Some(case) = self.cases.get_mut(&attempt) else { return };
-        case.runs += 1;
-        if case.runs > 1 && case.repeats != RepeatPolicy::Idempotent {
+    /// An executor started to run a submission.
+    pub(crate) fn execution_started(&mut self, attempt: usize, now: Nanos) {
+        let Some(submission) = self.submissions.get_mut(&attempt) else { return };
+        submission.runs += 1;
+        if submission.runs > 1 && submission.repeats != RepeatPolicy::Idempotent {
             self.breach(Rule::RanTwice, now, format!("{attempt}"));
         }
     }
 
     /// An executor's result reached the node.
-    pub(crate) fn made(&mut self, attempt: usize) {
-        self.cases.get_mut(&attempt).into_iter().for_each(|c| c.made = true);
+    pub(crate) fn result_received(&mut self, attempt: usize) {
+        self.submissions.get_mut(&attempt).into_iter().for_each(|c| c.has_result = true);
     }
 
-    /// Discovery told a node of an executor.
-    pub(crate) fn heard(&mut self, node: usize, executor: usize, health: Health, at: Nanos) {
-        let heard = self.heard.entry(Listed { node, executor }).or_insert(Heard { at, health });
-        // Of what takes an executor out of service, the first counts.
-        if heard.health == Health::Ready || health == Health::Ready {
-            *heard = Heard { at, health };
+    /// Discovery sent a node the health of an executor.
+    pub(crate) fn health_received(&mut self, node: usize, executor: usize, health: Health, at: Nanos) {
+        let listed =
+            self.listed_health.entry(ListKey { node, executor }).or_insert(ListedHealth { at, health });
+        // When an executor goes from draining to gone, the grace period counts from the first of the two.
+        if listed.health == Health::Ready || health == Health::Ready {
+            *listed = ListedHealth { at, health };
         }
     }
 
-    /// Work on its way to a cold executor that can do `capacity` seconds of it in a second. True if it
-    /// falls over.
-    pub(crate) fn cold(&mut self, executor: usize, work: f64, capacity: f64, now: Nanos) -> bool {
-        let recent = self.cold.entry(executor).or_default();
-        recent.add(now, work, self.cold_terms.window);
-        let bearable = self.cold_terms.bearable(capacity);
-        let over = recent.exceeds(bearable);
-        if over {
+    /// Records work sent to a cold executor that can do `capacity` seconds of work per second. Returns true if
+    /// the executor is overloaded by it.
+    pub(crate) fn cold_work_sent(&mut self, executor: usize, work: f64, capacity: f64, now: Nanos) -> bool {
+        let recent = self.cold_work.entry(executor).or_default();
+        recent.add(now, work, self.cold_limit.window);
+        let max_work = self.cold_limit.max_work(capacity);
+        let overloaded = recent.exceeds(max_work);
+        if overloaded {
             let total = recent.total();
-            let what = format!("{executor}: {total:.2} s of work in a window, bears {bearable:.2}");
-            self.breach(Rule::ColdPushedOver, now, what);
+            let detail = format!("{executor}: {total:.2} s of work in a window, bears {max_work:.2}");
+            self.breach(Rule::ColdPushedOver, now, detail);
         }
-        over
+        overloaded
     }
 
-    pub(crate) fn warm(&mut self, executor: usize) {
-        self.cold.remove(&executor);
+    /// An executor is no longer cold, or has started anew.
+    pub(crate) fn reset_cold_work(&mut self, executor: usize) {
+        self.cold_work.remove(&executor);
     }
 
-    /// What is long over is forgotten; what is overdue is found out.
+    /// Reports the submissions that are overdue, and drops those whose retention is over.
     pub(crate) fn sweep(&mut self, now: Nanos) {
-        let slack = self.slack;
+        let tolerance = self.tolerance;
         let late: Vec<usize> = self
-            .cases
+            .submissions
             .iter()
-            .filter(|(_, c)| c.answered.is_none() && !c.excused && now > c.deadline + slack)
+            .filter(|(_, c)| c.answered.is_none() && !c.excused && now > c.deadline + tolerance)
             .map(|(a, _)| *a)
             .collect();
         for attempt in late {
             self.breach(Rule::Lost, now, format!("{attempt}: no answer"));
             self.excuse(attempt);
         }
-        self.cases.retain(|_, c| now < c.deadline + FORGOTTEN_AFTER);
+        self.submissions.retain(|_, c| now < c.deadline + RETENTION_AFTER_DEADLINE);
     }
 }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,8 +1,9 @@
-//! A world of whole nodes in simulated time: the real reducer and the real decisions, unmodified, among
-//! modelled clients, executors, discovery and network, with faults, and a judge that trusts no node.
+//! A deterministic simulation of whole nodes in simulated time. The nodes run the production reducer and
+//! dispatch decisions, unmodified; clients, executors, discovery, the network and faults are modelled. A judge
+//! checks the invariants without relying on what nodes report about themselves.
 //!
-//! [`run`] plays a [`Scenario`] and returns what came of it. One seed, one outcome, to the byte: no clock,
-//! no thread, no order of a hash table has a part in it. No I/O.
+//! [`run`] simulates a [`Scenario`] and returns its [`Outcome`]. The same seed gives the same outcome, byte for
+//! byte: nothing depends on a clock, on threads or on the order of a hash table. There is no I/O.
 
 #![warn(missing_docs)]
 
@@ -28,19 +29,19 @@
 pub use scenario::*;
 pub use world::run;
 
-/// A node without its sockets.
+/// A node without its sockets: it takes inputs and returns effects.
 pub trait SimulatedNode {
-    /// Takes one input, and adds what the node asks for to `effects`.
+    /// Handles one input, and appends the resulting effects to `effects`.
     fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>);
-    /// When it wants [`Input::Tick`] next.
+    /// Returns the time at which the node next needs an [`Input::Tick`].
     fn next_due(&self) -> Nanos;
-    /// Whether clients should come.
+    /// Returns whether the node accepts clients, as its health check reports it.
     fn ready(&self, now: Nanos) -> bool;
-    /// Whether it accepts no connection of a client for now.
+    /// Returns whether the node currently accepts no further client connections.
     fn is_at_client_limit(&self) -> bool;
-    /// What it counts of itself.
+    /// Returns the counters of the node.
     fn stats(&self) -> Stats;
-    /// The address of an executor that it knows by this index.
+    /// Returns the address of the executor that the node knows under this index.
     fn address(&self, worker: Worker) -> Option<SocketAddr>;
 }
 
@@ -70,63 +71,63 @@
     }
 }
 
-/// The true state of all executors, for policies that may see it.
+/// The true state of all executors, for reference policies that may see it.
 #[derive(Debug, Default)]
 pub struct GroundTruth {
-    /// By executor: whether it serves, its free slots less those that wait, and its capacity now.
+    /// By executor: whether it is available, its free slots minus those of waiting jobs, and its current capacity.
     pub executors: Vec<(bool, f64, f64)>,
-    /// By node and worker: the executor.
+    /// By node and worker index: the index of the executor.
     pub executor_of_worker: Vec<Vec<Option<usize>>>,
 }
 
-/// What a node is started with.
+/// The parameters with which a node is started.
 pub struct NodeSetup {
-    /// Its index.
+    /// The index of the node.
     pub node: usize,
-    /// The settings of the fleet, for its zone.
+    /// The settings of the fleet, for the zone of the node.
     pub settings: Settings,
-    /// The most connections that it may have.
+    /// The maximum number of connections.
     pub sockets: usize,
-    /// The most that it may hold, in bytes.
+    /// The memory limit, in bytes.
     pub memory: usize,
-    /// The true state of all executors, for policies that may see it.
+    /// The true state of all executors, for reference policies that may see it.
     pub truth: Arc<Mutex<GroundTruth>>,
-    /// The time of the start.
+    /// The current time.
     pub now: Nanos,
-    /// What a start in stages keeps to.
-    pub start: Option<StagedStart>,
-    /// What the disk has of earlier incarnations.
-    pub remembered: Option<StoredOutcomes>,
+    /// The staged start, if the node starts in stages.
+    pub staged_start: Option<StagedStart>,
+    /// The outcomes that earlier processes of the node stored, if it has a store.
+    pub stored_outcomes: Option<StoredOutcomes>,
 }
 
 impl NodeSetup {
-    /// A whole node that decides by another policy.
+    /// Builds a whole node that uses another dispatch policy.
     #[must_use]
     pub fn build_with(self, decisions: Box<dyn Decide + Send>) -> Box<dyn SimulatedNode> {
         let core = Core::with_dispatcher(decisions, self.settings, self.sockets, self.memory);
-        Box::new(started(core, self.now, self.start, self.remembered))
+        Box::new(configure_start(core, self.now, self.staged_start, self.stored_outcomes))
     }
 }
 
-/// Gives a new node what it starts with.
-fn started(
+/// Applies the staged start and the stored outcomes to a new node.
+fn configure_start(
     mut core: Core,
     now: Nanos,
-    start: Option<StagedStart>,
-    remembered: Option<StoredOutcomes>,
+    staged_start: Option<StagedStart>,
+    stored_outcomes: Option<StoredOutcomes>,
 ) -> Core {
-    if let Some(start) = start {
+    if let Some(start) = staged_start {
         core.start_in_stages(now, start, Vec::new());
     }
-    if let Some(remembered) = remembered {
-        core.enable_outcome_store(remembered);
+    if let Some(outcomes) = stored_outcomes {
+        core.enable_outcome_store(outcomes);
     }
     core
 }
 
-/// A whole node as it is served.
+/// Builds a node as it runs in production.
 #[must_use]
-pub fn production_node(seat: NodeSetup) -> Box<dyn SimulatedNode> {
-    let core = Core::new(seat.settings, seat.sockets, seat.memory);
-    Box::new(started(core, seat.now, seat.start, seat.remembered))
+pub fn production_node(setup: NodeSetup) -> Box<dyn SimulatedNode> {
+    let core = Core::new(setup.settings, setup.sockets, setup.memory);
+    Box::new(configure_start(core, setup.now, setup.staged_start, setup.stored_outcomes))
 }
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -1,81 +1,91 @@
-//! What came of a world.
+//! The result of a simulation run.
 
 use serde::Serialize;
 
 use crate::judge::{Breach, Rule};
 use crate::scenario::{Fault, FaultSpec, Scenario};
 
-/// What waste costs in the score, as a part of the worth.
-const WASTE_PRICE: f64 = 0.02;
+/// The cost of wasted work in the score, as a fraction of the payoff.
+const WASTE_COST: f64 = 0.02;
 
-/// A world has come back when this part of what usually is answered in time is so again,
-const RECOVERED_PART: f64 = 0.9;
-/// for so many seconds on end.
+/// The fleet counts as recovered when the earned fraction of the payoff is at least this share of what it was
+/// before the first fault,
+const RECOVERED_SHARE: f64 = 0.9;
+/// for this many consecutive seconds.
 const RECOVERED_SECONDS: usize = 3;
 
-/// How long after a trouble the worth answered in time was what it had been.
+/// How long after a fault the earned payoff was back at its earlier level.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Recovery {
-    /// Which one.
-    pub trouble: Fault,
-    /// When it ended.
+    /// The fault.
+    #[serde(rename = "trouble")]
+    pub fault: Fault,
+    /// When the fault ended, in seconds.
     pub ended_s: f64,
-    /// Seconds from its end; none if it was not within the run.
+    /// Seconds from the end of the fault to the recovery; none if the fleet did not recover during the run.
     pub after_s: Option<f64>,
 }
 
-/// Counts, unless the name says otherwise. Tries are submissions; a client's retries belong to its first.
+/// The result of a simulation run. Fields are counts unless documented otherwise.
+///
+/// A submission is what a client wants done; each try of it, the first one and the retries, is counted
+/// separately where the documentation says "tries".
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
     /// The scenario's name.
     pub scenario: String,
-    /// The seed that it was played with.
+    /// The seed of the run.
     pub seed: u64,
     /// Submissions that clients made, without their retries.
-    pub asked: u64,
-    /// The same with their retries.
+    #[serde(rename = "asked")]
+    pub submissions: u64,
+    /// Submissions and their retries.
     pub tries: u64,
     /// Tries that nodes accepted.
     pub taken: u64,
     /// Tries that were answered with a result.
     pub satisfied: u64,
-    /// Submissions of which a result came in time.
+    /// Submissions whose result came within the latency target.
     pub in_time: u64,
-    /// Tries that were turned away.
+    /// Tries that were dismissed.
     pub dismissed: u64,
-    /// Dismissed while some executor that was up and warm had room for it.
+    /// Tries that were dismissed while a warm, available executor had free slots for them.
     pub dismissed_with_room: u64,
-    /// Tries that were answered without a result, though they had been sent to executors.
+    /// Tries that were aborted: answered without a result, and without the promise that they did not run.
     pub aborted: u64,
-    /// Tries that ended with no answer: the node died, could not be reached, or the client left.
+    /// Tries that ended without an answer: the node's process ended, no node was reachable, or the client left.
     pub unanswered: u64,
-    /// Jobs that nodes sent to executors.
+    /// Executions that nodes sent to executors.
     pub executions: u64,
-    /// Those of them that went to another zone.
+    /// Executions that went to another zone.
     pub crossings: u64,
     /// Probes that nodes sent.
     pub probes: u64,
     /// Connections that nodes opened to executors.
     pub handshakes: u64,
-    /// One-shots of which more than one execution began, by their clients' asking again.
-    pub ran_again: u64,
+    /// One-shot submissions that started to run more than once, because their clients retried them.
+    #[serde(rename = "ran_again")]
+    pub one_shots_run_again: u64,
     /// By second: connections that nodes opened to executors.
     pub handshakes_by_second: Vec<u64>,
-    /// By second: calls for the whole list.
+    /// By second: requests for the whole list.
     pub lists_by_second: Vec<u64>,
-    /// What all submissions were worth.
-    pub worth: f64,
-    /// The part of it that was answered in time (late, as far as that pays).
+    /// The payoff of all submissions, if each were answered in time.
+    #[serde(rename = "worth")]
+    pub offered_payoff: f64,
+    /// The earned fraction of the offered payoff. A late result earns the late payoff.
     pub goodput: f64,
-    /// What was asked for, by second of the first try.
-    pub asked_by_second: Vec<f64>,
-    /// What was answered, by second of the first try.
-    pub won_by_second: Vec<f64>,
-    /// What was answered, by product.
+    /// The offered payoff, by the second of the first try.
+    #[serde(rename = "asked_by_second")]
+    pub offered_payoff_by_second: Vec<f64>,
+    /// The earned payoff, by the second of the first try.
+    #[serde(rename = "won_by_second")]
+    pub earned_payoff_by_second: Vec<f64>,
+    /// The earned payoff, by product.
     pub by_product: Vec<f64>,
-    /// What was answered, by tenant.
+    /// The earned payoff, by tenant.
     pub by_tenant: Vec<f64>,
-    /// Seconds from the first try to the answer, of what was satisfied, in the order of answers.
+    /// Seconds from the first try to the result, of satisfied submissions, in the order of the answers.
     #[serde(skip)]
     pub answer_times: Vec<f32>,
     /// The median of these times.
@@ -84,29 +94,30 @@
     pub p99_s: f64,
     /// Seconds of work done by each executor.
     pub work_by_executor: Vec<f64>,
-    /// The part of all work that answered nothing.
+    /// The fraction of all executed work that did not contribute to a result.
     pub waste: f64,
-    /// How the world came back after each trouble.
+    /// The recovery after each fault, in the order of the scenario.
     pub recoveries: Vec<Recovery>,
-    /// How often a rule was broken.
+    /// The number of breaches of rules.
     pub broken: u64,
-    /// The first of these, with what was broken.
+    /// The first breaches, with their details.
     pub breaches: Vec<Breach>,
-    /// Things that happened, for the cost of a world.
+    /// Simulated events, which show the cost of a run.
     pub events: u64,
 }
 
 impl Outcome {
-    /// Goodput less the prices of crossings, probes and waste: the one figure to compare by.
+    /// Returns the goodput minus the costs of zone crossings, probes and wasted work: the single figure by which
+    /// policies are compared.
     #[must_use]
     pub fn score(&self, s: &Scenario) -> f64 {
-        let each = 1.0 / (self.asked.max(1)) as f64;
+        let each = 1.0 / (self.submissions.max(1)) as f64;
         let crossings = self.crossings as f64 * each * s.limits.zone_crossing_cost;
         let probes = self.probes as f64 * each * s.limits.probe_cost;
-        self.goodput - crossings - probes - WASTE_PRICE * self.waste
+        self.goodput - crossings - probes - WASTE_COST * self.waste
     }
 
-    /// The rules that were broken, each once, in their order.
+    /// Returns the rules that were broken, without duplicates, in the order of [`Rule`].
     #[must_use]
     pub fn rules(&self) -> Vec<Rule> {
         let mut rules: Vec<Rule> = self.breaches.iter().map(|b| b.rule).collect();
@@ -115,10 +126,10 @@
         rules
     }
 
-    /// Works out what follows from the counts, once the world has ended.
+    /// Computes the figures that follow from the counts, after the end of the run.
     pub(crate) fn finish(&mut self, s: &Scenario) {
-        let won: f64 = self.won_by_second.iter().sum();
-        self.goodput = if self.worth > 0.0 { won / self.worth } else { 0.0 };
+        let earned: f64 = self.earned_payoff_by_second.iter().sum();
+        self.goodput = if self.offered_payoff > 0.0 { earned / self.offered_payoff } else { 0.0 };
         let mut times = self.answer_times.clone();
         times.sort_unstable_by(f32::total_cmp);
         self.p50_s = quantile(&times, 0.5);
@@ -126,37 +137,39 @@
         self.recoveries = self.find_recoveries(s);
     }
 
-    /// How the world came back after each trouble.
+    /// Returns the recovery after each fault of the scenario.
     fn find_recoveries(&self, s: &Scenario) -> Vec<Recovery> {
-        let first_trouble = s.troubles.iter().map(|t| t.at_s).fold(s.span_s, f64::min) as usize;
-        let before: Vec<f64> = (0..first_trouble).filter_map(|second| self.won_part(second)).collect();
+        let first_fault = s.troubles.iter().map(|t| t.at_s).fold(s.span_s, f64::min) as usize;
+        let before: Vec<f64> = (0..first_fault).filter_map(|second| self.earned_share(second)).collect();
         let usual = before.iter().sum::<f64>() / before.len().max(1) as f64;
-        let recovery = |t: &FaultSpec| {
-            let ended_s = t.at_s + t.for_s;
-            let after_s = if before.is_empty() { None } else { self.back_after(ended_s, usual) };
-            Recovery { trouble: t.kind, ended_s, after_s }
+        let recovery = |fault: &FaultSpec| {
+            let ended_s = fault.at_s + fault.for_s;
+            let after_s = if before.is_empty() { None } else { self.recovered_after(ended_s, usual) };
+            Recovery { fault: fault.kind, ended_s, after_s }
         };
         s.troubles.iter().map(recovery).collect()
     }
 
-    /// Seconds from the end of a trouble to the first of some seconds on end that are nearly as good as usual.
-    fn back_after(&self, ended_s: f64, usual: f64) -> Option<f64> {
+    /// Returns the seconds from the end of a fault to the start of the first consecutive seconds that earn nearly
+    /// as much as usual.
+    fn recovered_after(&self, ended_s: f64, usual: f64) -> Option<f64> {
         let ended = ended_s.ceil() as usize;
-        let is_good = |second: usize| self.won_part(second).is_none_or(|part| part >= RECOVERED_PART * usual);
+        let is_good =
+            |second: usize| self.earned_share(second).is_none_or(|share| share >= RECOVERED_SHARE * usual);
         let stays_good = |from: &usize| (*from..*from + RECOVERED_SECONDS).all(is_good);
-        let back = (ended..self.asked_by_second.len()).find(stays_good)?;
-        Some((back - ended) as f64)
+        let recovered = (ended..self.offered_payoff_by_second.len()).find(stays_good)?;
+        Some((recovered - ended) as f64)
     }
 
-    /// The part of what was asked for in a second that was answered; none if nothing was.
-    fn won_part(&self, second: usize) -> Option<f64> {
-        let asked = self.asked_by_second.get(second).copied().unwrap_or(0.0);
-        (asked > 0.0).then(|| self.won_by_second[second] / asked)
+    /// Returns the earned fraction of the payoff offered in a second, or none if none was offered.
+    fn earned_share(&self, second: usize) -> Option<f64> {
+        let offered = self.offered_payoff_by_second.get(second).copied().unwrap_or(0.0);
+        (offered > 0.0).then(|| self.earned_payoff_by_second[second] / offered)
     }
 }
 
-/// The value under which a part of all sorted values lie; 0 where there is none.
-fn quantile(sorted: &[f32], part: f64) -> f64 {
-    let place = ((sorted.len() as f64 * part) as usize).min(sorted.len().saturating_sub(1));
-    sorted.get(place).map_or(0.0, |value| f64::from(*value))
+/// Returns the quantile of sorted values, or 0 if there are none.
+fn quantile(sorted: &[f32], fraction: f64) -> f64 {
+    let index = ((sorted.len() as f64 * fraction) as usize).min(sorted.len().saturating_sub(1));
+    sorted.get(index).map_or(0.0, |value| f64::from(*value))
 }
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -164,7 +164,7 @@
         let deadline = self.now + intake.timeout;
         let memory = seconds(product.dedup_window_s);
         let process = NodeProcess { node, incarnation };
-        self.judge.taken(attempt, process, product.repeats, memory, deadline);
+        self.judge.accepted(attempt, process, product.repeats, memory, deadline);
         let client = attempt as ClientId;
         self.give_input(node, incarnation, Input::ClientConnected { client });
         self.give_input(node, incarnation, Input::Submitted { client, submission: intake });
@@ -256,7 +256,7 @@
             took_s <= product.latency_target_ms / 1e3 + product.latency_target_factor * request.work;
         let worth = if in_time { product.payoff } else { product.payoff * product.late_payoff };
         self.outcome.in_time += u64::from(in_time);
-        self.outcome.won_by_second[(request.created_at / SECOND) as usize] += worth;
+        self.outcome.earned_payoff_by_second[(request.created_at / SECOND) as usize] += worth;
         self.outcome.by_product[request.product] += worth;
         self.outcome.by_tenant[request.tenant] += worth;
         self.outcome.answer_times.push(took_s as f32);
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -52,7 +52,7 @@
         // The mean of the product counts: nobody is told that this job is an outlier.
         let work = self.scenario.products[request.product].work_ms / 1e3;
         let capacity = self.executors[index].capacity(self.now);
-        if self.judge.cold(index, work, capacity, self.now) {
+        if self.judge.cold_work_sent(index, work, capacity, self.now) {
             self.executors[index].collapsed = true;
             self.executor_ends(index);
             self.announce(index, Health::Gone, Detection::Silent);
@@ -180,7 +180,7 @@
             return;
         }
         match outcome {
-            ExecutionOutcome::Completed => self.judge.made(attempt),
+            ExecutionOutcome::Completed => self.judge.result_received(attempt),
             ExecutionOutcome::Overloaded => self.judge.never_ran(attempt, connection),
             _ => {}
         }
--- a/crates/world/src/world/discovery.rs
+++ b/crates/world/src/world/discovery.rs
@@ -113,7 +113,7 @@
     /// Has the judge know what a node knows of executors from some time on.
     fn judge_hears_of(&mut self, node: usize, endpoints: &[Endpoint], from: Nanos) {
         for endpoint in endpoints {
-            self.judge.heard(node, executor_at(endpoint.address), endpoint.health, from);
+            self.judge.health_received(node, executor_at(endpoint.address), endpoint.health, from);
         }
     }
 
@@ -168,7 +168,7 @@
     fn judge_hears_of_missing(&mut self, node: usize, from: Nanos) {
         for (executor, listing) in self.discovery.listings.iter().enumerate() {
             if listing.health == Health::Gone {
-                self.judge.heard(node, executor, Health::Gone, from);
+                self.judge.health_received(node, executor, Health::Gone, from);
             }
         }
     }
--- a/crates/world/src/world/execution.rs
+++ b/crates/world/src/world/execution.rs
@@ -37,7 +37,7 @@
         }
         self.schedule_wake(index);
         if !self.executors[index].is_cold(now) {
-            self.judge.warm(index);
+            self.judge.reset_cold_work(index);
         }
         self.update_truth(index);
     }
@@ -69,11 +69,11 @@
             }
             self.mark_executed(index, attempt);
         }
-        self.judge.ran(attempt, self.now);
+        self.judge.execution_started(attempt, self.now);
         if repeats == RepeatPolicy::OneShot {
             let request = &mut self.requests[request];
             request.executions_begun += 1;
-            self.outcome.ran_again += u64::from(request.executions_begun == 2);
+            self.outcome.one_shots_run_again += u64::from(request.executions_begun == 2);
         }
         if self.scenario.reports_start {
             self.pass_to_node(connection, Event::ProgressAtNode { connection, attempt });
--- a/crates/world/src/world/fleet.rs
+++ b/crates/world/src/world/fleet.rs
@@ -98,7 +98,7 @@
         executor.draining = false;
         executor.started = now;
         executor.faults = ActiveFaults::default();
-        self.judge.warm(index);
+        self.judge.reset_cold_work(index);
         self.announce(index, Health::Ready, Detection::Announced);
         self.run_executor(index);
     }
--- a/crates/world/src/world/load.rs
+++ b/crates/world/src/world/load.rs
@@ -93,14 +93,14 @@
 
     fn count_request(&mut self, payoff: f64) {
         let outcome = &mut self.outcome;
-        outcome.asked += 1;
-        outcome.worth += payoff;
+        outcome.submissions += 1;
+        outcome.offered_payoff += payoff;
         let second = (self.now / SECOND) as usize;
-        if outcome.asked_by_second.len() <= second {
-            outcome.asked_by_second.resize(second + 1, 0.0);
-            outcome.won_by_second.resize(second + 1, 0.0);
+        if outcome.offered_payoff_by_second.len() <= second {
+            outcome.offered_payoff_by_second.resize(second + 1, 0.0);
+            outcome.earned_payoff_by_second.resize(second + 1, 0.0);
         }
-        outcome.asked_by_second[second] += payoff;
+        outcome.offered_payoff_by_second[second] += payoff;
     }
 
     /// Seconds of work of one job: log-normal with the product's mean and coefficient of variation.
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -39,7 +39,7 @@
 use self::idempotency::{IdempotencyKey, IdempotencyRecord};
 use self::network::Connection;
 use self::nodes::NodeState;
-use crate::cold::ColdTerms;
+use crate::cold::ColdLoadLimit;
 use crate::executor::{ConnectionId, Executor};
 use crate::judge::Judge;
 use crate::outcome::Outcome;
@@ -210,8 +210,9 @@
 }
 
 fn judge_of(rules: &Rules) -> Judge {
-    let cold_terms = ColdTerms { multiple: rules.overload_factor, window: millis(rules.overload_window_ms) };
-    Judge::new(millis(rules.drain_grace_ms), millis(rules.slack_ms), cold_terms)
+    let cold_limit =
+        ColdLoadLimit { overload_factor: rules.overload_factor, window: millis(rules.overload_window_ms) };
+    Judge::new(millis(rules.drain_grace_ms), millis(rules.slack_ms), cold_limit)
 }
 
 fn empty_outcome(scenario: &Scenario) -> Outcome {
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -204,24 +204,24 @@
     pub(super) fn node_starts(&mut self, node: usize) {
         let settings_seed = self.rng.random();
         self.nodes[node].reset(self.scenario.nodes.cpu_us);
-        let start = self.scenario.nodes.starts.on.then(|| self.start_in_stages());
-        let seat = NodeSetup {
+        let staged_start = self.scenario.nodes.starts.on.then(|| self.staged_start());
+        let setup = NodeSetup {
             now: self.now,
-            start,
-            remembered: self.scenario.nodes.store.then(|| self.remembered(node)),
+            staged_start,
+            stored_outcomes: self.scenario.nodes.store.then(|| self.stored_outcomes(node)),
             node,
             settings: self.scenario.settings(self.nodes[node].zone, settings_seed),
             sockets: self.scenario.nodes.sockets,
             memory: self.scenario.nodes.memory_mb << 20,
             truth: Arc::clone(&self.truth),
         };
-        self.nodes[node].machine = Some((self.make_node)(seat));
+        self.nodes[node].machine = Some((self.make_node)(setup));
         let input = Input::ListReceived { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
         self.give_input(node, self.nodes[node].incarnation, input);
         self.schedule_after(HEALTH_CHECK_AFTER_START, Event::HealthChecked { node });
     }
 
-    fn start_in_stages(&mut self) -> StagedStart {
+    fn staged_start(&mut self) -> StagedStart {
         let starts = &self.scenario.nodes.starts;
         let terms = StartLimits {
             nodes: self.scenario.nodes.count,
@@ -237,7 +237,7 @@
     }
 
     /// What a node's disk has of earlier incarnations.
-    fn remembered(&self, node: usize) -> StoredOutcomes {
+    fn stored_outcomes(&self, node: usize) -> StoredOutcomes {
         let persisted = &self.nodes[node].persisted;
         let mut fates = OutcomeTable::new(RECORDS_REMEMBERED_FOR, usize::MAX, usize::MAX);
         fates.restore(persisted.iter().cloned());
@@ -292,7 +292,7 @@
     pub(super) fn node_ends(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation;
         self.nodes[node].machine = None;
-        self.judge.died(NodeProcess { node, incarnation });
+        self.judge.process_ended(NodeProcess { node, incarnation });
         self.close_connections_of(node, incarnation);
         self.fail_attempts_at(node, incarnation);
         let notice_after = seconds(self.scenario.clients.notice_s);
--- a/crates/world/tests/judge.rs
+++ b/crates/world/tests/judge.rs
@@ -90,8 +90,8 @@
     let s = Scenario { seed, zones: 2, ..world(kind, 0.3, 0.5) };
     let outcome = run(&s, &production_node);
     assert_eq!(outcome.breaches, [], "{kind:?}");
-    let part = outcome.satisfied as f64 / outcome.asked as f64;
-    assert!(part > 0.4, "{kind:?}: only {part:.2} satisfied of {}", outcome.asked);
+    let part = outcome.satisfied as f64 / outcome.submissions as f64;
+    assert!(part > 0.4, "{kind:?}: only {part:.2} satisfied of {}", outcome.submissions);
 }
 
 // All nodes at once, with executors that come cold or leave meanwhile: no rule broken in the seconds after it or
