--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -52,7 +52,7 @@
                 slots,
                 queue: r.random_range(0..=16),
                 group: r.random_range(1..=3),
-                cold_from: tenth(r, 0.1, 0.6).max(0.1),
+                cold_capacity_share: tenth(r, 0.1, 0.6).max(0.1),
                 cold_s: r.random_range(3.0..20.0_f64).round(),
                 connections: if r.random_bool(0.2) { slots * 3 } else { 256 },
                 idle_s: *[1.0, 5.0, 15.0, 60.0].choose(r).unwrap_or(&15.0),
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -47,7 +47,7 @@
         count: plan.executors,
         slots: plan.slots,
         cores: f64::from(plan.slots),
-        cold_from: plan.cold_from,
+        cold_capacity_share: plan.cold_from,
         cold_s: plan.cold_ms / 1e3,
         ..Executors::default()
     };
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand.rs
@@ -455,7 +455,7 @@
                 "az": 0, "balancers": s.nodes.count, "discovery": "push", "excessPayoff": l.excess_payoff,
                 "deductions": {"probe": l.probe_cost, "crossZone": l.zone_crossing_cost},
                 "familyInfo": {"progressMs": s.progress_s * 1e3, "reportX0": "free slots", "tellsStart": false},
-                "invariants": {"answerSlackMs": l.deadline_margin_ms, "coldFrom": least(&|e| e.cold_from),
+                "invariants": {"answerSlackMs": l.deadline_margin_ms, "coldFrom": least(&|e| e.cold_capacity_share),
                     "coldMs": cold_s * 1e3, "drainGraceMs": s.rules.drain_grace_ms,
                     "fallMs": s.rules.overload_window_ms, "fallMultiple": s.rules.overload_factor},
                 "kinds": kinds, "zones": zones,
--- a/crates/world/src/executor.rs
+++ b/crates/world/src/executor.rs
@@ -1,4 +1,5 @@
-//! A model of an executor: cores that jobs share, slots, a queue in order, a cold start, load reports.
+//! A model of an executor: cores shared by the running jobs, slots, a first-in-first-out queue, a cold start
+//! and load reports.
 
 use std::collections::VecDeque;
 
@@ -15,37 +16,38 @@
     pub(crate) incarnation: u32,
 }
 
-/// A connection, by the node that opened it, the incarnation of its process, and the node's own number.
+/// A connection, identified by the node that opened it, the incarnation of its process, and the number that
+/// the node gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ConnectionId {
     pub(crate) node: usize,
     pub(crate) incarnation: u32,
-    pub(crate) link: CoreConnectionId,
+    pub(crate) number: CoreConnectionId,
 }
 
-/// A job that waits or runs.
+/// A waiting or running job.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) connection: ConnectionId,
     pub(crate) attempt: usize,
-    /// Seconds of work left, at speed 1.
-    pub(crate) left: f64,
+    /// Remaining seconds of work, at speed 1.
+    pub(crate) remaining_work: f64,
     pub(crate) slots: f64,
-    /// When it began to run; 0 while it waits.
+    /// When it started to run; 0 while it waits.
     pub(crate) started: Nanos,
 }
 
-/// What is wrong with an executor now. Rates are parts of all jobs, 0 to 1.
+/// The faults that are currently active on an executor. Rates are fractions of all jobs, from 0 to 1.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveFaults {
-    /// It takes jobs and does nothing.
+    /// It accepts jobs and does nothing.
     pub(crate) hangs: bool,
     pub(crate) paused: bool,
-    /// Its machine has vanished.
+    /// Its machine has vanished from the network.
     pub(crate) unreachable: bool,
-    /// It runs at this part of its speed.
+    /// It runs at this fraction of its speed.
     pub(crate) slowed_to: Option<f64>,
-    /// The part of its cores that another program takes while it is active.
+    /// The fraction of its cores that another program on the machine takes while that program is active.
     pub(crate) neighbour_share: f64,
     pub(crate) neighbour_active: bool,
     pub(crate) error_rate: f64,
@@ -53,7 +55,7 @@
     pub(crate) product_fails: bool,
     pub(crate) loss_rate: f64,
     pub(crate) refusal_rate: f64,
-    /// Answers that make no sense.
+    /// The rate of malformed answers.
     pub(crate) garbage_rate: f64,
     /// Its load reports show all slots free.
     pub(crate) reports_idle: bool,
@@ -64,53 +66,53 @@
     pub(crate) outbound_cut: bool,
 }
 
-/// An executor, over all incarnations of its process.
+/// An executor, across all incarnations of its process.
 #[derive(Clone, Debug)]
 pub(crate) struct Executor {
     pub(crate) name: String,
-    /// Its kind, by its place in the scenario.
+    /// Its index in the scenario's list of executor kinds.
     pub(crate) spec: usize,
     pub(crate) zone: u16,
-    /// The group that shares the memory of idempotency keys.
+    /// The group of executors that share their memory of idempotency keys.
     pub(crate) group: u16,
-    /// Seconds of work that a core does in a second.
+    /// Seconds of work that a core does per second.
     pub(crate) speed: f64,
     pub(crate) cores: f64,
     pub(crate) slots: f64,
-    /// Jobs that may wait.
-    pub(crate) queue: usize,
-    /// The part of its capacity that it has right after a start.
-    pub(crate) cold_from: f64,
-    /// The time until its capacity is whole.
-    pub(crate) cold_for: Nanos,
-    /// Its process runs.
+    /// The maximum number of waiting jobs.
+    pub(crate) max_queue: usize,
+    /// The fraction of its capacity that it has right after a start.
+    pub(crate) cold_capacity_share: f64,
+    /// The time from a start until it has its full capacity.
+    pub(crate) cold_duration: Nanos,
+    /// Whether its process runs.
     pub(crate) alive: bool,
     pub(crate) draining: bool,
-    /// Sent too much while it was cold; it stays down.
+    /// It was overloaded while cold, and stays down.
     pub(crate) collapsed: bool,
-    /// Counts the ends of its process.
+    /// The number of times that its process has ended.
     pub(crate) incarnation: u32,
-    /// When its process started; 0 for one that was there from the beginning, which is warm.
+    /// When its process started; 0 if it ran from the beginning of the simulation, in which case it is warm.
     pub(crate) started: Nanos,
     pub(crate) faults: ActiveFaults,
     pub(crate) connections: usize,
     pub(crate) running: Vec<Job>,
     pub(crate) waiting: VecDeque<Job>,
-    /// Slots of running jobs.
-    pub(crate) in_use: f64,
-    /// Seconds of work that handshakes and probes still want.
+    /// Slots taken by running jobs.
+    pub(crate) used_slots: f64,
+    /// Remaining seconds of work for handshakes and probes.
     overhead: f64,
-    /// Work has been done up to this time.
-    updated: Nanos,
-    /// The number of the last wake-up; earlier ones are void.
+    /// The time up to which work has been simulated.
+    advanced_to: Nanos,
+    /// The number of the latest scheduled wake-up; earlier ones are ignored.
     pub(crate) wake: u64,
-    /// Load reports as they stood, the newest last.
+    /// Past load reports, the newest last.
     reports: VecDeque<TimedReport>,
-    /// Seconds of work done in all.
+    /// Total seconds of work done.
     pub(crate) worked: f64,
 }
 
-/// A load report, and when it was made.
+/// A load report and the time at which it was made.
 #[derive(Clone, Copy, Debug)]
 struct TimedReport {
     at: Nanos,
@@ -120,8 +122,8 @@
 impl Executor {
     pub(crate) fn new(
         name: String,
-        spec: usize,
-        e: &Executors,
+        spec_index: usize,
+        spec: &Executors,
         zone: u16,
         group: u16,
         speed: f64,
@@ -129,15 +131,15 @@
     ) -> Self {
         Self {
             name,
-            spec,
+            spec: spec_index,
             zone,
             group,
             speed,
-            cores: e.cores,
-            slots: f64::from(e.slots),
-            queue: e.queue as usize,
-            cold_from: e.cold_from,
-            cold_for: crate::scenario::seconds(e.cold_s),
+            cores: spec.cores,
+            slots: f64::from(spec.slots),
+            max_queue: spec.queue as usize,
+            cold_capacity_share: spec.cold_capacity_share,
+            cold_duration: crate::scenario::seconds(spec.cold_s),
             alive: true,
             draining: false,
             collapsed: false,
@@ -147,183 +149,187 @@
             connections: 0,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            in_use: 0.0,
+            used_slots: 0.0,
             overhead: 0.0,
-            updated: now,
+            advanced_to: now,
             wake: 0,
             reports: VecDeque::new(),
             worked: 0.0,
         }
     }
 
-    /// Whether its process runs on a machine that is there.
+    /// Returns whether its process runs on a machine that is connected to the network.
     pub(crate) fn is_reachable(&self) -> bool {
         self.alive && !self.faults.unreachable
     }
 
-    /// Whether no work is done.
+    /// Returns whether it currently does no work.
     pub(crate) fn is_stalled(&self) -> bool {
         !self.alive || self.faults.unreachable || self.faults.hangs || self.faults.paused
     }
 
-    /// Whether its capacity is not whole yet.
+    /// Returns whether it does not have its full capacity yet.
     pub(crate) fn is_cold(&self, now: Nanos) -> bool {
-        self.started > 0 && now < self.started + self.cold_for
+        self.started > 0 && now < self.started + self.cold_duration
     }
 
-    /// The part of its capacity that it has now.
-    pub(crate) fn warmth(&self, now: Nanos) -> f64 {
+    /// Returns the fraction of its capacity that it currently has. It grows linearly after a start.
+    pub(crate) fn warm_share(&self, now: Nanos) -> f64 {
         if !self.is_cold(now) {
             return 1.0;
         }
-        let age = now.saturating_sub(self.started) as f64 / self.cold_for as f64;
-        self.cold_from + (1.0 - self.cold_from) * age
+        let age = now.saturating_sub(self.started) as f64 / self.cold_duration as f64;
+        self.cold_capacity_share + (1.0 - self.cold_capacity_share) * age
     }
 
-    /// Seconds of work that it can do in a second.
+    /// Returns the seconds of work that it can do per second.
     pub(crate) fn capacity(&self, now: Nanos) -> f64 {
-        self.speed * self.cores.min(self.slots) * self.warmth(now)
+        self.speed * self.cores.min(self.slots) * self.warm_share(now)
     }
 
     fn core_speed(&self, now: Nanos) -> f64 {
-        self.speed * self.faults.slowed_to.unwrap_or(1.0) * self.warmth(now)
+        self.speed * self.faults.slowed_to.unwrap_or(1.0) * self.warm_share(now)
     }
 
-    fn cores_left(&self) -> f64 {
+    fn available_cores(&self) -> f64 {
         let taken = if self.faults.neighbour_active { self.faults.neighbour_share } else { 0.0 };
         (self.cores * (1.0 - taken)).max(0.05)
     }
 
-    /// How fast each running job goes on.
-    fn pace(&self, now: Nanos) -> f64 {
-        self.core_speed(now) * (self.cores_left() / self.running.len().max(1) as f64).min(1.0)
+    /// Returns the seconds of work done per second on each running job.
+    fn job_speed(&self, now: Nanos) -> f64 {
+        self.core_speed(now) * (self.available_cores() / self.running.len().max(1) as f64).min(1.0)
     }
 
-    /// Lets it work until now. Whatever changes its pace must call this before.
+    /// Simulates its work up to now. Must be called before anything that changes its speed.
     pub(crate) fn advance(&mut self, now: Nanos) {
-        let span = now.saturating_sub(self.updated) as f64 / 1e9;
-        let (pace, all) = (self.pace(self.updated), self.core_speed(self.updated) * self.cores_left());
-        self.updated = now;
+        let span = now.saturating_sub(self.advanced_to) as f64 / 1e9;
+        let (job_speed, total_speed) =
+            (self.job_speed(self.advanced_to), self.core_speed(self.advanced_to) * self.available_cores());
+        self.advanced_to = now;
         if self.is_stalled() || span <= 0.0 {
             return;
         }
-        let spent = self.overhead.min(all * span);
+        let spent = self.overhead.min(total_speed * span);
         self.overhead -= spent;
-        let span = span - spent / all;
+        let span = span - spent / total_speed;
         for job in &mut self.running {
-            job.left -= pace * span;
-            self.worked += pace * span;
+            job.remaining_work -= job_speed * span;
+            self.worked += job_speed * span;
         }
     }
 
-    /// Adds work that is not a job's, and is done before that of jobs.
+    /// Adds work that belongs to no job, such as a handshake. It is done before the work of jobs.
     pub(crate) fn add_overhead(&mut self, now: Nanos, work: f64) {
         self.advance(now);
         self.overhead += work;
     }
 
-    /// When something will be done, if it goes on as now.
-    pub(crate) fn next(&self, now: Nanos) -> Option<Nanos> {
+    /// Returns when the next job will be done if nothing changes.
+    pub(crate) fn next_completion(&self, now: Nanos) -> Option<Nanos> {
         if self.is_stalled() {
             return None;
         }
-        let left = self.running.iter().map(|j| j.left).fold(f64::INFINITY, f64::min);
-        if !left.is_finite() {
+        let remaining = self.running.iter().map(|j| j.remaining_work).fold(f64::INFINITY, f64::min);
+        if !remaining.is_finite() {
             return None;
         }
-        let all = self.core_speed(now) * self.cores_left();
-        let span = left.max(0.0) / self.pace(now) + self.overhead / all;
-        // A cold one gets faster: it is looked at again before.
+        let total_speed = self.core_speed(now) * self.available_cores();
+        let span = remaining.max(0.0) / self.job_speed(now) + self.overhead / total_speed;
+        // A cold executor speeds up over time, so the estimate is renewed after a short while.
         let span = if self.is_cold(now) { span.min(0.25) } else { span };
         Some(now + (span * 1e9).ceil().min(1e18) as Nanos + 1)
     }
 
-    /// Starts what fits, in order; the head waits until it does. Returns copies of what was started.
+    /// Starts waiting jobs in order, as long as the first one fits into the free slots. Returns copies of the
+    /// started jobs.
     pub(crate) fn start(&mut self, now: Nanos) -> Vec<Job> {
         let mut started = Vec::new();
         if self.is_stalled() {
             return started;
         }
         while let Some(job) = self.waiting.front() {
-            if self.in_use + job.slots > self.slots + 1e-9 {
+            if self.used_slots + job.slots > self.slots + 1e-9 {
                 break;
             }
             let Some(mut job) = self.waiting.pop_front() else { break };
             job.started = now;
-            self.in_use += job.slots;
+            self.used_slots += job.slots;
             started.push(job.clone());
             self.running.push(job);
         }
         started
     }
 
-    /// Takes out what is done.
-    pub(crate) fn done(&mut self) -> Vec<Job> {
+    /// Removes and returns the jobs that are done.
+    pub(crate) fn take_done(&mut self) -> Vec<Job> {
         let mut done = Vec::new();
         let mut i = 0;
         while i < self.running.len() {
-            if self.running[i].left <= 1e-9 {
+            if self.running[i].remaining_work <= 1e-9 {
                 done.push(self.running.remove(i));
             } else {
                 i += 1;
             }
         }
-        self.count();
+        self.recount_used_slots();
         done
     }
 
-    /// Counts the slots of running jobs anew.
-    pub(crate) fn count(&mut self) {
-        self.in_use = self.running.iter().map(|j| j.slots).sum();
+    /// Recomputes the slots taken by running jobs.
+    pub(crate) fn recount_used_slots(&mut self) {
+        self.used_slots = self.running.iter().map(|j| j.slots).sum();
     }
 
-    /// Forgets all that it holds, as at the end of a process, and returns it: what ran, then what waited.
+    /// Drops its state, as at the end of a process. Returns its jobs: the running ones, then the waiting
+    /// ones.
     pub(crate) fn clear(&mut self) -> Vec<Job> {
-        let held = self.running.drain(..).chain(self.waiting.drain(..)).collect();
-        (self.in_use, self.overhead, self.connections) = (0.0, 0.0, 0);
+        let jobs = self.running.drain(..).chain(self.waiting.drain(..)).collect();
+        (self.used_slots, self.overhead, self.connections) = (0.0, 0.0, 0);
         self.reports.clear();
-        held
+        jobs
     }
 
-    /// Takes out the jobs of a connection that wait, and those that run if `cancels` says so.
+    /// Removes and returns the waiting jobs of a connection, and also the running ones if `cancels` is set.
     pub(crate) fn drop_jobs_of(&mut self, connection: ConnectionId, cancels: bool) -> Vec<Job> {
-        let of_it = |job: &&Job| job.connection == connection;
-        let mut dropped: Vec<Job> = self.waiting.iter().filter(of_it).cloned().collect();
+        let is_of_connection = |job: &&Job| job.connection == connection;
+        let mut dropped: Vec<Job> = self.waiting.iter().filter(is_of_connection).cloned().collect();
         self.waiting.retain(|job| job.connection != connection);
         if cancels {
-            dropped.extend(self.running.iter().filter(of_it).cloned());
+            dropped.extend(self.running.iter().filter(is_of_connection).cloned());
             self.running.retain(|job| job.connection != connection);
-            self.count();
+            self.recount_used_slots();
         }
         dropped
     }
 
-    /// Whether a job that wants so many slots may start or wait here.
+    /// Returns whether a job with this number of slots may start or wait here.
     pub(crate) fn admits(&self, slots: f64) -> bool {
-        let must_wait = self.in_use + slots > self.slots || !self.waiting.is_empty();
-        let queue_full = self.waiting.len() >= self.queue;
+        let must_wait = self.used_slots + slots > self.slots || !self.waiting.is_empty();
+        let queue_full = self.waiting.len() >= self.max_queue;
         slots <= self.slots && !(must_wait && queue_full)
     }
 
-    /// Whether an attempt's job runs here for a connection.
+    /// Returns whether the job of an attempt runs here for a connection.
     pub(crate) fn is_running(&self, connection: ConnectionId, attempt: usize) -> bool {
         self.running.iter().any(|job| job.attempt == attempt && job.connection == connection)
     }
 
-    /// Ends the running job of a connection without its work being done.
+    /// Completes the running job of a connection without doing its work.
     pub(crate) fn skip(&mut self, connection: ConnectionId) {
         if let Some(job) = self.running.iter_mut().find(|job| job.connection == connection) {
-            job.left = 0.0;
+            job.remaining_work = 0.0;
         }
     }
 
-    /// Slots that neither running nor waiting jobs want.
-    pub(crate) fn free(&self) -> f64 {
+    /// Returns the slots that neither running nor waiting jobs need.
+    pub(crate) fn free_slots(&self) -> f64 {
         let waiting: f64 = self.waiting.iter().map(|j| j.slots).sum();
-        (self.slots - self.in_use - waiting).max(0.0)
+        (self.slots - self.used_slots - waiting).max(0.0)
     }
 
-    /// The report that an answer holds now: fresh, or the one made last, that many nanoseconds late.
+    /// Returns the load report that an answer sent now contains. Reports are renewed once per `period` and
+    /// become visible `delay` nanoseconds late; with both at 0 each answer has a fresh report.
     pub(crate) fn report(
         &mut self,
         now: Nanos,
@@ -333,20 +339,20 @@
         rng: &mut rand_pcg::Pcg64Mcg,
     ) -> Report {
         let mut noisy = |f: f64| (f * (1.0 + noise * rng.random_range(-1.0..=1.0))) as f32;
-        let (free, waiting) = ((self.slots - self.in_use).max(0.0), self.waiting.len() as f64);
-        let in_hand = (self.running.len() + self.waiting.len()) as f64;
-        let present = Report {
+        let (free, waiting) = ((self.slots - self.used_slots).max(0.0), self.waiting.len() as f64);
+        let active = (self.running.len() + self.waiting.len()) as f64;
+        let current = Report {
             free_slots: Some(noisy(if self.faults.reports_idle { self.slots } else { free })),
             queued_jobs: Some(noisy(if self.faults.reports_idle { 0.0 } else { waiting })),
-            active_jobs: Some(noisy(if self.faults.reports_idle { 0.0 } else { in_hand })),
+            active_jobs: Some(noisy(if self.faults.reports_idle { 0.0 } else { active })),
             free_memory: None,
         };
         let delay = delay + self.faults.report_delay;
         if period == 0 && delay == 0 {
-            return present;
+            return current;
         }
         if self.reports.back().is_none_or(|last| now >= last.at + period) {
-            self.reports.push_back(TimedReport { at: now, report: present });
+            self.reports.push_back(TimedReport { at: now, report: current });
         }
         while self.reports.len() > 1 && self.reports[1].at + delay <= now {
             self.reports.pop_front();
--- a/crates/world/src/executor_model.rs
+++ b/crates/world/src/executor_model.rs
@@ -125,12 +125,12 @@
         }
         // Jobs in the queue may fit into free slots: they start only at the next `advance`.
         let ahead: f64 = self.executor.waiting.iter().map(|j| j.slots).sum();
-        let full = self.executor.in_use + ahead + p.slots > self.executor.slots;
-        if p.slots > self.executor.slots || (full && self.queued() >= self.executor.queue) {
+        let full = self.executor.used_slots + ahead + p.slots > self.executor.slots;
+        if p.slots > self.executor.slots || (full && self.queued() >= self.executor.max_queue) {
             return Offer::Overloaded;
         }
         let mean = p.work_ms / 1e3;
-        let left = if p.cv > 0.0 {
+        let remaining_work = if p.cv > 0.0 {
             let variance = (1.0 + p.cv * p.cv).ln();
             let spread = LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt());
             spread.map_or(mean, |d| d.sample(&mut self.rng))
@@ -138,14 +138,20 @@
             mean
         };
         self.executor.advance(now);
-        let connection = ConnectionId { node: 0, incarnation: 0, link: job };
-        self.executor.waiting.push_back(Job { connection, attempt: 0, left, slots: p.slots, started: 0 });
+        let connection = ConnectionId { node: 0, incarnation: 0, number: job };
+        self.executor.waiting.push_back(Job {
+            connection,
+            attempt: 0,
+            remaining_work,
+            slots: p.slots,
+            started: 0,
+        });
         Offer::Queued
     }
 
     /// Returns the number of waiting jobs that do not fit into free slots.
     fn queued(&self) -> usize {
-        let mut free = self.executor.slots - self.executor.in_use;
+        let mut free = self.executor.slots - self.executor.used_slots;
         let waits = |j: &&Job| {
             free -= j.slots;
             free < 0.0
@@ -157,10 +163,10 @@
     pub fn cancel(&mut self, now: Nanos, job: JobId) -> bool {
         self.executor.advance(now);
         let waited = self.executor.waiting.len();
-        self.executor.waiting.retain(|j| j.connection.link != job);
+        self.executor.waiting.retain(|j| j.connection.number != job);
         if self.scenario.executors[self.executor.spec].cancels {
-            self.executor.running.retain(|j| j.connection.link != job);
-            self.executor.count();
+            self.executor.running.retain(|j| j.connection.number != job);
+            self.executor.recount_used_slots();
         }
         self.executor.waiting.len() < waited
     }
@@ -168,9 +174,9 @@
     /// Advances to a time. Returns the jobs that are done, and when to call again.
     pub fn advance(&mut self, now: Nanos) -> (Vec<JobId>, Option<Nanos>) {
         self.executor.advance(now);
-        let done = if self.executor.is_stalled() { Vec::new() } else { self.executor.done() };
+        let done = if self.executor.is_stalled() { Vec::new() } else { self.executor.take_done() };
         self.executor.start(now);
-        (done.into_iter().map(|j| j.connection.link).collect(), self.executor.next(now))
+        (done.into_iter().map(|j| j.connection.number).collect(), self.executor.next_completion(now))
     }
 
     /// Returns the load report for an answer sent now, if executors send reports.
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -27,8 +27,8 @@
     RanTwice,
     /// A one-shot submission was sent again although it may have run.
     ResentMayHaveRun,
-    /// A stamped submission was sent again to an executor outside the group that knows its idempotency key, or
-    /// after the deduplication window.
+    /// A stamped submission was sent again to an executor outside the group that knows its idempotency key,
+    /// or after the deduplication window.
     OutsideGroup,
     /// A submission was dismissed although it may have run.
     DismissedMayHaveRun,
@@ -161,8 +161,8 @@
         self.submissions.get_mut(&attempt).into_iter().for_each(|c| c.excused = true);
     }
 
-    /// A node's process ended. Its open submissions need no answer: the clients see their connections close and
-    /// decide about retries themselves.
+    /// A node's process ended. Its open submissions need no answer: the clients see their connections close
+    /// and decide about retries themselves.
     pub(crate) fn process_ended(&mut self, process: NodeProcess) {
         self.submissions.values_mut().filter(|c| c.process == process).for_each(|c| c.excused = true);
         self.listed_health.retain(|key, _| key.node != process.node);
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Records work sent to a cold executor that can do `capacity` seconds of work per second. Returns true if
-    /// the executor is overloaded by it.
+    /// Records work sent to a cold executor that can do `capacity` seconds of work per second. Returns true
+    /// if the executor is overloaded by it.
     pub(crate) fn cold_work_sent(&mut self, executor: usize, work: f64, capacity: f64, now: Nanos) -> bool {
         let recent = self.cold_work.entry(executor).or_default();
         recent.add(now, work, self.cold_limit.window);
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,9 +1,9 @@
 //! A deterministic simulation of whole nodes in simulated time. The nodes run the production reducer and
-//! dispatch decisions, unmodified; clients, executors, discovery, the network and faults are modelled. A judge
-//! checks the invariants without relying on what nodes report about themselves.
+//! dispatch decisions, unmodified; clients, executors, discovery, the network and faults are modelled. A
+//! judge checks the invariants without relying on what nodes report about themselves.
 //!
-//! [`run`] simulates a [`Scenario`] and returns its [`Outcome`]. The same seed gives the same outcome, byte for
-//! byte: nothing depends on a clock, on threads or on the order of a hash table. There is no I/O.
+//! [`run`] simulates a [`Scenario`] and returns its [`Outcome`]. The same seed gives the same outcome, byte
+//! for byte: nothing depends on a clock, on threads or on the order of a hash table. There is no I/O.
 
 #![warn(missing_docs)]
 
@@ -74,7 +74,8 @@
 /// The true state of all executors, for reference policies that may see it.
 #[derive(Debug, Default)]
 pub struct GroundTruth {
-    /// By executor: whether it is available, its free slots minus those of waiting jobs, and its current capacity.
+    /// By executor: whether it is available, its free slots minus those of waiting jobs, and its current
+    /// capacity.
     pub executors: Vec<(bool, f64, f64)>,
     /// By node and worker index: the index of the executor.
     pub executor_of_worker: Vec<Vec<Option<usize>>>,
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -53,7 +53,8 @@
     pub dismissed_with_room: u64,
     /// Tries that were aborted: answered without a result, and without the promise that they did not run.
     pub aborted: u64,
-    /// Tries that ended without an answer: the node's process ended, no node was reachable, or the client left.
+    /// Tries that ended without an answer: the node's process ended, no node was reachable, or the client
+    /// left.
     pub unanswered: u64,
     /// Executions that nodes sent to executors.
     pub executions: u64,
@@ -107,8 +108,8 @@
 }
 
 impl Outcome {
-    /// Returns the goodput minus the costs of zone crossings, probes and wasted work: the single figure by which
-    /// policies are compared.
+    /// Returns the goodput minus the costs of zone crossings, probes and wasted work: the single figure by
+    /// which policies are compared.
     #[must_use]
     pub fn score(&self, s: &Scenario) -> f64 {
         let each = 1.0 / (self.submissions.max(1)) as f64;
@@ -150,8 +151,8 @@
         s.troubles.iter().map(recovery).collect()
     }
 
-    /// Returns the seconds from the end of a fault to the start of the first consecutive seconds that earn nearly
-    /// as much as usual.
+    /// Returns the seconds from the end of a fault to the start of the first consecutive seconds that earn
+    /// nearly as much as usual.
     fn recovered_after(&self, ended_s: f64, usual: f64) -> Option<f64> {
         let ended = ended_s.ceil() as usize;
         let is_good =
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! What a world is made of. Every figure has a default, so that a scenario names only what it is about.
+//! Scenarios: the parameters of a simulation. Every field has a default, so that a scenario file contains
+//! only what differs from it.
 
 mod check;
 mod settings;
@@ -6,12 +7,13 @@
 use linestack_core::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Nanoseconds of a span in seconds.
+/// Converts a duration in seconds to nanoseconds.
 #[must_use]
 pub fn seconds(s: f64) -> Nanos {
     (s * 1e9).round().max(0.0) as Nanos
 }
 
+/// Converts a duration in milliseconds to nanoseconds.
 pub(crate) fn millis(ms: f64) -> Nanos {
     seconds(ms / 1e3)
 }
@@ -32,44 +34,45 @@
 }
 
 table! {
-    /// A world, from one seed.
+    /// A simulation and its seed.
     Scenario {
-        /// What reports call it.
+        /// The name of the scenario in reports.
         name: String = "world".into(),
-        /// All chance comes from this.
+        /// The seed of all random draws.
         seed: u64 = 1,
-        /// Simulated seconds in which clients come. After them the world runs until all is answered.
+        /// The simulated seconds in which clients submit. Afterwards the simulation continues until every
+        /// submission has ended, for a limited time.
         span_s: f64 = 30.0,
-        /// Nodes and executors are spread over so many zones.
+        /// The number of zones over which nodes and executors are spread.
         zones: u16 = 1,
         /// The dispatchers.
         nodes: Nodes = Nodes::default(),
         /// Kinds of executors.
         executors: Vec<Executors> = vec![Executors::default()],
-        /// The load reports of executors.
+        /// The load reports that executors send.
         reports: Reports = Reports::default(),
-        /// Whether executors tell when a job starts.
+        /// Whether executors report the start of a job.
         #[serde(rename = "tells_start")]
         reports_start: bool = false,
-        /// How often executors tell of the progress of a job; 0: never.
+        /// The interval at which executors report the progress of a job; 0: never.
         progress_s: f64 = 1.0,
-        /// What clients ask for.
+        /// The products that clients submit.
         products: Vec<Product> = vec![Product::default()],
-        /// Who asks.
+        /// The tenants that submit.
         tenants: Vec<Tenant> = vec![Tenant::default()],
-        /// How much is asked for.
+        /// The load that clients offer.
         load: Load = Load::default(),
         /// How clients behave.
         clients: Clients = Clients::default(),
-        /// How long messages take.
+        /// The delays of messages.
         network: Network = Network::default(),
         /// How discovery behaves.
         discovery: Discovery = Discovery::default(),
-        /// What nodes may do, and at which price.
+        /// What nodes may do, and at which cost.
         limits: Limits = Limits::default(),
-        /// The bounds by which the judge goes.
+        /// The limits that the judge applies.
         rules: Rules = Rules::default(),
-        /// The faults, in no particular order.
+        /// The faults, in any order.
         troubles: Vec<FaultSpec> = Vec::new(),
     }
 }
@@ -77,21 +80,21 @@
 table! {
     /// The dispatchers of a world, all alike.
     Nodes {
-        /// How many there are.
+        /// Their number.
         count: u32 = 3,
-        /// The most connections of a node.
+        /// The maximum number of connections of a node.
         sockets: usize = 1024,
-        /// What a node may hold, in MiB.
+        /// The memory limit of a node, in MiB.
         memory_mb: usize = 192,
-        /// Processor time that each thing that happens takes of a node.
+        /// The processor time that a node needs for each input.
         cpu_us: f64 = 0.0,
-        /// SIGKILL comes so long after SIGTERM.
+        /// The time between SIGTERM and SIGKILL.
         kill_after_s: f64 = 3.7,
-        /// A node is back so long after it ended.
+        /// The time between the end of a node's process and its restart.
         back_after_s: f64 = 0.5,
-        /// A disk that lasts: what may have run is known after a kill.
+        /// Whether nodes have a durable store, so that they know after a kill which submissions may have run.
         store: bool = false,
-        /// How long a write to it takes.
+        /// The duration of a write to the store.
         sync_ms: f64 = 1.0,
         /// How nodes start.
         starts: Starts = Starts::default(),
@@ -99,13 +102,13 @@
 }
 
 table! {
-    /// A start in stages, if it is on; rates are the fleet's a second, 0 for no bound.
+    /// The staged start of nodes. Rates are per second for the whole fleet; 0 means unlimited.
     Starts {
         /// Whether nodes start in stages.
         on: bool = false,
-        /// Connections to executors.
+        /// The rate of new connections to executors.
         connects_per_s: f64 = 0.0,
-        /// Calls for the whole list.
+        /// The rate of requests for the whole list.
         lists_per_s: f64 = 0.0,
     }
 }
@@ -115,35 +118,36 @@
     Executors {
         /// The kind that discovery lists them as.
         kind: String = "plain".into(),
-        /// How many there are.
+        /// Their number.
         count: u32 = 8,
-        /// Cores that running jobs share.
+        /// The number of cores, which the running jobs share.
         cores: f64 = 4.0,
-        /// Seconds of work that one core does in a second.
+        /// The seconds of work that one core does per second.
         speed: f64 = 1.0,
-        /// Each one's speed is drawn within this part of it.
+        /// The speed of each executor is drawn within this fraction of `speed`.
         speed_spread: f64 = 0.1,
-        /// The most that may run at once, in slots.
+        /// The number of slots, which limits the jobs that run at once.
         slots: u32 = 4,
-        /// Jobs that may wait there.
+        /// The maximum number of waiting jobs.
         queue: u32 = 16,
-        /// How many of them share the memory of stamps.
+        /// The number of executors in a group, which share their memory of idempotency keys.
         group: u32 = 2,
-        /// Capacity right after a start, as a part.
-        cold_from: f64 = 0.3,
-        /// The time until it is whole.
+        /// The fraction of the capacity that is available right after a start.
+        #[serde(rename = "cold_from")]
+        cold_capacity_share: f64 = 0.3,
+        /// The time from a start until the full capacity is available.
         cold_s: f64 = 9.0,
-        /// The most connections to one of them; it refuses those beyond.
+        /// The maximum number of connections to one executor, which refuses further ones.
         connections: u32 = 512,
-        /// Work that a new connection costs.
+        /// The work that a new connection costs an executor.
         handshake_ms: f64 = 0.5,
-        /// A connection that is unused for longer is closed.
+        /// The idle time after which an executor closes a connection.
         idle_s: f64 = 15.0,
-        /// Work that a probe costs.
+        /// The work that a probe costs an executor.
         probe_ms: f64 = 0.05,
-        /// Of jobs, those that fail without any trouble.
+        /// The fraction of jobs that fail without any injected fault.
         error_rate: f64 = 0.0,
-        /// Whether running work stops when its connection is closed.
+        /// Whether a running job stops when its connection is closed.
         cancels: bool = true,
     }
 }
@@ -151,14 +155,14 @@
 table! {
     /// The load reports that executors send with their answers.
     Reports {
-        /// Whether executors report at all.
+        /// Whether executors send load reports.
         #[serde(rename = "told")]
         enabled: bool = true,
-        /// How long a report stands before it is renewed; 0: it is made with each answer.
+        /// The interval at which a report is renewed; 0: every answer has a fresh report.
         period_ms: f64 = 0.0,
-        /// How late a report is.
+        /// The delay after which a report becomes visible.
         delay_ms: f64 = 0.0,
-        /// Each figure is off by this part at most.
+        /// The maximum relative error of each figure.
         noise: f64 = 0.0,
     }
 }
@@ -167,57 +171,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RepeatPolicy {
-    /// As often as one likes.
+    /// Any number of times.
     #[serde(rename = "harmless")]
     Idempotent,
-    /// Within the group of executors that knows its idempotency key, for as long as it does.
+    /// Only by the group of executors that remembers its idempotency key, and within the deduplication
+    /// window.
     Stamped,
-    /// Never.
+    /// Not more than once.
     OneShot,
 }
 
 table! {
     /// A kind of job.
     Product {
-        /// What it is called.
+        /// Its name.
         name: String = "job".into(),
-        /// Its weight among all products.
+        /// Its weight among all products, by which submissions are drawn.
         share: f64 = 1.0,
         /// The mean work of a job, in milliseconds at speed 1.
         work_ms: f64 = 400.0,
-        /// Coefficient of variation of the work, which is log-normal; 0: always the same.
+        /// The coefficient of variation of the work, which is log-normally distributed; 0: constant work.
         cv: f64 = 0.5,
-        /// Slots that a job takes.
+        /// The number of slots that a job takes.
         slots: f64 = 1.0,
-        /// A result pays in full up to this time, and what `latency_target_factor` adds.
+        /// The fixed part of the latency target: a result pays in full up to this time plus what
+        /// `latency_target_factor` adds.
         #[serde(rename = "agreed_ms")]
         latency_target_ms: f64 = 400.0,
-        /// By how many times its own running time the agreed time grows.
+        /// The latency target grows by this multiple of the job's own running time.
         #[serde(rename = "stretch")]
         latency_target_factor: f64 = 1.25,
-        /// The client's deadline for an answer.
+        /// The deadline for an answer, after which the client gives up.
         #[serde(rename = "cut_off_ms")]
         deadline_ms: f64 = 5000.0,
-        /// What a result in time is worth.
+        /// The payoff of a result within the latency target.
         payoff: f64 = 1.0,
-        /// The part of it that a late result is worth.
+        /// The fraction of the payoff that a late result earns.
         late_payoff: f64 = 0.3,
         /// Whether a job may be executed more than once.
         repeats: RepeatPolicy = RepeatPolicy::Idempotent,
-        /// For how long a group drops repeats of a stamped one.
+        /// How long a group of executors drops repeats of a stamped job.
         #[serde(rename = "memory_s")]
         dedup_window_s: f64 = 7.5,
     }
 }
 
 table! {
-    /// Somebody who submits jobs.
+    /// A tenant that submits jobs.
     Tenant {
-        /// What it is called.
+        /// Its name.
         name: String = "tenant".into(),
-        /// Its weight among all tenants, by which it has a quota.
+        /// Its weight among all tenants, which determines its quota.
         share: f64 = 1.0,
-        /// How many times its share it sends.
+        /// The load that it offers, as a multiple of its quota.
         usage: f64 = 1.0,
     }
 }
@@ -225,21 +231,22 @@
 table! {
     /// How much clients submit, and when.
     Load {
-        /// The usual load, as a part of the warm capacity of all executors.
+        /// The base load, as a fraction of the warm capacity of all executors.
         of_capacity: f64 = 0.6,
-        /// Where over 0, these many a second instead.
+        /// If above 0: the base load in submissions per second, instead of `of_capacity`.
         per_s: f64 = 0.0,
-        /// Where over 0, these many clients, each of which asks again once it is answered.
+        /// If above 0: the number of closed-loop clients, each of which submits again once it is answered.
+        /// They replace the open-loop load.
         closed: u32 = 0,
-        /// How long a closed-loop client waits before it asks again.
+        /// The time that a closed-loop client waits before it submits again.
         think_ms: f64 = 0.0,
         /// How the load changes over a period.
         shape: Shape = Shape::Steady,
-        /// By how much it swings about the usual, as a part.
+        /// The amplitude of the changes, as a fraction of the base load.
         swing: f64 = 0.3,
         /// The length of a period.
         period_s: f64 = 10.0,
-        /// Lasting changes.
+        /// Lasting changes of the load.
         steps: Vec<Step> = Vec::new(),
     }
 }
@@ -248,11 +255,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// Not at all.
+    /// The load is constant.
     Steady,
-    /// Between 1 + swing and 1 - swing, by turns.
+    /// The load alternates between 1 + swing and 1 - swing.
     Bursty,
-    /// As a sine.
+    /// The load follows a sine.
     Wave,
 }
 
@@ -261,205 +268,211 @@
     Step {
         /// When it begins.
         at_s: f64 = 0.0,
-        /// From then on the load is so many times the usual.
-        times: f64 = 1.0,
+        /// The load from then on, as a multiple of the base load.
+        #[serde(rename = "times")]
+        factor: f64 = 1.0,
     }
 }
 
 table! {
     /// How clients wait, retry and leave.
     Clients {
-        /// How often a client retries.
+        /// The maximum number of retries of a client.
         retries: u32 = 1,
         /// How long it waits before a retry.
         backoff: Backoff = Backoff::Fixed,
-        /// The mean of the first wait.
+        /// The mean wait before the first retry.
         wait_ms: f64 = 100.0,
-        /// The part of them that heed a come-back time.
+        /// The fraction of clients that honour a retry-after time.
         #[serde(rename = "heed")]
         heed_retry_after: f64 = 1.0,
-        /// The part that leave before the cut-off, at a time drawn evenly.
+        /// The fraction of clients that leave before the deadline, at a uniformly drawn time.
         leave: f64 = 0.0,
-        /// How long they go on coming to a node that has died.
+        /// How long clients still go to a node whose process has ended.
         notice_s: f64 = 1.0,
-        /// They ask the node again that they asked, which alone knows what it sent.
+        /// Whether clients retry at the node that they asked before, which alone knows what it has sent.
         same_node: bool = false,
     }
 }
 
-/// How long a client waits before a retry. Each wait is off by up to a half, at random.
+/// How long a client waits before a retry. Each wait varies randomly by up to a half.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Backoff {
-    /// Not at all.
+    /// It does not wait.
     None,
-    /// The same time before each.
+    /// The same mean wait before each retry.
     Fixed,
-    /// Twice as long before each.
+    /// The mean wait doubles with each retry.
     Exponential,
 }
 
 table! {
-    /// How long messages take in one direction, in milliseconds.
+    /// The one-way delays of messages, in milliseconds.
     Network {
-        /// Between a node and an executor of one zone.
+        /// Between a node and an executor in the same zone.
         same_ms: f64 = 0.2,
-        /// Between a node and an executor of different zones.
+        /// Between a node and an executor in different zones.
         cross_ms: f64 = 0.6,
         /// Between a client and a node.
         client_ms: f64 = 0.3,
-        /// Each message takes longer by up to this part.
+        /// The maximum random increase of each delay, as a fraction.
         jitter: f64 = 0.2,
     }
 }
 
 table! {
-    /// How discovery learns of changes and answers.
+    /// How discovery detects changes and answers requests.
     Discovery {
-        /// Whether it must be asked for changes, or the node is expected to hold a watch.
+        /// Whether nodes must poll for changes; otherwise they hold a watch.
         #[serde(rename = "asked")]
         polled: bool = false,
-        /// How late it notices a change that a process tells of, on average.
+        /// The mean delay before it notices a change that a process announces.
         late_s: f64 = 0.5,
-        /// The same for a change that nobody tells of.
+        /// The mean delay before it notices a change that nobody announces.
         silent_late_s: f64 = 4.0,
-        /// Lines that it writes in a second; calls wait in turn and fail after two seconds.
+        /// The lines that it writes per second. Requests are answered one after the other and fail if they
+        /// would have to wait longer than two seconds.
         lines_per_s: f64 = 20_000.0,
     }
 }
 
 table! {
-    /// What nodes may do, and at which price: the settings of the fleet.
+    /// What nodes may do, and at which cost: part of the settings of the fleet.
     Limits {
         /// Whether nodes may probe executors.
         may_probe: bool = true,
         /// Whether nodes may cancel executions.
         may_cancel: bool = true,
-        /// Whether nodes may have several copies of a job executed.
+        /// Whether nodes may have several copies of a job executed at once.
         may_duplicate: bool = true,
-        /// The most executions of one submission.
+        /// The maximum number of executions of one submission.
         max_executions: u16 = 3,
-        /// The longest come-back time that may be named; 0: none is named.
+        /// The maximum retry-after time that nodes give to clients; 0: they give none.
         #[serde(rename = "come_back_ms")]
         max_retry_after_ms: f64 = 2000.0,
-        /// How long a node waits for a connection.
+        /// The time limit for opening a connection to an executor.
         connect_ms: f64 = 250.0,
-        /// Nodes answer this long before the deadline.
+        /// How long before the deadline nodes answer.
         #[serde(rename = "answer_slack_ms")]
         deadline_margin_ms: f64 = 16.0,
-        /// The part of its worth that traffic beyond a quota has.
+        /// The fraction of the payoff that submissions beyond a quota earn.
         excess_payoff: f64 = 1.0,
-        /// What an execution in another zone costs.
+        /// The cost of an execution in another zone.
         #[serde(rename = "crossing_price")]
         zone_crossing_cost: f64 = 0.02,
-        /// What a probe costs.
+        /// The cost of a probe.
         #[serde(rename = "probe_price")]
         probe_cost: f64 = 0.002,
     }
 }
 
 table! {
-    /// The bounds by which the judge goes.
+    /// The limits that the judge applies.
     Rules {
-        /// For how long jobs may still be sent to an executor that drains.
+        /// How long jobs may still be sent to a draining executor.
         drain_grace_ms: f64 = 500.0,
-        /// A cold executor bears this multiple of its capacity.
+        /// The load that a cold executor tolerates, as a multiple of its current capacity.
         #[serde(rename = "fall_multiple")]
         overload_factor: f64 = 2.5,
-        /// The window over which that counts.
+        /// The sliding window over which that load is summed.
         #[serde(rename = "fall_window_ms")]
         overload_window_ms: f64 = 1000.0,
-        /// Added to every time limit.
-        slack_ms: f64 = 50.0,
+        /// The tolerance that is added to every time limit.
+        #[serde(rename = "slack_ms")]
+        tolerance_ms: f64 = 50.0,
     }
 }
 
-/// What a trouble does to executors, nodes, connections or discovery.
+/// The kinds of faults of executors, nodes, connections and discovery. `size` is [`FaultSpec::size`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Processes die, their connections are reset, and come back cold when it is over.
+    /// Processes of executors crash and their connections are reset. They start again, cold, when the fault
+    /// is over.
     Crash,
-    /// Machines vanish in silence, and come back cold.
+    /// Machines of executors vanish from the network without a reset, and start again, cold, when it is over.
     Vanish,
-    /// Work is taken and nothing is answered.
+    /// Executors accept jobs and answer nothing.
     Hang,
-    /// Stands still for `size` seconds, every second and a half on average.
+    /// Executors pause for `size` seconds, every 1.5 seconds on average.
     Pauses,
-    /// Runs at `size` of its speed.
+    /// Executors run at the fraction `size` of their speed.
     Slow,
-    /// Another program takes `size` of the cores, on and off every two seconds.
+    /// Another program takes the fraction `size` of the cores, and starts and stops every two seconds on
+    /// average.
     Neighbour,
-    /// Of what comes, `size` fails at once.
+    /// The fraction `size` of the jobs fails at once.
     FastErrors,
-    /// One product (the first) fails at once.
+    /// Jobs of the first product fail at once.
     ProductFails,
-    /// Of the jobs, `size` are lost without a word.
+    /// The fraction `size` of the jobs is lost without an answer.
     Lose,
-    /// Of what comes, `size` is turned away unseen.
+    /// The fraction `size` of the jobs is turned away without being looked at.
     Refuse,
-    /// Of the answers, `size` make no sense.
+    /// The fraction `size` of the answers is malformed.
     Garbage,
-    /// Reports show all slots free.
+    /// Load reports show all slots as free.
     Lie,
-    /// Reports come `size` seconds late.
+    /// Load reports are `size` seconds late.
     ReportsLate,
-    /// Of the sends, `size` see their connection reset: before, under or after the last byte.
+    /// The fraction `size` of the sends has its connection reset before, during or after the last byte.
     Resets,
-    /// No message passes between nodes and these executors; `size` 1: only answers are lost, 2: only sends.
+    /// No message passes between nodes and these executors. With `size` 1 only answers are lost, with 2 only
+    /// sends.
     Cut,
-    /// Drain, and leave when it is over.
+    /// Executors drain, and leave when the fault is over.
     Drain,
-    /// New ones come, cold: `part` of the fleet.
+    /// New, cold executors join: the fraction `part` of the fleet.
     Grow,
-    /// One after the other drains, leaves and is replaced by a new machine.
+    /// Rolling replacement: one executor after the other drains, leaves and is replaced by a new one.
     Roll,
-    /// Discovery answers no call, and all watches break.
+    /// Discovery answers no request, and all watches break.
     DiscoveryDown,
-    /// Changes are told twice, or not at all until the next whole list.
+    /// Discovery sends changes more than once, or not at all until the next whole list.
     DiscoveryFlaps,
     /// Nodes are killed.
     NodeKill,
-    /// Nodes are stopped by SIGTERM, one after the other.
+    /// Rolling restart: nodes are stopped by SIGTERM, one after the other.
     NodeRoll,
-    /// Nodes stand still while it lasts.
+    /// Nodes are paused while it lasts.
     NodePause,
-    /// Of the nodes' time, `size` goes to others.
+    /// Other programs take the fraction `size` of the nodes' processor time.
     NodeSlow,
-    /// Silent clients connect to the nodes, `size` a second.
+    /// Clients that send nothing connect to the nodes, `size` per second and node.
     Flood,
-    /// Nodes go on under other terms (no copies, no probes, connections priced), all at once, and back when it
-    /// is over.
+    /// All nodes get changed settings at once (no copies, no probes, a cost of connections), and the original
+    /// ones when it is over.
     Switch,
 }
 
 table! {
     /// A fault that begins and ends.
     FaultSpec {
-        /// What happens.
+        /// The kind of the fault.
         kind: Fault = Fault::Crash,
         /// When it begins.
         at_s: f64 = 5.0,
         /// How long it lasts.
         for_s: f64 = 10.0,
-        /// The part of the executors or nodes that it takes, one at least.
+        /// The fraction of the executors or nodes that it affects, at least one.
         part: f64 = 0.2,
-        /// How strong it is, as the kind says.
+        /// The strength, whose meaning depends on the kind.
         size: f64 = 0.5,
-        /// Where named, only executors of this zone.
+        /// If given, only executors of this zone are affected.
         zone: Option<u16> = None,
     }
 }
 
 impl Scenario {
-    /// Work that all warm executors do in a second, in seconds.
+    /// Returns the seconds of work that all executors together do per second when warm.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let of = |e: &Executors| f64::from(e.count) * e.speed * e.cores.min(f64::from(e.slots));
         self.executors.iter().map(of).sum()
     }
 
-    /// Submissions a second, before any step, swing or use beyond a share.
+    /// Returns the submissions per second at the base load, without steps, swings and usage beyond quotas.
     #[must_use]
     pub fn rate(&self) -> f64 {
         if self.load.per_s > 0.0 {
--- a/crates/world/src/scenario/settings.rs
+++ b/crates/world/src/scenario/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a scenario's nodes are started with.
+//! The settings with which the nodes of a scenario are started.
 
 use linestack_dispatch::types::{
     DedupScope, DispatchConfig, Product as DispatchProduct, RepeatPolicy as DispatchRepeatPolicy,
@@ -7,11 +7,11 @@
 
 use super::{Product, RepeatPolicy, Scenario, millis, seconds};
 
-/// Where discovery must be asked for changes, it is asked within so many seconds.
+/// If nodes must poll discovery for changes, they do so at least every this many seconds.
 const LIST_REFRESH_LIMIT_S: f64 = 10.0;
 
 impl Scenario {
-    /// The settings of a node in a zone. `seed` is that of its decisions.
+    /// Returns the settings of a node in a zone. `seed` is the seed of its dispatch decisions.
     #[must_use]
     pub fn settings(&self, zone: u16, seed: u64) -> Settings {
         let deadlines = self.products.iter().map(|p| p.deadline_ms);
@@ -31,7 +31,7 @@
 
     fn dispatch_config(&self, zone: u16, seed: u64) -> DispatchConfig {
         let (limits, rules, executors) = (&self.limits, &self.rules, &self.executors);
-        let cold_from = executors.iter().map(|e| e.cold_from).fold(1.0, f64::min);
+        let cold_capacity_share = executors.iter().map(|e| e.cold_capacity_share).fold(1.0, f64::min);
         let cold_s = executors.iter().map(|e| e.cold_s).fold(0.0, f64::max);
         let idle_s = executors.iter().map(|e| e.idle_s).fold(f64::INFINITY, f64::min);
         let unless_zero = |ms: f64| (ms > 0.0).then(|| millis(ms));
@@ -53,7 +53,7 @@
             connect_timeout: millis(limits.connect_ms),
             idle_timeout: seconds(idle_s),
             deadline_margin: millis(limits.deadline_margin_ms),
-            cold_capacity_share: cold_from,
+            cold_capacity_share,
             slow_start_duration: seconds(cold_s),
             overload_factor: rules.overload_factor,
             overload_window: millis(rules.overload_window_ms),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// By tenant: the submissions a second that its share entitles it to.
+    /// Returns the quota of each tenant, in submissions per second.
     fn quotas(&self) -> Vec<f64> {
         let shares: f64 = self.tenants.iter().map(|t| t.share).sum();
         self.tenants.iter().map(|t| self.rate() * t.share / shares.max(1e-9)).collect()
--- a/crates/world/src/tampered.rs
+++ b/crates/world/src/tampered.rs
@@ -1,5 +1,5 @@
-//! Nodes that break a rule on purpose, to show that the judge finds it. Each is a whole node of which some
-//! effects are tampered with.
+//! Nodes that break a rule on purpose, to show that the judge detects it. Each is a whole node whose inputs
+//! and effects are partly altered.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::SimulatedNode;
 
-/// How a node breaks a rule.
+/// The way in which a node breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tampering {
     /// Breaks [`Rule::AnsweredTwice`](crate::Rule::AnsweredTwice).
@@ -36,88 +36,86 @@
     SendsAfterAnswer,
 }
 
-/// Links that the tampering opens are numbered from here on, out of the way of the node's own.
-const FIRST_OWN_LINK: ConnectionId = 1 << 40;
+/// The first number of connections that the wrapper opens itself; the wrapped node never reaches such
+/// numbers.
+const FIRST_EXTRA_CONNECTION: ConnectionId = 1 << 40;
 
-/// How long the tampering waits for a connection, and for an answer, in nanoseconds.
-const CONNECT_LIMIT: Nanos = 250_000_000;
-const ANSWER_LIMIT: Nanos = 5_000_000_000;
+/// How long the wrapper waits for a connection, in nanoseconds.
+const CONNECT_TIMEOUT: Nanos = 250_000_000;
+/// How long the wrapper waits for an answer, in nanoseconds.
+const ANSWER_TIMEOUT: Nanos = 5_000_000_000;
 
-/// A node of which some effects are tampered with.
+/// A wrapper that alters some effects of a node.
 pub struct TamperedNode {
     node: Box<dyn SimulatedNode>,
-    way: Tampering,
-    /// What the node has on its links.
+    tampering: Tampering,
+    /// The requests that the node has in flight, by connection.
     in_flight: HashMap<ConnectionId, Arc<ForwardedRequest>>,
-    /// Clients whose submissions may have run, on links that broke.
+    /// Clients whose submissions may have run, on connections that broke.
     may_have_run: HashSet<ClientId>,
     ready: Vec<SocketAddr>,
     drained: Vec<SocketAddr>,
-    /// The executor that started last.
+    /// The executor that started most recently.
     cold: Option<SocketAddr>,
-    /// What is to be sent on links that the tampering has opened.
-    own: HashMap<ConnectionId, Arc<ForwardedRequest>>,
-    next_link: ConnectionId,
+    /// The requests to send over the connections that the wrapper has opened.
+    extra_requests: HashMap<ConnectionId, Arc<ForwardedRequest>>,
+    next_connection: ConnectionId,
 }
 
 impl TamperedNode {
-    /// Tampers with a sound node.
+    /// Wraps a correct node.
     #[must_use]
-    pub fn new(node: Box<dyn SimulatedNode>, way: Tampering) -> Self {
+    pub fn new(node: Box<dyn SimulatedNode>, tampering: Tampering) -> Self {
         Self {
             node,
-            way,
+            tampering,
             in_flight: HashMap::new(),
             may_have_run: HashSet::new(),
             ready: Vec::new(),
             drained: Vec::new(),
             cold: None,
-            own: HashMap::new(),
-            next_link: FIRST_OWN_LINK,
+            extra_requests: HashMap::new(),
+            next_connection: FIRST_EXTRA_CONNECTION,
         }
     }
 
-    /// Opens a connection of its own and sends this over it once it is up.
-    fn send_beside(
-        &mut self,
-        address: SocketAddr,
-        shipment: Arc<ForwardedRequest>,
-        effects: &mut Vec<Effect>,
-    ) {
-        let link = self.next_link;
-        self.next_link += 1;
-        self.own.insert(link, shipment);
-        effects.push(Effect::OpenConnection { connection: link, address, timeout: CONNECT_LIMIT });
+    /// Opens an extra connection, over which a request is sent once it is established.
+    fn send_extra(&mut self, address: SocketAddr, request: Arc<ForwardedRequest>, effects: &mut Vec<Effect>) {
+        let connection = self.next_connection;
+        self.next_connection += 1;
+        self.extra_requests.insert(connection, request);
+        effects.push(Effect::OpenConnection { connection, address, timeout: CONNECT_TIMEOUT });
     }
 
-    /// Whether an input is for a link that the tampering has opened. The node does not see it.
-    fn takes_for_itself(&mut self, input: &Input, effects: &mut Vec<Effect>) -> bool {
-        let (Input::ExecutorConnected { connection: link }
-        | Input::Ended { connection: link, .. }
-        | Input::ExecutorDisconnected { connection: link, .. }
-        | Input::Progressed { connection: link }
-        | Input::ConnectionReusable { connection: link, .. }) = input
+    /// Handles an input for a connection that the wrapper has opened. Returns whether it was one; the node
+    /// does not get it then.
+    fn handle_extra(&mut self, input: &Input, effects: &mut Vec<Effect>) -> bool {
+        let (Input::ExecutorConnected { connection }
+        | Input::Ended { connection, .. }
+        | Input::ExecutorDisconnected { connection, .. }
+        | Input::Progressed { connection }
+        | Input::ConnectionReusable { connection, .. }) = input
         else {
             return false;
         };
-        if *link < FIRST_OWN_LINK {
+        if *connection < FIRST_EXTRA_CONNECTION {
             return false;
         }
-        if let Input::ExecutorConnected { connection: link } = input
-            && let Some(shipment) = self.own.remove(link)
+        if let Input::ExecutorConnected { connection } = input
+            && let Some(request) = self.extra_requests.remove(connection)
         {
             effects.push(Effect::Send {
-                connection: *link,
-                request: shipment,
-                timeout: ANSWER_LIMIT,
+                connection: *connection,
+                request,
+                timeout: ANSWER_TIMEOUT,
                 version: 0,
             });
         }
         true
     }
 
-    /// Keeps account of which executors are ready, drained and cold.
-    fn note_listed(&mut self, endpoints: &[Endpoint]) {
+    /// Records which executors are ready, drained and cold.
+    fn record_list(&mut self, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             let address = endpoint.address;
             self.drained.retain(|a| *a != address);
@@ -133,41 +131,39 @@
         }
     }
 
-    /// What was on a link that broke after its last byte, which may have run.
-    fn note_broken(&mut self, input: &Input) -> Option<Arc<ForwardedRequest>> {
-        let Input::ExecutorDisconnected {
-            connection: link,
-            disconnect: Disconnect { request_written: true, .. },
-        } = input
+    /// Returns the request of a connection that broke after the last byte was written. It may have run.
+    fn record_disconnect(&mut self, input: &Input) -> Option<Arc<ForwardedRequest>> {
+        let Input::ExecutorDisconnected { connection, disconnect: Disconnect { request_written: true, .. } } =
+            input
         else {
             return None;
         };
-        let shipment = self.in_flight.remove(link)?;
-        self.may_have_run.insert(client_of(&shipment));
-        Some(shipment)
+        let request = self.in_flight.remove(connection)?;
+        self.may_have_run.insert(client_of(&request));
+        Some(request)
     }
 
-    /// Passes on what the node sends, and sends it elsewhere too.
+    /// Records what the node sends, and for some tamperings sends it to another executor as well.
     fn tamper_with_send(
         &mut self,
-        link: ConnectionId,
-        shipment: &Arc<ForwardedRequest>,
+        connection: ConnectionId,
+        request: &Arc<ForwardedRequest>,
         effects: &mut Vec<Effect>,
     ) {
-        self.in_flight.insert(link, Arc::clone(shipment));
-        let elsewhere = match self.way {
+        self.in_flight.insert(connection, Arc::clone(request));
+        let extra_target = match self.tampering {
             Tampering::SendsToDrained => self.drained.first().copied(),
             Tampering::FloodsCold => self.cold,
             _ => None,
         };
-        if let Some(address) = elsewhere {
-            self.send_beside(address, Arc::clone(shipment), effects);
+        if let Some(address) = extra_target {
+            self.send_extra(address, Arc::clone(request), effects);
         }
     }
 
-    /// The answers that the client gets for one of the node's.
+    /// Returns the answers that the client gets in place of the node's answer.
     fn tamper_with_answer(&self, client: ClientId, answer: Answer) -> Vec<Answer> {
-        match (self.way, answer) {
+        match (self.tampering, answer) {
             (Tampering::AnswersNothing, _) => Vec::new(),
             (Tampering::AnswersTwice, answer) => vec![answer.clone(), answer],
             (Tampering::MakesUp, _) => vec![Answer::Completed("".into())],
@@ -178,26 +174,26 @@
         }
     }
 
-    /// Sends something for a client that has its answer.
+    /// Sends another execution for a client that already has its answer.
     fn send_after_answer(&mut self, client: ClientId, effects: &mut Vec<Effect>) {
         let id = format!("{client}").into();
-        let shipment = Arc::new(ForwardedRequest { id, ..ForwardedRequest::default() });
+        let request = Arc::new(ForwardedRequest { id, ..ForwardedRequest::default() });
         if let Some(address) = self.ready.first().copied() {
-            self.send_beside(address, shipment, effects);
+            self.send_extra(address, request, effects);
         }
     }
 
     fn tamper(&mut self, effect: Effect, effects: &mut Vec<Effect>) {
         match effect {
-            Effect::Send { connection: link, request: shipment, timeout: wait, version } => {
-                self.tamper_with_send(link, &shipment, effects);
-                effects.push(Effect::Send { connection: link, request: shipment, timeout: wait, version });
+            Effect::Send { connection, request, timeout, version } => {
+                self.tamper_with_send(connection, &request, effects);
+                effects.push(Effect::Send { connection, request, timeout, version });
             }
             Effect::Answer { client, answer, last, version } => {
                 for answer in self.tamper_with_answer(client, answer) {
                     effects.push(Effect::Answer { client, answer, last, version });
                 }
-                if self.way == Tampering::SendsAfterAnswer {
+                if self.tampering == Tampering::SendsAfterAnswer {
                     self.send_after_answer(client, effects);
                 }
             }
@@ -206,31 +202,33 @@
     }
 }
 
-/// The client of a shipment, which its identifier names.
-fn client_of(shipment: &ForwardedRequest) -> ClientId {
-    std::str::from_utf8(&shipment.id).ok().and_then(|id| id.parse().ok()).unwrap_or(0)
+/// Returns the client of a request, whose number is the identifier of the request.
+fn client_of(request: &ForwardedRequest) -> ClientId {
+    std::str::from_utf8(&request.id).ok().and_then(|id| id.parse().ok()).unwrap_or(0)
 }
 
 impl SimulatedNode for TamperedNode {
     fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
-        if self.takes_for_itself(&input, effects) {
+        if self.handle_extra(&input, effects) {
             return;
         }
-        if let Input::ExecutorConnected { connection: link } = &input {
-            self.in_flight.remove(link);
+        if let Input::ExecutorConnected { connection } = &input {
+            self.in_flight.remove(connection);
         }
         if let Input::ListReceived { endpoints, .. } = &input {
-            self.note_listed(endpoints);
+            self.record_list(endpoints);
         }
-        let broken = self.note_broken(&input);
-        let mut asked = Vec::new();
-        self.node.handle(now, input, &mut asked);
-        if let (Tampering::ResendsOneShots | Tampering::ForgetsGroups, Some(shipment)) = (self.way, broken) {
+        let may_have_run = self.record_disconnect(&input);
+        let mut node_effects = Vec::new();
+        self.node.handle(now, input, &mut node_effects);
+        if let (Tampering::ResendsOneShots | Tampering::ForgetsGroups, Some(request)) =
+            (self.tampering, may_have_run)
+        {
             for address in self.ready.clone() {
-                self.send_beside(address, Arc::clone(&shipment), effects);
+                self.send_extra(address, Arc::clone(&request), effects);
             }
         }
-        for effect in asked {
+        for effect in node_effects {
             self.tamper(effect, effects);
         }
     }
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -213,7 +213,7 @@
     fn judge_unanswered(&mut self, attempt: usize, assignment: Assignment, reason: GiveUp) {
         let Assignment { node, incarnation, .. } = assignment;
         // What was read late, by the client's clock, or is left early is nobody's fault.
-        let latest = self.attempts[attempt].sent_at + millis(self.scenario.rules.slack_ms);
+        let latest = self.attempts[attempt].sent_at + millis(self.scenario.rules.tolerance_ms);
         let read_in_time = self.attempts[attempt].read_at.is_some_and(|read_at| read_at <= latest);
         // A paused node can do nothing; what it has not come to is still to be judged by other rules.
         let paused = self.nodes[node].busy_until > self.now;
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -184,17 +184,21 @@
             ExecutionOutcome::Overloaded => self.judge.never_ran(attempt, connection),
             _ => {}
         }
-        let ConnectionId { node, incarnation, link } = connection;
+        let ConnectionId { node, incarnation, number } = connection;
         let result = Bytes::from_static(b"done");
-        self.give_input(node, incarnation, Input::Ended { connection: link, outcome, result, report });
-        self.give_input(node, incarnation, Input::ConnectionReusable { connection: link, identified: true });
+        self.give_input(node, incarnation, Input::Ended { connection: number, outcome, result, report });
+        self.give_input(
+            node,
+            incarnation,
+            Input::ConnectionReusable { connection: number, identified: true },
+        );
     }
 
     /// A notice of a job's start or progress reaches the node, if it still waits for that job.
     pub(super) fn progress_at_node(&mut self, connection: ConnectionId, attempt: usize) {
         let job = Some(InFlight::Job { attempt });
         if self.connections.get(&connection).is_some_and(|state| state.in_flight == job) {
-            let input = Input::Progressed { connection: connection.link };
+            let input = Input::Progressed { connection: connection.number };
             self.give_input(connection.node, connection.incarnation, input);
         }
     }
@@ -225,8 +229,12 @@
         if !self.reply_is_awaited(connection) {
             return;
         }
-        let ConnectionId { node, incarnation, link } = connection;
-        self.give_input(node, incarnation, Input::Probed { connection: link, answered, report });
-        self.give_input(node, incarnation, Input::ConnectionReusable { connection: link, identified: true });
+        let ConnectionId { node, incarnation, number } = connection;
+        self.give_input(node, incarnation, Input::Probed { connection: number, answered, report });
+        self.give_input(
+            node,
+            incarnation,
+            Input::ConnectionReusable { connection: number, identified: true },
+        );
     }
 }
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -22,7 +22,7 @@
 impl World<'_> {
     /// Carries out one effect of a node's process.
     pub(super) fn carry_out(&mut self, node: usize, incarnation: u32, effect: Effect) {
-        let id = |link: CoreConnectionId| ConnectionId { node, incarnation, link };
+        let id = |number: CoreConnectionId| ConnectionId { node, incarnation, number };
         match effect {
             Effect::Answer { client, answer, .. } => self.answer(node, incarnation, client, &answer),
             Effect::CloseClient { client } | Effect::DropClient { client } => self.close_client(node, client),
@@ -82,7 +82,7 @@
         let request = &self.requests[self.attempts[attempt].request];
         let slots = self.scenario.products[request.product].slots;
         let available = |e: &Executor| !e.is_stalled() && !e.draining && !e.is_cold(self.now);
-        self.executors.iter().any(|e| available(e) && e.free() >= slots)
+        self.executors.iter().any(|e| available(e) && e.free_slots() >= slots)
     }
 
     /// A node closes a client's connection; without an answer the client hears nothing more.
--- a/crates/world/src/world/execution.rs
+++ b/crates/world/src/world/execution.rs
@@ -17,7 +17,13 @@
         let slots = self.scenario.products[request.product].slots;
         let executor = &mut self.executors[index];
         executor.advance(self.now);
-        executor.waiting.push_back(Job { connection, attempt, left: request.work, slots, started: 0 });
+        executor.waiting.push_back(Job {
+            connection,
+            attempt,
+            remaining_work: request.work,
+            slots,
+            started: 0,
+        });
         self.run_executor(index);
     }
 
@@ -27,7 +33,7 @@
         let now = self.now;
         let executor = &mut self.executors[index];
         executor.advance(now);
-        let done = if executor.is_stalled() { Vec::new() } else { executor.done() };
+        let done = if executor.is_stalled() { Vec::new() } else { executor.take_done() };
         for job in executor.start(now) {
             self.job_begins(index, &job);
         }
@@ -47,7 +53,7 @@
         let executor = &mut self.executors[index];
         executor.wake += 1;
         let wake = executor.wake;
-        if let Some(at) = executor.next(self.now) {
+        if let Some(at) = executor.next_completion(self.now) {
             self.schedule_at(at, Event::ExecutorWakes { executor: index, wake });
         }
     }
--- a/crates/world/src/world/fleet.rs
+++ b/crates/world/src/world/fleet.rs
@@ -120,7 +120,7 @@
     pub(super) fn update_truth(&mut self, index: usize) {
         let executor = &self.executors[index];
         let available = !executor.is_stalled() && !executor.draining;
-        let state = (available, executor.free(), executor.capacity(self.now));
+        let state = (available, executor.free_slots(), executor.capacity(self.now));
         let mut truth = lock(&self.truth);
         if truth.executors.len() <= index {
             truth.executors.resize(index + 1, (false, 0.0, 0.0));
--- a/crates/world/src/world/load.rs
+++ b/crates/world/src/world/load.rs
@@ -37,7 +37,7 @@
     fn load_factor(&self) -> f64 {
         let now_s = self.now as f64 / 1e9;
         let load = &self.scenario.load;
-        let step = load.steps.iter().rev().find(|s| s.at_s <= now_s).map_or(1.0, |s| s.times);
+        let step = load.steps.iter().rev().find(|s| s.at_s <= now_s).map_or(1.0, |s| s.factor);
         let periods = now_s / load.period_s;
         let swing = match load.shape {
             Shape::Steady => 1.0,
@@ -51,7 +51,7 @@
     /// An upper bound of [`Self::load_factor`] over the whole span.
     fn peak_load_factor(&self) -> f64 {
         let load = &self.scenario.load;
-        load.steps.iter().map(|s| s.times).fold(1.0, f64::max) * (1.0 + load.swing)
+        load.steps.iter().map(|s| s.factor).fold(1.0, f64::max) * (1.0 + load.swing)
     }
 
     /// Submissions a second at the usual load, with what tenants send beyond their shares.
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -212,7 +212,7 @@
 fn judge_of(rules: &Rules) -> Judge {
     let cold_limit =
         ColdLoadLimit { overload_factor: rules.overload_factor, window: millis(rules.overload_window_ms) };
-    Judge::new(millis(rules.drain_grace_ms), millis(rules.slack_ms), cold_limit)
+    Judge::new(millis(rules.drain_grace_ms), millis(rules.tolerance_ms), cold_limit)
 }
 
 fn empty_outcome(scenario: &Scenario) -> Outcome {
--- a/crates/world/src/world/network.rs
+++ b/crates/world/src/world/network.rs
@@ -106,7 +106,7 @@
     /// The node hears that a connection is established, unless it has closed it meanwhile.
     pub(super) fn connected_at_node(&mut self, connection: ConnectionId) {
         if self.connections.get(&connection).is_some_and(|state| !state.closed) {
-            let input = Input::ExecutorConnected { connection: connection.link };
+            let input = Input::ExecutorConnected { connection: connection.number };
             self.give_input(connection.node, connection.incarnation, input);
         }
     }
@@ -134,7 +134,7 @@
         if let (Some(InFlight::Job { attempt }), false) = (state.in_flight, broken.request_written) {
             self.judge.never_ran(attempt, connection);
         }
-        let input = Input::ExecutorDisconnected { connection: connection.link, disconnect: broken };
+        let input = Input::ExecutorDisconnected { connection: connection.number, disconnect: broken };
         self.give_input(connection.node, connection.incarnation, input);
     }
 
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -302,8 +302,8 @@
     }
 
     fn close_connections_of(&mut self, node: usize, incarnation: u32) {
-        let first = ConnectionId { node, incarnation, link: 0 };
-        let last = ConnectionId { node, incarnation, link: CoreConnectionId::MAX };
+        let first = ConnectionId { node, incarnation, number: 0 };
+        let last = ConnectionId { node, incarnation, number: CoreConnectionId::MAX };
         let ids: Vec<ConnectionId> = self.connections.range(first..=last).map(|(id, _)| *id).collect();
         for connection in ids {
             if let Some(state) = self.connections.get_mut(&connection) {
--- a/crates/world/tests/judge.rs
+++ b/crates/world/tests/judge.rs
@@ -94,8 +94,8 @@
     assert!(part > 0.4, "{kind:?}: only {part:.2} satisfied of {}", outcome.submissions);
 }
 
-// All nodes at once, with executors that come cold or leave meanwhile: no rule broken in the seconds after it or
-// after the way back, and no more lost than without.
+// All nodes at once, with executors that come cold or leave meanwhile: no rule broken in the seconds after it
+// or after the way back, and no more lost than without.
 #[rstest]
 fn a_switch_of_terms_under_a_trouble_breaks_no_rule(
     #[values(Fault::Grow, Fault::Drain, Fault::Crash, Fault::Roll)] kind: Fault,
