--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -88,7 +88,7 @@
             usage: if r.random_bool(0.2) { 2.5 } else { 1.0 },
         })
         .collect();
-    let troubles: Vec<FaultSpec> = (0..r.random_range(1..=4))
+    let faults: Vec<FaultSpec> = (0..r.random_range(1..=4))
         .map(|_| FaultSpec {
             kind: *FAULTS.choose(r).unwrap_or(&Fault::Crash),
             at_s: tenth(r, 1.0, span_s - 4.0),
@@ -149,7 +149,7 @@
             excess_payoff: if r.random_bool(0.5) { 0.2 } else { 1.0 },
             ..Limits::default()
         },
-        troubles,
+        faults,
         ..Scenario::default()
     }
 }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -92,9 +92,9 @@
         }
     };
     let plain = Scenario::default();
-    for i in 0..s.troubles.len() {
+    for i in 0..s.faults.len() {
         add(&|t| {
-            t.troubles.remove(i);
+            t.faults.remove(i);
         });
     }
     add(&|t| t.span_s = (t.span_s / 2.0).ceil());
@@ -144,9 +144,9 @@
     add(&|t| t.nodes = linestack_world::Nodes { count: t.nodes.count, ..plain.nodes.clone() });
     add(&|t| t.reports_start = false);
     add(&|t| t.progress_s = plain.progress_s);
-    for i in 0..s.troubles.len() {
-        add(&|t| t.troubles[i].for_s = (t.troubles[i].for_s / 2.0).max(0.1));
-        add(&|t| t.troubles[i].at_s = t.troubles[i].at_s.floor());
+    for i in 0..s.faults.len() {
+        add(&|t| t.faults[i].for_s = (t.faults[i].for_s / 2.0).max(0.1));
+        add(&|t| t.faults[i].at_s = t.faults[i].at_s.floor());
     }
     all
 }
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -72,7 +72,7 @@
         nodes: linestack_world::Nodes { count: 2, ..Default::default() },
         executors: vec![Executors { count: 5, slots: 4, ..Executors::default() }],
         products: vec![product("look", RepeatPolicy::Idempotent), product("pay", RepeatPolicy::OneShot)],
-        troubles: vec![FaultSpec {
+        faults: vec![FaultSpec {
             kind: Fault::Hang,
             at_s: 3.0,
             for_s: 2.0,
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -70,13 +70,13 @@
     let scenario = Scenario {
         span_s: 12.0,
         executors: vec![Executors { count: 6, ..Executors::default() }],
-        troubles: troubles.into_iter().map(trouble).collect(),
+        faults: troubles.into_iter().map(trouble).collect(),
         ..Scenario::default()
     };
     let prey = Prey::Loss(Policy::Linestack, 0.0);
     assert!(prey.shown(&scenario), "nothing is lost against itself, and that is at least nothing");
     let small = shrink(&Found { scenario: scenario.clone(), prey }, 300);
-    assert!(small.troubles.is_empty() && small.span_s < scenario.span_s && small.nodes.count == 1);
+    assert!(small.faults.is_empty() && small.span_s < scenario.span_s && small.nodes.count == 1);
     let again = parse(&to_file(&small), Path::new("x.toml")).unwrap();
     assert_eq!(again, small);
     assert_eq!(play(&again, Policy::Linestack).outcome, play(&small, Policy::Linestack).outcome);
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand.rs
@@ -410,7 +410,7 @@
 
     /// Plays the scenario's troubles at their times, counted from now.
     pub fn play(self: &Arc<Self>) {
-        for t in self.scenario.troubles.clone() {
+        for t in self.scenario.faults.clone() {
             let fleet = Arc::clone(self);
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs_f64(t.at_s));
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -140,7 +140,7 @@
 
     /// Returns the recovery after each fault of the scenario.
     fn find_recoveries(&self, s: &Scenario) -> Vec<Recovery> {
-        let first_fault = s.troubles.iter().map(|t| t.at_s).fold(s.span_s, f64::min) as usize;
+        let first_fault = s.faults.iter().map(|t| t.at_s).fold(s.span_s, f64::min) as usize;
         let before: Vec<f64> = (0..first_fault).filter_map(|second| self.earned_share(second)).collect();
         let usual = before.iter().sum::<f64>() / before.len().max(1) as f64;
         let recovery = |fault: &FaultSpec| {
@@ -148,7 +148,7 @@
             let after_s = if before.is_empty() { None } else { self.recovered_after(ended_s, usual) };
             Recovery { fault: fault.kind, ended_s, after_s }
         };
-        s.troubles.iter().map(recovery).collect()
+        s.faults.iter().map(recovery).collect()
     }
 
     /// Returns the seconds from the end of a fault to the start of the first consecutive seconds that earn
--- a/crates/world/src/scenario/check.rs
+++ b/crates/world/src/scenario/check.rs
@@ -37,8 +37,8 @@
         self.check_tenants(&mut errors);
         self.check_load_and_clients(&mut errors);
         self.check_surroundings(&mut errors);
-        for (index, trouble) in self.troubles.iter().enumerate() {
-            self.check_trouble(index, trouble, &mut errors);
+        for (index, fault) in self.faults.iter().enumerate() {
+            self.check_fault(index, fault, &mut errors);
         }
         if errors.0.is_empty() { Ok(()) } else { Err(errors.0.join("\n")) }
     }
@@ -120,14 +120,14 @@
         errors.require(self.rules.overload_factor >= 1.0, "rules.fall_multiple", "must be at least 1");
     }
 
-    fn check_trouble(&self, index: usize, trouble: &FaultSpec, errors: &mut ScenarioErrors) {
+    fn check_fault(&self, index: usize, fault: &FaultSpec, errors: &mut ScenarioErrors) {
         let key = |k: &str| format!("troubles[{index}].{k}");
-        errors.require(is_not_negative(trouble.at_s), &key("at_s"), "must not be negative");
-        errors.require(is_not_negative(trouble.for_s), &key("for_s"), "must not be negative");
-        let part = trouble.part > 0.0 && trouble.part <= 8.0;
+        errors.require(is_not_negative(fault.at_s), &key("at_s"), "must not be negative");
+        errors.require(is_not_negative(fault.for_s), &key("for_s"), "must not be negative");
+        let part = fault.part > 0.0 && fault.part <= 8.0;
         errors.require(part, &key("part"), "must be above 0 and at most 8");
-        errors.require(is_not_negative(trouble.size), &key("size"), "must not be negative");
-        let zone = trouble.zone.is_none_or(|zone| zone < self.zones);
+        errors.require(is_not_negative(fault.size), &key("size"), "must not be negative");
+        let zone = fault.zone.is_none_or(|zone| zone < self.zones);
         errors.require(zone, &key("zone"), "no such zone");
     }
 }
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -73,7 +73,8 @@
         /// The limits that the judge applies.
         rules: Rules = Rules::default(),
         /// The faults, in any order.
-        troubles: Vec<FaultSpec> = Vec::new(),
+        #[serde(rename = "troubles")]
+        faults: Vec<FaultSpec> = Vec::new(),
     }
 }
 
--- a/crates/world/src/world/faults/executors.rs
+++ b/crates/world/src/world/faults/executors.rs
@@ -61,7 +61,7 @@
             return;
         }
         executor.advance(self.now);
-        let trouble = &self.scenario.troubles[fault];
+        let trouble = &self.scenario.faults[fault];
         match trouble.kind {
             Fault::Crash => return self.crash(index, phase),
             Fault::Vanish => return self.vanish(index, phase),
@@ -136,7 +136,7 @@
 
     /// An intermittent fault comes or goes, and its next change is scheduled while it lasts.
     pub(in crate::world) fn fault_toggles(&mut self, fault: usize, index: usize, on: bool) {
-        let trouble = &self.scenario.troubles[fault];
+        let trouble = &self.scenario.faults[fault];
         let over = self.now >= seconds(trouble.at_s + trouble.for_s);
         let on = on && !over;
         let executor = &mut self.executors[index];
--- a/crates/world/src/world/faults/mod.rs
+++ b/crates/world/src/world/faults/mod.rs
@@ -33,7 +33,7 @@
 impl World<'_> {
     /// A fault of the scenario begins, and draws whom it takes; or it ends for those.
     pub(in crate::world) fn fault_changes(&mut self, fault: usize, phase: FaultPhase) {
-        let trouble = self.scenario.troubles[fault].clone();
+        let trouble = self.scenario.faults[fault].clone();
         if phase.begins() {
             self.fault_targets[fault] = self.draw_targets(&trouble);
         }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -84,7 +84,7 @@
 
     /// A silent client connects to a node, and the next one is scheduled while the flood lasts.
     pub(in crate::world) fn flood_connects(&mut self, fault: usize, node: usize) {
-        let trouble = &self.scenario.troubles[fault];
+        let trouble = &self.scenario.faults[fault];
         if self.now >= seconds(trouble.at_s + trouble.for_s) {
             return;
         }
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -127,7 +127,7 @@
             idempotency: HashMap::new(),
             discovery: Discovery::default(),
             reset_rate: 0.0,
-            fault_targets: vec![Vec::new(); scenario.troubles.len()],
+            fault_targets: vec![Vec::new(); scenario.faults.len()],
             judge: judge_of(&scenario.rules),
             outcome: empty_outcome(scenario),
             truth: Arc::default(),
@@ -178,7 +178,7 @@
     }
 
     fn set_up_faults(&mut self) {
-        for (fault, trouble) in self.scenario.troubles.iter().enumerate() {
+        for (fault, trouble) in self.scenario.faults.iter().enumerate() {
             let (begin, end) = (seconds(trouble.at_s), seconds(trouble.at_s + trouble.for_s));
             self.schedule_at(begin, Event::FaultChanges { fault, phase: FaultPhase::Begins });
             self.schedule_at(end, Event::FaultChanges { fault, phase: FaultPhase::Ends });
--- a/crates/world/tests/judge.rs
+++ b/crates/world/tests/judge.rs
@@ -19,7 +19,7 @@
             product("once", RepeatPolicy::OneShot),
         ],
         load: Load { of_capacity: 0.5, ..Load::default() },
-        troubles: vec![FaultSpec { kind, at_s: 4.0, for_s: 8.0, part, size, zone: None }],
+        faults: vec![FaultSpec { kind, at_s: 4.0, for_s: 8.0, part, size, zone: None }],
         ..Scenario::default()
     }
 }
@@ -103,13 +103,13 @@
 ) {
     let mut s = Scenario { seed, zones: 2, ..world(kind, 0.3, 0.5) };
     let without = run(&s, &production_node);
-    let (at_s, for_s) = (s.troubles[0].at_s + 1.0, 4.0);
-    s.troubles.push(FaultSpec { kind: Fault::Switch, at_s, for_s, part: 1.0, size: 0.0, zone: None });
+    let (at_s, for_s) = (s.faults[0].at_s + 1.0, 4.0);
+    s.faults.push(FaultSpec { kind: Fault::Switch, at_s, for_s, part: 1.0, size: 0.0, zone: None });
     let with = run(&s, &production_node);
     assert_eq!(with.breaches, []);
     let kept = with.goodput / without.goodput;
     assert!(kept > 0.9, "{kept:.2} of what is won without a switch");
-    s.troubles[1].kind = Fault::NodeRoll;
+    s.faults[1].kind = Fault::NodeRoll;
     let fresh = run(&s, &production_node);
     // Those go on with copies and probes, which the other terms forbid.
     let kept = with.goodput / fresh.goodput;
