--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: which node they go to, how long they wait, and when they retry.
+//! Clients: the node that they choose, how long they wait, and when they retry.
 
 use std::sync::Arc;
 
@@ -13,19 +13,19 @@
 use crate::judge::Rule;
 use crate::scenario::{Backoff, RepeatPolicy, millis, seconds};
 
-/// How many further nodes a client tries at once when one refuses its connection.
+/// The maximum number of further nodes that a client tries at once when nodes refuse its connection.
 const MAX_REFUSALS: u32 = 3;
 
-/// How long a client needs to see that a connection failed or is not accepted.
-const FAILURE_SEEN_AFTER: Nanos = MILLISECOND;
+/// The time after which a client notices that its connection failed or was refused.
+const FAILURE_NOTICE_DELAY: Nanos = MILLISECOND;
 
-/// A client waits this long at a node that accepts no connection for now.
-const ACCEPT_RETRY: Nanos = 2 * MILLISECOND;
+/// The interval at which a client retries a node that currently accepts no connections.
+const ACCEPT_RETRY_INTERVAL: Nanos = 2 * MILLISECOND;
 
-/// Back-off doubles at most this many times.
+/// The maximum number of times that the back-off doubles.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// What a client wants, over all its attempts.
+/// A client's request, across all its attempts.
 pub(super) struct ClientRequest {
     pub(super) product: usize,
     pub(super) tenant: usize,
@@ -36,22 +36,22 @@
     pub(super) retries_left: u32,
     pub(super) tries: u32,
     pub(super) satisfied: bool,
-    /// The closed-loop client that made it, which asks again once it is answered.
+    /// The closed-loop client that made it and submits again once it is answered, if there is one.
     pub(super) closed_client: Option<usize>,
-    /// The node that was asked last.
+    /// The node of the latest attempt.
     pub(super) last_node: Option<usize>,
-    /// How many executions of it began.
-    pub(super) executions_begun: u32,
+    /// The number of its executions that have started.
+    pub(super) executions_started: u32,
 }
 
-/// One try of a request at one node. A client's number at the node is the index of its attempt.
+/// One try of a request at one node. The index of the attempt is the client's number at the node.
 pub(super) struct Attempt {
     pub(super) request: usize,
     pub(super) sent_at: Nanos,
-    /// How many nodes refused this try before.
+    /// The number of nodes that refused this try before.
     pub(super) refusals: u32,
     pub(super) assigned: Option<Assignment>,
-    /// When the node came to read it.
+    /// When the node read it.
     pub(super) read_at: Option<Nanos>,
     /// The client has its answer, or has given up.
     pub(super) over: bool,
@@ -64,12 +64,12 @@
 pub(super) struct Assignment {
     pub(super) node: usize,
     pub(super) incarnation: u32,
-    /// When the node accepted it; none while it is on its way.
+    /// When the node accepted it; none until then.
     pub(super) accepted_at: Option<Nanos>,
 }
 
 impl World<'_> {
-    /// Sends a request to a node. `refusals` counts the nodes that refused this try before.
+    /// Sends a request to a node. `refusals` is the number of nodes that refused this try before.
     pub(super) fn start_attempt(&mut self, request: usize, refusals: u32) {
         if refusals == 0 {
             self.requests[request].tries += 1;
@@ -87,11 +87,11 @@
             answered: false,
         });
         self.schedule_give_up(attempt);
-        let same = self.requests[request].last_node.filter(|_| self.scenario.clients.same_node);
-        let drawn = self.draw_node(&candidates);
-        let Some(node) = same.or(drawn) else {
+        let same_node = self.requests[request].last_node.filter(|_| self.scenario.clients.same_node);
+        let drawn_node = self.draw_node(&candidates);
+        let Some(node) = same_node.or(drawn_node) else {
             let outcome = ClientOutcome::NoAnswer;
-            return self.schedule_after(FAILURE_SEEN_AFTER, Event::ResponseAtClient { attempt, outcome });
+            return self.schedule_after(FAILURE_NOTICE_DELAY, Event::ResponseAtClient { attempt, outcome });
         };
         self.requests[request].last_node = Some(node);
         let incarnation = self.nodes[node].incarnation;
@@ -100,10 +100,10 @@
         self.schedule_after(delay, Event::RequestAtNode { attempt });
     }
 
-    /// The nodes in rotation of a zone; those of all zones where it has none.
+    /// Returns the nodes of a zone that are in rotation, or those of all zones if it has none.
     fn nodes_for(&self, zone: u16) -> Vec<usize> {
-        let near = self.nodes_in_rotation(|node| node.zone == zone);
-        if near.is_empty() { self.nodes_in_rotation(|_| true) } else { near }
+        let in_zone = self.nodes_in_rotation(|node| node.zone == zone);
+        if in_zone.is_empty() { self.nodes_in_rotation(|_| true) } else { in_zone }
     }
 
     fn nodes_in_rotation(&self, wanted: impl Fn(&NodeState) -> bool) -> Vec<usize> {
@@ -118,26 +118,26 @@
         Some(candidates[self.rng.random_range(0..candidates.len())])
     }
 
-    /// Schedules the attempt's deadline, and for some clients an earlier moment at which they leave.
+    /// Schedules the deadline of an attempt, and for some clients an earlier time at which they leave.
     fn schedule_give_up(&mut self, attempt: usize) {
         let product = self.requests[self.attempts[attempt].request].product;
         let deadline = millis(self.scenario.products[product].deadline_ms);
         let reason = GiveUp::DeadlinePassed;
         self.schedule_after(deadline, Event::ClientGivesUp { attempt, reason });
-        let leaving_part = self.scenario.clients.leave;
-        if leaving_part > 0.0 && self.rng.random::<f64>() < leaving_part {
-            let span = self.rng.random_range(0..deadline.max(1));
-            self.schedule_after(span, Event::ClientGivesUp { attempt, reason: GiveUp::Leaves });
+        let leaving_share = self.scenario.clients.leave;
+        if leaving_share > 0.0 && self.rng.random::<f64>() < leaving_share {
+            let leaves_after = self.rng.random_range(0..deadline.max(1));
+            self.schedule_after(leaves_after, Event::ClientGivesUp { attempt, reason: GiveUp::Leaves });
         }
     }
 
-    /// The time that a message takes between a client and a node.
+    /// Draws the delay of a message between a client and a node.
     pub(super) fn client_delay(&mut self) -> Nanos {
         let jitter = 1.0 + self.scenario.network.jitter * self.rng.random::<f64>();
         millis(self.scenario.network.client_ms * jitter)
     }
 
-    /// A submission reaches its node, which takes it, lets it wait for a connection, or is not there.
+    /// A submission reaches its node, which accepts it, makes it wait for a connection, or does not run.
     pub(super) fn request_at_node(&mut self, attempt: usize) {
         if self.attempts[attempt].over {
             return;
@@ -146,10 +146,10 @@
         let state = &self.nodes[node];
         let Some(machine) = &state.machine else {
             let outcome = ClientOutcome::Refused;
-            return self.schedule_after(FAILURE_SEEN_AFTER, Event::ResponseAtClient { attempt, outcome });
+            return self.schedule_after(FAILURE_NOTICE_DELAY, Event::ResponseAtClient { attempt, outcome });
         };
         if machine.is_at_client_limit() {
-            return self.schedule_after(ACCEPT_RETRY, Event::RequestAtNode { attempt });
+            return self.schedule_after(ACCEPT_RETRY_INTERVAL, Event::RequestAtNode { attempt });
         }
         self.submit(attempt, node, state.incarnation);
     }
@@ -159,19 +159,20 @@
         self.attempts[attempt].assigned = Some(Assignment { node, incarnation, accepted_at });
         self.outcome.taken += 1;
         let product = &self.scenario.products[self.requests[self.attempts[attempt].request].product];
-        let intake = self.intake(attempt);
-        // The node counts the deadline from when it reads the submission, for nothing tells it more.
-        let deadline = self.now + intake.timeout;
-        let memory = seconds(product.dedup_window_s);
+        let submission = self.new_submission(attempt);
+        // The node counts the deadline from the moment it reads the submission; it does not know an earlier
+        // time.
+        let deadline = self.now + submission.timeout;
+        let dedup_window = seconds(product.dedup_window_s);
         let process = NodeProcess { node, incarnation };
-        self.judge.accepted(attempt, process, product.repeats, memory, deadline);
+        self.judge.accepted(attempt, process, product.repeats, dedup_window, deadline);
         let client = attempt as ClientId;
         self.give_input(node, incarnation, Input::ClientConnected { client });
-        self.give_input(node, incarnation, Input::Submitted { client, submission: intake });
+        self.give_input(node, incarnation, Input::Submitted { client, submission });
     }
 
-    /// The submission as the node is given it.
-    fn intake(&self, attempt: usize) -> NewSubmission {
+    /// Builds the submission that the node gets.
+    fn new_submission(&self, attempt: usize) -> NewSubmission {
         let index = self.attempts[attempt].request;
         let request = &self.requests[index];
         let product = &self.scenario.products[request.product];
@@ -209,13 +210,14 @@
         self.retry_or_end(request, ClientOutcome::NoAnswer);
     }
 
-    /// A client gave up on a node that had accepted its submission: was that the node's fault?
+    /// A client gave up on a node that had accepted its submission. Reports a breach if the node is to blame.
     fn judge_unanswered(&mut self, attempt: usize, assignment: Assignment, reason: GiveUp) {
         let Assignment { node, incarnation, .. } = assignment;
-        // What was read late, by the client's clock, or is left early is nobody's fault.
-        let latest = self.attempts[attempt].sent_at + millis(self.scenario.rules.tolerance_ms);
-        let read_in_time = self.attempts[attempt].read_at.is_some_and(|read_at| read_at <= latest);
-        // A paused node can do nothing; what it has not come to is still to be judged by other rules.
+        // The node is not to blame if it read the submission late, by the client's clock, or if the client
+        // left early.
+        let latest_read = self.attempts[attempt].sent_at + millis(self.scenario.rules.tolerance_ms);
+        let read_in_time = self.attempts[attempt].read_at.is_some_and(|read_at| read_at <= latest_read);
+        // A paused node cannot act; the other rules still apply to what it does later.
         let paused = self.nodes[node].busy_until > self.now;
         let same_process = self.nodes[node].incarnation == incarnation;
         if reason == GiveUp::DeadlinePassed && !paused && read_in_time && same_process {
@@ -224,7 +226,7 @@
         self.judge.excuse(attempt);
     }
 
-    /// A response, or the end of its connection, reaches a client that may still wait for it.
+    /// A response, or the end of the connection, reaches a client, which may no longer be waiting.
     pub(super) fn response_at_client(&mut self, attempt: usize, outcome: ClientOutcome) {
         if std::mem::replace(&mut self.attempts[attempt].over, true) {
             return;
@@ -244,22 +246,22 @@
         }
     }
 
-    /// Counts the worth of a request that was satisfied, once.
+    /// Counts the payoff of a satisfied request, once.
     fn count_satisfied(&mut self, request: usize) {
         let request = &mut self.requests[request];
         if std::mem::replace(&mut request.satisfied, true) {
             return;
         }
         let product = &self.scenario.products[request.product];
-        let took_s = (self.now - request.created_at) as f64 / 1e9;
+        let latency_s = (self.now - request.created_at) as f64 / 1e9;
         let in_time =
-            took_s <= product.latency_target_ms / 1e3 + product.latency_target_factor * request.work;
-        let worth = if in_time { product.payoff } else { product.payoff * product.late_payoff };
+            latency_s <= product.latency_target_ms / 1e3 + product.latency_target_factor * request.work;
+        let payoff = if in_time { product.payoff } else { product.payoff * product.late_payoff };
         self.outcome.in_time += u64::from(in_time);
-        self.outcome.earned_payoff_by_second[(request.created_at / SECOND) as usize] += worth;
-        self.outcome.by_product[request.product] += worth;
-        self.outcome.by_tenant[request.tenant] += worth;
-        self.outcome.answer_times.push(took_s as f32);
+        self.outcome.earned_payoff_by_second[(request.created_at / SECOND) as usize] += payoff;
+        self.outcome.by_product[request.product] += payoff;
+        self.outcome.by_tenant[request.tenant] += payoff;
+        self.outcome.answer_times.push(latency_s as f32);
         self.useful_work += request.work;
     }
 
@@ -298,7 +300,7 @@
         self.open_requests -= 1;
         if let Some(client) = self.requests[request].closed_client {
             let think = millis(self.scenario.load.think_ms);
-            self.schedule_after(think, Event::ClientAsks { client });
+            self.schedule_after(think, Event::ClosedClientSubmits { client });
         }
     }
 }
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -1,4 +1,4 @@
-//! Jobs and probes on their way to executors, whether they are admitted there, and the replies.
+//! Delivery of jobs and probes to executors, admission there, and the replies.
 
 use bytes::Bytes;
 use linestack_core::{Disconnect, ForwardedRequest, Input, Nanos, Outcome as ExecutionOutcome};
@@ -12,22 +12,22 @@
 use crate::executor::ConnectionId;
 use crate::scenario::{RepeatPolicy, millis, seconds};
 
-/// A node sees after this time that a connection was reset while it sent.
-const RESET_SEEN_AFTER: Nanos = 3 * MILLISECOND;
+/// The time after which a node notices that a connection was reset while it was sending.
+const RESET_NOTICE_DELAY: Nanos = 3 * MILLISECOND;
 
-/// What becomes of a job that reaches an executor.
+/// What an executor does with a job that reaches it.
 enum Admission {
     Queued,
     /// Answered at once, without being executed.
     Answered(ExecutionOutcome),
-    /// Lost without a word.
+    /// Lost without an answer.
     Lost,
 }
 
 impl World<'_> {
     /// A node sends a job over a connection.
-    pub(super) fn send_job(&mut self, connection: ConnectionId, shipment: &ForwardedRequest) {
-        let id = std::str::from_utf8(&shipment.id).ok().and_then(|id| id.parse::<usize>().ok());
+    pub(super) fn send_job(&mut self, connection: ConnectionId, request: &ForwardedRequest) {
+        let id = std::str::from_utf8(&request.id).ok().and_then(|id| id.parse::<usize>().ok());
         let Some(attempt) = id.filter(|a| *a < self.attempts.len()) else { return };
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.in_flight = Some(InFlight::Job { attempt });
@@ -38,7 +38,7 @@
         self.outcome.executions += 1;
         self.outcome.crossings += u64::from(executor.zone != self.nodes[connection.node].zone);
         if executor.alive && executor.is_cold(self.now) {
-            self.push_cold_executor(index, attempt);
+            self.load_cold_executor(index, attempt);
         }
         if self.reset_rate > 0.0 && self.rng.random::<f64>() < self.reset_rate {
             return self.reset_while_sending(connection, attempt);
@@ -46,10 +46,10 @@
         self.pass_to_executor(connection, Event::JobAtExecutor { connection, attempt });
     }
 
-    /// A job is sent to a cold executor, which collapses if that is more than it bears.
-    fn push_cold_executor(&mut self, index: usize, attempt: usize) {
+    /// A job is sent to a cold executor, which collapses if it is overloaded by it.
+    fn load_cold_executor(&mut self, index: usize, attempt: usize) {
         let request = &self.requests[self.attempts[attempt].request];
-        // The mean of the product counts: nobody is told that this job is an outlier.
+        // The mean work of the product counts: nodes cannot know that a single job is an outlier.
         let work = self.scenario.products[request.product].work_ms / 1e3;
         let capacity = self.executors[index].capacity(self.now);
         if self.judge.cold_work_sent(index, work, capacity, self.now) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A connection is reset before, under or after the last byte of a job.
+    /// A connection is reset before, during or after the last byte of a job.
     fn reset_while_sending(&mut self, connection: ConnectionId, attempt: usize) {
         const BEFORE_LAST_BYTE: u32 = 0;
         const AFTER_LAST_BYTE: u32 = 2;
@@ -68,15 +68,15 @@
             self.pass_to_executor(connection, Event::JobAtExecutor { connection, attempt });
         }
         let written = moment > BEFORE_LAST_BYTE;
-        let broken = Disconnect {
+        let disconnect = Disconnect {
             request_started: true,
             request_written: written,
             response_started: false,
             local_fault: false,
             unexpected_data: false,
         };
-        let event = Event::DisconnectedAtNode { connection, broken: Some(broken) };
-        self.schedule_after(RESET_SEEN_AFTER, event);
+        let event = Event::DisconnectedAtNode { connection, disconnect: Some(disconnect) };
+        self.schedule_after(RESET_NOTICE_DELAY, event);
     }
 
     /// A job reaches an executor.
@@ -85,7 +85,7 @@
         let (index, idle_since) = (state.executor, state.idle_since);
         let executor = &self.executors[index];
         let same_process = state.executor_incarnation == Some(executor.incarnation);
-        // The reset is under way, or nobody is there to send one.
+        // Either a reset is already on its way to the node, or the executor cannot send one.
         if !same_process || executor.faults.inbound_cut || executor.faults.unreachable {
             return;
         }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// What an executor does with a job that has reached it, by its faults and its queue.
+    /// Decides what an executor does with a job that has reached it, by its faults and its queue.
     fn admit(&mut self, index: usize, attempt: usize) -> Admission {
         let executor = &self.executors[index];
         let faults = executor.faults.clone();
@@ -128,7 +128,8 @@
         Admission::Queued
     }
 
-    /// Draws whether something of this rate happens. A rate of 0 draws nothing.
+    /// Draws whether an event of this probability happens. A rate of 0 draws no random number, so that
+    /// scenarios without a fault keep their random sequence.
     fn happens_at_rate(&mut self, rate: f64) -> bool {
         rate > 0.0 && self.rng.random::<f64>() < rate
     }
@@ -143,15 +144,15 @@
     ) {
         let report = self.load_report(index);
         if self.happens_at_rate(self.executors[index].faults.garbage_rate) {
-            let broken = Disconnect {
+            let disconnect = Disconnect {
                 request_started: true,
                 request_written: true,
                 response_started: true,
                 local_fault: false,
                 unexpected_data: false,
             };
-            let message = Event::DisconnectedAtNode { connection, broken: Some(broken) };
-            return self.pass_to_node(connection, message);
+            let event = Event::DisconnectedAtNode { connection, disconnect: Some(disconnect) };
+            return self.pass_to_node(connection, event);
         }
         let now = self.now;
         if let Some(state) = self.connections.get_mut(&connection) {
@@ -160,7 +161,7 @@
         self.pass_to_node(connection, Event::ReplyAtNode { connection, attempt, outcome, report });
     }
 
-    /// The load report that an executor's answer holds, if executors report at all.
+    /// Returns the load report for an executor's answer, if executors send reports.
     fn load_report(&mut self, index: usize) -> Option<Report> {
         let reports = &self.scenario.reports;
         let (period, delay) = (millis(reports.period_ms), millis(reports.delay_ms));
@@ -168,7 +169,7 @@
         reports.enabled.then(|| executor.report(self.now, period, delay, reports.noise, &mut self.rng))
     }
 
-    /// The reply to a job reaches the node, if it still waits for one.
+    /// The reply to a job reaches the node. It is dropped if the node no longer waits for it.
     pub(super) fn reply_at_node(
         &mut self,
         connection: ConnectionId,
@@ -194,7 +195,7 @@
         );
     }
 
-    /// A notice of a job's start or progress reaches the node, if it still waits for that job.
+    /// A progress message for a job reaches the node. It is dropped if the node no longer waits for that job.
     pub(super) fn progress_at_node(&mut self, connection: ConnectionId, attempt: usize) {
         let job = Some(InFlight::Job { attempt });
         if self.connections.get(&connection).is_some_and(|state| state.in_flight == job) {
@@ -219,7 +220,7 @@
         self.pass_to_node(connection, Event::ProbeReplyAtNode { connection, answered, report });
     }
 
-    /// The answer to a probe reaches the node, if it still waits for one.
+    /// The answer to a probe reaches the node. It is dropped if the node no longer waits for it.
     pub(super) fn probe_reply_at_node(
         &mut self,
         connection: ConnectionId,
--- a/crates/world/src/world/discovery.rs
+++ b/crates/world/src/world/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: it notices changes late, tells the nodes that watch it, and answers calls for the whole list.
+//! Discovery: it detects changes with a delay, sends them to the nodes that watch it, and answers requests
+//! for the whole list.
 
 use linestack_core::{Endpoint, Input, Nanos};
 use linestack_dispatch::types::{Health, ListKind};
@@ -10,57 +11,57 @@
 use super::{MILLISECOND, SECOND, World, count_in_second};
 use crate::scenario::seconds;
 
-/// A message from discovery takes this time and up to twice as much again.
+/// The minimum delay of a message from discovery. List changes take up to twice as much in addition.
 const MESSAGE_DELAY: Nanos = MILLISECOND;
 
-/// A call that would have to wait longer for its turn fails.
-const MAX_CALL_WAIT: Nanos = 2 * SECOND;
+/// A request that would have to wait longer for its turn fails.
+const MAX_REQUEST_WAIT: Nanos = 2 * SECOND;
 
-/// What a call costs beside the executors that it lists, in lines.
-const LINES_PER_CALL: usize = 40;
+/// The fixed cost of a request, in lines, in addition to one line per listed executor.
+const LINES_PER_REQUEST: usize = 40;
 
 /// The state of discovery.
 #[derive(Default)]
 pub(super) struct Discovery {
-    /// By executor: what the list says of it.
-    listings: Vec<Listing>,
+    /// By executor: its entry in the list.
+    entries: Vec<ListEntry>,
     pub(super) down: bool,
-    /// Changes are told more than once, or not at all.
+    /// Changes are sent more than once, or not at all.
     pub(super) flaps: bool,
-    /// Calls are answered in turn; the last that waits is answered by this time.
+    /// Requests are answered one after the other; the last waiting one is answered at this time.
     busy_until: Nanos,
 }
 
-/// What the list says of an executor.
+/// The entry of an executor in the list.
 #[derive(Clone, Copy, Debug)]
-struct Listing {
+struct ListEntry {
     health: Health,
-    /// When its process started; 0 for one that was there from the beginning.
+    /// When its process started; 0 if it ran from the beginning of the simulation.
     started: Nanos,
 }
 
-impl Listing {
+impl ListEntry {
     const GONE: Self = Self { health: Health::Gone, started: 0 };
 }
 
 impl Discovery {
-    /// Lists so many executors as ready from the beginning.
+    /// Lists this number of executors as ready from the beginning.
     pub(super) fn list_all_ready(&mut self, executors: usize) {
-        self.listings = vec![Listing { health: Health::Ready, started: 0 }; executors];
+        self.entries = vec![ListEntry { health: Health::Ready, started: 0 }; executors];
     }
 }
 
-/// How discovery comes to know of a change.
+/// How discovery learns of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Detection {
-    /// The process tells of it.
+    /// The process announces it.
     Announced,
-    /// Discovery must find out by itself.
+    /// Nobody announces it; discovery must detect it.
     Silent,
 }
 
 impl World<'_> {
-    /// The state of an executor has changed, and discovery will notice.
+    /// The state of an executor has changed. Discovery publishes the change after a delay.
     pub(super) fn announce(&mut self, executor: usize, health: Health, detection: Detection) {
         let discovery = &self.scenario.discovery;
         let mean_s = match detection {
@@ -72,55 +73,55 @@
         self.schedule_after(seconds(delay_s), Event::DiscoveryPublishes { executor, health, started });
     }
 
-    /// Discovery has noticed a change: the list has it, and nodes that watch are told.
+    /// Discovery has detected a change: updates the list, and sends the change to the nodes that watch it.
     pub(super) fn discovery_publishes(&mut self, index: usize, health: Health, started: Nanos) {
         let executor = &self.executors[index];
-        // Found out too late: it is back.
+        // The detection is outdated: the executor is back.
         if health == Health::Gone && executor.is_reachable() && !executor.draining {
             return;
         }
-        let listings = &mut self.discovery.listings;
-        if listings.len() <= index {
-            listings.resize(index + 1, Listing::GONE);
+        let entries = &mut self.discovery.entries;
+        if entries.len() <= index {
+            entries.resize(index + 1, ListEntry::GONE);
         }
-        listings[index] = Listing { health, started };
-        let repeats: u32 = if self.discovery.flaps { self.rng.random_range(0..=2) } else { 1 };
-        for _ in 0..repeats {
-            self.tell_watchers_of(index);
+        entries[index] = ListEntry { health, started };
+        let sends: u32 = if self.discovery.flaps { self.rng.random_range(0..=2) } else { 1 };
+        for _ in 0..sends {
+            self.notify_watchers(index);
         }
     }
 
-    fn tell_watchers_of(&mut self, executor: usize) {
+    fn notify_watchers(&mut self, executor: usize) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].watch == DiscoveryWatch::On {
                 let endpoints = vec![self.endpoint(executor)];
-                self.tell(node, ListKind::Changes, endpoints);
+                self.send_list(node, ListKind::Changes, endpoints);
             }
         }
     }
 
     /// Sends a list to a node.
-    pub(super) fn tell(&mut self, node: usize, kind: ListKind, endpoints: Vec<Endpoint>) {
-        let arrives = self.now + MESSAGE_DELAY + self.rng.random_range(0..2 * MESSAGE_DELAY);
+    pub(super) fn send_list(&mut self, node: usize, kind: ListKind, endpoints: Vec<Endpoint>) {
+        let arrives_at = self.now + MESSAGE_DELAY + self.rng.random_range(0..2 * MESSAGE_DELAY);
         let incarnation = self.nodes[node].incarnation;
-        // A paused node hears nothing.
-        let heard = arrives.max(self.nodes[node].paused_until);
-        self.judge_hears_of(node, &endpoints, heard);
+        // A paused node handles no messages.
+        let known_from = arrives_at.max(self.nodes[node].paused_until);
+        self.record_known_health(node, &endpoints, known_from);
         let input = Input::ListReceived { kind, endpoints };
-        self.schedule_at(arrives, Event::NodeInput { node, incarnation, input });
+        self.schedule_at(arrives_at, Event::NodeInput { node, incarnation, input });
     }
 
-    /// Has the judge know what a node knows of executors from some time on.
-    fn judge_hears_of(&mut self, node: usize, endpoints: &[Endpoint], from: Nanos) {
+    /// Tells the judge from when on a node knows the health of these executors.
+    fn record_known_health(&mut self, node: usize, endpoints: &[Endpoint], from: Nanos) {
         for endpoint in endpoints {
             self.judge.health_received(node, executor_at(endpoint.address), endpoint.health, from);
         }
     }
 
-    /// An executor as the list has it.
+    /// Returns the entry of an executor as nodes receive it.
     fn endpoint(&self, index: usize) -> Endpoint {
         let executor = &self.executors[index];
-        let Listing { health, started } = self.discovery.listings[index];
+        let ListEntry { health, started } = self.discovery.entries[index];
         Endpoint {
             name: executor.name.clone(),
             address: address_of(index),
@@ -133,47 +134,48 @@
         }
     }
 
-    /// The whole list: all executors that are not gone.
+    /// Returns the whole list: all executors that are not gone.
     pub(super) fn listed_endpoints(&self) -> Vec<Endpoint> {
-        let listings = self.discovery.listings.iter().enumerate();
-        let present = listings.filter(|(_, listing)| listing.health != Health::Gone);
+        let entries = self.discovery.entries.iter().enumerate();
+        let present = entries.filter(|(_, entry)| entry.health != Health::Gone);
         present.map(|(index, _)| self.endpoint(index)).collect()
     }
 
-    /// A node's call for the whole list reaches discovery, which answers calls in turn at its rate.
-    pub(super) fn discovery_call(&mut self, node: usize, incarnation: u32) {
+    /// A node's request for the whole list reaches discovery, which answers requests one after the other at
+    /// its rate.
+    pub(super) fn list_requested(&mut self, node: usize, incarnation: u32) {
         let state = &self.nodes[node];
-        if state.incarnation != incarnation || state.watch != DiscoveryWatch::Calling {
+        if state.incarnation != incarnation || state.watch != DiscoveryWatch::Requested {
             return;
         }
         count_in_second(&mut self.outcome.lists_by_second, self.now);
         let endpoints = self.listed_endpoints();
-        let lines = LINES_PER_CALL + endpoints.len();
-        let service = seconds(lines as f64 / self.scenario.discovery.lines_per_s);
-        let begins = self.discovery.busy_until.max(self.now);
-        if self.discovery.down || begins > self.now + MAX_CALL_WAIT {
+        let lines = LINES_PER_REQUEST + endpoints.len();
+        let service_time = seconds(lines as f64 / self.scenario.discovery.lines_per_s);
+        let begins_at = self.discovery.busy_until.max(self.now);
+        if self.discovery.down || begins_at > self.now + MAX_REQUEST_WAIT {
             self.nodes[node].watch = DiscoveryWatch::Off;
             return self.discovery_fails(node, incarnation);
         }
-        let answered = begins + service;
-        self.discovery.busy_until = answered;
+        let answered_at = begins_at + service_time;
+        self.discovery.busy_until = answered_at;
         self.nodes[node].watch = DiscoveryWatch::On;
-        self.judge_hears_of_missing(node, answered);
-        self.judge_hears_of(node, &endpoints, answered);
+        self.record_known_absence(node, answered_at);
+        self.record_known_health(node, &endpoints, answered_at);
         let input = Input::ListReceived { kind: ListKind::Whole, endpoints };
-        self.schedule_at(answered, Event::NodeInput { node, incarnation, input });
+        self.schedule_at(answered_at, Event::NodeInput { node, incarnation, input });
     }
 
-    /// Executors that a whole list lacks have left, for the node that gets it.
-    fn judge_hears_of_missing(&mut self, node: usize, from: Nanos) {
-        for (executor, listing) in self.discovery.listings.iter().enumerate() {
-            if listing.health == Health::Gone {
+    /// Tells the judge that a node which gets a whole list knows that the executors missing in it are gone.
+    fn record_known_absence(&mut self, node: usize, from: Nanos) {
+        for (executor, entry) in self.discovery.entries.iter().enumerate() {
+            if entry.health == Health::Gone {
                 self.judge.health_received(node, executor, Health::Gone, from);
             }
         }
     }
 
-    /// A node sees that its call or its watch has failed.
+    /// A node learns that its request or its watch has failed.
     pub(super) fn discovery_fails(&mut self, node: usize, incarnation: u32) {
         let input = Input::ListReceived { kind: ListKind::Failed, endpoints: Vec::new() };
         self.schedule_after(MESSAGE_DELAY, Event::NodeInput { node, incarnation, input });
--- a/crates/world/src/world/dispatch.rs
+++ b/crates/world/src/world/dispatch.rs
@@ -1,14 +1,14 @@
-//! Which part of the world handles an event.
+//! Routing of events to their handlers.
 
 use super::World;
 use super::event::Event;
 
 impl World<'_> {
-    /// Handles an event that happens now.
+    /// Handles an event at its time.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::ClientArrives => self.client_arrives(),
-            Event::ClientAsks { client } => self.client_asks(client),
+            Event::ClosedClientSubmits { client } => self.closed_client_submits(client),
             Event::RequestAtNode { attempt } => self.request_at_node(attempt),
             Event::ResponseAtClient { attempt, outcome } => self.response_at_client(attempt, outcome),
             Event::ClientGivesUp { attempt, reason } => self.client_gives_up(attempt, reason),
@@ -20,12 +20,14 @@
             Event::NodeStops { node } => self.node_stops(node),
             Event::NodeKilled { node, incarnation } => self.node_killed(node, incarnation),
             Event::HealthChecked { node } => self.check_health(node),
-            Event::RecordPersisted { node, incarnation, keep, ticket } => {
-                self.record_persisted(node, incarnation, keep, ticket);
+            Event::RecordPersisted { node, incarnation, record, ticket } => {
+                self.record_persisted(node, incarnation, record, ticket);
             }
             Event::ConnectAtExecutor { connection } => self.connect_at_executor(connection),
             Event::ConnectedAtNode { connection } => self.connected_at_node(connection),
-            Event::DisconnectedAtNode { connection, broken } => self.disconnected_at_node(connection, broken),
+            Event::DisconnectedAtNode { connection, disconnect } => {
+                self.disconnected_at_node(connection, disconnect)
+            }
             Event::ClosedAtExecutor { connection } => self.closed_at_executor(connection),
             Event::JobAtExecutor { connection, attempt } => self.job_at_executor(connection, attempt),
             Event::ProbeAtExecutor { connection } => self.probe_at_executor(connection),
@@ -46,7 +48,7 @@
             Event::DiscoveryPublishes { executor, health, started } => {
                 self.discovery_publishes(executor, health, started);
             }
-            Event::DiscoveryCall { node, incarnation } => self.discovery_call(node, incarnation),
+            Event::ListRequested { node, incarnation } => self.list_requested(node, incarnation),
             Event::FaultChanges { fault, phase } => self.fault_changes(fault, phase),
             Event::FaultToggles { fault, executor, on } => self.fault_toggles(fault, executor, on),
             Event::FloodConnects { fault, node } => self.flood_connects(fault, node),
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -1,4 +1,4 @@
-//! What a node asks for is carried out in the world.
+//! The effects of nodes, carried out in the simulation.
 
 use std::net::SocketAddr;
 
@@ -13,31 +13,31 @@
 use crate::judge::Rule;
 use crate::scenario::millis;
 
-/// A client sees after this time that its node closed its connection without an answer.
-const CLOSE_SEEN_AFTER: Nanos = MILLISECOND;
+/// The time after which a client notices that its node closed the connection without an answer.
+const CLOSE_NOTICE_DELAY: Nanos = MILLISECOND;
 
-/// A node's request to discovery is under way for this time.
+/// The delay of a node's request to discovery.
 const DISCOVERY_DELAY: Nanos = MILLISECOND;
 
 impl World<'_> {
-    /// Carries out one effect of a node's process.
+    /// Carries out one effect of a node.
     pub(super) fn carry_out(&mut self, node: usize, incarnation: u32, effect: Effect) {
         let id = |number: CoreConnectionId| ConnectionId { node, incarnation, number };
         match effect {
             Effect::Answer { client, answer, .. } => self.answer(node, incarnation, client, &answer),
             Effect::CloseClient { client } | Effect::DropClient { client } => self.close_client(node, client),
-            Effect::OpenConnection { connection: link, address, .. } => {
-                self.open_connection(id(link), address)
+            Effect::OpenConnection { connection, address, .. } => {
+                self.open_connection(id(connection), address)
             }
-            Effect::Send { connection: link, request: shipment, .. } => self.send_job(id(link), &shipment),
-            Effect::Probe { connection: link } => self.send_probe(id(link)),
-            Effect::CloseConnection { connection: link } => self.close_connection(id(link)),
-            Effect::RequestList => self.watch_discovery(node, incarnation),
-            Effect::InvariantBroken(what) => self.judge.breach(Rule::Invariant, self.now, what.into()),
+            Effect::Send { connection, request, .. } => self.send_job(id(connection), &request),
+            Effect::Probe { connection } => self.send_probe(id(connection)),
+            Effect::CloseConnection { connection } => self.close_connection(id(connection)),
+            Effect::RequestList => self.request_list(node, incarnation),
+            Effect::InvariantBroken(message) => self.judge.breach(Rule::Invariant, self.now, message.into()),
             Effect::Report(_) | Effect::Stage(_) | Effect::Refused { .. } => {}
-            Effect::Persist { record: keep, ticket } => {
+            Effect::Persist { record, ticket } => {
                 let sync = millis(self.scenario.nodes.sync_ms);
-                self.schedule_after(sync, Event::RecordPersisted { node, incarnation, keep, ticket });
+                self.schedule_after(sync, Event::RecordPersisted { node, incarnation, record, ticket });
             }
             Effect::Exit => self.node_ends(node),
         }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether some warm executor that is up has free slots for an attempt's job.
+    /// Returns whether a warm, available executor has free slots for the job of an attempt.
     fn has_room_for(&self, attempt: usize) -> bool {
         let request = &self.requests[self.attempts[attempt].request];
         let slots = self.scenario.products[request.product].slots;
@@ -85,12 +85,12 @@
         self.executors.iter().any(|e| available(e) && e.free_slots() >= slots)
     }
 
-    /// A node closes a client's connection; without an answer the client hears nothing more.
+    /// A node closes a client's connection. A client without an answer notices it and will get none.
     fn close_client(&mut self, node: usize, client: ClientId) {
         let attempt = client as usize;
         if client < FIRST_FLOOD_CLIENT && !self.attempts[attempt].answered {
             let outcome = ClientOutcome::NoAnswer;
-            self.schedule_after(CLOSE_SEEN_AFTER, Event::ResponseAtClient { attempt, outcome });
+            self.schedule_after(CLOSE_NOTICE_DELAY, Event::ResponseAtClient { attempt, outcome });
         }
         self.nodes[node].inbox.push_back(Input::ClientDisconnected { client });
     }
@@ -119,10 +119,10 @@
         }
     }
 
-    fn watch_discovery(&mut self, node: usize, incarnation: u32) {
+    fn request_list(&mut self, node: usize, incarnation: u32) {
         if self.nodes[node].watch == DiscoveryWatch::Off {
-            self.nodes[node].watch = DiscoveryWatch::Calling;
-            self.schedule_after(DISCOVERY_DELAY, Event::DiscoveryCall { node, incarnation });
+            self.nodes[node].watch = DiscoveryWatch::Requested;
+            self.schedule_after(DISCOVERY_DELAY, Event::ListRequested { node, incarnation });
         }
     }
 }
--- a/crates/world/src/world/event.rs
+++ b/crates/world/src/world/event.rs
@@ -1,4 +1,4 @@
-//! The events of a world, and the queue that orders them by time.
+//! The events of a simulation, and the queue that orders them by time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -9,15 +9,15 @@
 
 use crate::executor::ConnectionId;
 
-/// Something that happens at a time. Indices point into the lists of [`World`](super::World).
+/// An event. Indices refer to the vectors of [`World`](super::World).
 ///
-/// An event for a process names its incarnation: one that comes for an earlier incarnation is dropped.
+/// Events for a process contain its incarnation; an event for an earlier incarnation is dropped.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// An open-loop client may come.
+    /// An open-loop client may arrive.
     ClientArrives,
-    /// A closed-loop client asks for its next submission.
-    ClientAsks { client: usize },
+    /// A closed-loop client makes its next submission.
+    ClosedClientSubmits { client: usize },
     /// A client's submission reaches its node.
     RequestAtNode { attempt: usize },
     /// A response, or the end of the connection, reaches the client.
@@ -30,14 +30,14 @@
     NodeInput { node: usize, incarnation: u32, input: Input },
     /// A node has processor time again.
     NodeResumes { node: usize, incarnation: u32 },
-    /// The timer that a node set for this time.
+    /// A node's timer for this time fires.
     NodeTimer { node: usize, incarnation: u32, at: Nanos },
     /// A node's connection attempt reaches the executor.
     ConnectAtExecutor { connection: ConnectionId },
     /// The executor's acceptance of a connection reaches the node.
     ConnectedAtNode { connection: ConnectionId },
     /// The end of a connection reaches the node.
-    DisconnectedAtNode { connection: ConnectionId, broken: Option<Disconnect> },
+    DisconnectedAtNode { connection: ConnectionId, disconnect: Option<Disconnect> },
     /// The node's closing of a connection reaches the executor.
     ClosedAtExecutor { connection: ConnectionId },
     /// A job reaches the executor.
@@ -53,27 +53,27 @@
         outcome: ExecutionOutcome,
         report: Option<Report>,
     },
-    /// A notice of a job's start or progress reaches the node.
+    /// A message about a job's start or progress reaches the node.
     ProgressAtNode { connection: ConnectionId, attempt: usize },
-    /// An executor's next notice of a running job's progress is due.
+    /// An executor's next progress message for a running job is due.
     ProgressDue { executor: usize, incarnation: u32, connection: ConnectionId, attempt: usize },
-    /// Some job of an executor may be done. Meant only if no later wake-up was set.
+    /// A job of an executor may be done. Ignored if a later wake-up was scheduled.
     ExecutorWakes { executor: usize, wake: u64 },
     /// A fault of the scenario begins or ends.
     FaultChanges { fault: usize, phase: FaultPhase },
-    /// An intermittent fault of one executor comes or goes while it lasts.
+    /// An intermittent fault of one executor starts or stops during its span.
     FaultToggles { fault: usize, executor: usize, on: bool },
-    /// Discovery has noticed a change and tells the nodes.
+    /// Discovery has detected a change and publishes it to the nodes.
     DiscoveryPublishes { executor: usize, health: Health, started: Nanos },
     /// A node's request for the whole list reaches discovery.
-    DiscoveryCall { node: usize, incarnation: u32 },
+    ListRequested { node: usize, incarnation: u32 },
     /// A node's process starts.
     NodeStarts { node: usize },
     /// A node that was told to stop is killed if it still runs.
     NodeKilled { node: usize, incarnation: u32 },
     /// A node is told to stop.
     NodeStops { node: usize },
-    /// The front looks whether a node wants clients.
+    /// The load balancer checks a node's health.
     HealthChecked { node: usize },
     /// An executor announces that it drains.
     ExecutorDrains { executor: usize },
@@ -81,26 +81,26 @@
     ExecutorLeaves { executor: usize },
     /// A new executor joins.
     ExecutorJoins { spec: usize, zone: u16 },
-    /// A silent client of a flood connects to a node.
+    /// A client of a flood, which sends nothing, connects to a node.
     FloodConnects { fault: usize, node: usize },
-    /// A record that a node wanted persisted is on its disk.
-    RecordPersisted { node: usize, incarnation: u32, keep: OutcomeRecord, ticket: Option<PersistTicket> },
-    /// Whatever is long over is dropped, and whatever is overdue is found.
+    /// A record that a node persists is on its disk.
+    RecordPersisted { node: usize, incarnation: u32, record: OutcomeRecord, ticket: Option<PersistTicket> },
+    /// Drops expired state, and reports overdue submissions.
     Sweep,
 }
 
 /// How a client's attempt ended, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ClientOutcome {
-    /// The result came.
+    /// It got the result.
     Satisfied,
-    /// Turned away, with the time after which to retry if one was named.
+    /// The node dismissed it, with a retry-after time if it gave one.
     Dismissed(Option<Nanos>),
-    /// Taken, and ended without a result.
+    /// The node aborted it.
     Aborted,
-    /// No answer, and none will come.
+    /// It got no answer, and none will come.
     NoAnswer,
-    /// Nobody took it.
+    /// The node refused the connection.
     Refused,
 }
 
@@ -109,11 +109,11 @@
 pub(super) enum GiveUp {
     /// Its deadline has passed.
     DeadlinePassed,
-    /// It leaves early and does not come again.
+    /// It leaves early and does not retry.
     Leaves,
 }
 
-/// Which end of a fault's span an event stands for.
+/// Whether a fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FaultPhase {
     Begins,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Events to come, in the order of their times; those of one time in the order in which they were pushed.
+/// Pending events, ordered by time; events of the same time are ordered as they were pushed.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -139,7 +139,7 @@
         self.heap.push(Reverse(Scheduled { at, number: self.pushed, event }));
     }
 
-    /// The next event and its time.
+    /// Removes and returns the next event with its time.
     pub(super) fn pop(&mut self) -> Option<(Nanos, Event)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
--- a/crates/world/src/world/execution.rs
+++ b/crates/world/src/world/execution.rs
@@ -78,8 +78,8 @@
         self.judge.execution_started(attempt, self.now);
         if repeats == RepeatPolicy::OneShot {
             let request = &mut self.requests[request];
-            request.executions_begun += 1;
-            self.outcome.one_shots_run_again += u64::from(request.executions_begun == 2);
+            request.executions_started += 1;
+            self.outcome.one_shots_run_again += u64::from(request.executions_started == 2);
         }
         if self.scenario.reports_start {
             self.pass_to_node(connection, Event::ProgressAtNode { connection, attempt });
--- a/crates/world/src/world/faults/discovery.rs
+++ b/crates/world/src/world/faults/discovery.rs
@@ -34,7 +34,7 @@
         for node in 0..self.nodes.len() {
             if self.nodes[node].watch == DiscoveryWatch::On {
                 let endpoints = self.listed_endpoints();
-                self.tell(node, ListKind::Whole, endpoints);
+                self.send_list(node, ListKind::Whole, endpoints);
             }
         }
     }
--- a/crates/world/src/world/load.rs
+++ b/crates/world/src/world/load.rs
@@ -27,7 +27,7 @@
     }
 
     /// A closed-loop client makes its next submission, until the span is over.
-    pub(super) fn client_asks(&mut self, client: usize) {
+    pub(super) fn closed_client_submits(&mut self, client: usize) {
         if self.now < seconds(self.scenario.span_s) {
             self.make_request(Some(client));
         }
@@ -84,7 +84,7 @@
             satisfied: false,
             closed_client,
             last_node: None,
-            executions_begun: 0,
+            executions_started: 0,
         });
         self.open_requests += 1;
         self.count_request(scenario.products[product].payoff);
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -173,7 +173,7 @@
         }
         for client in 0..self.scenario.load.closed as usize {
             let spread = self.rng.random_range(0..START_SPREAD);
-            self.schedule_at(LOAD_BEGINS + spread, Event::ClientAsks { client });
+            self.schedule_at(LOAD_BEGINS + spread, Event::ClosedClientSubmits { client });
         }
     }
 
--- a/crates/world/src/world/network.rs
+++ b/crates/world/src/world/network.rs
@@ -113,7 +113,7 @@
 
     /// The executor's end of a connection is reset.
     pub(super) fn disconnect_node(&mut self, connection: ConnectionId) {
-        self.pass_to_node(connection, Event::DisconnectedAtNode { connection, broken: None });
+        self.pass_to_node(connection, Event::DisconnectedAtNode { connection, disconnect: None });
     }
 
     /// The node hears that a connection is down. `broken` tells how far a send got, where that is known.
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -106,7 +106,7 @@
 pub(super) enum DiscoveryWatch {
     Off,
     /// The whole list was asked for, and the call is under way.
-    Calling,
+    Requested,
     On,
 }
 
