--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -43,7 +43,7 @@
         if self.reset_rate > 0.0 && self.rng.random::<f64>() < self.reset_rate {
             return self.reset_while_sending(connection, attempt);
         }
-        self.pass_to_executor(connection, Event::JobAtExecutor { connection, attempt });
+        self.send_to_executor(connection, Event::JobAtExecutor { connection, attempt });
     }
 
     /// A job is sent to a cold executor, which collapses if it is overloaded by it.
@@ -65,7 +65,7 @@
         const AFTER_LAST_BYTE: u32 = 2;
         let moment: u32 = self.rng.random_range(0..3);
         if moment == AFTER_LAST_BYTE {
-            self.pass_to_executor(connection, Event::JobAtExecutor { connection, attempt });
+            self.send_to_executor(connection, Event::JobAtExecutor { connection, attempt });
         }
         let written = moment > BEFORE_LAST_BYTE;
         let disconnect = Disconnect {
@@ -152,13 +152,13 @@
                 unexpected_data: false,
             };
             let event = Event::DisconnectedAtNode { connection, disconnect: Some(disconnect) };
-            return self.pass_to_node(connection, event);
+            return self.send_to_node(connection, event);
         }
         let now = self.now;
         if let Some(state) = self.connections.get_mut(&connection) {
             state.idle_since = now;
         }
-        self.pass_to_node(connection, Event::ReplyAtNode { connection, attempt, outcome, report });
+        self.send_to_node(connection, Event::ReplyAtNode { connection, attempt, outcome, report });
     }
 
     /// Returns the load report for an executor's answer, if executors send reports.
@@ -177,7 +177,7 @@
         outcome: ExecutionOutcome,
         report: Option<Report>,
     ) {
-        if !self.reply_is_awaited(connection) {
+        if !self.accept_reply(connection) {
             return;
         }
         match outcome {
@@ -217,7 +217,7 @@
         executor.add_overhead(self.now, cost);
         self.run_executor(index);
         let (answered, report) = (Some(true), self.load_report(index));
-        self.pass_to_node(connection, Event::ProbeReplyAtNode { connection, answered, report });
+        self.send_to_node(connection, Event::ProbeReplyAtNode { connection, answered, report });
     }
 
     /// The answer to a probe reaches the node. It is dropped if the node no longer waits for it.
@@ -227,7 +227,7 @@
         answered: Option<bool>,
         report: Option<Report>,
     ) {
-        if !self.reply_is_awaited(connection) {
+        if !self.accept_reply(connection) {
             return;
         }
         let ConnectionId { node, incarnation, number } = connection;
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -100,7 +100,7 @@
         self.connections.insert(connection, state);
         self.outcome.handshakes += 1;
         count_in_second(&mut self.outcome.handshakes_by_second, self.now);
-        self.pass_to_executor(connection, Event::ConnectAtExecutor { connection });
+        self.send_to_executor(connection, Event::ConnectAtExecutor { connection });
     }
 
     fn send_probe(&mut self, connection: ConnectionId) {
@@ -108,14 +108,14 @@
         if let Some(state) = self.connections.get_mut(&connection) {
             state.in_flight = Some(InFlight::Probe);
         }
-        self.pass_to_executor(connection, Event::ProbeAtExecutor { connection });
+        self.send_to_executor(connection, Event::ProbeAtExecutor { connection });
     }
 
     fn close_connection(&mut self, connection: ConnectionId) {
         if let Some(state) = self.connections.get_mut(&connection) {
             state.closed = true;
             state.in_flight = None;
-            self.pass_to_executor(connection, Event::ClosedAtExecutor { connection });
+            self.send_to_executor(connection, Event::ClosedAtExecutor { connection });
         }
     }
 
--- a/crates/world/src/world/execution.rs
+++ b/crates/world/src/world/execution.rs
@@ -1,4 +1,4 @@
-//! Executions: jobs wait in executors, run and are done.
+//! Executions: jobs wait in executors, run and complete.
 
 use super::World;
 use super::event::Event;
@@ -7,12 +7,12 @@
 use linestack_core::Outcome as ExecutionOutcome;
 
 impl World<'_> {
-    /// An executor takes a job, acknowledges it and puts it into its queue.
+    /// An executor accepts a job, acknowledges it and puts it into its queue.
     pub(super) fn enqueue(&mut self, index: usize, connection: ConnectionId, attempt: usize) {
         if let Some(state) = self.connections.get_mut(&connection) {
             state.acknowledged = true;
         }
-        self.hold_key(index, attempt);
+        self.add_copy(index, attempt);
         let request = &self.requests[self.attempts[attempt].request];
         let slots = self.scenario.products[request.product].slots;
         let executor = &mut self.executors[index];
@@ -27,15 +27,15 @@
         self.run_executor(index);
     }
 
-    /// Lets an executor go on: what is done is answered, what fits is started, and it is woken when more may
-    /// be done. To be called after every change of its state.
+    /// Advances an executor: answers the jobs that are done, starts the jobs that fit, and schedules its next
+    /// wake-up. Must be called after every change of its state.
     pub(super) fn run_executor(&mut self, index: usize) {
         let now = self.now;
         let executor = &mut self.executors[index];
         executor.advance(now);
         let done = if executor.is_stalled() { Vec::new() } else { executor.take_done() };
         for job in executor.start(now) {
-            self.job_begins(index, &job);
+            self.job_starts(index, &job);
         }
         for job in done {
             self.release_job(index, &job);
@@ -45,10 +45,10 @@
         if !self.executors[index].is_cold(now) {
             self.judge.reset_cold_work(index);
         }
-        self.update_truth(index);
+        self.update_ground_truth(index);
     }
 
-    /// Wakes an executor when its next job may be done. Earlier wake-ups are void.
+    /// Schedules a wake-up for when the next job may be done. Earlier wake-ups are ignored then.
     fn schedule_wake(&mut self, index: usize) {
         let executor = &mut self.executors[index];
         executor.wake += 1;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// A job begins to run, unless its group has executed a copy of it while this one waited.
-    fn job_begins(&mut self, index: usize, job: &Job) {
+    /// A job starts to run. If its group executed a copy of it while it waited, it completes without running.
+    fn job_starts(&mut self, index: usize, job: &Job) {
         let (connection, attempt) = (job.connection, job.attempt);
         let request = self.attempts[attempt].request;
         let repeats = self.scenario.products[self.requests[request].product].repeats;
@@ -82,7 +82,7 @@
             self.outcome.one_shots_run_again += u64::from(request.executions_started == 2);
         }
         if self.scenario.reports_start {
-            self.pass_to_node(connection, Event::ProgressAtNode { connection, attempt });
+            self.send_to_node(connection, Event::ProgressAtNode { connection, attempt });
         }
         if self.scenario.progress_s > 0.0 {
             let incarnation = self.executors[index].incarnation;
@@ -101,7 +101,8 @@
         self.schedule_after(period, Event::ProgressDue { executor, incarnation, connection, attempt });
     }
 
-    /// An executor that can tells of a job's progress, and does so again while the job runs.
+    /// An executor reports the progress of a job unless it is stalled, and schedules the next report while
+    /// the job runs.
     pub(super) fn progress_due(
         &mut self,
         index: usize,
@@ -114,12 +115,12 @@
             return;
         }
         if !executor.is_stalled() {
-            self.pass_to_node(connection, Event::ProgressAtNode { connection, attempt });
+            self.send_to_node(connection, Event::ProgressAtNode { connection, attempt });
         }
         self.schedule_progress(index, incarnation, connection, attempt);
     }
 
-    /// An executor loses all jobs that it holds.
+    /// An executor loses all its jobs.
     pub(super) fn drop_all_jobs(&mut self, index: usize) {
         let dropped = self.executors[index].clear();
         dropped.iter().for_each(|job| self.release_job(index, job));
--- a/crates/world/src/world/faults/mod.rs
+++ b/crates/world/src/world/faults/mod.rs
@@ -1,5 +1,5 @@
-//! The faults of a scenario. Each has a method of its name in the module of what it takes: executors, nodes
-//! or discovery; resets of connections are here.
+//! The faults of a scenario. Each has a method of its name in the module of what it affects: executors, nodes
+//! or discovery; resets of connections are in this module.
 
 mod discovery;
 mod executors;
@@ -11,7 +11,7 @@
 use super::event::FaultPhase;
 use crate::scenario::{Fault, FaultSpec};
 
-/// What a fault is done to.
+/// What a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TargetKind {
     Executors,
@@ -31,23 +31,23 @@
 }
 
 impl World<'_> {
-    /// A fault of the scenario begins, and draws whom it takes; or it ends for those.
+    /// A fault of the scenario begins, for targets that are drawn now, or ends for the same targets.
     pub(in crate::world) fn fault_changes(&mut self, fault: usize, phase: FaultPhase) {
-        let trouble = self.scenario.faults[fault].clone();
+        let spec = self.scenario.faults[fault].clone();
         if phase.begins() {
-            self.fault_targets[fault] = self.draw_targets(&trouble);
+            self.fault_targets[fault] = self.draw_targets(&spec);
         }
         let targets = self.fault_targets[fault].clone();
-        match (trouble.kind, phase) {
+        match (spec.kind, phase) {
             (Fault::DiscoveryDown, _) => self.discovery_down(phase),
             (Fault::DiscoveryFlaps, _) => self.discovery_flaps(phase),
-            (Fault::Resets, _) => self.resets(&trouble, phase),
-            (Fault::Grow, FaultPhase::Begins) => self.grow(&trouble),
-            (Fault::Roll, FaultPhase::Begins) => self.roll(&trouble, &targets),
-            (Fault::NodeRoll, FaultPhase::Begins) => self.node_roll(&trouble, &targets),
+            (Fault::Resets, _) => self.resets(&spec, phase),
+            (Fault::Grow, FaultPhase::Begins) => self.grow(&spec),
+            (Fault::Roll, FaultPhase::Begins) => self.roll(&spec, &targets),
+            (Fault::NodeRoll, FaultPhase::Begins) => self.node_roll(&spec, &targets),
             (Fault::NodeKill, FaultPhase::Begins) => self.node_kill(&targets),
-            (Fault::NodePause, FaultPhase::Begins) => self.node_pause(&trouble, &targets),
-            (Fault::NodeSlow, _) => self.node_slow(&trouble, &targets, phase),
+            (Fault::NodePause, FaultPhase::Begins) => self.node_pause(&spec, &targets),
+            (Fault::NodeSlow, _) => self.node_slow(&spec, &targets, phase),
             (Fault::Switch, _) => self.switch(&targets, phase),
             (Fault::Flood, FaultPhase::Begins) => self.flood(fault, &targets),
             (
@@ -63,30 +63,31 @@
         }
     }
 
-    /// Draws the part of the nodes or executors that a fault takes, one at least if there is one.
-    fn draw_targets(&mut self, trouble: &FaultSpec) -> Vec<usize> {
-        let mut candidates = match target_kind(trouble.kind) {
+    /// Draws the nodes or executors that a fault affects: the given fraction, but at least one if there is
+    /// any.
+    fn draw_targets(&mut self, spec: &FaultSpec) -> Vec<usize> {
+        let mut candidates = match target_kind(spec.kind) {
             TargetKind::Nodes => (0..self.nodes.len()).collect(),
-            TargetKind::Executors => self.executors_open_to(trouble),
+            TargetKind::Executors => self.fault_candidates(spec),
         };
-        let most = candidates.len();
+        let total = candidates.len();
         candidates.shuffle(&mut self.rng);
-        let wanted = (most as f64 * trouble.part).round() as usize;
-        candidates.truncate(wanted.clamp(1, most.max(1)));
+        let wanted = (total as f64 * spec.part).round() as usize;
+        candidates.truncate(wanted.clamp(1, total.max(1)));
         candidates
     }
 
-    /// Executors that run, do not drain and lie in the fault's zone, if it names one.
-    fn executors_open_to(&self, trouble: &FaultSpec) -> Vec<usize> {
+    /// Returns the executors that run, do not drain and are in the zone of the fault, if it has one.
+    fn fault_candidates(&self, spec: &FaultSpec) -> Vec<usize> {
         let executors = self.executors.iter().enumerate();
         executors
-            .filter(|(_, e)| e.alive && !e.draining && trouble.zone.is_none_or(|zone| zone == e.zone))
+            .filter(|(_, e)| e.alive && !e.draining && spec.zone.is_none_or(|zone| zone == e.zone))
             .map(|(index, _)| index)
             .collect()
     }
 
-    /// [`Fault::Resets`]
-    fn resets(&mut self, trouble: &FaultSpec, phase: FaultPhase) {
-        self.reset_rate = if phase.begins() { trouble.size } else { 0.0 };
+    /// Applies [`Fault::Resets`].
+    fn resets(&mut self, spec: &FaultSpec, phase: FaultPhase) {
+        self.reset_rate = if phase.begins() { spec.size } else { 0.0 };
     }
 }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -7,20 +7,20 @@
 use crate::world::World;
 use crate::world::event::{Event, FaultPhase};
 
-/// An input takes at least this many microseconds of a node that is short of time.
+/// The minimum processor time per input, in microseconds, of a node that is slowed.
 const MIN_CPU_OF_SLOW_NODE_US: f64 = 50.0;
 
-/// At most this part of a node's time goes to others.
-const MAX_TIME_TAKEN: f64 = 0.95;
+/// The maximum fraction of a node's processor time that others take.
+const MAX_CPU_TAKEN: f64 = 0.95;
 
-/// The price of a connection under the terms that nodes are switched to.
-const SWITCHED_CONNECTION_PRICE: f64 = 0.08;
+/// The cost of a connection under the changed settings.
+const SWITCHED_CONNECTION_COST: f64 = 0.08;
 
-/// A flood has at least this many clients a second.
+/// The minimum number of clients per second of a flood.
 const MIN_FLOOD_RATE: f64 = 1e-3;
 
 impl World<'_> {
-    /// [`Fault::NodeKill`](crate::Fault::NodeKill)
+    /// Applies [`Fault::NodeKill`](crate::Fault::NodeKill).
     pub(super) fn node_kill(&mut self, targets: &[usize]) {
         for &node in targets {
             if self.nodes[node].machine.is_some() {
@@ -29,38 +29,38 @@
         }
     }
 
-    /// [`Fault::NodeRoll`](crate::Fault::NodeRoll)
-    pub(super) fn node_roll(&mut self, trouble: &FaultSpec, targets: &[usize]) {
-        let gap_s = trouble.for_s / targets.len() as f64;
+    /// Applies [`Fault::NodeRoll`](crate::Fault::NodeRoll).
+    pub(super) fn node_roll(&mut self, spec: &FaultSpec, targets: &[usize]) {
+        let gap_s = spec.for_s / targets.len() as f64;
         for (place, &node) in targets.iter().enumerate() {
             self.schedule_after(seconds(gap_s * place as f64), Event::NodeStops { node });
         }
     }
 
-    /// [`Fault::NodePause`](crate::Fault::NodePause)
-    pub(super) fn node_pause(&mut self, trouble: &FaultSpec, targets: &[usize]) {
-        let until = self.now + seconds(trouble.for_s);
+    /// Applies [`Fault::NodePause`](crate::Fault::NodePause).
+    pub(super) fn node_pause(&mut self, spec: &FaultSpec, targets: &[usize]) {
+        let until = self.now + seconds(spec.for_s);
         for &node in targets {
             self.nodes[node].busy_until = until;
             self.nodes[node].paused_until = until;
         }
     }
 
-    /// [`Fault::NodeSlow`](crate::Fault::NodeSlow): with `size` of its time gone, each input takes so much
-    /// longer.
-    pub(super) fn node_slow(&mut self, trouble: &FaultSpec, targets: &[usize], phase: FaultPhase) {
-        let usual_us = self.scenario.nodes.cpu_us;
-        let time_left = 1.0 - trouble.size.min(MAX_TIME_TAKEN);
+    /// [`Fault::NodeSlow`](crate::Fault::NodeSlow): others take the fraction `size` of the
+    /// processor time, so that each input takes correspondingly longer.
+    pub(super) fn node_slow(&mut self, spec: &FaultSpec, targets: &[usize], phase: FaultPhase) {
+        let normal_us = self.scenario.nodes.cpu_us;
+        let share_left = 1.0 - spec.size.min(MAX_CPU_TAKEN);
         let cpu_per_input = match phase {
-            FaultPhase::Begins => usual_us.max(MIN_CPU_OF_SLOW_NODE_US) * 1e3 / time_left,
-            FaultPhase::Ends => usual_us * 1e3,
+            FaultPhase::Begins => normal_us.max(MIN_CPU_OF_SLOW_NODE_US) * 1e3 / share_left,
+            FaultPhase::Ends => normal_us * 1e3,
         };
         for &node in targets {
             self.nodes[node].cpu_per_input = cpu_per_input;
         }
     }
 
-    /// [`Fault::Switch`](crate::Fault::Switch)
+    /// Applies [`Fault::Switch`](crate::Fault::Switch).
     pub(super) fn switch(&mut self, targets: &[usize], phase: FaultPhase) {
         for &node in targets {
             let seed = self.rng.random();
@@ -68,24 +68,24 @@
             if phase.begins() {
                 settings.dispatch.may_probe = false;
                 settings.dispatch.may_duplicate = false;
-                settings.dispatch.connection_cost = SWITCHED_CONNECTION_PRICE;
+                settings.dispatch.connection_cost = SWITCHED_CONNECTION_COST;
             }
             let incarnation = self.nodes[node].incarnation;
             self.give_input(node, incarnation, Input::SettingsChanged { settings, version: 0 });
         }
     }
 
-    /// [`Fault::Flood`](crate::Fault::Flood)
+    /// Applies [`Fault::Flood`](crate::Fault::Flood).
     pub(super) fn flood(&mut self, fault: usize, targets: &[usize]) {
         for &node in targets {
             self.schedule_after(0, Event::FloodConnects { fault, node });
         }
     }
 
-    /// A silent client connects to a node, and the next one is scheduled while the flood lasts.
+    /// A client that sends nothing connects to a node. The next one is scheduled while the flood lasts.
     pub(in crate::world) fn flood_connects(&mut self, fault: usize, node: usize) {
-        let trouble = &self.scenario.faults[fault];
-        if self.now >= seconds(trouble.at_s + trouble.for_s) {
+        let spec = &self.scenario.faults[fault];
+        if self.now >= seconds(spec.at_s + spec.for_s) {
             return;
         }
         let client = self.next_flood_client;
@@ -95,7 +95,7 @@
         if state.machine.as_ref().is_some_and(|machine| !machine.is_at_client_limit()) {
             self.give_input(node, incarnation, Input::ClientConnected { client });
         }
-        let gap = seconds(1.0 / trouble.size.max(MIN_FLOOD_RATE));
+        let gap = seconds(1.0 / spec.size.max(MIN_FLOOD_RATE));
         self.schedule_after(gap, Event::FloodConnects { fault, node });
     }
 }
--- a/crates/world/src/world/fleet.rs
+++ b/crates/world/src/world/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of executors: they join, start, drain and end.
+//! The fleet of executors: joining, starting, draining and ending.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -10,16 +10,16 @@
 use super::{World, lock};
 use crate::executor::{ActiveFaults, ConnectionId, Executor};
 
-/// Executors have addresses from 10.0.0.0 on, by their indices.
+/// Executors have consecutive addresses from 10.0.0.0, by index.
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 const EXECUTOR_PORT: u16 = 80;
 
-/// The address of an executor.
+/// Returns the address of an executor.
 pub(super) fn address_of(executor: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + executor as u32), EXECUTOR_PORT))
 }
 
-/// The executor with an address.
+/// Returns the index of the executor with an address.
 pub(super) fn executor_at(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(v4) => (u32::from(*v4.ip()) - FIRST_ADDRESS) as usize,
@@ -28,7 +28,7 @@
 }
 
 impl World<'_> {
-    /// Makes the scenario's executors, spread over the zones; discovery lists them from the beginning.
+    /// Creates the executors of the scenario, spread over the zones. Discovery lists them from the beginning.
     pub(super) fn set_up_executors(&mut self) {
         for (spec, executors) in self.scenario.executors.iter().enumerate() {
             for place in 0..executors.count as usize {
@@ -39,7 +39,7 @@
         self.discovery.list_all_ready(self.executors.len());
     }
 
-    /// A new executor is started, cold, and announced.
+    /// A new executor starts, cold, and is announced to discovery.
     pub(super) fn executor_joins(&mut self, spec: usize, zone: u16) {
         let index = self.add_executor(spec, zone, self.now);
         self.executors[index].started = self.now;
@@ -48,23 +48,23 @@
 
     fn add_executor(&mut self, spec: usize, zone: u16, now: Nanos) -> usize {
         let index = self.executors.len();
-        let terms = &self.scenario.executors[spec];
-        let speed = terms.speed * (1.0 + terms.speed_spread * self.rng.random_range(-1.0..=1.0));
-        let group = self.group_of(index, terms.group as usize, zone);
+        let kind = &self.scenario.executors[spec];
+        let speed = kind.speed * (1.0 + kind.speed_spread * self.rng.random_range(-1.0..=1.0));
+        let group = self.group_of(index, kind.group as usize, zone);
         let name = format!("e{index}");
-        self.executors.push(Executor::new(name, spec, terms, zone, group, speed, now));
-        self.update_truth(index);
+        self.executors.push(Executor::new(name, spec, kind, zone, group, speed, now));
+        self.update_ground_truth(index);
         index
     }
 
-    /// The group of an executor among groups of a size. All members of a group are in one zone.
+    /// Returns the group of an executor. All members of a group are in the same zone.
     fn group_of(&self, index: usize, size: usize, zone: u16) -> u16 {
         let zones = usize::from(self.scenario.zones);
         let group_in_zone = index / zones / size;
         (group_in_zone * zones + usize::from(zone)) as u16
     }
 
-    /// An executor's process ends, with all that it holds; its connections are reset.
+    /// An executor's process ends: its jobs are lost and its connections are reset.
     pub(super) fn executor_ends(&mut self, index: usize) {
         let executor = &mut self.executors[index];
         executor.advance(self.now);
@@ -73,10 +73,10 @@
         executor.wake += 1;
         self.drop_all_jobs(index);
         self.reset_connections_of(index);
-        self.update_truth(index);
+        self.update_ground_truth(index);
     }
 
-    /// Resets every connection that an executor has accepted.
+    /// Resets all connections that an executor has accepted.
     pub(super) fn reset_connections_of(&mut self, index: usize) {
         let accepted = self
             .connections
@@ -86,7 +86,7 @@
         ids.into_iter().for_each(|connection| self.disconnect_node(connection));
     }
 
-    /// An executor's process starts again, cold. One that collapsed stays down.
+    /// An executor's process starts again, cold. An executor that has collapsed stays down.
     pub(super) fn executor_starts(&mut self, index: usize) {
         let now = self.now;
         let executor = &mut self.executors[index];
@@ -103,10 +103,10 @@
         self.run_executor(index);
     }
 
-    /// An executor takes no new jobs from now on.
+    /// An executor starts to drain: it accepts no new jobs from now on.
     pub(super) fn executor_drains(&mut self, index: usize) {
         self.executors[index].draining = true;
-        self.update_truth(index);
+        self.update_ground_truth(index);
         self.announce(index, Health::Draining, Detection::Announced);
     }
 
@@ -116,12 +116,12 @@
         self.announce(index, Health::Gone, Detection::Announced);
     }
 
-    /// Writes down the state of an executor for policies that may see the truth.
-    pub(super) fn update_truth(&mut self, index: usize) {
+    /// Updates the state of an executor for reference policies that may see the ground truth.
+    pub(super) fn update_ground_truth(&mut self, index: usize) {
         let executor = &self.executors[index];
         let available = !executor.is_stalled() && !executor.draining;
         let state = (available, executor.free_slots(), executor.capacity(self.now));
-        let mut truth = lock(&self.truth);
+        let mut truth = lock(&self.ground_truth);
         if truth.executors.len() <= index {
             truth.executors.resize(index + 1, (false, 0.0, 0.0));
         }
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -1,16 +1,16 @@
-//! The simulation: nodes' effects are carried out on a model of their surroundings, and what happens there
-//! comes back to the nodes as inputs.
+//! The simulation loop: effects of nodes are carried out on a model of their environment, whose events become
+//! inputs of the nodes.
 //!
 //! | module | what it models |
 //! | --- | --- |
-//! | `event`, `dispatch` | the event queue, and which part handles an event |
-//! | `load`, `clients` | when submissions are made, and how clients retry |
-//! | `nodes`, `effects` | the nodes' processes, and what they ask for |
+//! | `event`, `dispatch` | the event queue, and routing of events to handlers |
+//! | `load`, `clients` | when submissions are made, and how clients wait and retry |
+//! | `nodes`, `effects` | the nodes' processes, and their effects |
 //! | `network` | connections between nodes and executors |
-//! | `delivery`, `execution`, `idempotency` | jobs on their way to executors, in them, and remembered by them |
-//! | `fleet` | executors that join, start, drain and end |
-//! | `discovery` | the list of executors, and who is told of changes |
-//! | `faults` | the faults of a scenario, by their names |
+//! | `delivery`, `execution`, `idempotency` | delivery and execution of jobs, and the memory of idempotency keys |
+//! | `fleet` | executors joining, starting, draining and ending |
+//! | `discovery` | the list of executors, and who receives changes |
+//! | `faults` | the faults of a scenario |
 
 mod clients;
 mod delivery;
@@ -49,22 +49,22 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// Silent clients of floods are numbered from here on, out of the way of attempts.
+/// The first number of the clients of floods, above all indices of attempts.
 const FIRST_FLOOD_CLIENT: ClientId = 1 << 60;
 
-/// The world runs at most this long after the last client came, for what is still open.
+/// The simulation runs at most this long after the span, for submissions that are still open.
 const GRACE_AFTER_SPAN: Nanos = 60 * SECOND;
 
-/// Nodes start within this time, each at its own moment, and so do closed-loop clients.
+/// Nodes and closed-loop clients start at random times within this span, not all at once.
 const START_SPREAD: Nanos = 100 * MILLISECOND;
 
-/// The first client comes after this time, which leaves room for lists and probes.
-const LOAD_BEGINS: Nanos = 200 * MILLISECOND;
+/// The time of the first submission. Until then nodes get their lists and probe executors.
+const LOAD_START: Nanos = 200 * MILLISECOND;
 
-/// The whole state of a world.
+/// The state of a simulation.
 struct World<'a> {
     scenario: &'a Scenario,
-    /// The only source of chance.
+    /// The only source of random numbers.
     rng: Pcg64Mcg,
     now: Nanos,
     queue: EventQueue,
@@ -73,36 +73,36 @@
     connections: BTreeMap<ConnectionId, Connection>,
     requests: Vec<ClientRequest>,
     attempts: Vec<Attempt>,
-    /// What groups of executors remember of stamped work.
+    /// The idempotency keys that groups of executors remember.
     idempotency: HashMap<IdempotencyKey, IdempotencyRecord>,
     discovery: Discovery,
-    /// The part of all sends whose connection is reset.
+    /// The fraction of sends whose connection is reset.
     reset_rate: f64,
-    /// By fault of the scenario: the nodes or executors that it took when it began.
+    /// By fault of the scenario: the nodes or executors that were drawn when it began.
     fault_targets: Vec<Vec<usize>>,
     judge: Judge,
     outcome: Outcome,
-    truth: Arc<Mutex<GroundTruth>>,
+    ground_truth: Arc<Mutex<GroundTruth>>,
     make_node: &'a dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>,
-    /// An empty buffer for a node's effects, kept for its memory.
+    /// An empty buffer for a node's effects, kept to reuse its allocation.
     effects: Vec<Effect>,
     next_flood_client: ClientId,
-    /// Seconds of work of the submissions that were satisfied.
+    /// The seconds of work of the satisfied submissions.
     useful_work: f64,
-    /// Submissions that are neither satisfied nor given up by their clients.
+    /// The number of submissions that are neither satisfied nor given up by their clients.
     open_requests: usize,
 }
 
-/// Plays a scenario that [`Scenario::check`] finds no fault with. `maker` makes the nodes.
+/// Simulates a scenario, which must pass [`Scenario::check`]. `make_node` builds the nodes.
 ///
-/// The same scenario and the same kind of nodes give the same outcome, to the byte.
-pub fn run(s: &Scenario, maker: &dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>) -> Outcome {
-    let mut world = World::new(s, maker);
+/// The same scenario with the same kind of nodes gives the same outcome, byte for byte.
+pub fn run(s: &Scenario, make_node: &dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>) -> Outcome {
+    let mut world = World::new(s, make_node);
     world.set_up();
     let end = seconds(s.span_s);
     while let Some((at, event)) = world.queue.pop() {
-        let all_over = at > end && world.open_requests == 0;
-        if all_over || at > end + GRACE_AFTER_SPAN {
+        let all_ended = at > end && world.open_requests == 0;
+        if all_ended || at > end + GRACE_AFTER_SPAN {
             break;
         }
         world.now = at;
@@ -128,9 +128,9 @@
             discovery: Discovery::default(),
             reset_rate: 0.0,
             fault_targets: vec![Vec::new(); scenario.faults.len()],
-            judge: judge_of(&scenario.rules),
+            judge: new_judge(&scenario.rules),
             outcome: empty_outcome(scenario),
-            truth: Arc::default(),
+            ground_truth: Arc::default(),
             make_node,
             effects: Vec::new(),
             next_flood_client: FIRST_FLOOD_CLIENT,
@@ -139,16 +139,16 @@
         }
     }
 
-    /// Schedules an event; one for a time that has passed happens now.
+    /// Schedules an event. If its time has passed, it happens now.
     fn schedule_at(&mut self, at: Nanos, event: Event) {
         self.queue.push(at.max(self.now), event);
     }
 
-    fn schedule_after(&mut self, span: Nanos, event: Event) {
-        self.schedule_at(self.now + span, event);
+    fn schedule_after(&mut self, delay: Nanos, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    /// Makes executors and nodes, and schedules the first events.
+    /// Creates executors and nodes, and schedules the first events.
     fn set_up(&mut self) {
         self.set_up_executors();
         self.set_up_nodes();
@@ -161,34 +161,34 @@
         for node in 0..self.scenario.nodes.count as usize {
             let zone = (node % usize::from(self.scenario.zones)) as u16;
             self.nodes.push(NodeState::new(zone, self.scenario.nodes.cpu_us));
-            lock(&self.truth).executor_of_worker.push(Vec::new());
-            let spread = self.rng.random_range(0..START_SPREAD);
-            self.schedule_after(spread, Event::NodeStarts { node });
+            lock(&self.ground_truth).executor_of_worker.push(Vec::new());
+            let offset = self.rng.random_range(0..START_SPREAD);
+            self.schedule_after(offset, Event::NodeStarts { node });
         }
     }
 
     fn set_up_load(&mut self) {
         if self.scenario.load.closed == 0 {
-            return self.schedule_at(LOAD_BEGINS, Event::ClientArrives);
+            return self.schedule_at(LOAD_START, Event::ClientArrives);
         }
         for client in 0..self.scenario.load.closed as usize {
-            let spread = self.rng.random_range(0..START_SPREAD);
-            self.schedule_at(LOAD_BEGINS + spread, Event::ClosedClientSubmits { client });
+            let offset = self.rng.random_range(0..START_SPREAD);
+            self.schedule_at(LOAD_START + offset, Event::ClosedClientSubmits { client });
         }
     }
 
     fn set_up_faults(&mut self) {
-        for (fault, trouble) in self.scenario.faults.iter().enumerate() {
-            let (begin, end) = (seconds(trouble.at_s), seconds(trouble.at_s + trouble.for_s));
+        for (fault, spec) in self.scenario.faults.iter().enumerate() {
+            let (begin, end) = (seconds(spec.at_s), seconds(spec.at_s + spec.for_s));
             self.schedule_at(begin, Event::FaultChanges { fault, phase: FaultPhase::Begins });
             self.schedule_at(end, Event::FaultChanges { fault, phase: FaultPhase::Ends });
         }
     }
 
-    /// Drops what is long over, has the judge find what is overdue, and does so again a second later.
+    /// Drops expired state and lets the judge report overdue submissions, once per second.
     fn sweep(&mut self) {
         self.judge.sweep(self.now);
-        self.forget_expired_keys();
+        self.drop_expired_keys();
         self.schedule_after(SECOND, Event::Sweep);
     }
 
@@ -197,19 +197,19 @@
         self.outcome.breaches = std::mem::take(&mut self.judge.breaches);
         self.outcome.broken = self.judge.broken;
         self.outcome.work_by_executor = self.executors.iter().map(|e| e.worked).collect();
-        self.outcome.waste = self.wasted_part();
+        self.outcome.waste = self.wasted_share();
         self.outcome.finish(self.scenario);
         self.outcome
     }
 
-    /// The part of all work done that satisfied nobody.
-    fn wasted_part(&self) -> f64 {
+    /// Returns the fraction of all executed work that did not contribute to a result.
+    fn wasted_share(&self) -> f64 {
         let worked: f64 = self.outcome.work_by_executor.iter().sum();
         if worked > 0.0 { (1.0 - self.useful_work / worked).max(0.0) } else { 0.0 }
     }
 }
 
-fn judge_of(rules: &Rules) -> Judge {
+fn new_judge(rules: &Rules) -> Judge {
     let cold_limit =
         ColdLoadLimit { overload_factor: rules.overload_factor, window: millis(rules.overload_window_ms) };
     Judge::new(millis(rules.drain_grace_ms), millis(rules.tolerance_ms), cold_limit)
@@ -225,7 +225,7 @@
     }
 }
 
-/// Counts something in the second in which it happened.
+/// Increments the count of the second that contains `at`.
 fn count_in_second(counts: &mut Vec<u64>, at: Nanos) {
     let second = (at / SECOND) as usize;
     if counts.len() <= second {
--- a/crates/world/src/world/network.rs
+++ b/crates/world/src/world/network.rs
@@ -1,4 +1,4 @@
-//! The network: connections between nodes and executors, on which messages pass in order and with delay.
+//! The network: connections between nodes and executors, which deliver messages in order and with a delay.
 
 use linestack_core::{Disconnect, Input, Nanos};
 use rand::Rng as _;
@@ -11,22 +11,22 @@
 /// A connection from a node to an executor.
 pub(super) struct Connection {
     pub(super) executor: usize,
-    /// The incarnation of the executor that accepted it; none until one has.
+    /// The incarnation of the executor that accepted it; none until it is accepted.
     pub(super) executor_incarnation: Option<u32>,
-    /// What the node has sent on it and not heard the end of.
+    /// What the node has sent on it without having got the reply.
     pub(super) in_flight: Option<InFlight>,
-    /// The executor has acknowledged that it took the job in flight.
+    /// Whether the executor has acknowledged the job in flight.
     pub(super) acknowledged: bool,
-    /// The node has closed it.
+    /// Whether the node has closed it.
     pub(super) closed: bool,
-    /// When the last message on it arrives at the node.
-    last_to_node: Nanos,
-    /// When the last message on it arrives at the executor.
-    last_to_executor: Nanos,
+    /// When the last message to the node arrives.
+    last_node_arrival: Nanos,
+    /// When the last message to the executor arrives.
+    last_executor_arrival: Nanos,
     pub(super) idle_since: Nanos,
 }
 
-/// What a connection is in use for.
+/// The message in flight on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InFlight {
     Probe,
@@ -34,7 +34,7 @@
 }
 
 impl Connection {
-    /// A connection that a node begins to open now.
+    /// Creates a connection that a node starts to open now.
     pub(super) fn new(executor: usize, now: Nanos) -> Self {
         Self {
             executor,
@@ -42,41 +42,41 @@
             in_flight: None,
             acknowledged: false,
             closed: false,
-            last_to_node: 0,
-            last_to_executor: 0,
+            last_node_arrival: 0,
+            last_executor_arrival: 0,
             idle_since: now,
         }
     }
 }
 
 impl World<'_> {
-    /// Sends a message to the executor's end of a connection, behind all that was sent before.
-    pub(super) fn pass_to_executor(&mut self, connection: ConnectionId, message: Event) {
+    /// Sends a message to the executor's end of a connection. It arrives after all earlier ones.
+    pub(super) fn send_to_executor(&mut self, connection: ConnectionId, message: Event) {
         let Some(state) = self.connections.get(&connection) else { return };
-        let arrives = self.now + self.draw_delay(connection, state.executor);
+        let arrives_at = self.now + self.draw_delay(connection, state.executor);
         let Some(state) = self.connections.get_mut(&connection) else { return };
-        state.last_to_executor = arrives.max(state.last_to_executor + 1);
-        let at = state.last_to_executor;
+        state.last_executor_arrival = arrives_at.max(state.last_executor_arrival + 1);
+        let at = state.last_executor_arrival;
         self.schedule_at(at, message);
     }
 
-    /// Sends a message to the node's end of a connection, behind all that was sent before. It is lost if
-    /// nothing leaves the executor.
-    pub(super) fn pass_to_node(&mut self, connection: ConnectionId, message: Event) {
+    /// Sends a message to the node's end of a connection. It arrives after all earlier ones. It is lost if
+    /// the executor is unreachable or its outbound messages are cut.
+    pub(super) fn send_to_node(&mut self, connection: ConnectionId, message: Event) {
         let Some(state) = self.connections.get(&connection) else { return };
         let executor = state.executor;
         let faults = &self.executors[executor].faults;
         if faults.outbound_cut || faults.unreachable {
             return;
         }
-        let arrives = self.now + self.draw_delay(connection, executor);
+        let arrives_at = self.now + self.draw_delay(connection, executor);
         let Some(state) = self.connections.get_mut(&connection) else { return };
-        state.last_to_node = arrives.max(state.last_to_node + 1);
-        let at = state.last_to_node;
+        state.last_node_arrival = arrives_at.max(state.last_node_arrival + 1);
+        let at = state.last_node_arrival;
         self.schedule_at(at, message);
     }
 
-    /// The time that a message takes, by zones and with jitter.
+    /// Draws the delay of a message, which depends on the zones, with jitter.
     fn draw_delay(&mut self, connection: ConnectionId, executor: usize) -> Nanos {
         let network = &self.scenario.network;
         let same_zone = self.nodes[connection.node].zone == self.executors[executor].zone;
@@ -84,7 +84,8 @@
         millis(ms * (1.0 + network.jitter * self.rng.random::<f64>())).max(1)
     }
 
-    /// A connection attempt reaches the executor, which accepts it while it is up and under its cap.
+    /// A connection attempt reaches the executor, which accepts it if it is up and below its limit of
+    /// connections.
     pub(super) fn connect_at_executor(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         let index = state.executor;
@@ -100,10 +101,10 @@
         state.executor_incarnation = Some(executor.incarnation);
         executor.add_overhead(self.now, spec.handshake_ms / 1e3);
         self.run_executor(index);
-        self.pass_to_node(connection, Event::ConnectedAtNode { connection });
+        self.send_to_node(connection, Event::ConnectedAtNode { connection });
     }
 
-    /// The node hears that a connection is established, unless it has closed it meanwhile.
+    /// The node learns that a connection is established, unless it has closed it meanwhile.
     pub(super) fn connected_at_node(&mut self, connection: ConnectionId) {
         if self.connections.get(&connection).is_some_and(|state| !state.closed) {
             let input = Input::ExecutorConnected { connection: connection.number };
@@ -113,32 +114,32 @@
 
     /// The executor's end of a connection is reset.
     pub(super) fn disconnect_node(&mut self, connection: ConnectionId) {
-        self.pass_to_node(connection, Event::DisconnectedAtNode { connection, disconnect: None });
+        self.send_to_node(connection, Event::DisconnectedAtNode { connection, disconnect: None });
     }
 
-    /// The node hears that a connection is down. `broken` tells how far a send got, where that is known.
-    pub(super) fn disconnected_at_node(&mut self, connection: ConnectionId, broken: Option<Disconnect>) {
+    /// The node learns that a connection is down. `disconnect` says how far a send got, if that is known.
+    pub(super) fn disconnected_at_node(&mut self, connection: ConnectionId, disconnect: Option<Disconnect>) {
         let Some(state) = self.connections.remove(&connection) else { return };
         if state.closed {
             return;
         }
-        // What was in flight had been written: the last byte leaves a node when it is sent.
-        let sent = state.in_flight.is_some();
-        let broken = broken.unwrap_or(Disconnect {
-            request_started: sent,
-            request_written: sent,
-            response_started: sent && state.acknowledged,
+        // A request in flight has been written completely, since the model sends all its bytes at once.
+        let was_sent = state.in_flight.is_some();
+        let disconnect = disconnect.unwrap_or(Disconnect {
+            request_started: was_sent,
+            request_written: was_sent,
+            response_started: was_sent && state.acknowledged,
             local_fault: false,
             unexpected_data: false,
         });
-        if let (Some(InFlight::Job { attempt }), false) = (state.in_flight, broken.request_written) {
+        if let (Some(InFlight::Job { attempt }), false) = (state.in_flight, disconnect.request_written) {
             self.judge.never_ran(attempt, connection);
         }
-        let input = Input::ExecutorDisconnected { connection: connection.number, disconnect: broken };
+        let input = Input::ExecutorDisconnected { connection: connection.number, disconnect };
         self.give_input(connection.node, connection.incarnation, input);
     }
 
-    /// The executor hears that the node has closed a connection, and drops what it held for it.
+    /// The executor learns that the node has closed a connection, and drops its jobs.
     pub(super) fn closed_at_executor(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.remove(&connection) else { return };
         let now = self.now;
@@ -155,8 +156,8 @@
         self.run_executor(state.executor);
     }
 
-    /// A reply reaches the node. False if the node no longer waits for one on this connection.
-    pub(super) fn reply_is_awaited(&mut self, connection: ConnectionId) -> bool {
+    /// A reply reaches the node. Returns false if the node no longer waits for one on this connection.
+    pub(super) fn accept_reply(&mut self, connection: ConnectionId) -> bool {
         let now = self.now;
         let Some(state) = self.connections.get_mut(&connection) else { return false };
         if state.closed || state.in_flight.is_none() {
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: their processes start, take inputs as they have processor time, stop and are killed.
+//! Nodes: their processes start, handle inputs as processor time allows, stop and are killed.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,55 +16,57 @@
 use crate::scenario::seconds;
 use crate::{NodeSetup, SimulatedNode};
 
-/// The front looks at a node's health this long after its start.
+/// The delay after a node's start at which the load balancer checks its health.
 const HEALTH_CHECK_AFTER_START: Nanos = 10 * MILLISECOND;
 
-/// The front looks at a node's health this long after the node was told to stop.
+/// The delay after a node was told to stop at which the load balancer checks its health.
 const HEALTH_CHECK_AFTER_STOP: Nanos = 300 * MILLISECOND;
 
-/// A client sees after this time that its node's process has ended.
-const END_SEEN_AFTER: Nanos = MILLISECOND;
+/// The time after which a client notices that its node's process has ended.
+const PROCESS_END_NOTICE_DELAY: Nanos = MILLISECOND;
 
-/// Nodes remember persisted records for this long after a start.
-const RECORDS_REMEMBERED_FOR: Nanos = 3600 * SECOND;
+/// How long nodes keep stored outcomes after a start.
+const OUTCOME_RETENTION: Nanos = 3600 * SECOND;
 
-/// Stages of a start last at most this long: for the list, for one executor to be known, for a share.
-const LIST_WITHIN: Nanos = 3 * SECOND;
-const KNOWN_WITHIN: Nanos = 3 * SECOND;
-const SHARE_WITHIN: Nanos = 10 * SECOND;
+/// Time limits of the stages of a staged start: to get the list, to know one executor, and to know the
+/// required share of the executors.
+const START_LIST_TIMEOUT: Nanos = 3 * SECOND;
+const START_KNOWN_TIMEOUT: Nanos = 3 * SECOND;
+const START_SHARE_TIMEOUT: Nanos = 10 * SECOND;
 
-/// Workers that joined since a node heard of the fleet may have indices this far beyond it.
+/// How far the worker indices of a node may exceed the number of executors, since workers may have joined
+/// since the node last got the list.
 const WORKER_INDEX_MARGIN: u32 = 64;
 
-/// A node's place, over all incarnations of its process.
+/// A node, across all incarnations of its process.
 pub(super) struct NodeState {
     /// The process, while it runs.
     pub(super) machine: Option<Box<dyn SimulatedNode>>,
-    /// Counts the starts of the process.
+    /// The number of starts of the process.
     pub(super) incarnation: u32,
     pub(super) zone: u16,
-    /// The front sends clients to it.
+    /// Whether the load balancer sends clients to it.
     pub(super) in_rotation: bool,
-    /// It was told to stop.
+    /// Whether it was told to stop.
     stopping: bool,
-    /// When its earliest timer event comes; [`Nanos::MAX`] where none is scheduled.
+    /// The time of its earliest timer event; [`Nanos::MAX`] if none is scheduled.
     timer_at: Nanos,
-    /// It takes no input before this time.
+    /// It handles no input before this time.
     pub(super) busy_until: Nanos,
-    /// It is paused until this time, and what discovery tells it counts from then.
+    /// It is paused until this time; lists that it gets meanwhile count from then.
     pub(super) paused_until: Nanos,
-    /// What has come and was not taken yet.
+    /// The inputs that it has not handled yet.
     pub(super) inbox: VecDeque<Input>,
     resume_scheduled: bool,
     pub(super) watch: DiscoveryWatch,
-    /// Nanoseconds of processor time that each input takes.
+    /// The processor time per input, in nanoseconds.
     pub(super) cpu_per_input: f64,
     /// The records on its disk, oldest first.
     persisted: Vec<OutcomeRecord>,
 }
 
 impl NodeState {
-    /// A node that has not started yet. `cpu_us` is the time that each input takes, in microseconds.
+    /// Creates a node that has not started yet. `cpu_us` is the processor time per input, in microseconds.
     pub(super) fn new(zone: u16, cpu_us: f64) -> Self {
         Self {
             machine: None,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Makes it ready for a new process. What is on its disk stays.
+    /// Resets the state for a new process. The records on its disk stay.
     fn reset(&mut self, cpu_us: f64) {
         self.incarnation += 1;
         self.stopping = false;
@@ -95,8 +97,8 @@
         self.inbox.clear();
     }
 
-    /// Whether this incarnation of its process runs.
-    fn runs(&self, incarnation: u32) -> bool {
+    /// Returns whether this incarnation of its process runs.
+    fn is_running(&self, incarnation: u32) -> bool {
         self.incarnation == incarnation && self.machine.is_some()
     }
 }
@@ -105,15 +107,15 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum DiscoveryWatch {
     Off,
-    /// The whole list was asked for, and the call is under way.
+    /// The whole list was requested, and the request is in flight.
     Requested,
     On,
 }
 
 impl World<'_> {
-    /// Puts an input into a node's inbox, if that incarnation of it runs.
+    /// Puts an input into a node's inbox, if this incarnation of it runs.
     pub(super) fn give_input(&mut self, node: usize, incarnation: u32, input: Input) {
-        if self.nodes[node].runs(incarnation) {
+        if self.nodes[node].is_running(incarnation) {
             self.nodes[node].inbox.push_back(input);
             self.process_inbox(node);
         }
@@ -134,14 +136,14 @@
         }
     }
 
-    /// Lets a node take what has come, in order, as far as it has processor time.
+    /// Lets a node handle its pending inputs in order, as far as it has processor time.
     fn process_inbox(&mut self, node: usize) {
         while let Some(input) = self.next_input(node) {
             self.process_input(node, input);
         }
     }
 
-    /// The next input, if the node has time for it now; otherwise it resumes when it has.
+    /// Returns the next input if the node has processor time now. Otherwise schedules when it resumes.
     fn next_input(&mut self, node: usize) -> Option<Input> {
         let state = &mut self.nodes[node];
         if state.inbox.is_empty() {
@@ -163,15 +165,15 @@
         let Some(machine) = &mut state.machine else { return };
         state.busy_until = self.now + state.cpu_per_input as Nanos;
         let incarnation = state.incarnation;
-        let lists_executors = matches!(input, Input::ListReceived { .. });
+        let is_list = matches!(input, Input::ListReceived { .. });
         if let Input::Submitted { client, .. } = &input {
             self.attempts[*client as usize].read_at = Some(self.now);
         }
         let mut effects = std::mem::take(&mut self.effects);
         machine.handle(self.now, input, &mut effects);
         let due = machine.next_due();
-        if lists_executors {
-            self.record_worker_places(node);
+        if is_list {
+            self.record_worker_executors(node);
         }
         self.set_timer(node, due);
         for effect in effects.drain(..) {
@@ -180,15 +182,16 @@
         self.effects = effects;
     }
 
-    /// Writes down which executor each of a node's workers is, for policies that may see the truth.
-    fn record_worker_places(&mut self, node: usize) {
+    /// Records the executor of each of a node's workers, for reference policies that may see the ground
+    /// truth.
+    fn record_worker_executors(&mut self, node: usize) {
         let Some(machine) = &self.nodes[node].machine else { return };
         let workers = 0..self.executors.len() as u32 + WORKER_INDEX_MARGIN;
-        let places = workers.map(|worker| machine.address(worker).map(executor_at)).collect();
-        lock(&self.truth).executor_of_worker[node] = places;
+        let executors = workers.map(|worker| machine.address(worker).map(executor_at)).collect();
+        lock(&self.ground_truth).executor_of_worker[node] = executors;
     }
 
-    /// Schedules a node's timer, if none comes as early.
+    /// Schedules a node's timer, unless one is scheduled for the same time or earlier.
     fn set_timer(&mut self, node: usize, due: Nanos) {
         let state = &mut self.nodes[node];
         if due >= state.timer_at {
@@ -200,7 +203,7 @@
         self.schedule_at(at, Event::NodeTimer { node, incarnation, at });
     }
 
-    /// Starts a node's process, with the list of executors as it was last known.
+    /// Starts a node's process, with a cached list of executors.
     pub(super) fn node_starts(&mut self, node: usize) {
         let settings_seed = self.rng.random();
         self.nodes[node].reset(self.scenario.nodes.cpu_us);
@@ -213,7 +216,7 @@
             settings: self.scenario.settings(self.nodes[node].zone, settings_seed),
             sockets: self.scenario.nodes.sockets,
             memory: self.scenario.nodes.memory_mb << 20,
-            truth: Arc::clone(&self.truth),
+            truth: Arc::clone(&self.ground_truth),
         };
         self.nodes[node].machine = Some((self.make_node)(setup));
         let input = Input::ListReceived { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
@@ -223,29 +226,30 @@
 
     fn staged_start(&mut self) -> StagedStart {
         let starts = &self.scenario.nodes.starts;
-        let terms = StartLimits {
+        let limits = StartLimits {
             nodes: self.scenario.nodes.count,
             connects_per_s: starts.connects_per_s,
             lists_per_s: starts.lists_per_s,
             sessions_per_s: 0.0,
-            list_timeout: LIST_WITHIN,
-            known_timeout: KNOWN_WITHIN,
-            share_timeout: SHARE_WITHIN,
+            list_timeout: START_LIST_TIMEOUT,
+            known_timeout: START_KNOWN_TIMEOUT,
+            share_timeout: START_SHARE_TIMEOUT,
         };
-        let found = StartConditions { settings_confirmed: true, list_is_fresh: true, has_old_list: false };
-        StagedStart::new(terms, found, [self.rng.random(), self.rng.random()], self.now)
+        let conditions =
+            StartConditions { settings_confirmed: true, list_is_fresh: true, has_old_list: false };
+        StagedStart::new(limits, conditions, [self.rng.random(), self.rng.random()], self.now)
     }
 
-    /// What a node's disk has of earlier incarnations.
+    /// Returns the outcomes that earlier incarnations of a node have stored.
     fn stored_outcomes(&self, node: usize) -> StoredOutcomes {
         let persisted = &self.nodes[node].persisted;
-        let mut fates = OutcomeTable::new(RECORDS_REMEMBERED_FOR, usize::MAX, usize::MAX);
-        fates.restore(persisted.iter().cloned());
-        let age = persisted.iter().map(|k| k.at + 1).max().unwrap_or(0);
-        StoredOutcomes { outcomes: fates, age, now: self.now, by_stamp: true, incomplete_until: 0 }
+        let mut outcomes = OutcomeTable::new(OUTCOME_RETENTION, usize::MAX, usize::MAX);
+        outcomes.restore(persisted.iter().cloned());
+        let age = persisted.iter().map(|record| record.at + 1).max().unwrap_or(0);
+        StoredOutcomes { outcomes, age, now: self.now, by_stamp: true, incomplete_until: 0 }
     }
 
-    /// A record is on a node's disk. One that was under way when the node was killed is lost.
+    /// A record is on a node's disk. A record whose write was in progress when the node was killed is lost.
     pub(super) fn record_persisted(
         &mut self,
         node: usize,
@@ -253,7 +257,7 @@
         record: OutcomeRecord,
         ticket: Option<PersistTicket>,
     ) {
-        if !self.nodes[node].runs(incarnation) {
+        if !self.nodes[node].is_running(incarnation) {
             return;
         }
         self.nodes[node].persisted.push(record);
@@ -262,13 +266,13 @@
         }
     }
 
-    /// The front looks whether a node wants clients.
+    /// The load balancer checks a node's health, and takes it into or out of rotation.
     pub(super) fn check_health(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         state.in_rotation = state.machine.as_ref().is_some_and(|m| m.ready(self.now));
     }
 
-    /// A node is told to stop, and is killed later if it still runs.
+    /// A node is told to stop. It is killed later if it still runs.
     pub(super) fn node_stops(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         if state.machine.is_none() || state.stopping {
@@ -278,27 +282,27 @@
         let incarnation = state.incarnation;
         self.give_input(node, incarnation, Input::Stop);
         self.schedule_after(HEALTH_CHECK_AFTER_STOP, Event::HealthChecked { node });
-        let kill_after = seconds(self.scenario.nodes.kill_after_s);
-        self.schedule_after(kill_after, Event::NodeKilled { node, incarnation });
+        let kill_delay = seconds(self.scenario.nodes.kill_after_s);
+        self.schedule_after(kill_delay, Event::NodeKilled { node, incarnation });
     }
 
     pub(super) fn node_killed(&mut self, node: usize, incarnation: u32) {
-        if self.nodes[node].runs(incarnation) {
+        if self.nodes[node].is_running(incarnation) {
             self.node_ends(node);
         }
     }
 
-    /// A node's process ends, however that came, and is started again later.
+    /// A node's process ends, for any reason, and is started again later.
     pub(super) fn node_ends(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation;
         self.nodes[node].machine = None;
         self.judge.process_ended(NodeProcess { node, incarnation });
         self.close_connections_of(node, incarnation);
         self.fail_attempts_at(node, incarnation);
-        let notice_after = seconds(self.scenario.clients.notice_s);
-        self.schedule_after(notice_after, Event::HealthChecked { node });
-        let back_after = seconds(self.scenario.nodes.back_after_s);
-        self.schedule_after(back_after, Event::NodeStarts { node });
+        let notice_delay = seconds(self.scenario.clients.notice_s);
+        self.schedule_after(notice_delay, Event::HealthChecked { node });
+        let restart_delay = seconds(self.scenario.nodes.back_after_s);
+        self.schedule_after(restart_delay, Event::NodeStarts { node });
     }
 
     fn close_connections_of(&mut self, node: usize, incarnation: u32) {
@@ -309,11 +313,11 @@
             if let Some(state) = self.connections.get_mut(&connection) {
                 state.closed = true;
             }
-            self.pass_to_executor(connection, Event::ClosedAtExecutor { connection });
+            self.send_to_executor(connection, Event::ClosedAtExecutor { connection });
         }
     }
 
-    /// Clients whose submissions a process had accepted see their connections end.
+    /// Clients whose submissions the process had accepted see their connections close.
     fn fail_attempts_at(&mut self, node: usize, incarnation: u32) {
         let outcome = ClientOutcome::NoAnswer;
         for attempt in 0..self.attempts.len() {
@@ -322,7 +326,7 @@
                 .assigned
                 .is_some_and(|a| (a.node, a.incarnation) == (node, incarnation) && a.accepted_at.is_some());
             if accepted_here && !state.over && !state.answered {
-                self.schedule_after(END_SEEN_AFTER, Event::ResponseAtClient { attempt, outcome });
+                self.schedule_after(PROCESS_END_NOTICE_DELAY, Event::ResponseAtClient { attempt, outcome });
             }
         }
     }
