--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -91,7 +91,7 @@
     executor: usize,
 }
 
-/// The health of an executor that discovery last told a node, and when.
+/// The health of an executor that discovery last sent to a node, and when.
 #[derive(Clone, Copy, Debug)]
 struct ListedHealth {
     at: Nanos,
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -144,11 +144,11 @@
         }
         let Some(Assignment { node, .. }) = self.attempts[attempt].assigned else { return };
         let state = &self.nodes[node];
-        let Some(machine) = &state.machine else {
+        let Some(process) = &state.process else {
             let outcome = ClientOutcome::Refused;
             return self.schedule_after(FAILURE_NOTICE_DELAY, Event::ResponseAtClient { attempt, outcome });
         };
-        if machine.is_at_client_limit() {
+        if process.is_at_client_limit() {
             return self.schedule_after(ACCEPT_RETRY_INTERVAL, Event::RequestAtNode { attempt });
         }
         self.submit(attempt, node, state.incarnation);
--- a/crates/world/src/world/faults/executors.rs
+++ b/crates/world/src/world/faults/executors.rs
@@ -36,10 +36,10 @@
     /// Applies [`Fault::Grow`]: new executors like the existing ones join one after the other.
     pub(super) fn grow(&mut self, fault_spec: &FaultSpec) {
         let count = (self.executors.len() as f64 * fault_spec.part).round().max(1.0) as usize;
-        for place in 0..count {
-            let model = &self.executors[place % self.executors.len()];
+        for index in 0..count {
+            let model = &self.executors[index % self.executors.len()];
             let (spec, zone) = (model.spec, model.zone);
-            let after = seconds(fault_spec.for_s * place as f64 / count as f64);
+            let after = seconds(fault_spec.for_s * index as f64 / count as f64);
             self.schedule_after(after, Event::ExecutorJoins { spec, zone });
         }
     }
@@ -47,8 +47,8 @@
     /// Applies [`Fault::Roll`]: one executor after the other is replaced by a new one.
     pub(super) fn roll(&mut self, fault_spec: &FaultSpec, targets: &[usize]) {
         let gap_s = fault_spec.for_s / targets.len() as f64;
-        for (place, &executor) in targets.iter().enumerate() {
-            let joins = seconds(gap_s * place as f64);
+        for (index, &executor) in targets.iter().enumerate() {
+            let joins = seconds(gap_s * index as f64);
             let (spec, zone) = (self.executors[executor].spec, self.executors[executor].zone);
             self.schedule_after(joins, Event::ExecutorJoins { spec, zone });
             self.schedule_after(joins + ROLL_DRAIN_DELAY, Event::ExecutorDrains { executor });
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -23,7 +23,7 @@
     /// Applies [`Fault::NodeKill`](crate::Fault::NodeKill).
     pub(super) fn node_kill(&mut self, targets: &[usize]) {
         for &node in targets {
-            if self.nodes[node].machine.is_some() {
+            if self.nodes[node].process.is_some() {
                 self.node_ends(node);
             }
         }
@@ -32,8 +32,8 @@
     /// Applies [`Fault::NodeRoll`](crate::Fault::NodeRoll).
     pub(super) fn node_roll(&mut self, spec: &FaultSpec, targets: &[usize]) {
         let gap_s = spec.for_s / targets.len() as f64;
-        for (place, &node) in targets.iter().enumerate() {
-            self.schedule_after(seconds(gap_s * place as f64), Event::NodeStops { node });
+        for (index, &node) in targets.iter().enumerate() {
+            self.schedule_after(seconds(gap_s * index as f64), Event::NodeStops { node });
         }
     }
 
@@ -92,7 +92,7 @@
         self.next_flood_client += 1;
         let state = &self.nodes[node];
         let incarnation = state.incarnation;
-        if state.machine.as_ref().is_some_and(|machine| !machine.is_at_client_limit()) {
+        if state.process.as_ref().is_some_and(|process| !process.is_at_client_limit()) {
             self.give_input(node, incarnation, Input::ClientConnected { client });
         }
         let gap = seconds(1.0 / spec.size.max(MIN_FLOOD_RATE));
--- a/crates/world/src/world/fleet.rs
+++ b/crates/world/src/world/fleet.rs
@@ -31,8 +31,8 @@
     /// Creates the executors of the scenario, spread over the zones. Discovery lists them from the beginning.
     pub(super) fn set_up_executors(&mut self) {
         for (spec, executors) in self.scenario.executors.iter().enumerate() {
-            for place in 0..executors.count as usize {
-                let zone = ((place + spec) % usize::from(self.scenario.zones)) as u16;
+            for index in 0..executors.count as usize {
+                let zone = ((index + spec) % usize::from(self.scenario.zones)) as u16;
                 self.add_executor(spec, zone, self.now);
             }
         }
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -28,8 +28,7 @@
 /// How long nodes keep stored outcomes after a start.
 const OUTCOME_RETENTION: Nanos = 3600 * SECOND;
 
-/// Time limits of the stages of a staged start: to get the list, to know one executor, and to know the
-/// required share of the executors.
+/// The maximum durations of the stages `List`, `Known` and `Share` of a staged start.
 const START_LIST_TIMEOUT: Nanos = 3 * SECOND;
 const START_KNOWN_TIMEOUT: Nanos = 3 * SECOND;
 const START_SHARE_TIMEOUT: Nanos = 10 * SECOND;
@@ -41,7 +40,7 @@
 /// A node, across all incarnations of its process.
 pub(super) struct NodeState {
     /// The process, while it runs.
-    pub(super) machine: Option<Box<dyn SimulatedNode>>,
+    pub(super) process: Option<Box<dyn SimulatedNode>>,
     /// The number of starts of the process.
     pub(super) incarnation: u32,
     pub(super) zone: u16,
@@ -69,7 +68,7 @@
     /// Creates a node that has not started yet. `cpu_us` is the processor time per input, in microseconds.
     pub(super) fn new(zone: u16, cpu_us: f64) -> Self {
         Self {
-            machine: None,
+            process: None,
             incarnation: 0,
             zone,
             in_rotation: false,
@@ -99,7 +98,7 @@
 
     /// Returns whether this incarnation of its process runs.
     fn is_running(&self, incarnation: u32) -> bool {
-        self.incarnation == incarnation && self.machine.is_some()
+        self.incarnation == incarnation && self.process.is_some()
     }
 }
 
@@ -157,12 +156,12 @@
             return None;
         }
         let input = state.inbox.pop_front();
-        input.filter(|_| state.machine.is_some())
+        input.filter(|_| state.process.is_some())
     }
 
     fn process_input(&mut self, node: usize, input: Input) {
         let state = &mut self.nodes[node];
-        let Some(machine) = &mut state.machine else { return };
+        let Some(process) = &mut state.process else { return };
         state.busy_until = self.now + state.cpu_per_input as Nanos;
         let incarnation = state.incarnation;
         let is_list = matches!(input, Input::ListReceived { .. });
@@ -170,8 +169,8 @@
             self.attempts[*client as usize].read_at = Some(self.now);
         }
         let mut effects = std::mem::take(&mut self.effects);
-        machine.handle(self.now, input, &mut effects);
-        let due = machine.next_due();
+        process.handle(self.now, input, &mut effects);
+        let due = process.next_due();
         if is_list {
             self.record_worker_executors(node);
         }
@@ -185,9 +184,9 @@
     /// Records the executor of each of a node's workers, for reference policies that may see the ground
     /// truth.
     fn record_worker_executors(&mut self, node: usize) {
-        let Some(machine) = &self.nodes[node].machine else { return };
+        let Some(process) = &self.nodes[node].process else { return };
         let workers = 0..self.executors.len() as u32 + WORKER_INDEX_MARGIN;
-        let executors = workers.map(|worker| machine.address(worker).map(executor_at)).collect();
+        let executors = workers.map(|worker| process.address(worker).map(executor_at)).collect();
         lock(&self.ground_truth).executor_of_worker[node] = executors;
     }
 
@@ -218,7 +217,7 @@
             memory: self.scenario.nodes.memory_mb << 20,
             truth: Arc::clone(&self.ground_truth),
         };
-        self.nodes[node].machine = Some((self.make_node)(setup));
+        self.nodes[node].process = Some((self.make_node)(setup));
         let input = Input::ListReceived { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
         self.give_input(node, self.nodes[node].incarnation, input);
         self.schedule_after(HEALTH_CHECK_AFTER_START, Event::HealthChecked { node });
@@ -269,13 +268,13 @@
     /// The load balancer checks a node's health, and takes it into or out of rotation.
     pub(super) fn check_health(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        state.in_rotation = state.machine.as_ref().is_some_and(|m| m.ready(self.now));
+        state.in_rotation = state.process.as_ref().is_some_and(|m| m.ready(self.now));
     }
 
     /// A node is told to stop. It is killed later if it still runs.
     pub(super) fn node_stops(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        if state.machine.is_none() || state.stopping {
+        if state.process.is_none() || state.stopping {
             return;
         }
         state.stopping = true;
@@ -295,7 +294,7 @@
     /// A node's process ends, for any reason, and is started again later.
     pub(super) fn node_ends(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation;
-        self.nodes[node].machine = None;
+        self.nodes[node].process = None;
         self.judge.process_ended(NodeProcess { node, incarnation });
         self.close_connections_of(node, incarnation);
         self.fail_attempts_at(node, incarnation);
--- a/crates/world/tests/judge.rs
+++ b/crates/world/tests/judge.rs
@@ -1,4 +1,6 @@
-//! Nodes that break a rule on purpose: the judge must name the rule, and find nothing in a sound node.
+//! Tests of the judge and of whole simulations: a node that breaks a rule on purpose must be reported under
+//! that rule, and a correct node must break none, with each fault alone and with settings changed during a
+//! fault.
 
 use linestack_world::tampered::{TamperedNode, Tampering};
 use linestack_world::{
@@ -6,8 +8,8 @@
 };
 use rstest::rstest;
 
-/// A small fleet with one trouble, and every kind of product.
-fn world(kind: Fault, part: f64, size: f64) -> Scenario {
+/// Returns a small fleet with one fault and a product of each repeat policy.
+fn scenario(kind: Fault, part: f64, size: f64) -> Scenario {
     let product = |name: &str, repeats| Product { name: name.into(), repeats, ..Product::default() };
     Scenario {
         span_s: 20.0,
@@ -35,27 +37,31 @@
 #[case::drained(Tampering::SendsToDrained, Rule::SentToDrained, Fault::Drain)]
 #[case::cold(Tampering::FloodsCold, Rule::ColdPushedOver, Fault::Grow)]
 #[case::after(Tampering::SendsAfterAnswer, Rule::SentAfterAnswer, Fault::Slow)]
-fn a_broken_node_is_caught_by_name(#[case] way: Tampering, #[case] rule: Rule, #[case] kind: Fault) {
-    let world = world(kind, 0.2, 0.3);
-    let sound = run(&world, &production_node);
-    assert_eq!(sound.breaches, [], "a sound node breaks nothing");
-    assert!(sound.satisfied > 100);
-    let broken = run(&world, &|seat| Box::new(TamperedNode::new(production_node(seat), way)));
-    assert!(broken.rules().contains(&rule), "{:?} and not {rule:?}", broken.rules());
+fn the_judge_names_the_rule_that_a_node_breaks(
+    #[case] tampering: Tampering,
+    #[case] rule: Rule,
+    #[case] kind: Fault,
+) {
+    let scenario = scenario(kind, 0.2, 0.3);
+    let correct = run(&scenario, &production_node);
+    assert_eq!(correct.breaches, [], "a correct node breaks no rule");
+    assert!(correct.satisfied > 100);
+    let tampered = run(&scenario, &|setup| Box::new(TamperedNode::new(production_node(setup), tampering)));
+    assert!(tampered.rules().contains(&rule), "found {:?} instead of {rule:?}", tampered.rules());
 }
 
-// One seed, one outcome, to the byte; another seed, another.
+// The same seed gives the same outcome, byte for byte, and another seed another outcome.
 #[test]
-fn a_seed_is_an_outcome() {
-    let s = world(Fault::Crash, 0.3, 0.5);
-    let told = |s: &Scenario| format!("{:?}", run(s, &production_node));
-    assert_eq!(told(&s), told(&s));
-    assert_ne!(told(&s), told(&Scenario { seed: 2, ..s.clone() }));
+fn the_seed_determines_the_outcome() {
+    let s = scenario(Fault::Crash, 0.3, 0.5);
+    let outcome_text = |s: &Scenario| format!("{:?}", run(s, &production_node));
+    assert_eq!(outcome_text(&s), outcome_text(&s));
+    assert_ne!(outcome_text(&s), outcome_text(&Scenario { seed: 2, ..s.clone() }));
 }
 
-// Each trouble alone, on three seeds: no rule broken, and most is still answered.
+// Each fault alone, with three seeds: no rule is broken, and more than 40 % of the submissions are satisfied.
 #[rstest]
-fn every_trouble_alone_breaks_no_rule(
+fn no_single_fault_breaks_a_rule(
     #[values(
         Fault::Crash,
         Fault::Vanish,
@@ -87,45 +93,45 @@
     kind: Fault,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let s = Scenario { seed, zones: 2, ..world(kind, 0.3, 0.5) };
+    let s = Scenario { seed, zones: 2, ..scenario(kind, 0.3, 0.5) };
     let outcome = run(&s, &production_node);
     assert_eq!(outcome.breaches, [], "{kind:?}");
-    let part = outcome.satisfied as f64 / outcome.submissions as f64;
-    assert!(part > 0.4, "{kind:?}: only {part:.2} satisfied of {}", outcome.submissions);
+    let share = outcome.satisfied as f64 / outcome.submissions as f64;
+    assert!(share > 0.4, "{kind:?}: only {share:.2} of {} submissions satisfied", outcome.submissions);
 }
 
-// All nodes at once, with executors that come cold or leave meanwhile: no rule broken in the seconds after it
-// or after the way back, and no more lost than without.
+// All nodes change their settings at once, and back, while executors join cold or leave: no rule is broken after
+// either change, and little goodput is lost compared with no change, or with nodes that are restarted instead.
 #[rstest]
-fn a_switch_of_terms_under_a_trouble_breaks_no_rule(
+fn changing_settings_during_a_fault_breaks_no_rule(
     #[values(Fault::Grow, Fault::Drain, Fault::Crash, Fault::Roll)] kind: Fault,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut s = Scenario { seed, zones: 2, ..world(kind, 0.3, 0.5) };
-    let without = run(&s, &production_node);
+    let mut s = Scenario { seed, zones: 2, ..scenario(kind, 0.3, 0.5) };
+    let unchanged = run(&s, &production_node);
     let (at_s, for_s) = (s.faults[0].at_s + 1.0, 4.0);
     s.faults.push(FaultSpec { kind: Fault::Switch, at_s, for_s, part: 1.0, size: 0.0, zone: None });
-    let with = run(&s, &production_node);
-    assert_eq!(with.breaches, []);
-    let kept = with.goodput / without.goodput;
-    assert!(kept > 0.9, "{kept:.2} of what is won without a switch");
+    let changed = run(&s, &production_node);
+    assert_eq!(changed.breaches, []);
+    let ratio = changed.goodput / unchanged.goodput;
+    assert!(ratio > 0.9, "{ratio:.2} of the goodput without a change of settings");
     s.faults[1].kind = Fault::NodeRoll;
-    let fresh = run(&s, &production_node);
-    // Those go on with copies and probes, which the other terms forbid.
-    let kept = with.goodput / fresh.goodput;
-    assert!(kept > 0.95, "{kept:.2} of what nodes started afresh win");
+    let restarted = run(&s, &production_node);
+    // Restarted nodes keep using copies and probes, which the changed settings forbid.
+    let ratio = changed.goodput / restarted.goodput;
+    assert!(ratio > 0.95, "{ratio:.2} of the goodput of restarted nodes");
 }
 
 #[rstest]
-#[case::nobody("executors = []", "executors: no executor")]
+#[case::no_executors("executors = []", "executors: no executor")]
 #[case::no_load("[load]\nof_capacity = 0", "load: empty")]
 #[case::no_slots("[[executors]]\nslots = 0", "executors[0].slots")]
-#[case::no_time("span_s = -1", "span_s")]
-#[case::no_number("[network]\nsame_ms = nan", "network")]
-#[case::no_zone("[[troubles]]\nzone = 4", "troubles[0].zone")]
-#[case::too_soon("[[products]]\ncut_off_ms = 3", "products[0].cut_off_ms")]
-fn what_makes_no_sense_is_named(#[case] text: &str, #[case] key: &str) {
+#[case::negative_span("span_s = -1", "span_s")]
+#[case::not_a_number("[network]\nsame_ms = nan", "network")]
+#[case::unknown_zone("[[troubles]]\nzone = 4", "troubles[0].zone")]
+#[case::deadline_below_target("[[products]]\ncut_off_ms = 3", "products[0].cut_off_ms")]
+fn an_invalid_scenario_is_rejected_with_its_key(#[case] text: &str, #[case] key: &str) {
     let scenario: Scenario = toml::from_str(text).unwrap();
-    let faults = scenario.check().unwrap_err();
-    assert!(faults.contains(key), "{faults}");
+    let errors = scenario.check().unwrap_err();
+    assert!(errors.contains(key), "{errors}");
 }
