--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -1,33 +1,34 @@
-//! Creating a store, and opening one that was closed, killed or cut off.
+//! Creating a store, and opening one after a shutdown, a kill or a power failure.
 
 use crate::disk::Disk;
-use crate::error::{Fault, damaged};
+use crate::error::{StoreError, damaged};
 use crate::format::{Manifest, SEGMENT_HEADER, SegmentEntry, decode_manifest, decode_segment_header};
 use crate::segment::{Extent, MANIFEST, MANIFEST_NEW, Segment, checkpoint_name, is_store_file, segment_name};
 use crate::types::Limits;
 
 use super::{Location, Store};
 
-/// The smallest and the largest segment, in bytes.
+/// The smallest and the largest segment size, in bytes.
 const SEGMENT_SIZES: (u64, u64) = (4096, 1 << 30);
-/// Segments are multiples of a page.
+/// The size of a segment is a multiple of this page size, in bytes.
 const PAGE: u64 = 4096;
 
 impl<D: Disk> Store<D> {
-    /// Opens the store on this disk, or with `new` creates one where there is none. `seed` is any number that other
-    /// stores are unlikely to have.
+    /// Opens the store on this disk, or with `new` creates one. `seed` is any number that other stores are unlikely to
+    /// have.
     ///
     /// # Errors
     ///
-    /// There is no store, or one that is damaged. Nothing has been changed then. With `new`, there is one already.
-    pub fn open(disk: D, limits: Limits, new: bool, seed: u64) -> Result<Self, Fault> {
+    /// There is no store, or, with `new`, there is one already; the store is damaged, in which case nothing was
+    /// changed; errors of the disk.
+    pub fn open(disk: D, limits: Limits, new: bool, seed: u64) -> Result<Self, StoreError> {
         let names = disk.list()?;
         if !names.iter().any(|name| name == MANIFEST) {
             check_never_created(&disk, &names)?;
-            return if new { Self::create(disk, limits, seed) } else { Err(Fault::Missing) };
+            return if new { Self::create(disk, limits, seed) } else { Err(StoreError::Missing) };
         }
         if new {
-            return Err(Fault::There);
+            return Err(StoreError::AlreadyExists);
         }
         let bytes = disk.read(MANIFEST, 0, usize::MAX)?;
         let manifest = decode_manifest(MANIFEST, &bytes)?;
@@ -37,17 +38,17 @@
         Ok(store)
     }
 
-    pub(super) fn create(disk: D, limits: Limits, seed: u64) -> Result<Self, Fault> {
+    pub(super) fn create(disk: D, limits: Limits, seed: u64) -> Result<Self, StoreError> {
         let (smallest, largest) = SEGMENT_SIZES;
-        let segment_size = limits.segment.clamp(smallest, largest).next_multiple_of(PAGE);
+        let segment_size = limits.segment_size.clamp(smallest, largest).next_multiple_of(PAGE);
         let manifest = Manifest { number: seed, segment_size, ..Manifest::default() };
         let mut store = Self::with_manifest(disk, limits, manifest);
         store.begin_segment()?;
         Ok(store)
     }
 
-    /// Fills the index: from the checkpoint, and from the segments that it does not cover.
-    fn load(&mut self) -> Result<(), Fault> {
+    /// Fills the index from the checkpoint and from the segments that the checkpoint does not cover.
+    fn load(&mut self) -> Result<(), StoreError> {
         let covered = self.load_checkpoint();
         let last = self.last_segment();
         for SegmentEntry { number, used } in self.manifest.segments.clone() {
@@ -62,8 +63,8 @@
         Ok(())
     }
 
-    /// Loads the checkpoint, and returns the last segment that it covers. All that it holds is in the segments, too, so
-    /// one that can't be read is ignored.
+    /// Loads the checkpoint and returns the number of the last segment that it covers. Its content is in the segments,
+    /// too, so a checkpoint that can't be read is ignored.
     fn load_checkpoint(&mut self) -> u64 {
         let Some(checkpoint) = self.manifest.checkpoint else { return 0 };
         if self.read_checkpoint(&checkpoint_name(checkpoint.number)).is_some() {
@@ -73,8 +74,8 @@
         0
     }
 
-    /// Reads the header alone of a segment that the checkpoint covers.
-    fn load_salt(&mut self, number: u64) -> Result<(), Fault> {
+    /// Reads only the header of a segment that the checkpoint covers.
+    fn load_salt(&mut self, number: u64) -> Result<(), StoreError> {
         let name = segment_name(number);
         self.check_segment_length(&name)?;
         let header = self.disk.read(&name, 0, SEGMENT_HEADER)?;
@@ -83,8 +84,8 @@
         Ok(())
     }
 
-    /// Indexes all records of a segment. Returns the segment, and the offset at which its records end.
-    fn load_segment(&mut self, number: u64, extent: Extent) -> Result<(Segment, usize), Fault> {
+    /// Indexes all records of a segment. Returns the segment and the offset at which its records end.
+    fn load_segment(&mut self, number: u64, extent: Extent) -> Result<(Segment, usize), StoreError> {
         let segment = self.read_segment(number)?;
         self.salts.insert(number, segment.salt);
         let end = segment.scan(extent, |found| {
@@ -94,9 +95,9 @@
         Ok((segment, end))
     }
 
-    /// Loads the segment that is written to, and erases a write that was cut off: it must not be taken for a record once
-    /// others lie before it.
-    fn load_last_segment(&mut self, number: u64) -> Result<(), Fault> {
+    /// Loads the segment that is written to, and erases an interrupted write: otherwise its bytes could be read as a
+    /// record once other records precede them.
+    fn load_last_segment(&mut self, number: u64) -> Result<(), StoreError> {
         let (segment, end) = self.load_segment(number, Extent::Unknown)?;
         self.end = end as u64;
         if segment.bytes[end..].iter().any(|byte| *byte != 0) {
@@ -107,8 +108,8 @@
         Ok(())
     }
 
-    /// Removes files that the manifest does not list: they were never in use, or are no longer.
-    fn remove_unlisted(&mut self, names: &[String]) -> Result<(), Fault> {
+    /// Removes files that the manifest does not list: they were never part of the store, or no longer are.
+    fn remove_unlisted(&mut self, names: &[String]) -> Result<(), StoreError> {
         let segments = self.manifest.segments.iter().map(|segment| segment_name(segment.number));
         let checkpoint = self.manifest.checkpoint.map(|checkpoint| checkpoint_name(checkpoint.number));
         let mut listed: Vec<String> = segments.chain(checkpoint).collect();
@@ -122,15 +123,19 @@
     }
 }
 
-/// Fails if files without a manifest are more than the beginnings of a store that was never created: a manifest that was
-/// not put in its place, and a first segment without a header.
-fn check_never_created<D: Disk>(disk: &D, names: &[String]) -> Result<(), Fault> {
+/// Fails if the files without a manifest are more than the remains of an interrupted creation: a manifest that was not
+/// renamed yet, and a first segment without records.
+fn check_never_created<D: Disk>(disk: &D, names: &[String]) -> Result<(), StoreError> {
     let first_segment = segment_name(1);
     let mut files = names.iter().filter(|name| is_store_file(name));
-    let mut is_beginning = files.all(|name| name == MANIFEST_NEW || *name == first_segment);
-    if is_beginning && names.contains(&first_segment) {
-        let header = disk.read(&first_segment, SEGMENT_HEADER as u64, usize::MAX)?;
-        is_beginning = header.iter().all(|byte| *byte == 0);
+    let mut is_incomplete_creation = files.all(|name| name == MANIFEST_NEW || *name == first_segment);
+    if is_incomplete_creation && names.contains(&first_segment) {
+        let records = disk.read(&first_segment, SEGMENT_HEADER as u64, usize::MAX)?;
+        is_incomplete_creation = records.iter().all(|byte| *byte == 0);
+    }
+    if is_incomplete_creation {
+        Ok(())
+    } else {
+        Err(damaged(MANIFEST, 0, "missing, though there are segments"))
     }
-    if is_beginning { Ok(()) } else { Err(damaged(MANIFEST, 0, "missing, though there are segments")) }
 }
