--- a/crates/world/src/executor.rs
+++ b/crates/world/src/executor.rs
@@ -9,6 +9,15 @@
 
 use crate::scenario::Executors;
 
+/// The minimum number of cores that another program leaves, so that jobs always make progress.
+const MIN_AVAILABLE_CORES: f64 = 0.05;
+
+/// The maximum time, in seconds, for which a completion estimate of a cold executor is used.
+const COLD_ESTIMATE_LIMIT_S: f64 = 0.25;
+
+/// Tolerance for rounding errors in slots and in seconds of work.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+
 /// One run of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NodeProcess {
@@ -193,7 +202,7 @@
 
     fn available_cores(&self) -> f64 {
         let taken = if self.faults.neighbour_active { self.faults.neighbour_share } else { 0.0 };
-        (self.cores * (1.0 - taken)).max(0.05)
+        (self.cores * (1.0 - taken)).max(MIN_AVAILABLE_CORES)
     }
 
     /// Returns the seconds of work done per second on each running job.
@@ -237,7 +246,7 @@
         let total_speed = self.core_speed(now) * self.available_cores();
         let span = remaining.max(0.0) / self.job_speed(now) + self.overhead / total_speed;
         // A cold executor speeds up over time, so the estimate is renewed after a short while.
-        let span = if self.is_cold(now) { span.min(0.25) } else { span };
+        let span = if self.is_cold(now) { span.min(COLD_ESTIMATE_LIMIT_S) } else { span };
         Some(now + (span * 1e9).ceil().min(1e18) as Nanos + 1)
     }
 
@@ -249,7 +258,7 @@
             return started;
         }
         while let Some(job) = self.waiting.front() {
-            if self.used_slots + job.slots > self.slots + 1e-9 {
+            if self.used_slots + job.slots > self.slots + ROUNDING_TOLERANCE {
                 break;
             }
             let Some(mut job) = self.waiting.pop_front() else { break };
@@ -266,7 +275,7 @@
         let mut done = Vec::new();
         let mut i = 0;
         while i < self.running.len() {
-            if self.running[i].remaining_work <= 1e-9 {
+            if self.running[i].remaining_work <= ROUNDING_TOLERANCE {
                 done.push(self.running.remove(i));
             } else {
                 i += 1;
--- a/crates/world/src/executor_model.rs
+++ b/crates/world/src/executor_model.rs
@@ -44,9 +44,9 @@
     #[must_use]
     pub fn new(s: &Scenario, index: usize) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(s.seed ^ (index as u64) << 32);
-        let (mut spec, mut left) = (0, index);
-        while spec + 1 < s.executors.len() && left >= s.executors[spec].count as usize {
-            left -= s.executors[spec].count as usize;
+        let (mut spec, mut remaining) = (0, index);
+        while spec + 1 < s.executors.len() && remaining >= s.executors[spec].count as usize {
+            remaining -= s.executors[spec].count as usize;
             spec += 1;
         }
         let e = &s.executors[spec];
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -158,13 +158,16 @@
 
     /// No answer to this submission is required any more.
     pub(crate) fn excuse(&mut self, attempt: usize) {
-        self.submissions.get_mut(&attempt).into_iter().for_each(|c| c.excused = true);
+        self.submissions.get_mut(&attempt).into_iter().for_each(|submission| submission.excused = true);
     }
 
     /// A node's process ended. Its open submissions need no answer: the clients see their connections close
     /// and decide about retries themselves.
     pub(crate) fn process_ended(&mut self, process: NodeProcess) {
-        self.submissions.values_mut().filter(|c| c.process == process).for_each(|c| c.excused = true);
+        self.submissions
+            .values_mut()
+            .filter(|submission| submission.process == process)
+            .for_each(|submission| submission.excused = true);
         self.listed_health.retain(|key, _| key.node != process.node);
     }
 
@@ -235,7 +238,8 @@
     /// The execution sent over this connection provably did not run.
     pub(crate) fn never_ran(&mut self, attempt: usize, connection: ConnectionId) {
         let submission = self.submissions.get_mut(&attempt);
-        let sent = submission.and_then(|c| c.sent.iter_mut().rfind(|s| s.connection == connection));
+        let sent = submission
+            .and_then(|submission| submission.sent.iter_mut().rfind(|s| s.connection == connection));
         sent.into_iter().for_each(|s| s.run_status = RunStatus::NeverRan);
     }
 
@@ -250,7 +254,7 @@
 
     /// An executor's result reached the node.
     pub(crate) fn result_received(&mut self, attempt: usize) {
-        self.submissions.get_mut(&attempt).into_iter().for_each(|c| c.has_result = true);
+        self.submissions.get_mut(&attempt).into_iter().for_each(|submission| submission.has_result = true);
     }
 
     /// Discovery sent a node the health of an executor.
@@ -289,13 +293,15 @@
         let late: Vec<usize> = self
             .submissions
             .iter()
-            .filter(|(_, c)| c.answered.is_none() && !c.excused && now > c.deadline + tolerance)
-            .map(|(a, _)| *a)
+            .filter(|(_, submission)| {
+                submission.answered.is_none() && !submission.excused && now > submission.deadline + tolerance
+            })
+            .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in late {
             self.breach(Rule::Lost, now, format!("{attempt}: no answer"));
             self.excuse(attempt);
         }
-        self.submissions.retain(|_, c| now < c.deadline + RETENTION_AFTER_DEADLINE);
+        self.submissions.retain(|_, submission| now < submission.deadline + RETENTION_AFTER_DEADLINE);
     }
 }
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -442,8 +442,8 @@
     NodeSlow,
     /// Clients that send nothing connect to the nodes, `size` per second and node.
     Flood,
-    /// All nodes get changed settings at once (no copies, no probes, a cost of connections), and the original
-    /// ones when it is over.
+    /// Nodes get changed settings (no copies, no probes, a cost of connections), all at the same time, and
+    /// the original ones when it is over.
     Switch,
 }
 
--- a/crates/world/tests/judge.rs
+++ b/crates/world/tests/judge.rs
@@ -100,8 +100,9 @@
     assert!(share > 0.4, "{kind:?}: only {share:.2} of {} submissions satisfied", outcome.submissions);
 }
 
-// All nodes change their settings at once, and back, while executors join cold or leave: no rule is broken after
-// either change, and little goodput is lost compared with no change, or with nodes that are restarted instead.
+// All nodes change their settings at once, and back, while executors join cold or leave: no rule is broken
+// after either change, and little goodput is lost compared with no change, or with nodes that are restarted
+// instead.
 #[rstest]
 fn changing_settings_during_a_fault_breaks_no_rule(
     #[values(Fault::Grow, Fault::Drain, Fault::Crash, Fault::Roll)] kind: Fault,
