--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -5,9 +5,9 @@
 
 use clap::Subcommand;
 use linestack_rig::draw::{draw, shrink};
+use linestack_rig::node_process::NodeProcess;
 use linestack_rig::plan::{Load, Plan};
-use linestack_rig::run::{Outcome, Up, run, run_told};
-use linestack_rig::started::Started;
+use linestack_rig::run::{Endpoints, Outcome, run, run_with_endpoints};
 use rayon::prelude::*;
 
 use crate::agree::{self, Held, Size};
@@ -108,7 +108,7 @@
 /// It can't be read, or makes no sense.
 pub fn read(path: &Path) -> Fallible<Plan> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let place = |e: linestack_rig::plan::Fault| {
+    let place = |e: linestack_rig::plan::PlanError| {
         let lines: Vec<String> = e.to_string().lines().map(|l| format!("{}: {l}", path.display())).collect();
         lines.join("\n")
     };
@@ -130,12 +130,12 @@
 }
 
 fn told(plan: &Plan, outcome: &Outcome, json: bool) {
-    let mixed = outcome.mixed();
+    let mixed = outcome.mixed_version_time();
     if json {
         let found: Vec<String> =
-            outcome.findings.iter().map(|f| format!("{:?}: {}", f.broken, f.why)).collect();
+            outcome.findings.iter().map(|f| format!("{:?}: {}", f.violation, f.reason)).collect();
         let line = serde_json::json!({"plan": plan.name, "seed": plan.seed, "broken": found, "faults": outcome.faults,
-            "doubled": outcome.doubled, "mixed_ms": mixed.map(|m| m as f64 / 1e6), "back": outcome.back(), "seconds": outcome.seconds});
+            "doubled": outcome.duplicates, "mixed_ms": mixed.map(|m| m as f64 / 1e6), "back": outcome.recovery(), "seconds": outcome.seconds});
         println!("{line}");
         return;
     }
@@ -161,15 +161,15 @@
             s.executions
         );
     }
-    let at = |t: u64| t.saturating_sub(outcome.began) as f64 / 1e9;
-    for (step, done) in plan.steps.iter().zip(&outcome.done) {
-        println!("{:>8.3} s  {:?} {}", at(*done), step.r#do, step.to.join(" "));
+    let at = |t: u64| t.saturating_sub(outcome.load_began_at) as f64 / 1e9;
+    for (step, done) in plan.steps.iter().zip(&outcome.steps_done_at) {
+        println!("{:>8.3} s  {:?} {}", at(*done), step.action, step.to.join(" "));
     }
     match mixed {
         Some(mixed) => println!("versions mixed for {:.3} s", mixed as f64 / 1e9),
         None => println!("versions mixed at the end still"),
     }
-    if let Some(back) = outcome.back() {
+    if let Some(back) = outcome.recovery() {
         let after = back
             .after_s
             .map_or("not within the plan".to_owned(), |s| format!("{s:.1} s after the last was up"));
@@ -189,10 +189,10 @@
             back.peak[3]
         );
     }
-    println!("one-shots begun more than once: {}", outcome.doubled);
+    println!("one-shots begun more than once: {}", outcome.duplicates);
     outcome.faults.iter().for_each(|f| println!("fault: {f}"));
     for f in &outcome.findings {
-        println!("{:>8.3} s  broken: {:?} by {}: {}", at(f.at), f.broken, f.by, f.why);
+        println!("{:>8.3} s  broken: {:?} by {}: {}", at(f.at), f.violation, f.by, f.reason);
     }
 }
 
@@ -200,7 +200,7 @@
 ///
 /// A plan that makes no sense, or a process that could not be started.
 pub fn go(command: &Command, json: bool) -> Fallible<ExitCode> {
-    let program = |given: &Option<PathBuf>| given.clone().map_or_else(Started::program, Ok);
+    let program = |given: &Option<PathBuf>| given.clone().map_or_else(NodeProcess::program, Ok);
     match command {
         Command::Run { plan, program: given, keep, seeds } => {
             let (plan, program) = (read(plan)?, program(given)?);
@@ -209,7 +209,7 @@
                 let plan = Plan { seed, ..plan.clone() };
                 let outcome = play(&plan, &program, keep.as_deref())?;
                 told(&plan, &outcome, json);
-                sound &= outcome.sound();
+                sound &= outcome.passed();
             }
             Ok(ExitCode::from(u8::from(!sound)))
         }
@@ -225,7 +225,7 @@
                     (plan, outcome)
                 };
                 let broken = |(_, o): &(Plan, Result<Outcome, String>)| {
-                    o.as_ref().is_ok_and(|o| !o.sound()) || o.is_err()
+                    o.as_ref().is_ok_and(|o| !o.passed()) || o.is_err()
                 };
                 (*from..from + seeds)
                     .collect::<Vec<u64>>()
@@ -242,7 +242,7 @@
                     Ok(outcome) => told(&plan, &outcome, json),
                     Err(why) => println!("{}: {why}", plan.name),
                 }
-                let fails = |p: &Plan| play(p, &program, None).is_ok_and(|o| !o.sound());
+                let fails = |p: &Plan| play(p, &program, None).is_ok_and(|o| !o.passed());
                 let small = shrink(&plan, fails, *tries);
                 std::fs::create_dir_all(out)?;
                 let path = out.join(format!("{}.toml", plan.name));
@@ -275,8 +275,8 @@
                         let seeds: Vec<u64> = (plan.seed..plan.seed + seeds).collect();
                         seeds.into_par_iter().with_max_len(1).map(one).collect::<Result<_, String>>()
                     })?;
-                    sound &= *build != "this" || outcomes.iter().all(Outcome::sound);
-                    let backs: Vec<_> = outcomes.iter().filter_map(Outcome::back).collect();
+                    sound &= *build != "this" || outcomes.iter().all(Outcome::passed);
+                    let backs: Vec<_> = outcomes.iter().filter_map(Outcome::recovery).collect();
                     if json {
                         println!("{}", serde_json::json!({"plan": plan.name, "build": build, "back": backs}));
                         continue;
@@ -286,7 +286,7 @@
                     let at =
                         |q: f64| after.get(((after.len().max(1) - 1) as f64 * q).round() as usize).copied();
                     let told = |q| at(q).map_or("-".to_owned(), |s| format!("{s:.1}"));
-                    let median = |of: &dyn Fn(&linestack_rig::run::Back) -> u64| {
+                    let median = |of: &dyn Fn(&linestack_rig::run::Recovery) -> u64| {
                         let mut all: Vec<u64> = backs.iter().map(of).collect();
                         all.sort_unstable();
                         all.get(all.len() / 2).copied().unwrap_or(0)
@@ -304,8 +304,8 @@
                         median(&|b| b.peak[0]),
                         median(&|b| b.peak[2]),
                         median(&|b| b.peak[3]),
-                        outcomes.iter().map(|o| o.doubled).sum::<usize>(),
-                        outcomes.iter().filter(|o| !o.sound()).count()
+                        outcomes.iter().map(|o| o.duplicates).sum::<usize>(),
+                        outcomes.iter().filter(|o| !o.passed()).count()
                     );
                 }
             }
@@ -321,15 +321,15 @@
                 tail_ms: span.saturating_mul(1000),
                 ..Plan::default()
             };
-            let told = |up: &Up| {
+            let told = |up: &Endpoints| {
                 println!("export LINESTACK_FLEET=rig LINESTACK_COORDINATORS={}", up.coordinators.join(","));
                 println!("# the policy that it began with: {}", keep.join("c0/policy.json").display());
                 println!("# logs: {}", keep.join("*/log").display());
                 println!("# nodes: {}", up.nodes.join(" "));
             };
-            let outcome = run_told(&plan, &program(given)?, keep, &told)?;
+            let outcome = run_with_endpoints(&plan, &program(given)?, keep, &told)?;
             outcome.faults.iter().for_each(|f| println!("fault: {f}"));
-            Ok(ExitCode::from(u8::from(!outcome.sound())))
+            Ok(ExitCode::from(u8::from(!outcome.passed())))
         }
         Command::Size { members, coordinators, bad, lease_ms, seeds, policy } => {
             let sound = (1..=2048).contains(members) && [1, 3, 5].contains(coordinators);
@@ -397,7 +397,7 @@
             for plan in plans {
                 let outcome = play(&plan, &program, None)?;
                 told(&plan, &outcome, json);
-                sound &= outcome.sound();
+                sound &= outcome.passed();
             }
             Ok(ExitCode::from(u8::from(!sound)))
         }
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use linestack_rig::load::{self, Loaded, Plan};
-use linestack_rig::stand::Fleet;
-use linestack_rig::started::Started;
+use linestack_rig::load::{self, LoadPlan, LoadResult};
+use linestack_rig::node_process::NodeProcess;
+use linestack_rig::stand_ins::StandInFleet;
 use linestack_world::{Executors, Fault, Product, Repeats, Scenario, Trouble};
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
@@ -17,16 +17,16 @@
 
 /// What came of a load, a line of a table.
 #[must_use]
-pub fn row(name: &str, l: &Loaded) -> String {
+pub fn row(name: &str, l: &LoadResult) -> String {
     let ms = |us: u64| us as f64 / 1e3;
-    let (p50, p99) = (ms(l.times.value_at_quantile(0.5)), ms(l.times.value_at_quantile(0.99)));
+    let (p50, p99) = (ms(l.latencies.value_at_quantile(0.5)), ms(l.latencies.value_at_quantile(0.99)));
     format!(
         "{name:<16}  {:<16.1}  {:<9}  {:<6}  {:<6}  {p50:<7.1}  {p99:<7.1}  {:.1}",
         l.rate(),
         l.dismissed,
         l.failed,
         l.broken,
-        ms(l.times.max())
+        ms(l.latencies.max())
     )
 }
 
@@ -35,12 +35,17 @@
 /// # Errors
 ///
 /// A time is out of range, or the rate is not over 0.
-pub fn plan(clients: usize, rate: Option<f64>, span: f64, ramp: f64) -> Fallible<Plan> {
+pub fn plan(clients: usize, rate: Option<f64>, span: f64, ramp: f64) -> Fallible<LoadPlan> {
     let fine = |f: f64| f.is_finite() && (0.0..=3600.0).contains(&f);
     if !fine(span) || span == 0.0 || !fine(ramp) || rate.is_some_and(|r| !(r.is_finite() && r > 0.0)) {
         return Err("span and ramp must be from 0 to 3600 s, the span and a rate over 0".into());
     }
-    Ok(Plan { clients, rate, span: Duration::from_secs_f64(span), ramp: Duration::from_secs_f64(ramp) })
+    Ok(LoadPlan {
+        clients,
+        rate,
+        duration: Duration::from_secs_f64(span),
+        ramp: Duration::from_secs_f64(ramp),
+    })
 }
 
 /// Names requests apart from those of an earlier run.
@@ -75,16 +80,16 @@
         troubles: vec![Trouble { kind: Fault::Hang, at_s: 3.0, for_s: 2.0, part: 0.2, ..Trouble::default() }],
         ..Scenario::default()
     };
-    let program = Started::program()?;
-    let fleet = Arc::new(Fleet::start(&s)?);
-    let nodes = [1, 2].map(|i| Started::start(&program, &fleet.configuration(&format!("n{i}"), i)));
+    let program = NodeProcess::program()?;
+    let fleet = Arc::new(StandInFleet::start(&s)?);
+    let nodes = [1, 2].map(|i| NodeProcess::start(&program, &fleet.configuration(&format!("n{i}"), i)));
     let nodes = nodes.into_iter().collect::<Result<Vec<_>, _>>()?;
     let to: Vec<_> = nodes.iter().map(|n| n.address).collect();
     println!(
         "two nodes, five executors of four slots; 150 requests a second; from 3 s to 5 s one executor hangs"
     );
     println!("{HEAD}");
-    fleet.play();
+    fleet.play_troubles();
     let mut failed = false;
     for (name, span) in [("before (3 s)", 3.0), ("hanging (2 s)", 2.0), ("after (3 s)", 3.0)] {
         let loaded = load::load(&s, &to, &plan(40, Some(150.0), span, 0.0)?, seed_now())?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -20,8 +20,8 @@
 use linestack_lab::sweep::{Axis, grid};
 use linestack_lab::tables::{comparison, lines, table, verdict};
 use linestack_rig::load;
-use linestack_rig::stand::Fleet;
-use linestack_rig::started::Started;
+use linestack_rig::node_process::NodeProcess;
+use linestack_rig::stand_ins::StandInFleet;
 use linestack_world::{Product, Scenario};
 
 /// Plays worlds of whole nodes in simulated time, and loads real nodes on loopback.
@@ -263,7 +263,7 @@
                 .is_ok_and(|t| t.get("nodes").is_some_and(|n| n.is_integer()));
             let page = if of_plan {
                 let plan = fleet::read(scenario)?;
-                report::fleet(&plan, &fleet::play(&plan, &Started::program()?, None)?)?
+                report::fleet(&plan, &fleet::play(&plan, &NodeProcess::program()?, None)?)?
             } else {
                 let s = file::read(scenario)?;
                 report::page(&s.name, &play_all(&seeds(&s, *count), policies, arguments.quiet))?
@@ -276,8 +276,8 @@
             found(*from, *seeds, *against, *most, *tries, out, arguments.quiet)
         }
         Command::Serve { scenario, span } => {
-            let fleet = Arc::new(Fleet::start(&file::read(scenario)?)?);
-            fleet.play();
+            let fleet = Arc::new(StandInFleet::start(&file::read(scenario)?)?);
+            fleet.play_troubles();
             println!("discovery {}", fleet.discovery);
             fleet.executors.iter().for_each(|e| println!("executor {e}"));
             std::thread::sleep(Duration::from_secs_f64(span.clamp(0.0, 86_400.0)));
@@ -294,8 +294,8 @@
             let s = large(*workers, *slots, *work_ms);
             s.check()?;
             let plan = plan(*clients, None, *span, *ramp)?;
-            let fleet = Fleet::start(&s)?;
-            let node = Started::start(&Started::program()?, &fleet.configuration("n0", 1))?;
+            let fleet = StandInFleet::start(&s)?;
+            let node = NodeProcess::start(&NodeProcess::program()?, &fleet.configuration("n0", 1))?;
             let direct = load::load(&s, &fleet.executors, &plan, seed_now())?;
             let through = load::load(&s, &[node.address], &plan, seed_now())?;
             println!("{HEAD}\n{}\n{}", row("direct", &direct), row("through a node", &through));
@@ -311,7 +311,7 @@
                 hung_after: span(*hung_after)?,
                 via: via.split_whitespace().map(str::to_owned).collect(),
             };
-            let program = program.clone().map_or_else(Started::program, Ok)?;
+            let program = program.clone().map_or_else(NodeProcess::program, Ok)?;
             many_starts(&program, &plan)
         }
         Command::Demo => demo(),
@@ -404,7 +404,7 @@
 fn many_starts(program: &std::path::Path, plan: &starts::Plan) -> Fallible<ExitCode> {
     // A short cut-off, since a node that stops serves on for half of it.
     let product = Product { agreed_ms: 50.0, cut_off_ms: 100.0, ..Product::default() };
-    let fleet = Fleet::start(&Scenario { products: vec![product], ..Scenario::default() })?;
+    let fleet = StandInFleet::start(&Scenario { products: vec![product], ..Scenario::default() })?;
     let begin = Instant::now();
     let c = starts::starts(program, &fleet, plan)?;
     println!(
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -132,23 +132,23 @@
     html += "<h2>What was done</h2>\n<table><tr><th>at, s</th><th>deed</th><th>to</th></tr>\n";
     for line in &outcome.lines {
         if let What::Did { deed, to } = &line.what {
-            let at = line.at.saturating_sub(outcome.began) as f64 / 1e9;
+            let at = line.at.saturating_sub(outcome.load_began_at) as f64 / 1e9;
             writeln!(html, "<tr><td>{at:.2}</td><td>{}</td><td>{}</td></tr>", escape(deed), escape(to))?;
         }
     }
     html += "</table>\n<h2>Promises broken</h2>\n<table>\n";
     for f in &outcome.findings {
-        let at = f.at.saturating_sub(outcome.began) as f64 / 1e9;
-        writeln!(html, "<tr><td>{at:.2}</td><td>{:?}</td><td>{}</td></tr>", f.broken, escape(&f.why))?;
+        let at = f.at.saturating_sub(outcome.load_began_at) as f64 / 1e9;
+        writeln!(html, "<tr><td>{at:.2}</td><td>{:?}</td><td>{}</td></tr>", f.violation, escape(&f.reason))?;
     }
     outcome
         .faults
         .iter()
         .try_for_each(|f| writeln!(html, "<tr><td>fault</td><td>{}</td></tr>", escape(f)))?;
-    if outcome.sound() {
+    if outcome.passed() {
         html += "<tr><td>none</td></tr>\n";
     }
-    if let Some(back) = outcome.back() {
+    if let Some(back) = outcome.recovery() {
         let after = back.after_s.map_or("not within the plan".into(), |s| format!("after {s:.1} s"));
         writeln!(html, "</table>\n<p>Full service {after}; {} first tries missed.</p><table>", back.missed)?;
     }
@@ -165,7 +165,7 @@
             What::Did { deed, to } if deed == "kill" || deed == "stop" => drop(at.remove(to.as_str())),
             _ => continue,
         }
-        let now = (line.at.saturating_sub(outcome.began)) as f64 / 1e9;
+        let now = (line.at.saturating_sub(outcome.load_began_at)) as f64 / 1e9;
         let count = at.values().filter(|stage| **stage == word).count() as f64;
         if let Some((_, before)) = points.last().copied() {
             points.push((now, before));
--- a/crates/lab/src/scale/coordinators.rs
+++ b/crates/lab/src/scale/coordinators.rs
@@ -62,12 +62,12 @@
                 "peers": peers, "folder": process.store(), "first-policy": first_policy,
                 "lease-ms": members.lease_ms, "hold-ms": members.hold_ms}});
             std::fs::write(&file, toml::to_string(&told).map_err(io::Error::other)?)?;
-            process.once = vec!["--first".to_owned()];
+            process.next_start_arguments = vec!["--first".to_owned()];
             process.start()?;
             processes.push(process);
         }
         for process in &mut processes {
-            process.listens(0)?;
+            process.wait_until_listening(0)?;
         }
         Ok(Self { processes, addresses })
     }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -20,7 +20,7 @@
 use clap::Args;
 
 use file::Scale;
-use linestack_rig::started::Started;
+use linestack_rig::node_process::NodeProcess;
 use machine::Machine;
 use report::Report;
 use stop::{Stop, Stopped};
@@ -90,7 +90,7 @@
     let scale = file::read(&arguments.file, &machine)?;
     let program = match (&arguments.program, &scale.members) {
         (Some(program), _) => program.clone(),
-        (None, Some(_)) => Started::program()?,
+        (None, Some(_)) => NodeProcess::program()?,
         (None, None) => PathBuf::new(),
     };
     let stop = Stop::after(scale.span);
--- a/crates/lab/src/scale/nodes.rs
+++ b/crates/lab/src/scale/nodes.rs
@@ -65,7 +65,7 @@
             processes.push(process);
         }
         for process in &mut processes {
-            process.listens(0)?;
+            process.wait_until_listening(0)?;
         }
         Ok(Self { processes, _discovery: silent })
     }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use linestack_rig::started::Started;
+use linestack_rig::node_process::NodeProcess;
 use linestack_soak::draw::{Size, draw};
 use linestack_soak::judge::{Case, Verdict, judge};
 use linestack_soak::plan::Plan;
@@ -58,7 +58,7 @@
 ///
 /// A plan makes no sense, or could not be played.
 pub fn soak(arguments: &Arguments) -> Fallible<ExitCode> {
-    let program = arguments.program.clone().map_or_else(Started::program, Ok)?;
+    let program = arguments.program.clone().map_or_else(NodeProcess::program, Ok)?;
     let limit = Duration::try_from_secs_f64(arguments.time_limit)?;
     let begun = Instant::now();
     let (mut played, mut broken) = (0, 0);
--- a/crates/lab/src/starts.rs
+++ b/crates/lab/src/starts.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use linestack_rig::stand::Fleet;
+use linestack_rig::stand_ins::StandInFleet;
 
 /// The most nodes that are alive at a time.
 pub const MOST_AT_ONCE: usize = 1024;
@@ -75,7 +75,7 @@
 /// # Errors
 ///
 /// Nothing to start, too many at once, or the fleet's stand-ins could not be reached by name.
-pub fn starts(program: &Path, fleet: &Fleet, plan: &Plan) -> io::Result<Counted> {
+pub fn starts(program: &Path, fleet: &StandInFleet, plan: &Plan) -> io::Result<Counted> {
     if plan.count == 0 || plan.at_once == 0 || plan.at_once > MOST_AT_ONCE {
         return Err(io::Error::other(format!("one start at least, from 1 to {MOST_AT_ONCE} at once")));
     }
@@ -125,7 +125,7 @@
     }
 }
 
-fn once(program: &Path, fleet: &Fleet, plan: &Plan, number: u64) -> io::Result<End> {
+fn once(program: &Path, fleet: &StandInFleet, plan: &Plan, number: u64) -> io::Result<End> {
     let file = std::env::temp_dir().join(format!("linestack-starts-{}-{number}.json", std::process::id()));
     std::fs::write(&file, fleet.configuration(&format!("n{number}"), number).to_string())?;
     let mut words = plan.via.iter().map(PathBuf::from).chain([program.to_path_buf()]);
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -11,8 +11,8 @@
 use linestack_lab::policies::Policy;
 use linestack_lab::report::page;
 use linestack_lab::sweep::{Axis, grid};
-use linestack_rig::load::{Plan, load};
-use linestack_rig::stand::Fleet;
+use linestack_rig::load::{LoadPlan, load};
+use linestack_rig::stand_ins::StandInFleet;
 use linestack_world::{Executors, Fault, Product, Scenario, Trouble};
 use rstest::rstest;
 
@@ -123,12 +123,12 @@
     let product = Product { work_ms: 5.0, cv: 0.0, ..Product::default() };
     let executors = vec![Executors { count: 2, ..Executors::default() }];
     let s = Scenario { executors, products: vec![product], ..Scenario::default() };
-    let fleet = Fleet::start(&s).unwrap();
+    let fleet = StandInFleet::start(&s).unwrap();
     let (span, ramp) = (Duration::from_millis(400), Duration::ZERO);
-    let plan = Plan { clients: 4, rate: None, span, ramp };
+    let plan = LoadPlan { clients: 4, rate: None, duration: span, ramp };
     let loaded = load(&s, &fleet.executors, &plan, 1).unwrap();
     assert!(loaded.satisfied > 0 && loaded.failed + loaded.broken + loaded.dismissed == 0, "{loaded:?}");
-    assert!(loaded.times.min() >= 4_000, "no answer comes before the work is done");
+    assert!(loaded.latencies.min() >= 4_000, "no answer comes before the work is done");
     let elsewhere = "192.0.2.1:80".parse().unwrap();
     assert!(load(&s, &[elsewhere], &plan, 1).is_err());
 }
--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use linestack_history::What;
-use linestack_rig::http::get;
+use linestack_rig::http::get_status;
 use linestack_rig::plan::Plan;
-use linestack_rig::process::{Process, copy};
+use linestack_rig::process::{Process, copy_folder};
 use linestack_rig::run::{Outcome, run};
-use linestack_rig::stand::Fleet;
+use linestack_rig::stand_ins::StandInFleet;
 use linestack_world::{Product, Repeats, Scenario, Tenant};
 use rstest::rstest;
 
@@ -199,7 +199,7 @@
     serves(address);
     (0..8).for_each(|i| assert_eq!(post(address, &i.to_string()), 200));
     // Its own listener is asked by strangers.
-    let own: std::net::SocketAddr = node.process.word("peers_at=", 0).unwrap().parse().unwrap();
+    let own: std::net::SocketAddr = node.process.log_value("peers_at=", 0).unwrap().parse().unwrap();
     for bytes in
         [b"garbage".to_vec(), linestack_frames::encode(13, br#"{"form":1,"fleet":"g","node":"x"}"#).unwrap()]
     {
@@ -224,7 +224,7 @@
     std::fs::write(&file, "[peers]\nfleet = \"f\"\nlisten = \"127.0.0.1:0\"\n").unwrap();
     node.process.variables.push(("PROXY_PEERS".into(), file.display().to_string()));
     serves(node.starts().unwrap());
-    let listener: std::net::SocketAddr = node.process.word("peers_at=", 0).unwrap().parse().unwrap();
+    let listener: std::net::SocketAddr = node.process.log_value("peers_at=", 0).unwrap().parse().unwrap();
     let connect = || {
         let socket = std::net::TcpStream::connect(listener).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -260,7 +260,7 @@
 struct Node {
     process: Process,
     folder: tempfile::TempDir,
-    _fleet: Fleet,
+    _fleet: StandInFleet,
 }
 
 impl Node {
@@ -269,7 +269,7 @@
         let job = Product { repeats: Repeats::OneShot, ..Product::default() };
         let all = Tenant { name: "all".into(), ..Tenant::default() };
         let s = Scenario { products: vec![job], tenants: vec![all], ..Scenario::default() };
-        let fleet = Fleet::start(&s).unwrap();
+        let fleet = StandInFleet::start(&s).unwrap();
         let at = folder.path();
         std::fs::write(at.join("node.json"), fleet.configuration("n0", 1).to_string()).unwrap();
         let kept = at.join("kept");
@@ -291,7 +291,7 @@
     fn starts(&mut self) -> Result<std::net::SocketAddr, String> {
         let from = std::fs::metadata(self.process.log()).map_or(0, |m| m.len());
         self.process.start().unwrap();
-        self.process.listens(from).map_err(|e| e.to_string())
+        self.process.wait_until_listening(from).map_err(|e| e.to_string())
     }
 
     fn stops(&mut self) {
@@ -307,7 +307,7 @@
 
 fn serves(address: std::net::SocketAddr) {
     let begin = std::time::Instant::now();
-    while get(address, "/healthz", Duration::from_secs(5)).unwrap() != 200 {
+    while get_status(address, "/healthz", Duration::from_secs(5)).unwrap() != 200 {
         assert!(begin.elapsed() < Duration::from_secs(20), "it does not serve");
     }
 }
@@ -316,7 +316,7 @@
 #[rstest]
 #[case::gone(|f: &Path| std::fs::remove_dir_all(f).unwrap(), "there is no store here", &["init", "--lost"])]
 #[case::emptied(|f: &Path| { std::fs::remove_dir_all(f).unwrap(); std::fs::create_dir(f).unwrap(); }, "there is no store here", &["init", "--lost"])]
-#[case::a_restored_copy(|f: &Path| { let c = f.with_file_name("c"); copy(f, &c).unwrap(); std::fs::remove_dir_all(f).unwrap(); std::fs::rename(c, f).unwrap(); }, "a copy", &["adopt"])]
+#[case::a_restored_copy(|f: &Path| { let c = f.with_file_name("c"); copy_folder(f, &c).unwrap(); std::fs::remove_dir_all(f).unwrap(); std::fs::rename(c, f).unwrap(); }, "a copy", &["adopt"])]
 #[case::half_copied(|f: &Path| std::fs::remove_file(f.join("manifest")).unwrap(), "damaged", &["repair"])]
 #[case::cut_short(|f: &Path| { let s = f.join("000000000001.segment"); std::fs::write(&s, &std::fs::read(&s).unwrap()[..99]).unwrap(); }, "damaged", &["repair"])]
 #[case::of_a_newer_form(|f: &Path| { let m = f.join("manifest"); let mut b = std::fs::read(&m).unwrap(); b[4] = 9; std::fs::write(&m, b).unwrap(); }, "of form 9", &[])]
@@ -390,7 +390,7 @@
     let mut process = Process::new("n0", at.join("limited"), Path::new("/bin/sh"), &["-c", &limited]);
     process.variables.clone_from(&node.process.variables);
     process.start().unwrap();
-    let listens = process.listens(0);
+    let listens = process.wait_until_listening(0);
     let log = std::fs::read_to_string(process.log()).unwrap();
     assert!(!log.contains("panicked"), "{log}");
     assert!(listens.is_ok() || log.contains("ERROR") || log.contains("open files"), "{log}");
--- a/crates/node/tests/coordinator.rs
+++ b/crates/node/tests/coordinator.rs
@@ -8,7 +8,7 @@
 use linestack::fleet::wire::{self, Body, FrameEncoder, Identity, SenderInfo};
 use linestack_accord::{Ballot, Envelope, Incarnation, OperatorRequest, PeerMessage, Renew, Reply, Request};
 use linestack_rig::process::Process;
-use linestack_rig::stand::Fleet;
+use linestack_rig::stand_ins::StandInFleet;
 use rstest::rstest;
 
 struct Stand {
@@ -20,7 +20,7 @@
 
 fn start() -> Stand {
     let folder = tempfile::tempdir().unwrap();
-    let fleet = Fleet::start(&linestack_world::Scenario::default()).unwrap();
+    let fleet = StandInFleet::start(&linestack_world::Scenario::default()).unwrap();
     let mut policy = fleet.configuration("n", 1)["settings"].clone();
     policy.as_object_mut().unwrap().remove("az");
     let at = folder.path();
@@ -37,7 +37,7 @@
     let program = Path::new(env!("CARGO_BIN_EXE_linestack"));
     let mut process = Process::new("c0", at.join("run"), program, &words);
     process.start().unwrap();
-    let address = process.listens(0).unwrap();
+    let address = process.wait_until_listening(0).unwrap();
     Stand { log: process.log(), _process: process, address, _folder: folder }
 }
 
--- a/crates/node/tests/ends/stand.rs
+++ b/crates/node/tests/ends/stand.rs
@@ -290,7 +290,7 @@
             "ulimit -n 256 && LD_PRELOAD=\"$1\" LINESTACK_SHIM=\"$2\" exec \"$0\""
         };
         command.args(["-c", script, env!("CARGO_BIN_EXE_linestack")]);
-        command.arg(linestack_rig::shim::library().unwrap()).arg(plan);
+        command.arg(linestack_rig::shim::library_path().unwrap()).arg(plan);
         command.env("PROXY_CONFIG", &path).env_remove("PROXY_LISTEN").env_remove("PROXY_DISCOVERY");
         if let Some(store) = store {
             command.env("PROXY_STORE", store);
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 
 use linestack_history::What;
-use linestack_rig::check::Broken;
+use linestack_rig::check::Violation;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome, run};
 use rstest::rstest;
@@ -137,7 +137,7 @@
 fn refound_is_refused(#[case] lost: &str, #[case] down: bool, #[case] why: &str) {
     use linestack_rig::process::Process;
     let folder = tempfile::tempdir().unwrap();
-    let fleet = linestack_rig::stand::Fleet::start(&linestack_world::Scenario::default()).unwrap();
+    let fleet = linestack_rig::stand_ins::StandInFleet::start(&linestack_world::Scenario::default()).unwrap();
     let mut policy = fleet.configuration("n", 1)["settings"].clone();
     policy.as_object_mut().unwrap().remove("az");
     let at = folder.path();
@@ -157,7 +157,7 @@
         let words = ["coordinate", file.to_str().unwrap(), "--first"];
         let mut process = Process::new(&format!("c{c}"), at.join(format!("run{c}")), program, &words);
         process.start().unwrap();
-        address = process.listens(0).unwrap().to_string();
+        address = process.wait_until_listening(0).unwrap().to_string();
         running.push(process);
     }
     running[1].kill().unwrap();
@@ -266,13 +266,13 @@
 
 // Known mistakes, by processes that make them.
 #[rstest]
-#[case::never_fenced("unfenced", Broken::Unfenced)]
-#[case::too_early("early", Broken::Undecided)]
-fn a_broken_node_is_found(#[case] fault: &str, #[case] broken: Broken) {
+#[case::never_fenced("unfenced", Violation::Unfenced)]
+#[case::too_early("early", Violation::Undecided)]
+fn a_broken_node_is_found(#[case] fault: &str, #[case] violation: Violation) {
     let outcome = play(&plan(&format!(
         "[[steps]]\ndo = \"kill\"\nto = [\"n0\"]\n[[steps]]\ndo = \"start\"\nto = [\"n0\"]\nfault = \"{fault}\"\n\
          [[steps]]\nafter-ms = 500\ndo = \"pause\"\nto = [\"n9\"]\n{PROPOSE}[[steps]]\nafter-ms = 400\ndo = \"cut\"\nto = [\"n0>c*\"]\n\
          [[steps]]\nafter-ms = 1500\ndo = \"heal\"\nto = [\"n0>c*\"]\n[[steps]]\ndo = \"resume\"\nto = [\"n9\"]\n"
     )));
-    assert!(outcome.findings.iter().any(|f| f.broken == broken), "{:?}", outcome.findings);
+    assert!(outcome.findings.iter().any(|f| f.violation == violation), "{:?}", outcome.findings);
 }
--- a/crates/node/tests/starts.rs
+++ b/crates/node/tests/starts.rs
@@ -4,7 +4,7 @@
 
 use linestack_lab::starts::{Plan, starts};
 use linestack_rig::load;
-use linestack_rig::stand::Fleet;
+use linestack_rig::stand_ins::StandInFleet;
 use linestack_world::{Product, Scenario};
 use rstest::rstest;
 
@@ -12,7 +12,7 @@
 fn every_start_serves_and_every_stop_ends_well() {
     let product = Product { agreed_ms: 50.0, cut_off_ms: 100.0, ..Product::default() };
     let scenario = Scenario { products: vec![product], ..Scenario::default() };
-    let fleet = Fleet::start(&scenario).unwrap();
+    let fleet = StandInFleet::start(&scenario).unwrap();
     let plan = Plan {
         count: 400,
         at_once: 48,
@@ -22,7 +22,7 @@
     };
     let (executors, span) = (fleet.executors.clone(), Duration::from_secs(5));
     let load = std::thread::spawn(move || {
-        let plan = load::Plan { clients: 32, rate: None, span, ramp: Duration::ZERO };
+        let plan = load::LoadPlan { clients: 32, rate: None, duration: span, ramp: Duration::ZERO };
         load::load(&scenario, &executors, &plan, 1)
     });
     let counted = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan).unwrap();
@@ -35,7 +35,7 @@
 #[case::a_thousand(1_024, true)]
 #[case::more(1_025, false)]
 fn nodes_alive_at_a_time(#[case] at_once: usize, #[case] fine: bool) {
-    let fleet = Fleet::start(&Scenario::default()).unwrap();
+    let fleet = StandInFleet::start(&Scenario::default()).unwrap();
     let within = Duration::from_secs(60);
     let plan = Plan { count: 1, at_once, ready_within: within, hung_after: within, via: Vec::new() };
     let counted = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan);
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -5,10 +5,10 @@
 use std::process::Command;
 
 use linestack_history::What;
+use linestack_rig::node_process::NodeProcess;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome, run};
-use linestack_rig::stand::Fleet;
-use linestack_rig::started::Started;
+use linestack_rig::stand_ins::StandInFleet;
 use rstest::rstest;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linestack");
@@ -28,13 +28,13 @@
 #[test]
 fn killed_twenty_times() {
     let with = play(&kills(true));
-    assert!(with.sound(), "{:?} {:?}", with.findings, with.faults);
+    assert!(with.passed(), "{:?} {:?}", with.findings, with.faults);
     let unknown = with.lines.iter().filter(|l| matches!(l.what, What::Unknown { .. })).count();
-    assert!(unknown > 10 && with.doubled == 0, "{unknown} unknown, {} doubled", with.doubled);
+    assert!(unknown > 10 && with.duplicates == 0, "{unknown} unknown, {} doubled", with.duplicates);
     // What was satisfied and not told is told when it is asked for again, and what may have run is aborted.
     assert!(with.seconds.iter().map(|s| s.aborted).sum::<u64>() > 0);
     let without = play(&kills(false));
-    assert!(without.doubled > 5, "{}", without.doubled);
+    assert!(without.duplicates > 5, "{}", without.duplicates);
 }
 
 fn linestack(words: &[&str]) -> (i32, String) {
@@ -74,7 +74,7 @@
 fn refused_by_key(#[case] line: &str, #[case] why: &str) {
     let folder = tempfile::tempdir().unwrap();
     let scenario = linestack_world::Scenario::default();
-    let fleet = Fleet::start(&scenario).unwrap();
+    let fleet = StandInFleet::start(&scenario).unwrap();
     let (node, store) = (folder.path().join("node.json"), folder.path().join("store.toml"));
     std::fs::write(&node, fleet.configuration("n0", 1).to_string()).unwrap();
     let same = if line.contains("same-by") { "" } else { "same-by = \"req-id\"\n" };
@@ -89,8 +89,8 @@
 // Nothing of it is there in a node that was not told of a store.
 #[test]
 fn off_is_not_there() {
-    let fleet = Fleet::start(&linestack_world::Scenario::default()).unwrap();
-    let node = Started::start(Path::new(PROGRAM), &fleet.configuration("n0", 1)).unwrap();
+    let fleet = StandInFleet::start(&linestack_world::Scenario::default()).unwrap();
+    let node = NodeProcess::start(Path::new(PROGRAM), &fleet.configuration("n0", 1)).unwrap();
     let within = std::time::Duration::from_secs(5);
-    assert_eq!(linestack_rig::http::get(node.address, "/v1/submissions/a", within).unwrap(), 404);
+    assert_eq!(linestack_rig::http::get_status(node.address, "/v1/submissions/a", within).unwrap(), 404);
 }
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -6,7 +6,7 @@
 
 /// What was promised.
 #[derive(Clone, Debug)]
-pub struct Promise {
+pub struct Guarantees {
     /// There are coordinators: versions are agreed on.
     pub coordinated: bool,
     /// Nanoseconds after a decision from which no process takes anything under the version before.
@@ -16,12 +16,12 @@
     /// Nodes keep a store, and clients come back to the node that they asked: none of what it sent begins twice.
     pub remembered: bool,
     /// Clients ask again also when the first try may have run, so that doubles are counted and not judged.
-    pub asked_when_unknown: bool,
+    pub retried_when_unknown: bool,
 }
 
 /// A promise that was not kept, and by what it shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Broken {
+pub enum Violation {
     /// A submission was taken under a version after another had been decided for longer than the bound.
     OldVersion,
     /// A node went by a version that was not decided yet, or never.
@@ -52,13 +52,13 @@
 #[derive(Clone, Debug)]
 pub struct Finding {
     /// Which one.
-    pub broken: Broken,
+    pub violation: Violation,
     /// When, in nanoseconds on the monotonic clock.
     pub at: u64,
     /// Whose line of the history shows it.
     pub by: String,
     /// What shows it.
-    pub why: String,
+    pub reason: String,
 }
 
 /// Intervals in which a process or its ways were not whole, by its name.
@@ -91,24 +91,24 @@
 
 /// All that the histories show to be broken. The lines may come in any order.
 #[must_use]
-pub fn check(lines: &[Line], promise: &Promise) -> Vec<Finding> {
+pub fn check(lines: &[Line], guarantees: &Guarantees) -> Vec<Finding> {
     let mut lines = lines.to_vec();
     lines.sort_by_key(|l| l.at);
     let mut found = Vec::new();
-    if promise.coordinated {
-        agreement(&lines, promise, &mut found);
+    if guarantees.coordinated {
+        agreement(&lines, guarantees, &mut found);
     }
-    submissions(&lines, promise, &mut found);
-    clients(&lines, promise, &mut found);
+    submissions(&lines, guarantees, &mut found);
+    clients(&lines, guarantees, &mut found);
     found.sort_by_key(|f: &Finding| f.at);
     found
 }
 
-fn add(found: &mut Vec<Finding>, broken: Broken, line: &Line, why: String) {
-    found.push(Finding { broken, at: line.at, by: line.by.clone(), why });
+fn add(found: &mut Vec<Finding>, violation: Violation, line: &Line, why: String) {
+    found.push(Finding { violation, at: line.at, by: line.by.clone(), reason: why });
 }
 
-fn agreement(lines: &[Line], promise: &Promise, found: &mut Vec<Finding>) {
+fn agreement(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
     // Version: when it was first known to be decided, and the digest of its text.
     let mut decided: BTreeMap<u64, (u64, u32)> = BTreeMap::new();
     let mut ends: HashMap<&str, (bool, u64)> = HashMap::new();
@@ -123,7 +123,7 @@
                 if known.1 != *digest || dropped.contains(version) {
                     add(
                         found,
-                        Broken::TwoOutcomes,
+                        Violation::TwoOutcomes,
                         line,
                         format!("version {version} has two texts or two ends"),
                     );
@@ -131,63 +131,63 @@
                 // The first terms of all are nobody's request.
                 if !request.is_empty() && *ends.entry(request).or_insert((true, *version)) != (true, *version)
                 {
-                    add(found, Broken::TwoOutcomes, line, format!("{request} ended otherwise before"));
+                    add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
             What::Dropped { request, version, .. } => {
                 dropped.insert(*version);
                 let other = *ends.entry(request).or_insert((false, *version)) != (false, *version);
                 if other || decided.contains_key(version) {
-                    add(found, Broken::TwoOutcomes, line, format!("{request} ended otherwise before"));
+                    add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
             What::Established { round } => newest = newest.max((*round, by)),
-            What::Granted { round, member, version } if promise.strict => {
+            What::Granted { round, member, version } if guarantees.strict => {
                 if (*round, by) < newest {
                     let why = format!(
                         "let {member} serve in round {round}, but {} speaks in {}",
                         newest.1, newest.0
                     );
-                    add(found, Broken::OldCoordinator, line, why);
+                    add(found, Violation::OldCoordinator, line, why);
                 }
                 if !decided.contains_key(version) {
-                    add(found, Broken::Undecided, line, format!("let {member} serve under {version}"));
+                    add(found, Violation::Undecided, line, format!("let {member} serve under {version}"));
                 }
             }
             What::Active { version, digest } => match decided.get(version) {
                 Some((_, text)) if text == digest => {}
                 Some(_) => {
-                    add(found, Broken::TwoOutcomes, line, format!("version {version} with another text"))
+                    add(found, Violation::TwoOutcomes, line, format!("version {version} with another text"))
                 }
-                None => add(found, Broken::Undecided, line, format!("goes by version {version}")),
+                None => add(found, Violation::Undecided, line, format!("goes by version {version}")),
             },
             What::Leased { version, until } => {
                 leased.insert((by, line.life), (*version, *until));
             }
-            What::Taken { id, version } if promise.strict && *version > 0 => {
+            What::Taken { id, version } if guarantees.strict && *version > 0 => {
                 match leased.get(&(by, line.life)) {
                     Some((_, until)) if line.at < *until => {}
                     Some((_, until)) => {
                         let over = (line.at - until) / 1000;
                         add(
                             found,
-                            Broken::Unfenced,
+                            Violation::Unfenced,
                             line,
                             format!("took {id} {over} us after its leave was over"),
                         );
                     }
-                    None => add(found, Broken::Unfenced, line, format!("took {id} without leave")),
+                    None => add(found, Violation::Unfenced, line, format!("took {id} without leave")),
                 }
                 if !decided.contains_key(version) {
-                    add(found, Broken::Undecided, line, format!("took {id} under {version}"));
+                    add(found, Violation::Undecided, line, format!("took {id} under {version}"));
                 }
                 let newer = decided.range(version + 1..).map(|(v, (at, _))| (*at, *v)).min();
                 if let Some((at, v)) = newer
-                    && line.at > at + promise.bound
+                    && line.at > at + guarantees.bound
                 {
                     let late = (line.at - at) / 1_000_000;
                     let why = format!("took {id} under {version}, {late} ms after {v} was decided");
-                    add(found, Broken::OldVersion, line, why);
+                    add(found, Violation::OldVersion, line, why);
                 }
             }
             What::Heard { request, outcome } => {
@@ -200,7 +200,7 @@
                     _ => false,
                 };
                 if wrong {
-                    add(found, Broken::WrongWord, line, format!("{request}: told {outcome}"));
+                    add(found, Violation::WrongWord, line, format!("{request}: told {outcome}"));
                 }
             }
             _ => {}
@@ -212,12 +212,12 @@
             && outcome == "refused"
             && ends.get(request.as_str()).is_some_and(|(decided, _)| *decided)
         {
-            add(found, Broken::WrongWord, line, format!("{request}: told refused, and decided"));
+            add(found, Violation::WrongWord, line, format!("{request}: told refused, and decided"));
         }
     }
 }
 
-fn submissions(lines: &[Line], promise: &Promise, found: &mut Vec<Finding>) {
+fn submissions(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
     struct Held<'a> {
         line: &'a Line,
         version: u64,
@@ -232,27 +232,27 @@
             }
             What::Sent { id, version } => match held.get(&(line.by.as_str(), line.life, id.as_str())) {
                 Some(h) if h.answered => {
-                    add(found, Broken::AnsweredTwice, line, format!("sent {id} after its answer"));
+                    add(found, Violation::AnsweredTwice, line, format!("sent {id} after its answer"));
                 }
                 Some(h) if h.version == *version => {}
                 Some(h) => {
                     let why = format!("{id}: taken under {}, sent under {version}", h.version);
-                    add(found, Broken::VersionChanged, line, why);
+                    add(found, Violation::VersionChanged, line, why);
                 }
                 None => {
-                    add(found, Broken::VersionChanged, line, format!("sent {id}, which it had not taken"))
+                    add(found, Violation::VersionChanged, line, format!("sent {id}, which it had not taken"))
                 }
             },
             What::Answered { id, version, ended } if *ended != Ended::Repeated => {
                 match held.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
                     Some(h) if h.answered => {
-                        add(found, Broken::AnsweredTwice, line, format!("answered {id} twice"));
+                        add(found, Violation::AnsweredTwice, line, format!("answered {id} twice"));
                     }
                     Some(h) => {
                         h.answered = true;
                         if h.version != *version {
                             let why = format!("{id}: taken under {}, answered under {version}", h.version);
-                            add(found, Broken::VersionChanged, line, why);
+                            add(found, Violation::VersionChanged, line, why);
                         }
                     }
                     None => {}
@@ -273,7 +273,7 @@
     for ((by, _, id), h) in &held {
         let excused = troubles.get(*by).into_iter().flatten().any(|(_, to)| *to >= h.line.at);
         if !h.answered && !excused && !left.contains(id) {
-            add(found, Broken::Unanswered, h.line, format!("{id} was never answered"));
+            add(found, Violation::Unanswered, h.line, format!("{id} was never answered"));
         }
     }
     // Executions that began, by what they are about.
@@ -293,7 +293,7 @@
             What::PushedOver { executor } => {
                 add(
                     found,
-                    Broken::PushedOver,
+                    Violation::PushedOver,
                     line,
                     format!("{executor} is cold and was handed more than it bears"),
                 );
@@ -302,24 +302,29 @@
             _ => {}
         }
     }
-    if !promise.asked_when_unknown || promise.remembered {
+    if !guarantees.retried_when_unknown || guarantees.remembered {
         for (key, began) in began.iter().filter(|(_, b)| b.len() > 1) {
-            add(found, Broken::Twice, began[1].0, format!("{key} began {} times", began.len()));
+            add(found, Violation::Twice, began[1].0, format!("{key} began {} times", began.len()));
         }
     }
 }
 
 /// How many one-shots began more than once.
 #[must_use]
-pub fn doubled(lines: &[Line]) -> usize {
-    let promise =
-        Promise { coordinated: false, bound: 0, strict: false, remembered: false, asked_when_unknown: false };
+pub fn count_duplicates(lines: &[Line]) -> usize {
+    let guarantees = Guarantees {
+        coordinated: false,
+        bound: 0,
+        strict: false,
+        remembered: false,
+        retried_when_unknown: false,
+    };
     let mut found = Vec::new();
-    submissions(lines, &promise, &mut found);
-    found.iter().filter(|f| f.broken == Broken::Twice).count()
+    submissions(lines, &guarantees, &mut found);
+    found.iter().filter(|f| f.violation == Violation::Twice).count()
 }
 
-fn clients(lines: &[Line], _: &Promise, found: &mut Vec<Finding>) {
+fn clients(lines: &[Line], _: &Guarantees, found: &mut Vec<Finding>) {
     let troubles = troubled(lines);
     let mut asked: HashMap<&str, (&Line, &str)> = HashMap::new();
     let mut told: BTreeSet<&str> = BTreeSet::new();
@@ -330,13 +335,18 @@
             }
             What::Told { id, .. } => {
                 let first = told.insert(id);
-                (!first).then(|| add(found, Broken::AnsweredTwice, line, format!("{id} was told twice")));
+                (!first).then(|| add(found, Violation::AnsweredTwice, line, format!("{id} was told twice")));
             }
             What::Unknown { id } => {
                 let Some((from, node)) = asked.get(id.as_str()) else { continue };
                 let hit = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
                 if !troubles.get(*node).into_iter().flatten().any(hit) {
-                    add(found, Broken::NoAnswer, line, format!("{id} at {node}, which nothing had befallen"));
+                    add(
+                        found,
+                        Violation::NoAnswer,
+                        line,
+                        format!("{id} at {node}, which nothing had befallen"),
+                    );
                 }
             }
             _ => {}
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -10,7 +10,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::http::{header, message};
+use crate::http::{header, read_message};
 use crate::link::Link;
 use crate::plan::Load;
 
@@ -71,7 +71,7 @@
                 }
                 Told::Unknown => {
                     seen(What::Unknown { id });
-                    if !load.ask_when_unknown {
+                    if !load.retry_when_unknown {
                         break;
                     }
                 }
@@ -102,7 +102,7 @@
     one_shot: bool,
     again: bool,
 ) -> Told {
-    let wait = Duration::from_millis(load.cut_off_ms) + SLACK;
+    let wait = Duration::from_millis(load.deadline_ms) + SLACK;
     if socket.as_ref().is_some_and(closed) {
         *socket = None;
     }
@@ -115,14 +115,14 @@
     let text = format!(
         "POST /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: {product}\r\nReq-Owner: all\r\n\
          Req-Key: {key}\r\nIdempotency-Key: {key}\r\n{retry}Req-Deadline-Ms: {}\r\nContent-Length: {}\r\n\r\n{key}",
-        load.cut_off_ms,
+        load.deadline_ms,
         key.len()
     );
     if open.get_mut().write_all(text.as_bytes()).is_err() {
         // Some of it may be there, but not all of it.
         return Told::Unsent;
     }
-    match message(open) {
+    match read_message(open) {
         Ok(Some((head, _))) => {
             let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
             let wait = header(&head, "retry-after").and_then(|w| w.parse().ok()).map(Duration::from_secs_f64);
--- a/crates/rig/src/draw.rs
+++ b/crates/rig/src/draw.rs
@@ -4,7 +4,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::plan::{Deed, Load, Plan, Step};
+use crate::plan::{Action, Load, Plan, Step};
 
 /// A plan of some changes among some faults, from its seed. Every fault ends before the plan does.
 #[must_use]
@@ -17,11 +17,11 @@
         nodes: rng.random_range(2..=5),
         coordinators,
         lease_ms: rng.random_range(400..=900),
-        load: Load { rate: 120.0, clients: 8, cut_off_ms: 1500, ..Load::default() },
+        load: Load { rate: 120.0, clients: 8, deadline_ms: 1500, ..Load::default() },
         tail_ms: 1200,
         ..Plan::default()
     };
-    let (processes, ways) = (plan.processes(), plan.ways());
+    let (processes, ways) = (plan.processes(), plan.link_names());
     let ways: Vec<String> = ways.into_iter().filter(|w| w.contains(">c")).collect();
     let (mut base, mut faults): (u64, Vec<Vec<Step>>) = (1, Vec::new());
     for number in 0..rng.random_range(2..=4) {
@@ -32,10 +32,10 @@
             let terms = if rng.random::<f64>() < 0.9 { number + 2 } else { 0 };
             plan.steps.push(Step {
                 after_ms: pace,
-                r#do: Deed::Propose,
+                action: Action::Propose,
                 request: format!("r{number}"),
                 base: built_on,
-                terms,
+                policy: terms,
                 all: rng.random::<f64>() < 0.2,
                 give_up_ms: rng.random_range(800..3000),
                 ..Step::default()
@@ -45,32 +45,42 @@
         let who = processes.choose(&mut rng).cloned().unwrap_or_default();
         let way = ways.choose(&mut rng).cloned().unwrap_or_default();
         let sides = match rng.random_range(0..3) {
-            0 => vec![crate::link::Side::Forth],
-            1 => vec![crate::link::Side::Back],
-            _ => vec![crate::link::Side::Forth, crate::link::Side::Back],
+            0 => vec![crate::link::Direction::Forward],
+            1 => vec![crate::link::Direction::Backward],
+            _ => vec![crate::link::Direction::Forward, crate::link::Direction::Backward],
         };
         let frame = *["prepare", "promise", "accept", "accepted", "beat", "request", "reply"]
             .choose(&mut rng)
             .unwrap_or(&"accept");
         let after_ms = rng.random_range(0..300);
-        let step = |r#do, to: &str| Step { after_ms, r#do, to: vec![to.to_owned()], ..Step::default() };
-        let end =
-            |r#do, to: &str, after_ms| Step { after_ms, r#do, to: vec![to.to_owned()], ..Step::default() };
+        let step = |action, to: &str| Step { after_ms, action, to: vec![to.to_owned()], ..Step::default() };
+        let end = |action, to: &str, after_ms| Step {
+            after_ms,
+            action,
+            to: vec![to.to_owned()],
+            ..Step::default()
+        };
         let long = rng.random_range(100..2 * plan.lease_ms);
         let pair = match rng.random_range(0..8) {
-            0 => vec![step(Deed::Kill, &who), end(Deed::Start, &who, long)],
-            1 => vec![step(Deed::Pause, &who), end(Deed::Resume, &who, long)],
-            2 => vec![Step { sides, ..step(Deed::Cut, &way) }, end(Deed::Heal, &way, long)],
-            3 => vec![Step { sides, ms: 60, ..step(Deed::Delay, &way) }, end(Deed::Heal, &way, long)],
-            4 => vec![step(Deed::Reset, &way)],
-            5 => vec![Step { request: frame.into(), ..step(Deed::Repeat, &way) }],
+            0 => vec![step(Action::Kill, &who), end(Action::Start, &who, long)],
+            1 => vec![step(Action::Pause, &who), end(Action::Resume, &who, long)],
+            2 => vec![Step { directions: sides, ..step(Action::Cut, &way) }, end(Action::Heal, &way, long)],
+            3 => vec![
+                Step { directions: sides, ms: 60, ..step(Action::Delay, &way) },
+                end(Action::Heal, &way, long),
+            ],
+            4 => vec![step(Action::Reset, &way)],
+            5 => vec![Step { request: frame.into(), ..step(Action::Repeat, &way) }],
             6 => vec![Step {
                 request: frame.into(),
                 bytes: rng.random_range(0..60),
-                ..step(Deed::CutAt, &way)
+                ..step(Action::CutAt, &way)
             }],
             _ => {
-                vec![Step { request: frame.into(), ..step(Deed::Hold, &way) }, end(Deed::Release, &way, long)]
+                vec![
+                    Step { request: frame.into(), ..step(Action::Hold, &way) },
+                    end(Action::Release, &way, long),
+                ]
             }
         };
         faults.push(pair);
@@ -83,8 +93,8 @@
         }
     }
     // Whatever was begun twice is over at the end.
-    let whole = |r#do, to: &str| Step { r#do, to: vec![to.to_owned()], ..Step::default() };
-    plan.steps.push(whole(Deed::Heal, "*>*"));
+    let whole = |action, to: &str| Step { action, to: vec![to.to_owned()], ..Step::default() };
+    plan.steps.push(whole(Action::Heal, "*>*"));
     plan
 }
 
@@ -97,12 +107,13 @@
         let mut less = small.clone();
         let gone = less.steps.remove(at);
         // What begins something takes its end with it.
-        let ends = |s: &Step| s.to == gone.to && matches!(s.r#do, Deed::Start | Deed::Resume | Deed::Heal);
-        if matches!(gone.r#do, Deed::Kill | Deed::Pause | Deed::Cut | Deed::Delay)
+        let ends =
+            |s: &Step| s.to == gone.to && matches!(s.action, Action::Start | Action::Resume | Action::Heal);
+        if matches!(gone.action, Action::Kill | Action::Pause | Action::Cut | Action::Delay)
             && let Some(end) = less.steps[at..].iter().position(ends)
         {
             less.steps.remove(at + end);
-        } else if matches!(gone.r#do, Deed::Start | Deed::Resume) {
+        } else if matches!(gone.action, Action::Start | Action::Resume) {
             continue;
         }
         tries -= 1;
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 /// The most bytes of a head or a body that a stand-in reads.
-pub const LARGEST: usize = 80 * 1024;
+pub const MAX_PART_SIZE: usize = 80 * 1024;
 /// The longest that a stand-in waits for a peer.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A message's head, and what its body holds. None at the end of the connection.
-pub fn message(socket: &mut BufReader<TcpStream>) -> io::Result<Option<(String, Vec<u8>)>> {
+pub fn read_message(socket: &mut BufReader<TcpStream>) -> io::Result<Option<(String, Vec<u8>)>> {
     let mut head = String::new();
     loop {
         let before = head.len();
-        if socket.by_ref().take(LARGEST as u64).read_line(&mut head)? == 0 {
+        if socket.by_ref().take(MAX_PART_SIZE as u64).read_line(&mut head)? == 0 {
             return Ok(None);
         }
-        if head.len() > LARGEST {
+        if head.len() > MAX_PART_SIZE {
             return Err(io::Error::other("head too large"));
         }
         if !head.ends_with('\n') {
@@ -31,7 +31,7 @@
     let mut body = Vec::new();
     if let Some(length) = header(&head, "content-length") {
         let length = length.parse::<usize>().map_err(io::Error::other)?;
-        if length > LARGEST {
+        if length > MAX_PART_SIZE {
             return Err(io::Error::other("body too large"));
         }
         body.resize(length, 0);
@@ -41,7 +41,7 @@
             let mut line = String::new();
             socket.by_ref().take(64).read_line(&mut line)?;
             let length = usize::from_str_radix(line.trim(), 16).map_err(io::Error::other)?;
-            if length > LARGEST {
+            if length > MAX_PART_SIZE {
                 return Err(io::Error::other("chunk too large"));
             }
             let start = body.len();
@@ -70,11 +70,11 @@
 /// # Errors
 ///
 /// Nobody answers in time, or not in HTTP.
-pub fn get(to: std::net::SocketAddr, path: &str, within: Duration) -> io::Result<u16> {
+pub fn get_status(to: std::net::SocketAddr, path: &str, within: Duration) -> io::Result<u16> {
     use std::io::Write as _;
     let mut socket = TcpStream::connect_timeout(&to, within)?;
     socket.set_read_timeout(Some(within))?;
     write!(socket, "GET {path} HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n")?;
-    let (head, _) = message(&mut BufReader::new(socket))?.ok_or(io::Error::other("no answer"))?;
+    let (head, _) = read_message(&mut BufReader::new(socket))?.ok_or(io::Error::other("no answer"))?;
     head.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or(io::Error::other("no status"))
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -11,12 +11,12 @@
 pub mod http;
 pub mod link;
 pub mod load;
+pub mod node_process;
 pub mod plan;
 pub mod process;
 pub mod run;
 pub mod shim;
-pub mod stand;
-pub mod started;
+pub mod stand_ins;
 
 /// Locks a mutex whose holders keep it consistent between statements.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -31,11 +31,13 @@
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Side {
+pub enum Direction {
     /// From the one that connects to the one that listens.
-    Forth,
+    #[serde(rename = "forth")]
+    Forward,
     /// From the one that listens to the one that connects.
-    Back,
+    #[serde(rename = "back")]
+    Backward,
 }
 
 /// What is to happen to the next frame of a kind.
@@ -51,7 +53,7 @@
 
 /// Called with the link's name, the side and the frame's kind for each frame that has passed. The
 /// connection stands still until it returns.
-pub type FrameObserver = Arc<dyn Fn(&str, Side, u8) + Send + Sync>;
+pub type FrameObserver = Arc<dyn Fn(&str, Direction, u8) + Send + Sync>;
 
 /// The proxy, which runs until it is dropped.
 pub struct Link {
@@ -98,22 +100,22 @@
 
 /// A fault that the next frame of a kind on a side will see.
 struct PendingFrameFault {
-    side: Side,
+    side: Direction,
     kind: u8,
     fault: FrameFault,
 }
 
 struct HeldFrame {
     connection: ConnectionNumber,
-    side: Side,
+    side: Direction,
     bytes: Vec<u8>,
 }
 
 /// The connection can't go on, or is no longer wanted.
-struct Broken;
+struct Disconnected;
 
-fn index_of(side: Side) -> usize {
-    usize::from(side == Side::Back)
+fn index_of(side: Direction) -> usize {
+    usize::from(side == Direction::Backward)
 }
 
 impl Drop for Link {
@@ -178,7 +180,7 @@
 
     /// Nothing passes on these sides until the link is healed; what comes meanwhile waits, as with a network
     /// that is cut and sends again.
-    pub fn cut(&self, sides: &[Side]) {
+    pub fn cut(&self, sides: &[Direction]) {
         self.change_faults(|f| sides.iter().for_each(|s| f.cut[index_of(*s)] = true));
     }
 
@@ -188,17 +190,17 @@
     }
 
     /// Everything that passes on these sides is delayed by this time, read by read.
-    pub fn delay(&self, sides: &[Side], by: Duration) {
+    pub fn delay(&self, sides: &[Direction], by: Duration) {
         self.change_faults(|f| sides.iter().for_each(|s| f.delay[index_of(*s)] = by));
     }
 
     /// These sides pass so many bytes a second.
-    pub fn throttle(&self, sides: &[Side], rate: u64) {
+    pub fn throttle(&self, sides: &[Direction], rate: u64) {
         self.change_faults(|f| sides.iter().for_each(|s| f.rate[index_of(*s)] = rate));
     }
 
     /// The next frame of a kind sees this fault. Does nothing where no frames pass.
-    pub fn fail_next_frame(&self, side: Side, kind: u8, fault: FrameFault) {
+    pub fn fail_next_frame(&self, side: Direction, kind: u8, fault: FrameFault) {
         self.change_faults(|f| f.next_frames.push(PendingFrameFault { side, kind, fault }));
     }
 
@@ -207,7 +209,7 @@
         let held = std::mem::take(&mut lock(&self.proxy.faults).held);
         for frame in held {
             if let Some(pair) = lock(&self.proxy.connections).get(&frame.connection) {
-                let mut to = if frame.side == Side::Forth { &pair.far } else { &pair.near };
+                let mut to = if frame.side == Direction::Forward { &pair.far } else { &pair.near };
                 let _ = to.write_all(&frame.bytes);
             }
         }
@@ -274,8 +276,8 @@
         let (back_from, back_to) = (far.try_clone()?, near.try_clone()?);
         let proxy = Arc::clone(self);
         let thread = std::thread::Builder::new().stack_size(THREAD_STACK);
-        let back = thread.spawn(move || proxy.pump(connection, Side::Back, back_from, back_to))?;
-        self.pump(connection, Side::Forth, near, far);
+        let back = thread.spawn(move || proxy.pump(connection, Direction::Backward, back_from, back_to))?;
+        self.pump(connection, Direction::Forward, near, far);
         let _ = back.join();
         lock(&self.connections).remove(&connection);
         Ok(())
@@ -287,7 +289,7 @@
     }
 
     /// Passes one side of a connection on until it ends, and then passes on how it ended.
-    fn pump(&self, connection: ConnectionNumber, side: Side, mut from: TcpStream, mut to: TcpStream) {
+    fn pump(&self, connection: ConnectionNumber, side: Direction, mut from: TcpStream, mut to: TcpStream) {
         let ended = self.pass_all(connection, side, &mut from, &mut to);
         // The end is something that passes, too.
         if ended.is_ok() && self.wait_until_uncut(connection, side).is_ok() {
@@ -303,22 +305,22 @@
     fn pass_all(
         &self,
         connection: ConnectionNumber,
-        side: Side,
+        side: Direction,
         from: &mut TcpStream,
         to: &mut TcpStream,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), Disconnected> {
         let (mut buffer, mut reader) = ([0; READ_BUFFER], Reader::default());
         let _ = from.set_read_timeout(Some(READ_POLL));
         loop {
             if self.stopped() {
-                return Err(Broken);
+                return Err(Disconnected);
             }
             let length = match from.read(&mut buffer) {
                 Ok(0) => return Ok(()),
                 Ok(length) => length,
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => continue,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return Err(Broken),
+                Err(_) => return Err(Disconnected),
             };
             if self.framed {
                 reader.push(&buffer[..length]);
@@ -333,10 +335,10 @@
     fn pass_frames(
         &self,
         connection: ConnectionNumber,
-        side: Side,
+        side: Direction,
         reader: &mut Reader,
         to: &mut TcpStream,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), Disconnected> {
         loop {
             let frame = match reader.next_frame() {
                 Ok(Some(frame)) => frame,
@@ -344,7 +346,7 @@
                 // No frame: whoever reads it is to find out.
                 Err(_) => return self.pass(connection, side, std::mem::take(reader).buffered(), to),
             };
-            let bytes = encode(frame.kind, &frame.body).map_err(|_| Broken)?;
+            let bytes = encode(frame.kind, &frame.body).map_err(|_| Disconnected)?;
             match self.take_frame_fault(side, frame.kind) {
                 None => self.pass(connection, side, &bytes, to)?,
                 Some(FrameFault::Repeat) => {
@@ -352,7 +354,7 @@
                 }
                 Some(FrameFault::CutAt(at)) => {
                     self.pass(connection, side, &bytes[..at.min(bytes.len())], to)?;
-                    return Err(Broken);
+                    return Err(Disconnected);
                 }
                 Some(FrameFault::Hold) => {
                     lock(&self.faults).held.push(HeldFrame { connection, side, bytes });
@@ -363,7 +365,7 @@
     }
 
     /// The fault that the next frame of a kind is to see, if any; it is then no longer pending.
-    fn take_frame_fault(&self, side: Side, kind: u8) -> Option<FrameFault> {
+    fn take_frame_fault(&self, side: Direction, kind: u8) -> Option<FrameFault> {
         let pending = &mut lock(&self.faults).next_frames;
         let found = pending.iter().position(|p| (p.side, p.kind) == (side, kind))?;
         Some(pending.remove(found).fault)
@@ -373,10 +375,10 @@
     fn pass(
         &self,
         connection: ConnectionNumber,
-        side: Side,
+        side: Direction,
         bytes: &[u8],
         to: &mut TcpStream,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), Disconnected> {
         let (delay, rate) = {
             let faults = lock(&self.faults);
             (faults.delay[index_of(side)], faults.rate[index_of(side)])
@@ -384,28 +386,28 @@
         std::thread::sleep(delay);
         self.wait_until_uncut(connection, side)?;
         if rate == 0 {
-            return to.write_all(bytes).map_err(|_| Broken);
+            return to.write_all(bytes).map_err(|_| Disconnected);
         }
         for chunk in bytes.chunks(THROTTLED_CHUNK) {
             std::thread::sleep(Duration::from_secs_f64(chunk.len() as f64 / rate as f64));
             if self.stopped() {
-                return Err(Broken);
+                return Err(Disconnected);
             }
-            to.write_all(chunk).map_err(|_| Broken)?;
+            to.write_all(chunk).map_err(|_| Disconnected)?;
         }
         Ok(())
     }
 
     /// Waits until nothing is cut on this side. Fails if the connection is no longer wanted.
-    fn wait_until_uncut(&self, connection: ConnectionNumber, side: Side) -> Result<(), Broken> {
+    fn wait_until_uncut(&self, connection: ConnectionNumber, side: Direction) -> Result<(), Disconnected> {
         let mut faults = lock(&self.faults);
         while faults.cut[index_of(side)] {
             if self.stopped() || !lock(&self.connections).contains_key(&connection) {
-                return Err(Broken);
+                return Err(Disconnected);
             }
             let waited = self.faults_changed.wait_timeout(faults, CUT_POLL);
             faults = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
-        if self.stopped() { Err(Broken) } else { Ok(()) }
+        if self.stopped() { Err(Disconnected) } else { Ok(()) }
     }
 }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -11,27 +11,27 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::http::{PATIENCE, header, message};
+use crate::http::{PEER_TIMEOUT, header, read_message};
 
 /// The most connections that a load holds, and a stand-in too.
-pub const MOST: usize = 4096;
+pub const MAX_CLIENTS: usize = 4096;
 
 /// How a load goes about it.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LoadPlan {
     /// Each asks again once it is answered; or, with a rate, they take turns at a fixed pace.
     pub clients: usize,
     /// Requests a second of all clients together; none: closed loop.
     pub rate: Option<f64>,
     /// How long the load lasts after the ramp.
-    pub span: Duration,
+    pub duration: Duration,
     /// Clients begin one after the other over this time, and what is answered in it does not count.
     pub ramp: Duration,
 }
 
 /// What came of a load.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadResult {
     /// Answers with a result.
     pub satisfied: u64,
     /// Answers that turned a request away.
@@ -44,10 +44,10 @@
     pub seconds: f64,
     /// Microseconds of what was satisfied. At a fixed pace they count from when a request was due, so that
     /// waiting for a slow answer before it hides nothing.
-    pub times: Histogram<u64>,
+    pub latencies: Histogram<u64>,
 }
 
-impl Loaded {
+impl LoadResult {
     /// Satisfied requests a second.
     #[must_use]
     pub fn rate(&self) -> f64 {
@@ -59,17 +59,17 @@
 ///
 /// # Errors
 ///
-/// An address off loopback, more than [`MOST`] clients, or no client could be started.
-pub fn load(scenario: &Scenario, to: &[SocketAddr], plan: &Plan, seed: u64) -> io::Result<Loaded> {
+/// An address off loopback, more than [`MAX_CLIENTS`] clients, or no client could be started.
+pub fn load(scenario: &Scenario, to: &[SocketAddr], plan: &LoadPlan, seed: u64) -> io::Result<LoadResult> {
     if to.is_empty() || to.iter().any(|a| !a.ip().is_loopback()) {
         return Err(io::Error::other("loads go to addresses on loopback only, one at least"));
     }
-    if plan.clients == 0 || plan.clients > MOST {
-        return Err(io::Error::other(format!("from 1 to {MOST} clients")));
+    if plan.clients == 0 || plan.clients > MAX_CLIENTS {
+        return Err(io::Error::other(format!("from 1 to {MAX_CLIENTS} clients")));
     }
     let begin = Instant::now();
     let counted = begin + plan.ramp;
-    let end = counted + plan.span;
+    let end = counted + plan.duration;
     let scenario = Arc::new(scenario.clone());
     let mut threads = Vec::new();
     for client in 0..plan.clients {
@@ -78,13 +78,13 @@
         threads
             .push(thread.spawn(move || one_client(&scenario, to, &plan, client, seed, begin, counted, end))?);
     }
-    let mut all = Loaded {
+    let mut all = LoadResult {
         satisfied: 0,
         dismissed: 0,
         failed: 0,
         broken: 0,
-        seconds: plan.span.as_secs_f64(),
-        times: histogram(),
+        seconds: plan.duration.as_secs_f64(),
+        latencies: histogram(),
     };
     for thread in threads {
         let Ok(one) = thread.join() else { return Err(io::Error::other("a client ended before its time")) };
@@ -92,7 +92,7 @@
         all.dismissed += one.dismissed;
         all.failed += one.failed;
         all.broken += one.broken;
-        let _ = all.times.add(&one.times);
+        let _ = all.latencies.add(&one.latencies);
     }
     Ok(all)
 }
@@ -106,15 +106,15 @@
 fn one_client(
     s: &Scenario,
     to: SocketAddr,
-    plan: &Plan,
+    plan: &LoadPlan,
     client: usize,
     seed: u64,
     begin: Instant,
     counted: Instant,
     end: Instant,
-) -> Loaded {
-    let (mut rng, times) = (Pcg64Mcg::seed_from_u64(seed ^ (client as u64) << 20), histogram());
-    let mut all = Loaded { satisfied: 0, dismissed: 0, failed: 0, broken: 0, seconds: 0.0, times };
+) -> LoadResult {
+    let (mut rng, latencies) = (Pcg64Mcg::seed_from_u64(seed ^ (client as u64) << 20), histogram());
+    let mut all = LoadResult { satisfied: 0, dismissed: 0, failed: 0, broken: 0, seconds: 0.0, latencies };
     std::thread::sleep(plan.ramp.mul_f64(client as f64 / plan.clients as f64));
     let gap = plan.rate.map(|r| Duration::from_secs_f64(plan.clients as f64 / r));
     let mut due = Instant::now() + gap.unwrap_or_default().mul_f64(rng.random());
@@ -133,7 +133,7 @@
         if socket.is_none() {
             let new = TcpStream::connect_timeout(&to, Duration::from_secs(1)).and_then(|socket| {
                 socket.set_nodelay(true)?;
-                socket.set_read_timeout(Some(PATIENCE))?;
+                socket.set_read_timeout(Some(PEER_TIMEOUT))?;
                 Ok(BufReader::new(socket))
             });
             let Ok(new) = new else {
@@ -160,7 +160,7 @@
              Idempotency-Key: {id}\r\nReq-Deadline-Ms: {}\r\nContent-Length: 0\r\n\r\n",
             product.name, tenant.name, product.cut_off_ms as u64
         );
-        let answered = open.get_mut().write_all(text.as_bytes()).and_then(|()| message(open));
+        let answered = open.get_mut().write_all(text.as_bytes()).and_then(|()| read_message(open));
         let counts = Instant::now() >= counted && sent >= begin;
         match answered {
             Ok(Some((head, body))) => {
@@ -171,7 +171,7 @@
                     match status {
                         "200" if !returned => {
                             all.satisfied += 1;
-                            let _ = all.times.record(sent.elapsed().as_micros().max(1) as u64);
+                            let _ = all.latencies.record(sent.elapsed().as_micros().max(1) as u64);
                         }
                         "200" | "429" | "503" => all.dismissed += 1,
                         _ => all.failed += 1,
--- a/crates/rig/src/started.rs
+++ b/crates/rig/src/node_process.rs
@@ -9,14 +9,14 @@
 use serde_json::Value;
 
 /// A real node, ended when it is dropped.
-pub struct Started {
+pub struct NodeProcess {
     process: Child,
     /// Where it listens for clients.
     pub address: SocketAddr,
     file: PathBuf,
 }
 
-impl Drop for Started {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -24,8 +24,8 @@
     }
 }
 
-impl Started {
-    /// Starts the program at `program` with this configuration, and waits until it listens.
+impl NodeProcess {
+    /// StagedStart the program at `program` with this configuration, and waits until it listens.
     ///
     /// # Errors
     ///
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::link::Side;
+use crate::link::Direction;
 
 macro_rules! table {
     ($(#[$doc:meta])* $name:ident { $($(#[$fdoc:meta])* $field:ident: $kind:ty = $default:expr,)* }) => {
@@ -47,9 +47,10 @@
         /// Whether nodes that start ask running ones.
         peers: bool = false,
         /// What a node keeps to while it starts.
-        starts: Starts = Starts::default(),
+        starts: StagedStart = StagedStart::default(),
         /// The part of its capacity that an executor has right after a start.
-        cold_from: f64 = 0.3,
+        #[serde(rename = "cold-from")]
+        cold_capacity_share: f64 = 0.3,
         /// The time until it is whole.
         cold_ms: f64 = 4000.0,
         /// What clients do.
@@ -63,7 +64,7 @@
 
 table! {
     /// A start in stages, if it is on; rates are the fleet's a second, 0 for no bound.
-    Starts {
+    StagedStart {
         /// Whether nodes start in stages.
         on: bool = false,
         /// Connections to executors.
@@ -83,11 +84,13 @@
         /// How many clients there are.
         clients: usize = 16,
         /// The deadline: how long a client waits for an answer.
-        cut_off_ms: u64 = 2000,
+        #[serde(rename = "cut-off-ms")]
+        deadline_ms: u64 = 2000,
         /// How often a client asks at most.
         tries: u32 = 3,
         /// Ask again also when the first try may have run. Off: only when it can't have.
-        ask_when_unknown: bool = false,
+        #[serde(rename = "ask-when-unknown")]
+        retry_when_unknown: bool = false,
         /// Ask the same node again, which alone knows what it sent.
         same_node: bool = false,
         /// The part of all submissions that must not be executed twice.
@@ -107,19 +110,23 @@
         /// Waits for a frame of this kind.
         frame: Option<String> = None,
         /// The link on which it passes, such as `c0>c1`; any, if none is named.
-        way: Option<String> = None,
+        #[serde(rename = "way")]
+        link: Option<String> = None,
         /// The direction in which it passes; and that of the frame that the deed is done to.
-        side: Side = Side::Forth,
+        #[serde(rename = "side")]
+        direction: Direction = Direction::Forward,
         /// So many of them since the step before.
         count: u64 = 1,
         /// Pace only: so long after the step before, or after what was waited for.
         after_ms: u64 = 0,
         /// What is then done.
-        r#do: Deed = Deed::Nothing,
+        #[serde(rename = "do")]
+        action: Action = Action::Nothing,
         /// To what: processes (`n3`), or links (`n3>c0`, `*>c0`), by the deed.
         to: Vec<String> = Vec::new(),
         /// In which directions of a link.
-        sides: Vec<Side> = vec![Side::Forth, Side::Back],
+        #[serde(rename = "sides")]
+        directions: Vec<Direction> = vec![Direction::Forward, Direction::Backward],
         /// Milliseconds, of a delay or of each call for the list.
         ms: u64 = 0,
         /// Bytes a second of a throttled link, or the byte at which a frame is cut.
@@ -129,7 +136,8 @@
         /// The version that a proposal builds on.
         base: u64 = 0,
         /// The number of the policy that a proposal or a file carries.
-        terms: u64 = 0,
+        #[serde(rename = "terms")]
+        policy: u64 = 0,
         /// Whether a proposal waits for every member that is known, also those that are away.
         all: bool = false,
         /// A proposal is dropped when it is not decided by then; 0: never.
@@ -139,14 +147,15 @@
         /// How strong that is, as the kind of trouble says.
         size: f64 = 0.5,
         /// The start is to fail.
-        refused: bool = false,
+        #[serde(rename = "refused")]
+        expect_failure: bool = false,
     }
 }
 
 /// What a step does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Deed {
+pub enum Action {
     /// Waits alone.
     Nothing,
     /// Kill processes outright.
@@ -209,42 +218,42 @@
     Overbook,
 }
 
-impl Deed {
+impl Action {
     /// Whether it is done to executors.
     #[must_use]
-    pub fn on_executors(self) -> bool {
+    pub fn targets_executors(self) -> bool {
         matches!(self, Self::Ail | Self::Well | Self::Renew)
     }
 
     /// Whether it is done to links.
     #[must_use]
-    pub fn on_ways(self) -> bool {
-        use Deed::{Cut, CutAt, Delay, Heal, Hold, Release, Repeat, Reset, Throttle};
+    pub fn targets_links(self) -> bool {
+        use Action::{Cut, CutAt, Delay, Heal, Hold, Release, Repeat, Reset, Throttle};
         matches!(self, Cut | Heal | Delay | Throttle | Reset | CutAt | Repeat | Hold | Release)
     }
 }
 
 /// Why a plan is refused.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum PlanError {
     /// It is not TOML, or has an unknown key.
     #[error("{0}")]
     Malformed(String),
     /// Its figures make no sense; a line for each.
     #[error("{0}")]
-    Impossible(String),
+    Invalid(String),
 }
 
 /// Whichever coordinator spoke for the fleet last.
-pub const SPEAKER: &str = "speaker";
+pub const LEADER: &str = "speaker";
 /// All processes that do not run.
 pub const DOWN: &str = "down";
 
 /// Whether a link or a process is meant by a pattern, in which `*` stands for any name's rest.
 #[must_use]
-pub fn meant(pattern: &str, name: &str) -> bool {
+pub fn name_matches(pattern: &str, name: &str) -> bool {
     match (pattern.split_once('>'), name.split_once('>')) {
-        (Some((a, b)), Some((x, y))) => meant(a, x) && meant(b, y),
+        (Some((a, b)), Some((x, y))) => name_matches(a, x) && name_matches(b, y),
         (None, None) => match pattern.strip_suffix('*') {
             Some(start) => name.starts_with(start),
             None => pattern == name,
@@ -259,8 +268,8 @@
     /// # Errors
     ///
     /// All that is wrong with it, each by its key.
-    pub fn read(text: &str) -> Result<Self, Fault> {
-        let plan: Self = toml::from_str(text).map_err(|e| Fault::Malformed(e.to_string()))?;
+    pub fn read(text: &str) -> Result<Self, PlanError> {
+        let plan: Self = toml::from_str(text).map_err(|e| PlanError::Malformed(e.to_string()))?;
         plan.check()?;
         Ok(plan)
     }
@@ -275,7 +284,7 @@
     /// The names of the links between them: from clients (`k`) to nodes, from nodes to executors (`e0`) and
     /// discovery (`d`), between nodes (`n1>p0`), and from nodes, coordinators and the operator (`o`) to coordinators.
     #[must_use]
-    pub fn ways(&self) -> Vec<String> {
+    pub fn link_names(&self) -> Vec<String> {
         let mut ways = Vec::new();
         for n in 0..self.nodes {
             ways.push(format!("k>n{n}"));
@@ -297,7 +306,7 @@
     /// # Errors
     ///
     /// All that is wrong with it, each by its key.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), PlanError> {
         let mut faults = Vec::new();
         let mut must = |fine: bool, key: &str, why: &str| {
             if !fine {
@@ -312,10 +321,10 @@
         must(self.work_ms > 0.0 && self.work_ms < 1e5, "work-ms", "over 0, under 100,000");
         must(self.load.rate > 0.0 && self.load.rate <= 1e5, "load.rate", "over 0, 100,000 at most");
         must((1..=512).contains(&self.load.clients), "load.clients", "from 1 to 512");
-        must((50..=60_000).contains(&self.load.cut_off_ms), "load.cut-off-ms", "from 50 to 60,000");
+        must((50..=60_000).contains(&self.load.deadline_ms), "load.cut-off-ms", "from 50 to 60,000");
         must((0.0..=1.0).contains(&self.load.one_shot_share), "load.one-shot-share", "from 0 to 1");
         must(self.tail_ms <= 600_000, "tail-ms", "600,000 at most");
-        let (processes, ways) = (self.processes(), self.ways());
+        let (processes, ways) = (self.processes(), self.link_names());
         for (i, step) in self.steps.iter().enumerate() {
             let key = |k: &str| format!("steps[{i}].{k}");
             let waits = [&step.line, &step.log, &step.frame].iter().filter(|w| w.is_some()).count();
@@ -323,50 +332,59 @@
             must(step.count > 0, &key("count"), "at least 1");
             must(step.after_ms <= 600_000, &key("after-ms"), "600,000 at most");
             if let Some(by) = &step.by {
-                must(processes.iter().any(|p| meant(by, p)) || by == "rig", &key("by"), "no such process");
+                must(
+                    processes.iter().any(|p| name_matches(by, p)) || by == "rig",
+                    &key("by"),
+                    "no such process",
+                );
             }
             if let Some(frame) = &step.frame {
                 must(kind_number(frame).is_some(), &key("frame"), "no such kind of frame");
-                let way = step.way.as_deref().unwrap_or("*>*");
-                must(ways.iter().any(|w| meant(way, w)), &key("way"), "no such way");
+                let way = step.link.as_deref().unwrap_or("*>*");
+                must(ways.iter().any(|w| name_matches(way, w)), &key("way"), "no such way");
             }
-            if matches!(step.r#do, Deed::CutAt | Deed::Repeat | Deed::Hold) {
-                must(step.frame_for().is_some(), &key("request"), "the kind of frame that it is done to");
+            if matches!(step.action, Action::CutAt | Action::Repeat | Action::Hold) {
+                must(
+                    step.target_frame_kind().is_some(),
+                    &key("request"),
+                    "the kind of frame that it is done to",
+                );
             }
             let executors: Vec<String> = (0..self.executors).map(|e| format!("e{e}")).collect();
-            let names = match step.r#do {
-                on if on.on_ways() => &ways,
-                on if on.on_executors() => &executors,
+            let names = match step.action {
+                on if on.targets_links() => &ways,
+                on if on.targets_executors() => &executors,
                 _ => &processes,
             };
             for to in &step.to {
-                let who = to == DOWN || (to == SPEAKER && self.coordinators > 0);
-                must(who || names.iter().any(|n| meant(to, n)), &key("to"), "nothing has this name");
+                let who = to == DOWN || (to == LEADER && self.coordinators > 0);
+                must(who || names.iter().any(|n| name_matches(to, n)), &key("to"), "nothing has this name");
             }
-            let nobody = matches!(step.r#do, Deed::Nothing | Deed::Propose | Deed::Abort | Deed::Overbook);
-            must(step.r#do != Deed::Swap || step.to.len() == 2, &key("to"), "two that change places");
-            let ails = matches!(step.r#do, Deed::Ail | Deed::Well);
-            must(!ails || step.trouble().is_some(), &key("fault"), "nothing that ails an executor");
+            let nobody =
+                matches!(step.action, Action::Nothing | Action::Propose | Action::Abort | Action::Overbook);
+            must(step.action != Action::Swap || step.to.len() == 2, &key("to"), "two that change places");
+            let ails = matches!(step.action, Action::Ail | Action::Well);
+            must(!ails || step.executor_fault().is_some(), &key("fault"), "nothing that ails an executor");
             must(nobody || !step.to.is_empty(), &key("to"), "nobody is named");
-            if step.r#do == Deed::Propose {
+            if step.action == Action::Propose {
                 must(self.coordinators > 0, &key("do"), "there is no coordinator");
                 must(!step.request.is_empty(), &key("request"), "has no name");
             }
         }
-        if faults.is_empty() { Ok(()) } else { Err(Fault::Impossible(faults.join("\n"))) }
+        if faults.is_empty() { Ok(()) } else { Err(PlanError::Invalid(faults.join("\n"))) }
     }
 }
 
 impl Step {
     /// What ails an executor; it stands in `fault`.
     #[must_use]
-    pub fn trouble(&self) -> Option<linestack_world::Fault> {
+    pub fn executor_fault(&self) -> Option<linestack_world::Fault> {
         serde_json::from_value(serde_json::Value::String(self.fault.clone())).ok()
     }
 
     /// The kind of frame that the deed is done to; it stands in `request`.
     #[must_use]
-    pub fn frame_for(&self) -> Option<u8> {
+    pub fn target_frame_kind(&self) -> Option<u8> {
         kind_number(&self.request)
     }
 }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -10,7 +10,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 /// No start and no end takes longer; a run that waits longer fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A process that can be started again and again. It is killed when this is dropped.
 pub struct Process {
@@ -23,7 +23,7 @@
     /// Environment variables for every start.
     pub variables: Vec<(String, String)>,
     /// Words for its next start alone.
-    pub once: Vec<String>,
+    pub next_start_arguments: Vec<String>,
     child: Option<Child>,
     /// It was sent SIGSTOP, and not SIGCONT since.
     pub paused: bool,
@@ -47,7 +47,7 @@
             program,
             words,
             variables: Vec::new(),
-            once: Vec::new(),
+            next_start_arguments: Vec::new(),
             child: None,
             paused: false,
         }
@@ -77,7 +77,7 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// Starts it. Its log is appended to that of earlier runs.
+    /// StagedStart it. Its log is appended to that of earlier runs.
     ///
     /// # Errors
     ///
@@ -92,7 +92,10 @@
         for key in ["CONFIG", "LISTEN", "DISCOVERY", "NAME", "LOG", "FLEET", "STORE", "START", "PEERS"] {
             command.env_remove(format!("PROXY_{key}"));
         }
-        command.args(&self.words).args(self.once.drain(..)).envs(self.variables.iter().map(|(k, v)| (k, v)));
+        command
+            .args(&self.words)
+            .args(self.next_start_arguments.drain(..))
+            .envs(self.variables.iter().map(|(k, v)| (k, v)));
         self.child = Some(command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?);
         self.paused = false;
         Ok(())
@@ -103,7 +106,7 @@
     /// # Errors
     ///
     /// It ended, or took too long.
-    pub fn listens(&mut self, from: u64) -> io::Result<SocketAddr> {
+    pub fn wait_until_listening(&mut self, from: u64) -> io::Result<SocketAddr> {
         let begin = Instant::now();
         loop {
             let text = fs::read(self.log()).unwrap_or_default();
@@ -119,7 +122,7 @@
                 Some(child) => child.try_wait()?.is_some(),
                 None => true,
             };
-            if ended || begin.elapsed() > PATIENCE {
+            if ended || begin.elapsed() > PROCESS_TIMEOUT {
                 self.child = self.child.take().filter(|_| !ended);
                 let last = whole.lines().last().unwrap_or("no word");
                 return Err(io::Error::other(format!("{} does not listen: {last}", self.name)));
@@ -130,7 +133,7 @@
 
     /// What stands behind a word in the log of a run that began when it had `from` bytes.
     #[must_use]
-    pub fn word(&self, word: &str, from: u64) -> Option<String> {
+    pub fn log_value(&self, word: &str, from: u64) -> Option<String> {
         let text = fs::read(self.log()).unwrap_or_default();
         let text = String::from_utf8_lossy(text.get(from as usize..).unwrap_or_default()).into_owned();
         text.lines().find_map(|l| l.split_once(word)?.1.split(' ').next().map(str::to_owned))
@@ -176,7 +179,7 @@
     /// # Errors
     ///
     /// The system's.
-    pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
+    pub fn poll_exit(&mut self) -> io::Result<Option<ExitStatus>> {
         let status = match &mut self.child {
             Some(child) => child.try_wait()?,
             None => None,
@@ -192,10 +195,10 @@
     /// # Errors
     ///
     /// The system's.
-    pub fn wait(&mut self, within: Duration) -> io::Result<Option<ExitStatus>> {
+    pub fn wait_or_kill(&mut self, within: Duration) -> io::Result<Option<ExitStatus>> {
         let begin = Instant::now();
         while begin.elapsed() < within {
-            if let Some(status) = self.ended()? {
+            if let Some(status) = self.poll_exit()? {
                 return Ok(Some(status));
             }
             std::thread::sleep(Duration::from_millis(2));
@@ -210,13 +213,13 @@
 /// # Errors
 ///
 /// The system's.
-pub fn copy(from: &Path, to: &Path) -> io::Result<()> {
+pub fn copy_folder(from: &Path, to: &Path) -> io::Result<()> {
     fs::create_dir_all(to)?;
     for entry in fs::read_dir(from)? {
         let entry = entry?;
         let target = to.join(entry.file_name());
         if entry.file_type()?.is_dir() {
-            copy(&entry.path(), &target)?;
+            copy_folder(&entry.path(), &target)?;
         } else {
             fs::copy(entry.path(), target)?;
         }
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -13,8 +13,8 @@
 use super::setup::{Earlier, store_of};
 use crate::link::{FrameFault, Link};
 use crate::monotonic;
-use crate::plan::{DOWN, Deed, SPEAKER, Step, meant};
-use crate::process::{PATIENCE, Process, copy};
+use crate::plan::{Action, DOWN, LEADER, Step, name_matches};
+use crate::process::{PROCESS_TIMEOUT, Process, copy_folder};
 
 /// The variable that names a fault to a process; test builds alone know it.
 const FAULT_VARIABLE: &str = "LINESTACK_FAULT";
@@ -25,14 +25,14 @@
 impl Rig<'_> {
     /// Does what a step says.
     pub(super) fn carry_out(&mut self, step: &Step) -> io::Result<()> {
-        match step.r#do {
-            deed if deed.on_ways() => self.act_on_links(step),
-            deed if deed.on_executors() => self.act_on_executors(step),
-            Deed::Overbook => self.overbook(step),
-            Deed::Abort => self.abort(step),
-            Deed::Propose => return self.propose(step),
-            Deed::Swap => return self.swap_stores(&step.to),
-            Deed::Refound => return self.refound(&step.to[0]),
+        match step.action {
+            deed if deed.targets_links() => self.act_on_links(step),
+            deed if deed.targets_executors() => self.act_on_executors(step),
+            Action::Overbook => self.overbook(step),
+            Action::Abort => self.abort(step),
+            Action::Propose => return self.propose(step),
+            Action::Swap => return self.swap_stores(&step.to),
+            Action::Refound => return self.refound(&step.to[0]),
             _ => return self.act_on_processes(step),
         }
         Ok(())
@@ -50,8 +50,8 @@
 
     fn act_on_links(&self, step: &Step) {
         for (name, link) in &self.links {
-            if step.to.iter().any(|to| meant(to, name)) {
-                self.note(&name_of(step.r#do), name);
+            if step.to.iter().any(|to| name_matches(to, name)) {
+                self.note(&name_of(step.action), name);
                 act_on_link(step, link);
             }
         }
@@ -59,30 +59,30 @@
 
     /// Each call for the list takes the step's time from now on.
     fn overbook(&self, step: &Step) {
-        self.note(&name_of(Deed::Overbook), "d");
-        self.fleet.overbook(Duration::from_millis(step.ms));
+        self.note(&name_of(Action::Overbook), "d");
+        self.fleet.set_list_delay(Duration::from_millis(step.ms));
     }
 
     fn act_on_executors(&self, step: &Step) {
         for place in 0..self.plan.executors as usize {
             let name = format!("e{place}");
-            if !step.to.iter().any(|to| meant(to, &name)) {
+            if !step.to.iter().any(|to| name_matches(to, &name)) {
                 continue;
             }
-            self.note(&name_of(step.r#do), &name);
-            if step.r#do == Deed::Renew {
+            self.note(&name_of(step.action), &name);
+            if step.action == Action::Renew {
                 self.renew_executor(place, &name);
-            } else if let Some(kind) = step.trouble() {
-                self.fleet.ail(place, kind, step.size, step.r#do == Deed::Ail);
+            } else if let Some(kind) = step.executor_fault() {
+                self.fleet.set_executor_fault(place, kind, step.size, step.action == Action::Ail);
             }
         }
     }
 
     /// An executor is another from now on, cold, and its connections are broken.
     fn renew_executor(&self, place: usize, name: &str) {
-        self.fleet.renew(place);
+        self.fleet.replace_executor(place);
         let pattern = format!("*>{name}");
-        let links = self.links.iter().filter(|(link, _)| meant(&pattern, link));
+        let links = self.links.iter().filter(|(link, _)| name_matches(&pattern, link));
         links.for_each(|(_, link)| link.reset());
     }
 
@@ -91,49 +91,49 @@
         // What is done to many is done to all of them at once, as far as that can be.
         for name in &names {
             // What takes effect at once is noted before, so that nothing seen after it comes earlier.
-            let noted_first = matches!(step.r#do, Deed::Kill | Deed::Pause | Deed::Stop);
+            let noted_first = matches!(step.action, Action::Kill | Action::Pause | Action::Stop);
             if noted_first {
-                self.note(&name_of(step.r#do), name);
+                self.note(&name_of(step.action), name);
             }
             self.act_on_process(step, name)?;
             if !noted_first {
-                self.note(&name_of(step.r#do), name);
+                self.note(&name_of(step.action), name);
             }
         }
-        if !is_start(step.r#do) {
+        if !is_start(step.action) {
             return Ok(());
         }
-        if step.r#do == Deed::StartEmpty && self.plan.store {
+        if step.action == Action::StartEmpty && self.plan.store {
             self.init_lost_stores(&names)?;
         }
-        if step.refused { self.start_refused(&names) } else { self.start(&names) }
+        if step.expect_failure { self.start_refused(&names) } else { self.start(&names) }
     }
 
     /// The processes that a step is done to. Those that run need no start.
     fn processes_meant(&self, step: &Step) -> Vec<String> {
-        let speaker = |to: &String| if to == SPEAKER { self.speaker() } else { to.clone() };
+        let speaker = |to: &String| if to == LEADER { self.speaker() } else { to.clone() };
         let to: Vec<String> = step.to.iter().map(speaker).collect();
         let is_meant = |name: &str, process: &Process| {
-            to.iter().any(|to| meant(to, name) || (to == DOWN && !process.running()))
+            to.iter().any(|to| name_matches(to, name) || (to == DOWN && !process.running()))
         };
-        let wanted = |process: &Process| !is_start(step.r#do) || !process.running();
+        let wanted = |process: &Process| !is_start(step.action) || !process.running();
         let processes = self.processes.iter();
         processes.filter(|(n, p)| is_meant(n, p) && wanted(p)).map(|(n, _)| n.clone()).collect()
     }
 
     fn act_on_process(&mut self, step: &Step, name: &str) -> io::Result<()> {
-        match step.r#do {
-            Deed::Kill => self.process(name)?.kill(),
-            Deed::Pause => self.process(name)?.pause(true),
-            Deed::Resume => self.process(name)?.pause(false),
-            Deed::Stop => stop(self.process(name)?),
-            Deed::Copy => copy_store(self.process(name)?),
-            Deed::Replace => self.replace(name),
-            Deed::Gone => wait_until_failed(self.process(name)?),
-            Deed::Start | Deed::StartEmpty | Deed::StartOlder | Deed::StartRolledBack => {
+        match step.action {
+            Action::Kill => self.process(name)?.kill(),
+            Action::Pause => self.process(name)?.pause(true),
+            Action::Resume => self.process(name)?.pause(false),
+            Action::Stop => stop(self.process(name)?),
+            Action::Copy => copy_store(self.process(name)?),
+            Action::Replace => self.replace(name),
+            Action::Gone => wait_until_failed(self.process(name)?),
+            Action::Start | Action::StartEmpty | Action::StartOlder | Action::StartRolledBack => {
                 prepare_start(step, self.process(name)?)
             }
-            Deed::Terms => self.change_file(name, step.terms),
+            Action::Terms => self.change_file(name, step.policy),
             _ => Ok(()),
         }
     }
@@ -143,7 +143,7 @@
         let replacement = self.request_replacement(name.trim_start_matches('c'))?;
         let process = self.process(name)?;
         fs::remove_dir_all(process.store())?;
-        process.once = vec!["--replacement".into(), replacement.to_string()];
+        process.next_start_arguments = vec!["--replacement".into(), replacement.to_string()];
         Ok(())
     }
 
@@ -182,27 +182,30 @@
 }
 
 /// A deed's name, as plans and histories have it.
-fn name_of(deed: Deed) -> String {
+fn name_of(deed: Action) -> String {
     let value = serde_json::to_value(deed).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
 
-fn is_start(deed: Deed) -> bool {
-    matches!(deed, Deed::Start | Deed::StartEmpty | Deed::StartOlder | Deed::StartRolledBack | Deed::Replace)
+fn is_start(deed: Action) -> bool {
+    matches!(
+        deed,
+        Action::Start | Action::StartEmpty | Action::StartOlder | Action::StartRolledBack | Action::Replace
+    )
 }
 
 fn act_on_link(step: &Step, link: &Link) {
-    let kind = step.frame_for().unwrap_or(NO_FRAME_KIND);
-    match step.r#do {
-        Deed::Cut => link.cut(&step.sides),
-        Deed::Heal => link.heal(),
-        Deed::Delay => link.delay(&step.sides, Duration::from_millis(step.ms)),
-        Deed::Throttle => link.throttle(&step.sides, step.bytes),
-        Deed::Reset => link.reset(),
-        Deed::CutAt => link.fail_next_frame(step.side, kind, FrameFault::CutAt(step.bytes as usize)),
-        Deed::Repeat => link.fail_next_frame(step.side, kind, FrameFault::Repeat),
-        Deed::Hold => link.fail_next_frame(step.side, kind, FrameFault::Hold),
-        Deed::Release => link.release(),
+    let kind = step.target_frame_kind().unwrap_or(NO_FRAME_KIND);
+    match step.action {
+        Action::Cut => link.cut(&step.directions),
+        Action::Heal => link.heal(),
+        Action::Delay => link.delay(&step.directions, Duration::from_millis(step.ms)),
+        Action::Throttle => link.throttle(&step.directions, step.bytes),
+        Action::Reset => link.reset(),
+        Action::CutAt => link.fail_next_frame(step.direction, kind, FrameFault::CutAt(step.bytes as usize)),
+        Action::Repeat => link.fail_next_frame(step.direction, kind, FrameFault::Repeat),
+        Action::Hold => link.fail_next_frame(step.direction, kind, FrameFault::Hold),
+        Action::Release => link.release(),
         _ => {}
     }
 }
@@ -210,7 +213,7 @@
 /// Tells a process to stop, and waits until it has ended well.
 fn stop(process: &mut Process) -> io::Result<()> {
     process.signal(Signal::TERM)?;
-    if process.wait(PATIENCE)?.is_some_and(|status| status.success()) {
+    if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| status.success()) {
         return Ok(());
     }
     Err(io::Error::other(format!("{} did not end with 0", process.name)))
@@ -218,7 +221,7 @@
 
 /// Waits until a process has ended by itself, and not well.
 fn wait_until_failed(process: &mut Process) -> io::Result<()> {
-    if process.wait(PATIENCE)?.is_some_and(|status| !status.success()) {
+    if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| !status.success()) {
         return Ok(());
     }
     Err(io::Error::other(format!("{} did not end by itself", process.name)))
@@ -232,16 +235,16 @@
 fn copy_store(process: &Process) -> io::Result<()> {
     let older = copy_of_store(process);
     let _ = fs::remove_dir_all(&older);
-    copy(&process.store(), &older)
+    copy_folder(&process.store(), &older)
 }
 
 /// Puts what a process is started with into its place.
 fn prepare_start(step: &Step, process: &mut Process) -> io::Result<()> {
-    if matches!(step.r#do, Deed::StartEmpty | Deed::StartOlder) {
+    if matches!(step.action, Action::StartEmpty | Action::StartOlder) {
         fs::remove_dir_all(process.store())?;
     }
-    if matches!(step.r#do, Deed::StartOlder | Deed::StartRolledBack) {
-        copy(&copy_of_store(process), &process.store())?;
+    if matches!(step.action, Action::StartOlder | Action::StartRolledBack) {
+        copy_folder(&copy_of_store(process), &process.store())?;
     }
     process.variables.retain(|(key, _)| key != FAULT_VARIABLE);
     if !step.fault.is_empty() {
--- a/crates/rig/src/run/histories.rs
+++ b/crates/rig/src/run/histories.rs
@@ -9,7 +9,7 @@
 use linestack_history::{Line, What, read};
 
 use super::Rig;
-use crate::process::PATIENCE;
+use crate::process::PROCESS_TIMEOUT;
 
 /// How often histories are looked at for whether the fleet has settled.
 const SETTLED_POLL: Duration = Duration::from_millis(20);
@@ -80,7 +80,7 @@
         let begin = Instant::now();
         loop {
             let unsettled = self.unsettled_nodes();
-            if unsettled.is_empty() || begin.elapsed() > PATIENCE {
+            if unsettled.is_empty() || begin.elapsed() > PROCESS_TIMEOUT {
                 return unsettled;
             }
             std::thread::sleep(SETTLED_POLL);
--- a/crates/rig/src/run/mod.rs
+++ b/crates/rig/src/run/mod.rs
@@ -36,15 +36,15 @@
 
 use self::observations::{LogTails, Observations};
 use self::seconds::{OpenedConnections, Sample, per_second};
-use crate::check::{Promise, check, doubled};
+use crate::check::{Guarantees, check, count_duplicates};
 use crate::link::Link;
 use crate::plan::Plan;
 use crate::process::Process;
-use crate::stand::{Fleet, Observer};
+use crate::stand_ins::{Observer, StandInFleet};
 use crate::{clients, lock, monotonic};
 
 pub use self::outcome::Outcome;
-pub use self::recovery::Back;
+pub use self::recovery::Recovery;
 pub use self::seconds::Second;
 pub use self::setup::scenario;
 
@@ -66,7 +66,7 @@
     folder: PathBuf,
     fleet_name: String,
     /// Stand-in executors and discovery.
-    fleet: Fleet,
+    fleet: StandInFleet,
     /// By name, such as `n0>c1`.
     links: BTreeMap<String, Arc<Link>>,
     processes: BTreeMap<String, Process>,
@@ -87,7 +87,7 @@
 
 /// Where a fleet that has started can be reached.
 #[derive(Clone, Debug)]
-pub struct Up {
+pub struct Endpoints {
     /// Addresses of the coordinators, for operators.
     pub coordinators: Vec<String>,
     /// Addresses of the nodes, for clients.
@@ -107,7 +107,7 @@
 ///
 /// The plan could not be played: a process did not start, or what a step waits for never came.
 pub fn run(plan: &Plan, program: &Path, folder: &Path) -> io::Result<Outcome> {
-    run_told(plan, program, folder, &|_| {})
+    run_with_endpoints(plan, program, folder, &|_| {})
 }
 
 /// As [`run`]; `told` hears where the fleet is, once it serves.
@@ -115,7 +115,12 @@
 /// # Errors
 ///
 /// As there.
-pub fn run_told(plan: &Plan, program: &Path, folder: &Path, told: &dyn Fn(&Up)) -> io::Result<Outcome> {
+pub fn run_with_endpoints(
+    plan: &Plan,
+    program: &Path,
+    folder: &Path,
+    told: &dyn Fn(&Endpoints),
+) -> io::Result<Outcome> {
     plan.check().map_err(io::Error::other)?;
     let (history, received) = channel();
     let mut rig = Rig::set_up(plan, program, folder, history.clone())?;
@@ -130,23 +135,31 @@
     };
     faults.extend(rig.end()?);
     let lines = rig.collect(&received, &mut faults);
-    let mut findings = check(&lines, &promise(plan));
+    let mut findings = check(&lines, &guarantees(plan));
     findings.truncate(MAX_FINDINGS);
-    let late_after = plan.load.cut_off_ms * NANOS_PER_MS / 2;
+    let late_after = plan.load.deadline_ms * NANOS_PER_MS / 2;
     let seconds = per_second(&lines, &samples, began, late_after);
-    Ok(Outcome { doubled: doubled(&lines), findings, lines, seconds, faults, done, began })
+    Ok(Outcome {
+        duplicates: count_duplicates(&lines),
+        findings,
+        lines,
+        seconds,
+        faults,
+        steps_done_at: done,
+        load_began_at: began,
+    })
 }
 
 /// What a fleet under a plan promises.
-fn promise(plan: &Plan) -> Promise {
+fn guarantees(plan: &Plan) -> Guarantees {
     let coordinated = plan.coordinators > 0;
-    Promise {
+    Guarantees {
         coordinated,
         // The lease of whoever was granted one just before, and what a busy machine adds.
         bound: plan.lease_ms * NANOS_PER_MS + CLOCK_AND_MACHINE_SLACK,
         strict: coordinated && plan.strict,
         remembered: plan.store && plan.load.same_node,
-        asked_when_unknown: plan.load.ask_when_unknown,
+        retried_when_unknown: plan.load.retry_when_unknown,
     }
 }
 
@@ -185,11 +198,11 @@
         Played { steps, samples }
     }
 
-    fn reachable_at(&self) -> Up {
+    fn reachable_at(&self) -> Endpoints {
         let addresses = |start: &str| -> Vec<String> {
             let links = self.links.iter().filter(|(name, _)| name.starts_with(start));
             links.map(|(_, link)| link.address.to_string()).collect()
         };
-        Up { coordinators: addresses("o>"), nodes: addresses("k>") }
+        Endpoints { coordinators: addresses("o>"), nodes: addresses("k>") }
     }
 }
--- a/crates/rig/src/run/observations.rs
+++ b/crates/rig/src/run/observations.rs
@@ -9,10 +9,10 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use crate::link::Side;
+use crate::link::Direction;
 use crate::lock;
-use crate::plan::meant;
-use crate::process::PATIENCE;
+use crate::plan::name_matches;
+use crate::process::PROCESS_TIMEOUT;
 
 /// How often a frame that is held back looks whether the run has ended.
 const HELD_FRAME_POLL: Duration = Duration::from_millis(20);
@@ -48,7 +48,7 @@
 #[derive(PartialEq, Eq, Hash)]
 struct PassedFrame {
     link: String,
-    side: Side,
+    side: Direction,
     kind: u8,
 }
 
@@ -56,14 +56,14 @@
 pub(super) struct AwaitedFrames {
     /// A pattern of link names.
     pub(super) link: String,
-    pub(super) side: Side,
+    pub(super) side: Direction,
     pub(super) kind: u8,
     pub(super) count: u64,
 }
 
 impl Observations {
     /// Counts a frame that has passed. If a step waits for it, returns when that step is done.
-    pub(super) fn frame_passed(&self, link: &str, side: Side, kind: u8) {
+    pub(super) fn frame_passed(&self, link: &str, side: Direction, kind: u8) {
         let mut seen = lock(&self.seen);
         *seen.frames.entry(PassedFrame { link: link.to_owned(), side, kind }).or_default() += 1;
         if !seen.awaited_frames_passed() {
@@ -72,7 +72,7 @@
         seen.step_under_way = true;
         self.changed.notify_all();
         let begin = Instant::now();
-        while seen.step_under_way && !self.stop.load(Ordering::Relaxed) && begin.elapsed() < PATIENCE {
+        while seen.step_under_way && !self.stop.load(Ordering::Relaxed) && begin.elapsed() < PROCESS_TIMEOUT {
             let waited = self.changed.wait_timeout(seen, HELD_FRAME_POLL);
             seen = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
@@ -105,7 +105,9 @@
     pub(super) fn awaited_frames_passed(&self) -> bool {
         let Some(awaited) = &self.awaited else { return false };
         let fits = |frame: &PassedFrame| {
-            meant(&awaited.link, &frame.link) && frame.side == awaited.side && frame.kind == awaited.kind
+            name_matches(&awaited.link, &frame.link)
+                && frame.side == awaited.side
+                && frame.kind == awaited.kind
         };
         let passed: u64 = self.frames.iter().filter(|(f, _)| fits(f)).map(|(_, count)| count).sum();
         passed >= awaited.count
--- a/crates/rig/src/run/operator.rs
+++ b/crates/rig/src/run/operator.rs
@@ -11,7 +11,7 @@
 use super::Rig;
 use crate::monotonic;
 use crate::plan::Step;
-use crate::process::PATIENCE;
+use crate::process::PROCESS_TIMEOUT;
 
 /// A replacement that was not granted is asked for again after this time.
 const REPLACEMENT_RETRY: Duration = Duration::from_millis(50);
@@ -28,7 +28,7 @@
     /// Proposes a change of the policy, and goes on meanwhile.
     pub(super) fn propose(&mut self, step: &Step) -> io::Result<()> {
         let path = self.folder.join(format!("change-{}.json", step.request));
-        fs::write(&path, self.policy(step.terms).to_string())?;
+        fs::write(&path, self.policy(step.policy).to_string())?;
         let mut command = self.fleet_command();
         command.arg("propose").arg(&path);
         command.args(["--base", &step.base.to_string(), "--request", &step.request]);
@@ -71,7 +71,7 @@
                 return Ok(replacement);
             }
             // It may have been heard a moment ago.
-            if begin.elapsed() > PATIENCE {
+            if begin.elapsed() > PROCESS_TIMEOUT {
                 return Err(io::Error::other(format!("coordinator {number} was not replaced: {reply}")));
             }
             std::thread::sleep(REPLACEMENT_RETRY);
@@ -95,7 +95,7 @@
         for name in lost {
             let process = self.process(name)?;
             fs::remove_dir_all(process.store())?;
-            process.once = vec!["--refounded".into(), foundation.display().to_string()];
+            process.next_start_arguments = vec!["--refounded".into(), foundation.display().to_string()];
             self.note("start-empty", name);
         }
         self.note("start", from);
--- a/crates/rig/src/run/outcome.rs
+++ b/crates/rig/src/run/outcome.rs
@@ -17,30 +17,30 @@
     /// By second from the start of the load.
     pub seconds: Vec<Second>,
     /// One-shots that began more than once.
-    pub doubled: usize,
+    pub duplicates: usize,
     /// Processes that ended though nobody told them to, and what stood in the way of the plan.
     pub faults: Vec<String>,
     /// Nanoseconds on the monotonic clock at which each step was done.
-    pub done: Vec<u64>,
+    pub steps_done_at: Vec<u64>,
     /// Nanoseconds on the monotonic clock at which the load began.
-    pub began: u64,
+    pub load_began_at: u64,
 }
 
 impl Outcome {
     /// Whether no promise was broken and the plan was played as it stands.
     #[must_use]
-    pub fn sound(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.findings.is_empty() && self.faults.is_empty()
     }
 
     /// For how long nodes went by different versions, in all, in nanoseconds; none if they still do.
     #[must_use]
-    pub fn mixed(&self) -> Option<u64> {
+    pub fn mixed_version_time(&self) -> Option<u64> {
         let mut active: BTreeMap<&str, u64> = BTreeMap::new();
         let mut mixed_since = None;
         let mut mixed_for = 0;
         for line in &self.lines {
-            let under_load = line.at >= self.began;
+            let under_load = line.at >= self.load_began_at;
             match &line.what {
                 What::Active { version, .. } => drop(active.insert(&line.by, *version)),
                 // One that is dead goes by nothing; one that is paused may wake at any moment.
--- a/crates/rig/src/run/processes.rs
+++ b/crates/rig/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! Starts and ends processes, and has links lead to those that run.
+//! StagedStart and ends processes, and has links lead to those that run.
 
 use std::fs;
 use std::io;
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 
 use super::{POLL_INTERVAL, Rig, leads_to};
-use crate::process::{PATIENCE, Process};
+use crate::process::{PROCESS_TIMEOUT, Process};
 
 /// A node that does not answer about its health in this time is not healthy.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
@@ -19,7 +19,7 @@
         self.processes.get_mut(name).ok_or_else(|| io::Error::other("no such process"))
     }
 
-    /// Starts processes, and then waits until each listens. The others run even if one fails.
+    /// StagedStart processes, and then waits until each listens. The others run even if one fails.
     pub(super) fn start(&mut self, names: &[String]) -> io::Result<()> {
         let failed = self.start_some(names)?;
         if failed.is_empty() { Ok(()) } else { Err(io::Error::other(failed.join("; "))) }
@@ -34,7 +34,7 @@
         Err(io::Error::other(format!("of {names:?} only these failed: {failed:?}")))
     }
 
-    /// Starts processes, and tells why those that failed did.
+    /// StagedStart processes, and tells why those that failed did.
     fn start_some(&mut self, names: &[String]) -> io::Result<Vec<String>> {
         let mut began = Vec::new();
         for name in names {
@@ -47,7 +47,7 @@
         }
         let mut failed = Vec::new();
         for (name, log_length) in began {
-            match self.process(name)?.listens(log_length) {
+            match self.process(name)?.wait_until_listening(log_length) {
                 Ok(address) => self.process_listens(name, address, log_length),
                 Err(why) => failed.push(why.to_string()),
             }
@@ -74,7 +74,7 @@
 
     /// Has other nodes' links lead to where a node answers peers, if its log tells.
     fn set_peer_address(&self, name: &str, log_length: u64) {
-        let word = self.processes[name].word("peers_at=", log_length);
+        let word = self.processes[name].log_value("peers_at=", log_length);
         let address = word.and_then(|address| address.parse().ok());
         self.set_targets(&format!("p{}", name.trim_start_matches('n')), address);
     }
@@ -90,7 +90,7 @@
         for number in 0..self.plan.nodes {
             let name = format!("n{number}");
             while !self.is_healthy(&name) {
-                if begin.elapsed() > PATIENCE {
+                if begin.elapsed() > PROCESS_TIMEOUT {
                     return Err(io::Error::other(format!("{name} does not serve")));
                 }
                 std::thread::sleep(POLL_INTERVAL);
@@ -101,7 +101,7 @@
 
     pub(super) fn is_healthy(&self, name: &str) -> bool {
         let Some(address) = self.addresses.get(name) else { return false };
-        crate::http::get(*address, "/healthz", HEALTH_TIMEOUT).is_ok_and(|status| status == 200)
+        crate::http::get_status(*address, "/healthz", HEALTH_TIMEOUT).is_ok_and(|status| status == 200)
     }
 
     /// Ends all that runs, nodes first, and tells of those that had ended by themselves.
@@ -129,7 +129,7 @@
         if process.paused {
             process.pause(false)?;
         }
-        if let Some(status) = process.ended()? {
+        if let Some(status) = process.poll_exit()? {
             return Ok(Some(format!("{name} ended by itself: {status}")));
         }
         if process.running() {
@@ -144,7 +144,7 @@
         if !process.running() {
             return Ok(None);
         }
-        match process.wait(PATIENCE)? {
+        match process.wait_or_kill(PROCESS_TIMEOUT)? {
             Some(status) if status.success() => Ok(None),
             other => Ok(Some(format!("{name} was told to stop: {other:?}"))),
         }
--- a/crates/rig/src/run/recovery.rs
+++ b/crates/rig/src/run/recovery.rs
@@ -22,7 +22,7 @@
 
 /// Whether a fleet serves in full again: how it did before, and from when on it does so again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Back {
+pub struct Recovery {
     /// Satisfied a second, and the 99th percentile of answer times in ms, in the span before the first process
     /// was killed.
     pub before: (f64, f64),
@@ -126,19 +126,19 @@
     /// How long it took to come back, where processes were killed and started again and the plan leaves room
     /// to see it.
     #[must_use]
-    pub fn back(&self) -> Option<Back> {
+    pub fn recovery(&self) -> Option<Recovery> {
         let killed = times_of(&self.lines, |deed| deed == "kill").next()?;
         let started = times_of(&self.lines, |deed| deed.starts_with("start") || deed == "replace").max()?;
         // The step is done when all that it started listen.
-        let up = self.done.iter().copied().filter(|at| *at >= started).min().unwrap_or(started);
+        let up = self.steps_done_at.iter().copied().filter(|at| *at >= started).min().unwrap_or(started);
         let view = ClientView::of(&self.lines);
-        let before = view.service(killed.saturating_sub(WINDOW).max(self.began), killed);
+        let before = view.service(killed.saturating_sub(WINDOW).max(self.load_began_at), killed);
         let end = view.answers.last()?.at;
         let mut windows = (0..).map(|step| up + step * WINDOW_STEP).take_while(|from| from + WINDOW <= end);
         let full_from = windows.find(|from| view.service(*from, from + WINDOW).is_full(before));
         let missed = view.missed(killed, full_from.unwrap_or(end));
         let (peak, steady) = self.connections_around(killed);
-        Some(Back {
+        Some(Recovery {
             before: (before.satisfied_per_s, before.p99_ms),
             after_s: full_from.map(|from| (from - up) as f64 / NANOS_PER_S),
             peak,
@@ -147,9 +147,9 @@
         })
     }
 
-    /// Connections and calls as [`Back`] has them: in the busiest second from a time on, and in one before it.
+    /// Connections and calls as [`Recovery`] has them: in the busiest second from a time on, and in one before it.
     fn connections_around(&self, at: u64) -> ([u64; 4], [f64; 4]) {
-        let second = (at.saturating_sub(self.began) / 1_000_000_000) as usize;
+        let second = (at.saturating_sub(self.load_began_at) / 1_000_000_000) as usize;
         let after = self.seconds.get(second..).unwrap_or_default();
         // The first second is that of those who connect for the first time.
         let before = self.seconds.get(second.min(1)..second).unwrap_or_default();
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -18,9 +18,9 @@
 use super::{Rig, leads_to, observer};
 use crate::clients;
 use crate::link::Link;
-use crate::plan::{Plan, Starts};
+use crate::plan::{Plan, StagedStart};
 use crate::process::Process;
-use crate::stand::Fleet;
+use crate::stand_ins::StandInFleet;
 
 /// Nodes remember submissions for so many seconds.
 const REMEMBER_S: u64 = 600;
@@ -38,8 +38,8 @@
     let product = |name: &str, repeats| Product {
         name: name.into(),
         work_ms: plan.work_ms,
-        agreed_ms: plan.load.cut_off_ms as f64 / 2.0,
-        cut_off_ms: plan.load.cut_off_ms as f64,
+        agreed_ms: plan.load.deadline_ms as f64 / 2.0,
+        cut_off_ms: plan.load.deadline_ms as f64,
         repeats,
         ..Product::default()
     };
@@ -47,7 +47,7 @@
         count: plan.executors,
         slots: plan.slots,
         cores: f64::from(plan.slots),
-        cold_from: plan.cold_from,
+        cold_from: plan.cold_capacity_share,
         cold_s: plan.cold_ms / 1e3,
         ..Executors::default()
     };
@@ -74,14 +74,14 @@
 }
 
 impl<'a> Rig<'a> {
-    /// Starts the stand-ins, opens the links and configures all processes. None of them runs yet.
+    /// StagedStart the stand-ins, opens the links and configures all processes. None of them runs yet.
     pub(super) fn set_up(
         plan: &'a Plan,
         program: &Path,
         folder: &Path,
         history: Sender<Line>,
     ) -> io::Result<Self> {
-        let fleet = Fleet::start_seen(&scenario(plan), Some(observer(&history, "executors")))?;
+        let fleet = StandInFleet::start_observed(&scenario(plan), Some(observer(&history, "executors")))?;
         let mut rig = Self {
             plan,
             program: program.to_owned(),
@@ -110,7 +110,7 @@
     }
 
     fn open_links(&mut self) -> io::Result<()> {
-        for name in self.plan.ways() {
+        for name in self.plan.link_names() {
             let framed = leads_to(&name, |end| end.starts_with('c'));
             let observations: Arc<Observations> = Arc::clone(&self.observations);
             let observer = move |link: &str, side, kind| observations.frame_passed(link, side, kind);
@@ -145,7 +145,7 @@
             write_toml(&mut process, "PROXY_PEERS", "peers.toml", &terms)?;
         }
         if plan.starts.on {
-            let Starts { connects_per_s, lists_per_s, sessions_per_s, .. } = plan.starts;
+            let StagedStart { connects_per_s, lists_per_s, sessions_per_s, .. } = plan.starts;
             let terms = json!({"start": {"connects-per-s": connects_per_s, "lists-per-s": lists_per_s,
                 "sessions-per-s": sessions_per_s}});
             write_toml(&mut process, "PROXY_START", "start.toml", &terms)?;
@@ -191,7 +191,7 @@
         let path = folder.join("coordinator.toml");
         let words = ["coordinate", &path.display().to_string()];
         let mut process = Process::new(&name, folder.clone(), &self.program, &words);
-        process.once.push("--first".into());
+        process.next_start_arguments.push("--first".into());
         fs::create_dir_all(process.store())?;
         let first_policy = folder.join("policy.json");
         fs::write(&first_policy, self.policy(FIRST_POLICY).to_string())?;
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -9,8 +9,8 @@
 use super::observations::{AwaitedFrames, Seen, SeenLine};
 use super::{POLL_INTERVAL, Rig, leads_to};
 use crate::monotonic;
-use crate::plan::{Step, meant};
-use crate::process::PATIENCE;
+use crate::plan::{Step, name_matches};
+use crate::process::PROCESS_TIMEOUT;
 
 /// What a node without coordinators logs when it goes by other settings.
 const SETTINGS_TAKEN_OVER: &str = "settings taken over";
@@ -34,8 +34,13 @@
     /// Waits for what a step names, and then for its pace.
     fn wait_for(&mut self, step: &Step) -> io::Result<()> {
         if let Some(kind) = step.frame.as_deref().and_then(linestack_frames::kind_number) {
-            let link = step.way.clone().unwrap_or_else(|| "*>*".into());
-            self.observations.await_frames(AwaitedFrames { link, side: step.side, kind, count: step.count });
+            let link = step.link.clone().unwrap_or_else(|| "*>*".into());
+            self.observations.await_frames(AwaitedFrames {
+                link,
+                side: step.direction,
+                kind,
+                count: step.count,
+            });
         }
         let begin = Instant::now();
         loop {
@@ -43,9 +48,9 @@
             if self.observations.with(|seen| has_come(step, seen)) {
                 break;
             }
-            if begin.elapsed() > PATIENCE {
+            if begin.elapsed() > PROCESS_TIMEOUT {
                 let what = step.line.as_ref().or(step.log.as_ref()).or(step.frame.as_ref());
-                return Err(io::Error::other(format!("{:?} never came for {:?}", what, step.r#do)));
+                return Err(io::Error::other(format!("{:?} never came for {:?}", what, step.action)));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -110,7 +115,7 @@
 
 /// Whether what a step waits for has come. A step that names nothing need not wait.
 fn has_come(step: &Step, seen: &Seen) -> bool {
-    let by_whom = |line: &&SeenLine| step.by.as_ref().is_none_or(|by| meant(by, &line.process));
+    let by_whom = |line: &&SeenLine| step.by.as_ref().is_none_or(|by| name_matches(by, &line.process));
     if let Some(kind) = &step.line {
         let lines = seen.history.iter().filter(by_whom);
         return lines.filter(|line| line.text == *kind).count() as u64 >= step.count;
--- a/crates/rig/src/shim.rs
+++ b/crates/rig/src/shim.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 
 /// The variable that names libraries to load before all others.
-pub const PRELOAD: &str = "LD_PRELOAD";
+pub const PRELOAD_VARIABLE: &str = "LD_PRELOAD";
 /// The variable that holds the plan of what fails.
-pub const PLAN: &str = "LINESTACK_SHIM";
+pub const PLAN_VARIABLE: &str = "LINESTACK_SHIM";
 
 const NAME: &str = "liblinestack_shim.so";
 
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// It is not there: it wants to be built first.
-pub fn library() -> io::Result<PathBuf> {
+pub fn library_path() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folder = program.parent().ok_or(io::Error::other("a program without a folder"))?;
     let above = folder.parent().unwrap_or(folder);
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -12,8 +12,8 @@
 use linestack_world::{Repeats, Scenario, Trouble};
 use serde_json::{Value, json};
 
-use crate::http::{PATIENCE, header, message};
-use crate::load::MOST;
+use crate::http::{PEER_TIMEOUT, header, read_message};
+use crate::load::MAX_CLIENTS;
 use crate::lock;
 
 /// Where the answer to each job that is held goes, and the id that it names.
@@ -81,13 +81,13 @@
 
     fn serve(&self, socket: TcpStream) -> io::Result<()> {
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(PATIENCE))?;
-        socket.set_write_timeout(Some(PATIENCE))?;
+        socket.set_read_timeout(Some(PEER_TIMEOUT))?;
+        socket.set_write_timeout(Some(PEER_TIMEOUT))?;
         let mut reader = BufReader::new(socket.try_clone()?);
         let mut socket = socket;
         let mut held = None;
         let end = loop {
-            let (head, body) = match message(&mut reader) {
+            let (head, body) = match read_message(&mut reader) {
                 Ok(Some(message)) => message,
                 Ok(None) => break Ok(()),
                 Err(why) => break Err(why),
@@ -144,7 +144,7 @@
     }
 }
 
-/// Accepts on a loopback port of the system's choice, and gives each connection a thread, [`MOST`] at most.
+/// Accepts on a loopback port of the system's choice, and gives each connection a thread, [`MAX_CLIENTS`] at most.
 fn accept(
     stop: &Arc<AtomicBool>,
     serve: impl Fn(TcpStream) -> io::Result<()> + Send + Sync + 'static,
@@ -158,7 +158,7 @@
                 return;
             }
             let Ok(socket) = socket else { continue };
-            if count.fetch_add(1, Ordering::Relaxed) >= MOST as u64 {
+            if count.fetch_add(1, Ordering::Relaxed) >= MAX_CLIENTS as u64 {
                 count.fetch_sub(1, Ordering::Relaxed);
                 continue;
             }
@@ -173,7 +173,7 @@
 }
 
 /// Stand-in executors and discovery of a scenario, on loopback, until they are dropped.
-pub struct Fleet {
+pub struct StandInFleet {
     /// Where discovery listens.
     pub discovery: SocketAddr,
     /// Where each executor listens.
@@ -240,7 +240,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for StandInFleet {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         // Wakes those that wait for the next connection.
@@ -250,22 +250,22 @@
     }
 }
 
-impl Fleet {
-    /// Starts as many as the scenario has.
+impl StandInFleet {
+    /// StagedStart as many as the scenario has.
     ///
     /// # Errors
     ///
     /// No address or descriptor is left.
     pub fn start(scenario: &Scenario) -> io::Result<Self> {
-        Self::start_seen(scenario, None)
+        Self::start_observed(scenario, None)
     }
 
-    /// As [`Fleet::start`], with somebody who is told what executors take.
+    /// As [`StandInFleet::start`], with somebody who is told what executors take.
     ///
     /// # Errors
     ///
     /// As there.
-    pub fn start_seen(scenario: &Scenario, seen: Option<Observer>) -> io::Result<Self> {
+    pub fn start_observed(scenario: &Scenario, seen: Option<Observer>) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let count: u32 = scenario.executors.iter().map(|e| e.count).sum();
         let (mut stands, mut executors, mut endpoints) = (Vec::new(), Vec::new(), Vec::new());
@@ -321,10 +321,10 @@
         let stopped = Arc::clone(&self.stop);
         let calls = Arc::clone(&self.list_calls);
         let discovery = accept(&self.stop, move |socket| {
-            socket.set_read_timeout(Some(PATIENCE))?;
+            socket.set_read_timeout(Some(PEER_TIMEOUT))?;
             let mut reader = BufReader::new(socket.try_clone()?);
             let mut socket = socket;
-            while let Some((head, _)) = message(&mut reader)? {
+            while let Some((head, _)) = read_message(&mut reader)? {
                 calls.fetch_add(1, Ordering::Relaxed);
                 if !board.turn() {
                     socket
@@ -368,13 +368,13 @@
     }
 
     /// From now on each call for the list takes so long, one after the other.
-    pub fn overbook(&self, each: Duration) {
+    pub fn set_list_delay(&self, each: Duration) {
         lock(&self.board.each).0 = each;
     }
 
     /// An executor's process is another from now on, cold and with nothing in hand. Its connections are for whoever
     /// has the ways to break.
-    pub fn renew(&self, place: usize) {
+    pub fn replace_executor(&self, place: usize) {
         let Some(stand) = self.stands.get(place) else { return };
         let mut guard = lock(&stand.model);
         let mut model = StandIn::new(&self.scenario, place);
@@ -389,12 +389,12 @@
     }
 
     /// Discovery tells this of an executor from now on: `active`, `draining`, `left`.
-    pub fn tell(&self, place: usize, status: &str) {
+    pub fn set_status(&self, place: usize, status: &str) {
         self.board.change(place, |line| line["status"] = json!(status));
     }
 
     /// Begins or ends a trouble at one executor.
-    pub fn ail(&self, place: usize, kind: linestack_world::Fault, size: f64, begins: bool) {
+    pub fn set_executor_fault(&self, place: usize, kind: linestack_world::Fault, size: f64, begins: bool) {
         let Some(stand) = self.stands.get(place) else { return };
         let now = stand.now();
         lock(&stand.model).0.ail(now, kind, size, begins);
@@ -402,21 +402,21 @@
     }
 
     /// Begins or ends a trouble at the first executors that make up its part.
-    pub fn trouble(&self, t: &Trouble, begins: bool) -> usize {
+    pub fn set_trouble(&self, t: &Trouble, begins: bool) -> usize {
         let count = ((self.stands.len() as f64 * t.part).round() as usize).clamp(1, self.stands.len());
-        (0..count).for_each(|place| self.ail(place, t.kind, t.size, begins));
+        (0..count).for_each(|place| self.set_executor_fault(place, t.kind, t.size, begins));
         count
     }
 
     /// Plays the scenario's troubles at their times, counted from now.
-    pub fn play(self: &Arc<Self>) {
+    pub fn play_troubles(self: &Arc<Self>) {
         for t in self.scenario.troubles.clone() {
             let fleet = Arc::clone(self);
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs_f64(t.at_s));
-                fleet.trouble(&t, true);
+                fleet.set_trouble(&t, true);
                 std::thread::sleep(Duration::from_secs_f64(t.for_s));
-                fleet.trouble(&t, false);
+                fleet.set_trouble(&t, false);
             });
         }
     }
--- a/crates/rig/tests/check.rs
+++ b/crates/rig/tests/check.rs
@@ -1,7 +1,7 @@
 //! The checker is proved by histories that are sound, and by each way in which one can be broken.
 
 use linestack_history::{Ended, Line, What};
-use linestack_rig::check::{Broken, Promise, check};
+use linestack_rig::check::{Guarantees, Violation, check};
 use rstest::rstest;
 
 const MS: u64 = 1_000_000;
@@ -86,54 +86,54 @@
 
 #[rstest]
 #[case::sound(vec![], None)]
-#[case::old_version(vec![line(1590, "n0", taken("d", 1)), line(1591, "n0", answered("d", 1))], Some(Broken::OldVersion))]
-#[case::before_it_was_decided(vec![line(955, "n0", What::Active { version: 2, digest: 2 })], Some(Broken::Undecided))]
-#[case::let_serve_undecided(vec![line(960, "c0", granted(1, 2))], Some(Broken::Undecided))]
+#[case::old_version(vec![line(1590, "n0", taken("d", 1)), line(1591, "n0", answered("d", 1))], Some(Violation::OldVersion))]
+#[case::before_it_was_decided(vec![line(955, "n0", What::Active { version: 2, digest: 2 })], Some(Violation::Undecided))]
+#[case::let_serve_undecided(vec![line(960, "c0", granted(1, 2))], Some(Violation::Undecided))]
 #[case::two_texts(
     vec![line(1111, "c1", What::Decided { request: "r".into(), version: 2, digest: 9 })],
-    Some(Broken::TwoOutcomes)
+    Some(Violation::TwoOutcomes)
 )]
 #[case::two_ends(
     vec![line(1111, "c1", What::Dropped { request: "r".into(), version: 2, why: "x".into() })],
-    Some(Broken::TwoOutcomes)
+    Some(Violation::TwoOutcomes)
 )]
 #[case::another_text_at_a_node(
     vec![line(1200, "n0", What::Active { version: 2, digest: 3 })],
-    Some(Broken::TwoOutcomes)
+    Some(Violation::TwoOutcomes)
 )]
-#[case::told_otherwise(vec![line(1300, "operator", heard("dropped"))], Some(Broken::WrongWord))]
-#[case::refused_and_decided(vec![line(500, "operator", heard("refused"))], Some(Broken::WrongWord))]
+#[case::told_otherwise(vec![line(1300, "operator", heard("dropped"))], Some(Violation::WrongWord))]
+#[case::refused_and_decided(vec![line(500, "operator", heard("refused"))], Some(Violation::WrongWord))]
 #[case::unknown_is_no_lie(vec![line(500, "operator", heard("unknown"))], None)]
 #[case::pushed_over(
     vec![line(1200, "executors", What::PushedOver { executor: "e0".into() })],
-    Some(Broken::PushedOver)
+    Some(Violation::PushedOver)
 )]
 #[case::old_coordinator(
     vec![line(1150, "c1", What::Established { round: 2 }), line(1160, "c0", granted(1, 2))],
-    Some(Broken::OldCoordinator)
+    Some(Violation::OldCoordinator)
 )]
-#[case::unfenced(vec![line(1700, "n0", taken("d", 2)), line(1701, "n0", answered("d", 2))], Some(Broken::Unfenced))]
-#[case::without_leave(vec![line(30, "n1", taken("d", 1)), line(31, "n1", answered("d", 1))], Some(Broken::Unfenced))]
+#[case::unfenced(vec![line(1700, "n0", taken("d", 2)), line(1701, "n0", answered("d", 2))], Some(Violation::Unfenced))]
+#[case::without_leave(vec![line(30, "n1", taken("d", 1)), line(31, "n1", answered("d", 1))], Some(Violation::Unfenced))]
 #[case::changed_on_the_way(
     vec![line(1140, "n0", taken("d", 2)), line(1141, "n0", answered("d", 1))],
-    Some(Broken::VersionChanged)
+    Some(Violation::VersionChanged)
 )]
 #[case::sent_without_being_taken(
     vec![line(30, "n0", What::Sent { id: "z".into(), version: 1 })],
-    Some(Broken::VersionChanged)
+    Some(Violation::VersionChanged)
 )]
-#[case::answered_twice(vec![line(1150, "n0", answered("c", 2))], Some(Broken::AnsweredTwice))]
+#[case::answered_twice(vec![line(1150, "n0", answered("c", 2))], Some(Violation::AnsweredTwice))]
 #[case::sent_after_its_answer(
     vec![line(25, "n0", What::Sent { id: "a".into(), version: 1 })],
-    Some(Broken::AnsweredTwice)
+    Some(Violation::AnsweredTwice)
 )]
-#[case::told_twice(vec![line(22, "clients", told("a"))], Some(Broken::AnsweredTwice))]
-#[case::unanswered(vec![line(1200, "n0", taken("d", 2))], Some(Broken::Unanswered))]
+#[case::told_twice(vec![line(22, "clients", told("a"))], Some(Violation::AnsweredTwice))]
+#[case::unanswered(vec![line(1200, "n0", taken("d", 2))], Some(Violation::Unanswered))]
 #[case::killed_before_its_answer(
     vec![line(1200, "n0", taken("d", 2)), line(1250, "rig", did("kill", "n0"))],
     None
 )]
-#[case::no_answer(vec![line(1200, "clients", asked("d", "n0")), unknown(1300, "d")], Some(Broken::NoAnswer))]
+#[case::no_answer(vec![line(1200, "clients", asked("d", "n0")), unknown(1300, "d")], Some(Violation::NoAnswer))]
 #[case::no_answer_over_a_cut_way(
     vec![
         line(1200, "clients", asked("d", "n0")),
@@ -143,23 +143,23 @@
     ],
     None
 )]
-#[case::twice(vec![line(40, "executors", took("a2", "key-a"))], Some(Broken::Twice))]
+#[case::twice(vec![line(40, "executors", took("a2", "key-a"))], Some(Violation::Twice))]
 #[case::again_after_one_that_never_began(
     vec![line(14, "executors", What::Unbegun { id: "a".into() }), line(40, "executors", took("a2", "key-a"))],
     None
 )]
-fn judged(#[case] more: Vec<Line>, #[case] broken: Option<Broken>) {
+fn judged(#[case] more: Vec<Line>, #[case] violation: Option<Violation>) {
     let lines = [sound(), more].concat();
-    let promise = Promise {
+    let guarantees = Guarantees {
         coordinated: true,
         bound: 500 * MS,
         strict: true,
         remembered: false,
-        asked_when_unknown: false,
+        retried_when_unknown: false,
     };
-    let found: Vec<Broken> = check(&lines, &promise).into_iter().map(|f| f.broken).collect();
-    match broken {
+    let found: Vec<Violation> = check(&lines, &guarantees).into_iter().map(|f| f.violation).collect();
+    match violation {
         None => assert_eq!(found, []),
-        Some(broken) => assert!(found.contains(&broken), "{found:?}"),
+        Some(violation) => assert!(found.contains(&violation), "{found:?}"),
     }
 }
--- a/crates/rig/tests/rig.rs
+++ b/crates/rig/tests/rig.rs
@@ -8,8 +8,8 @@
 
 use linestack_frames::{HEADER_LENGTH, encode};
 use linestack_rig::draw::{draw, shrink};
-use linestack_rig::link::{FrameFault, Link, Side};
-use linestack_rig::plan::{Deed, Plan};
+use linestack_rig::link::{Direction, FrameFault, Link};
+use linestack_rig::plan::{Action, Plan};
 use rstest::rstest;
 
 /// A way to a listener, a connection over it, and what comes out at the far end.
@@ -47,7 +47,7 @@
 #[test]
 fn a_cut_way_keeps_what_it_has_until_it_is_healed() {
     let (way, mut near, come) = over(false);
-    way.cut(&[Side::Forth]);
+    way.cut(&[Direction::Forward]);
     near.write_all(b"late").unwrap();
     assert!(come.recv_timeout(QUIET).is_err());
     way.heal();
@@ -57,7 +57,7 @@
 #[test]
 fn a_throttled_way_takes_its_time() {
     let (way, mut near, come) = over(false);
-    way.throttle(&[Side::Forth], 2_000);
+    way.throttle(&[Direction::Forward], 2_000);
     let begin = Instant::now();
     near.write_all(&[7; 512]).unwrap();
     assert_eq!(all(&come, 512).len(), 512);
@@ -71,7 +71,7 @@
 fn frames_are_told_apart(#[case] trick: Option<FrameFault>, #[case] order: &[u8]) {
     let (way, mut near, come) = over(true);
     if let Some(trick) = trick {
-        way.fail_next_frame(Side::Forth, 4, trick);
+        way.fail_next_frame(Direction::Forward, 4, trick);
     }
     let frames = [encode(4, b"one").unwrap(), encode(4, b"two").unwrap()].concat();
     near.write_all(&frames).unwrap();
@@ -89,7 +89,7 @@
 #[test]
 fn a_frame_is_cut_at_a_byte() {
     let (way, mut near, come) = over(true);
-    way.fail_next_frame(Side::Forth, 4, FrameFault::CutAt(5));
+    way.fail_next_frame(Direction::Forward, 4, FrameFault::CutAt(5));
     near.write_all(&encode(4, b"one").unwrap()).unwrap();
     let bytes: Vec<u8> = come.iter().flatten().collect();
     assert!(bytes.len() <= 5, "{bytes:?}");
@@ -135,8 +135,8 @@
 
 #[test]
 fn what_does_not_matter_is_left_out() {
-    let plan = (0..100).map(draw).find(|p| p.steps.iter().any(|s| s.r#do == Deed::Reset)).unwrap();
-    let fails = |p: &Plan| p.steps.iter().any(|s| s.r#do == Deed::Reset);
+    let plan = (0..100).map(draw).find(|p| p.steps.iter().any(|s| s.action == Action::Reset)).unwrap();
+    let fails = |p: &Plan| p.steps.iter().any(|s| s.action == Action::Reset);
     let small = shrink(&plan, fails, 1000);
     assert!(fails(&small) && small.steps.len() < plan.steps.len(), "{small:?}");
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use linestack_rig::http::message;
+use linestack_rig::http::read_message;
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -253,7 +253,7 @@
 
 fn answer(reader: &mut BufReader<TcpStream>, wait: Duration) -> Answer {
     let _ = reader.get_ref().set_read_timeout(Some(wait));
-    match message(reader) {
+    match read_message(reader) {
         Ok(Some((head, body))) => {
             let status = head.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok());
             let closes = head.to_ascii_lowercase().contains("\r\nconnection: close\r\n");
--- a/crates/soak/src/crowd.rs
+++ b/crates/soak/src/crowd.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use linestack_rig::http::message;
+use linestack_rig::http::read_message;
 
 use crate::client::next_conversation;
 use crate::history::{BadClient, Event, Recorder};
@@ -94,7 +94,7 @@
         if reads_half {
             client.read_exact(&mut [0; TAKEN_OF_ANSWER])?;
         } else {
-            message(&mut client)?.ok_or(io::ErrorKind::UnexpectedEof)?;
+            read_message(&mut client)?.ok_or(io::ErrorKind::UnexpectedEof)?;
         }
         Ok(client)
     }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use linestack_rig::http::message;
+use linestack_rig::http::read_message;
 
 use crate::board::Board;
 use crate::history::{Event, Recorder};
@@ -112,7 +112,7 @@
         socket.set_write_timeout(Some(Duration::from_secs(10)))?;
         let (resets, mutes) =
             (condition.resets.load(Ordering::SeqCst), condition.mutes.load(Ordering::SeqCst));
-        let Some((head, _)) = message(&mut BufReader::new(socket.try_clone()?))? else { return Ok(()) };
+        let Some((head, _)) = read_message(&mut BufReader::new(socket.try_clone()?))? else { return Ok(()) };
         std::thread::sleep(Duration::from_millis(condition.slow_ms.load(Ordering::SeqCst)));
         let after = head.split_once("&after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
         self.watch(&socket, life, after, resets, mutes)
--- a/crates/soak/src/executor.rs
+++ b/crates/soak/src/executor.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use linestack_rig::http::{header, message};
+use linestack_rig::http::{header, read_message};
 use linestack_rig::monotonic;
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -172,7 +172,7 @@
         loop {
             let Some(first_byte) = self.first_byte(&mut reader, number)? else { return Ok(()) };
             socket.set_read_timeout(Some(REQUEST_PATIENCE))?;
-            let Some((head, body)) = message(&mut reader)? else { return Ok(()) };
+            let Some((head, body)) = read_message(&mut reader)? else { return Ok(()) };
             if !head.ends_with("\r\n\r\n") {
                 // Its connection ended in the middle of it.
                 return Ok(());
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use linestack_rig::http::get;
+use linestack_rig::http::get_status;
 use linestack_rig::process::Process;
 use linestack_rig::shim;
 use rustix::process::Signal;
@@ -203,8 +203,8 @@
         let mut variables = vec![("PROXY_CONFIG".to_owned(), file)];
         if !plan.is_empty() {
             let log = folder.join("shim.log");
-            variables.push((shim::PRELOAD.to_owned(), shim::library()?.display().to_string()));
-            variables.push((shim::PLAN.to_owned(), format!("{plan}; log={}", log.display())));
+            variables.push((shim::PRELOAD_VARIABLE.to_owned(), shim::library_path()?.display().to_string()));
+            variables.push((shim::PLAN_VARIABLE.to_owned(), format!("{plan}; log={}", log.display())));
         }
         own.process.variables = variables;
         let life = self.front.places[node].life.fetch_add(1, Ordering::SeqCst) + 1;
@@ -225,7 +225,9 @@
             if place.life.load(Ordering::SeqCst) != life {
                 return;
             }
-            if get(place.address, "/healthz", Duration::from_millis(500)).is_ok_and(|status| status == 200) {
+            if get_status(place.address, "/healthz", Duration::from_millis(500))
+                .is_ok_and(|status| status == 200)
+            {
                 place.open.store(true, Ordering::SeqCst);
                 return self.note(node, Deed::Ready);
             }
@@ -237,7 +239,7 @@
     /// Notes it if a node has ended by itself, and what its log complains of.
     pub fn look_after(&self, node: usize) {
         let mut own = lock(&self.nodes[node]);
-        if let Ok(Some(status)) = own.process.ended() {
+        if let Ok(Some(status)) = own.process.poll_exit() {
             self.front.places[node].open.store(false, Ordering::SeqCst);
             self.note(node, Deed::Ended { code: status.code() });
         }
