--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -1,118 +1,123 @@
-//! Judges merged histories. It knows what is promised and nothing of how it is kept.
+//! Checks merged histories against the guarantees of a fleet, without knowledge of how the fleet provides them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use linestack_history::{Ended, Line, What};
 
-/// What was promised.
+/// The guarantees that a fleet was set up to give.
 #[derive(Clone, Debug)]
 pub struct Guarantees {
-    /// There are coordinators: versions are agreed on.
+    /// Coordinators run, so nodes agree on policy versions.
     pub coordinated: bool,
-    /// Nanoseconds after a decision from which no process takes anything under the version before.
+    /// Time in nanoseconds after a decision from which no process accepts a submission under an older version.
     pub bound: u64,
-    /// Nodes that can't prove their terms current take nothing.
+    /// Nodes that cannot prove that their policy is current accept no submissions.
     pub strict: bool,
-    /// Nodes keep a store, and clients come back to the node that they asked: none of what it sent begins twice.
+    /// Nodes keep a store and clients retry at the same node, so no job that the node sent is started twice.
     pub remembered: bool,
-    /// Clients ask again also when the first try may have run, so that doubles are counted and not judged.
+    /// Clients also retry when the first attempt may have run, so duplicate executions are counted, not reported.
     pub retried_when_unknown: bool,
 }
 
-/// A promise that was not kept, and by what it shows.
+/// A kind of broken guarantee. The names appear in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A submission was taken under a version after another had been decided for longer than the bound.
+    /// A node accepted a submission under a version although a newer one was decided longer ago than the bound.
     OldVersion,
-    /// A node went by a version that was not decided yet, or never.
+    /// A node applied a version that was not decided yet, or never was.
     Undecided,
-    /// One version with two texts, one change with two ends, or decisions out of order.
+    /// A version has two contents, or a change has two outcomes.
     TwoOutcomes,
-    /// An operator was told another end than the change had.
+    /// An operator received an outcome that differs from the actual outcome of the change.
     WrongWord,
-    /// A coordinator granted after another spoke for the fleet.
+    /// A coordinator granted a lease after another coordinator had become the leader.
     OldCoordinator,
-    /// A node took a submission after its leave to serve was over.
+    /// A node accepted a submission without a valid lease.
     Unfenced,
-    /// A submission changed its version on the way.
+    /// A submission was sent or answered under a version other than the one it was accepted under, or was sent
+    /// without having been accepted.
     VersionChanged,
-    /// Answered twice, or handed out after its answer.
+    /// A submission was answered twice, or sent to an executor after its answer.
     AnsweredTwice,
-    /// Taken and never answered by a process that lived on.
+    /// A process that kept running accepted a submission and never answered it.
     Unanswered,
-    /// A client that no fault kept from its answer did not get one.
+    /// A client got no answer although no fault affected the node or the link to it.
     NoAnswer,
-    /// A one-shot was executed twice.
+    /// A one-shot job was started more than once.
     Twice,
-    /// A cold executor was handed more than it bears, by all nodes together.
+    /// All nodes together sent a cold executor more than its current capacity.
     PushedOver,
 }
 
-/// A promise that was not kept once.
+/// One occurrence of a broken guarantee.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// Which one.
+    /// The guarantee that was broken.
     pub violation: Violation,
-    /// When, in nanoseconds on the monotonic clock.
+    /// The time of the history line in nanoseconds on the monotonic clock.
     pub at: u64,
-    /// Whose line of the history shows it.
+    /// The process that wrote the history line.
     pub by: String,
-    /// What shows it.
+    /// A description of the observed violation.
     pub reason: String,
 }
 
-/// Intervals in which a process or its ways were not whole, by its name.
-fn troubled(lines: &[Line]) -> HashMap<String, Vec<(u64, u64)>> {
+/// Returns the intervals in which a fault affected each process or link, by its name.
+fn fault_intervals(lines: &[Line]) -> HashMap<String, Vec<(u64, u64)>> {
     let mut all: HashMap<String, Vec<(u64, u64)>> = HashMap::new();
-    let mut open: HashMap<(String, bool), u64> = HashMap::new();
+    let mut ongoing: HashMap<(String, bool), u64> = HashMap::new();
     for line in lines {
         let What::Did { deed, to } = &line.what else { continue };
-        // A way from clients to a node is the node's.
-        let way = to.contains('>');
-        let who = to.strip_prefix("k>").unwrap_or(to).to_owned();
+        // A fault on a link from clients to a node counts as a fault of the node.
+        let is_link = to.contains('>');
+        let name = to.strip_prefix("k>").unwrap_or(to).to_owned();
         match deed.as_str() {
             "kill" | "pause" | "stop" | "cut" | "delay" | "throttle" => {
-                open.entry((who, way)).or_insert(line.at);
+                ongoing.entry((name, is_link)).or_insert(line.at);
             }
             "start" | "start-empty" | "start-older" | "start-rolled-back" | "replace" | "resume" | "heal" => {
-                if let Some(from) = open.remove(&(who.clone(), way)) {
-                    all.entry(who).or_default().push((from, line.at));
+                if let Some(from) = ongoing.remove(&(name.clone(), is_link)) {
+                    all.entry(name).or_default().push((from, line.at));
                 }
             }
-            "reset" | "cut-at" => all.entry(who).or_default().push((line.at, line.at)),
+            "reset" | "cut-at" => all.entry(name).or_default().push((line.at, line.at)),
             _ => {}
         }
     }
-    for ((who, _), from) in open {
-        all.entry(who).or_default().push((from, u64::MAX));
+    for ((name, _), from) in ongoing {
+        all.entry(name).or_default().push((from, u64::MAX));
     }
     all
 }
 
-/// All that the histories show to be broken. The lines may come in any order.
+/// Returns all violations that the merged histories show, ordered by time. The lines may be in any order.
 #[must_use]
 pub fn check(lines: &[Line], guarantees: &Guarantees) -> Vec<Finding> {
     let mut lines = lines.to_vec();
     lines.sort_by_key(|l| l.at);
     let mut found = Vec::new();
     if guarantees.coordinated {
-        agreement(&lines, guarantees, &mut found);
+        check_agreement(&lines, guarantees, &mut found);
     }
-    submissions(&lines, guarantees, &mut found);
-    clients(&lines, guarantees, &mut found);
+    check_submissions(&lines, guarantees, &mut found);
+    check_clients(&lines, &mut found);
     found.sort_by_key(|f: &Finding| f.at);
     found
 }
 
-fn add(found: &mut Vec<Finding>, violation: Violation, line: &Line, why: String) {
-    found.push(Finding { violation, at: line.at, by: line.by.clone(), reason: why });
+fn add(found: &mut Vec<Finding>, violation: Violation, line: &Line, reason: String) {
+    found.push(Finding { violation, at: line.at, by: line.by.clone(), reason });
 }
 
-fn agreement(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
-    // Version: when it was first known to be decided, and the digest of its text.
+/// Checks policy versions, leases, and the outcomes that operators received.
+fn check_agreement(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
+    // For each version: the time of the first line that shows it as decided, and the digest of its content.
     let mut decided: BTreeMap<u64, (u64, u32)> = BTreeMap::new();
-    let mut ends: HashMap<&str, (bool, u64)> = HashMap::new();
+    // For each request: whether its change was decided or dropped, and the version.
+    let mut outcomes: HashMap<&str, (bool, u64)> = HashMap::new();
+    // The highest round and its leader.
     let mut newest: (u64, &str) = (0, "");
+    // For each process run: the version and the expiry of its lease.
     let mut leased: HashMap<(&str, u64), (u64, u64)> = HashMap::new();
     let mut dropped: BTreeSet<u64> = BTreeSet::new();
     for line in lines {
@@ -128,27 +133,28 @@
                         format!("version {version} has two texts or two ends"),
                     );
                 }
-                // The first terms of all are nobody's request.
-                if !request.is_empty() && *ends.entry(request).or_insert((true, *version)) != (true, *version)
+                // The initial policy has no request.
+                if !request.is_empty()
+                    && *outcomes.entry(request).or_insert((true, *version)) != (true, *version)
                 {
                     add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
             What::Dropped { request, version, .. } => {
                 dropped.insert(*version);
-                let other = *ends.entry(request).or_insert((false, *version)) != (false, *version);
-                if other || decided.contains_key(version) {
+                let differs = *outcomes.entry(request).or_insert((false, *version)) != (false, *version);
+                if differs || decided.contains_key(version) {
                     add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
             What::Established { round } => newest = newest.max((*round, by)),
             What::Granted { round, member, version } if guarantees.strict => {
                 if (*round, by) < newest {
-                    let why = format!(
+                    let reason = format!(
                         "let {member} serve in round {round}, but {} speaks in {}",
                         newest.1, newest.0
                     );
-                    add(found, Violation::OldCoordinator, line, why);
+                    add(found, Violation::OldCoordinator, line, reason);
                 }
                 if !decided.contains_key(version) {
                     add(found, Violation::Undecided, line, format!("let {member} serve under {version}"));
@@ -186,17 +192,17 @@
                     && line.at > at + guarantees.bound
                 {
                     let late = (line.at - at) / 1_000_000;
-                    let why = format!("took {id} under {version}, {late} ms after {v} was decided");
-                    add(found, Violation::OldVersion, line, why);
+                    let reason = format!("took {id} under {version}, {late} ms after {v} was decided");
+                    add(found, Violation::OldVersion, line, reason);
                 }
             }
             What::Heard { request, outcome } => {
-                let end = ends.get(request.as_str()).map(|(decided, _)| *decided);
+                let actual = outcomes.get(request.as_str()).map(|(decided, _)| *decided);
                 let wrong = match outcome.as_str() {
-                    "decided" => end != Some(true),
-                    "dropped" => end != Some(false),
-                    // Refused at once: it was never put before the fleet, now or later.
-                    "refused" => end.is_some(),
+                    "decided" => actual != Some(true),
+                    "dropped" => actual != Some(false),
+                    // A refused request is never proposed to the coordinators.
+                    "refused" => actual.is_some(),
                     _ => false,
                 };
                 if wrong {
@@ -206,53 +212,56 @@
             _ => {}
         }
     }
-    // Whatever was told first, a request that was refused may not be decided later.
+    // A request that an operator was told is refused must not be decided later.
     for line in lines {
         if let What::Heard { request, outcome } = &line.what
             && outcome == "refused"
-            && ends.get(request.as_str()).is_some_and(|(decided, _)| *decided)
+            && outcomes.get(request.as_str()).is_some_and(|(decided, _)| *decided)
         {
             add(found, Violation::WrongWord, line, format!("{request}: told refused, and decided"));
         }
     }
 }
 
-fn submissions(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
-    struct Held<'a> {
+/// Checks that each accepted submission is sent and answered as guaranteed, and that executions are not duplicated.
+fn check_submissions(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
+    struct Accepted<'a> {
         line: &'a Line,
         version: u64,
         answered: bool,
     }
-    let mut held: HashMap<(&str, u64, &str), Held> = HashMap::new();
+    // By process, run of the process, and id of the submission.
+    let mut accepted: HashMap<(&str, u64, &str), Accepted> = HashMap::new();
     for line in lines {
         match &line.what {
             What::Taken { id, version } => {
-                let taken = Held { line, version: *version, answered: false };
-                held.insert((&line.by, line.life, id), taken);
+                let submission = Accepted { line, version: *version, answered: false };
+                accepted.insert((&line.by, line.life, id), submission);
             }
-            What::Sent { id, version } => match held.get(&(line.by.as_str(), line.life, id.as_str())) {
-                Some(h) if h.answered => {
+            What::Sent { id, version } => match accepted.get(&(line.by.as_str(), line.life, id.as_str())) {
+                Some(submission) if submission.answered => {
                     add(found, Violation::AnsweredTwice, line, format!("sent {id} after its answer"));
                 }
-                Some(h) if h.version == *version => {}
-                Some(h) => {
-                    let why = format!("{id}: taken under {}, sent under {version}", h.version);
-                    add(found, Violation::VersionChanged, line, why);
+                Some(submission) if submission.version == *version => {}
+                Some(submission) => {
+                    let reason = format!("{id}: taken under {}, sent under {version}", submission.version);
+                    add(found, Violation::VersionChanged, line, reason);
                 }
                 None => {
                     add(found, Violation::VersionChanged, line, format!("sent {id}, which it had not taken"))
                 }
             },
             What::Answered { id, version, ended } if *ended != Ended::Repeated => {
-                match held.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
-                    Some(h) if h.answered => {
+                match accepted.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
+                    Some(submission) if submission.answered => {
                         add(found, Violation::AnsweredTwice, line, format!("answered {id} twice"));
                     }
-                    Some(h) => {
-                        h.answered = true;
-                        if h.version != *version {
-                            let why = format!("{id}: taken under {}, answered under {version}", h.version);
-                            add(found, Violation::VersionChanged, line, why);
+                    Some(submission) => {
+                        submission.answered = true;
+                        if submission.version != *version {
+                            let reason =
+                                format!("{id}: taken under {}, answered under {version}", submission.version);
+                            add(found, Violation::VersionChanged, line, reason);
                         }
                     }
                     None => {}
@@ -261,22 +270,22 @@
             _ => {}
         }
     }
-    // A client that left is owed nothing; that it left shows in its own history.
-    let left: BTreeSet<&str> = lines
+    // No answer is due to a client that disconnected, which its own history shows.
+    let disconnected: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
             What::Unknown { id } | What::Unsent { id } => Some(id.as_str()),
             _ => None,
         })
         .collect();
-    let troubles = troubled(lines);
-    for ((by, _, id), h) in &held {
-        let excused = troubles.get(*by).into_iter().flatten().any(|(_, to)| *to >= h.line.at);
-        if !h.answered && !excused && !left.contains(id) {
-            add(found, Violation::Unanswered, h.line, format!("{id} was never answered"));
+    let faults = fault_intervals(lines);
+    for ((by, _, id), submission) in &accepted {
+        let excused = faults.get(*by).into_iter().flatten().any(|(_, to)| *to >= submission.line.at);
+        if !submission.answered && !excused && !disconnected.contains(id) {
+            add(found, Violation::Unanswered, submission.line, format!("{id} was never answered"));
         }
     }
-    // Executions that began, by what they are about.
+    // Executions that began, by the key of the job.
     let one_shots: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
@@ -309,7 +318,7 @@
     }
 }
 
-/// How many one-shots began more than once.
+/// Returns the number of one-shot jobs that were started more than once.
 #[must_use]
 pub fn count_duplicates(lines: &[Line]) -> usize {
     let guarantees = Guarantees {
@@ -320,27 +329,28 @@
         retried_when_unknown: false,
     };
     let mut found = Vec::new();
-    submissions(lines, &guarantees, &mut found);
+    check_submissions(lines, &guarantees, &mut found);
     found.iter().filter(|f| f.violation == Violation::Twice).count()
 }
 
-fn clients(lines: &[Line], _: &Guarantees, found: &mut Vec<Finding>) {
-    let troubles = troubled(lines);
+/// Checks that each client got exactly one answer unless a fault affected the node or the link to it.
+fn check_clients(lines: &[Line], found: &mut Vec<Finding>) {
+    let faults = fault_intervals(lines);
     let mut asked: HashMap<&str, (&Line, &str)> = HashMap::new();
-    let mut told: BTreeSet<&str> = BTreeSet::new();
+    let mut answered: BTreeSet<&str> = BTreeSet::new();
     for line in lines {
         match &line.what {
             What::Asked { id, node, .. } => {
                 asked.insert(id, (line, node));
             }
             What::Told { id, .. } => {
-                let first = told.insert(id);
+                let first = answered.insert(id);
                 (!first).then(|| add(found, Violation::AnsweredTwice, line, format!("{id} was told twice")));
             }
             What::Unknown { id } => {
                 let Some((from, node)) = asked.get(id.as_str()) else { continue };
-                let hit = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
-                if !troubles.get(*node).into_iter().flatten().any(hit) {
+                let overlaps = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
+                if !faults.get(*node).into_iter().flatten().any(overlaps) {
                     add(
                         found,
                         Violation::NoAnswer,
