--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is started, and what is done to it in which order. A plan is a TOML file, checked as a whole.
+//! Plans: the processes to start, the load, and the steps of a run. A plan is a TOML file that is validated as a whole.
 
 use linestack_frames::kind_number;
 use serde::{Deserialize, Serialize};
@@ -22,210 +22,214 @@
 }
 
 table! {
-    /// What is started, under which load, and what is done to it.
+    /// The processes to start, their load, and the steps of a run.
     Plan {
-        /// What reports call it.
+        /// The name of the plan in reports.
         name: String = "plan".into(),
-        /// Chance of clients and stand-ins comes from this.
+        /// The seed of the random draws of clients and stand-ins.
         seed: u64 = 1,
-        /// How many nodes are started.
+        /// The number of nodes.
         nodes: usize = 3,
-        /// How many coordinators are started. None: the nodes are told their terms by their files alone.
+        /// The number of coordinators. With 0, nodes get their policy from their own files alone.
         coordinators: usize = 0,
-        /// Whether a node that can't prove its terms current stops taking submissions.
+        /// Whether a node that cannot prove that its policy is current stops accepting submissions.
         strict: bool = true,
-        /// The lease under which nodes take submissions.
+        /// The duration of the lease under which nodes accept submissions.
         lease_ms: u64 = 1500,
-        /// Whether nodes keep a store, by the key that clients keep.
+        /// Whether nodes keep a store of outcomes by idempotency key.
         store: bool = false,
-        /// How many stand-in executors are started.
+        /// The number of stand-in executors.
         executors: u32 = 4,
-        /// How many jobs each runs at a time.
+        /// The number of jobs that each executor runs at a time.
         slots: u32 = 8,
-        /// The mean work of a job.
+        /// The mean work of a job in milliseconds.
         work_ms: f64 = 20.0,
-        /// Whether nodes that start ask running ones.
+        /// Whether nodes that start ask running nodes for their observations.
         peers: bool = false,
-        /// What a node keeps to while it starts.
+        /// The rate limits of a node during its staged start.
         starts: StagedStart = StagedStart::default(),
-        /// The part of its capacity that an executor has right after a start.
+        /// The share of its capacity that an executor has right after a start.
         #[serde(rename = "cold-from")]
         cold_capacity_share: f64 = 0.3,
-        /// The time until it is whole.
+        /// The time in milliseconds until a cold executor has its full capacity.
         cold_ms: f64 = 4000.0,
-        /// What clients do.
+        /// The load from clients.
         load: Load = Load::default(),
-        /// What is done to the fleet, in this order.
+        /// The steps, in the order in which they are carried out.
         steps: Vec<Step> = Vec::new(),
-        /// The load goes on for so long after the last step.
+        /// The time for which the load continues after the last step.
         tail_ms: u64 = 1000,
     }
 }
 
 table! {
-    /// A start in stages, if it is on; rates are the fleet's a second, 0 for no bound.
+    /// The limits of a staged start. Rates are per second for the whole fleet; 0 means unlimited.
     StagedStart {
         /// Whether nodes start in stages.
         on: bool = false,
-        /// Connections to executors.
+        /// The rate of new connections to executors.
         connects_per_s: f64 = 0.0,
-        /// Calls for the whole list.
+        /// The rate of requests for the whole list.
         lists_per_s: f64 = 0.0,
-        /// Connections to coordinators.
+        /// The rate of new connections to coordinators.
         sessions_per_s: f64 = 0.0,
     }
 }
 
 table! {
-    /// What clients do.
+    /// The load from clients.
     Load {
-        /// Submissions a second of all clients together.
+        /// Submissions per second from all clients together.
         rate: f64 = 200.0,
-        /// How many clients there are.
+        /// The number of clients.
         clients: usize = 16,
-        /// The deadline: how long a client waits for an answer.
+        /// The deadline of each submission.
         #[serde(rename = "cut-off-ms")]
         deadline_ms: u64 = 2000,
-        /// How often a client asks at most.
+        /// The maximum number of attempts per submission.
         tries: u32 = 3,
-        /// Ask again also when the first try may have run. Off: only when it can't have.
+        /// Whether clients also retry when the previous attempt may have run. Otherwise they retry only when it cannot
+        /// have run.
         #[serde(rename = "ask-when-unknown")]
         retry_when_unknown: bool = false,
-        /// Ask the same node again, which alone knows what it sent.
+        /// Whether clients retry at the same node, which alone knows which jobs it sent.
         same_node: bool = false,
-        /// The part of all submissions that must not be executed twice.
+        /// The share of submissions that must not be executed twice.
         one_shot_share: f64 = 0.5,
     }
 }
 
 table! {
-    /// What is waited for, and then done. With nothing to wait for it is done at once.
+    /// An action and the event that it waits for. Without an event to wait for, the action is carried out at once.
     Step {
-        /// Waits for a line of a history, by its kind.
+        /// Waits for a history line of this kind.
         line: Option<String> = None,
-        /// Waits for a line of a log that holds these words.
+        /// Waits for a log line that contains this text.
         log: Option<String> = None,
-        /// The process whose history or log it is; any, if none is named.
+        /// The process whose history or log is watched; any process if omitted.
         by: Option<String> = None,
         /// Waits for a frame of this kind.
         frame: Option<String> = None,
-        /// The link on which it passes, such as `c0>c1`; any, if none is named.
+        /// The link on which the frame passes, such as `c0>c1`; any link if omitted.
         #[serde(rename = "way")]
         link: Option<String> = None,
-        /// The direction in which it passes; and that of the frame that the deed is done to.
+        /// The direction of the awaited frame, and of the frame that the action affects.
         #[serde(rename = "side")]
         direction: Direction = Direction::Forward,
-        /// So many of them since the step before.
+        /// The number of matching lines or frames to wait for since the previous step.
         count: u64 = 1,
-        /// Pace only: so long after the step before, or after what was waited for.
+        /// A delay after the previous step or after the awaited event.
         after_ms: u64 = 0,
-        /// What is then done.
+        /// The action to carry out.
         #[serde(rename = "do")]
         action: Action = Action::Nothing,
-        /// To what: processes (`n3`), or links (`n3>c0`, `*>c0`), by the deed.
+        /// The targets of the action: processes (`n3`), links (`n3>c0`, `*>c0`) or executors (`e3`).
         to: Vec<String> = Vec::new(),
-        /// In which directions of a link.
+        /// The affected directions of a link.
         #[serde(rename = "sides")]
         directions: Vec<Direction> = vec![Direction::Forward, Direction::Backward],
-        /// Milliseconds, of a delay or of each call for the list.
+        /// The duration in milliseconds of a delay, or of each request for the list.
         ms: u64 = 0,
-        /// Bytes a second of a throttled link, or the byte at which a frame is cut.
+        /// The bytes per second of a throttled link, or the byte at which a frame is cut.
         bytes: u64 = 0,
-        /// The name of the operator's request; or the kind of frame that the deed is done to.
+        /// The name of the operator's request, or the kind of frame that the action affects.
         request: String = String::new(),
         /// The version that a proposal builds on.
         base: u64 = 0,
-        /// The number of the policy that a proposal or a file carries.
+        /// The number of the policy that a proposal or a node's file contains.
         #[serde(rename = "terms")]
         policy: u64 = 0,
-        /// Whether a proposal waits for every member that is known, also those that are away.
+        /// Whether a proposal waits for every known member, including those that are not connected.
         all: bool = false,
-        /// A proposal is dropped when it is not decided by then; 0: never.
+        /// The time after which an undecided proposal is dropped; 0 means never.
         give_up_ms: u64 = 0,
-        /// A fault that the process is started with; it exists in test builds only. Or what ails an executor.
+        /// A fault that the process is started with (in test builds only), or the fault of an executor.
         fault: String = String::new(),
-        /// How strong that is, as the kind of trouble says.
+        /// The strength of an executor's fault; its meaning depends on the kind of fault.
         size: f64 = 0.5,
-        /// The start is to fail.
+        /// Whether the start is expected to fail.
         #[serde(rename = "refused")]
         expect_failure: bool = false,
     }
 }
 
-/// What a step does.
+/// The action of a step. Its names appear in plan files, histories and messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Waits alone.
+    /// Only waits.
     Nothing,
-    /// Kill processes outright.
+    /// Kills processes with SIGKILL.
     Kill,
-    /// Start processes that do not run.
+    /// Starts processes that do not run.
     Start,
-    /// Start with nothing stored.
+    /// Starts processes with an empty store.
     StartEmpty,
-    /// Keep a copy of what is stored.
+    /// Copies the store of a process.
     Copy,
-    /// Start with that copy.
+    /// Starts a process with the copy of its store.
     StartOlder,
-    /// The same in the files that are there, as a disk does that goes back.
+    /// Starts a process after its existing store files were overwritten with the copy, as by a disk that is rolled
+    /// back.
     StartRolledBack,
-    /// Ask that another with an empty store gets its number, and start that one.
+    /// Asks the coordinators to give a coordinator's number to a replacement with an empty store, and starts the
+    /// replacement.
     Replace,
-    /// Of coordinators that are all down this one's store is gone on from; the others lose theirs, and all are started.
+    /// Founds the fleet anew from one coordinator's store when all coordinators are down. The others lose their
+    /// stores, and all are started.
     Refound,
-    /// Wait until it has ended by itself, and not with 0.
+    /// Waits until a process has ended by itself with an exit code other than 0.
     Gone,
-    /// Have processes stand still.
+    /// Pauses processes with SIGSTOP.
     Pause,
-    /// Have them go on.
+    /// Resumes paused processes.
     Resume,
-    /// Tell it to stop, and wait until it has.
+    /// Stops a process with SIGTERM and waits until it has ended.
     Stop,
-    /// Nothing passes on links; see [`Link::cut`](crate::link::Link::cut).
+    /// Cuts links; see [`Link::cut`](crate::link::Link::cut).
     Cut,
-    /// All faults of links end.
+    /// Ends all faults of links.
     Heal,
-    /// What passes on links is delayed.
+    /// Delays the bytes on links.
     Delay,
-    /// Links pass so many bytes a second.
+    /// Limits links to a number of bytes per second.
     Throttle,
-    /// The connections of links are reset.
+    /// Resets the connections of links.
     Reset,
-    /// The next frame of a kind is cut at a byte, and its connection broken.
+    /// Cuts the next frame of a kind at a byte and breaks its connection.
     CutAt,
-    /// The next frame of a kind passes twice.
+    /// Passes the next frame of a kind twice.
     Repeat,
-    /// The next frame of a kind is held.
+    /// Holds the next frame of a kind.
     Hold,
-    /// Held frames go out.
+    /// Passes on the held frames.
     Release,
-    /// Other terms in the node's own file, and SIGHUP.
+    /// Writes another policy into the node's own file and sends SIGHUP.
     Terms,
-    /// An operator proposes a change of the policy.
+    /// Proposes a change of the policy as an operator.
     Propose,
-    /// An operator aborts a change.
+    /// Aborts a change as an operator.
     Abort,
-    /// What two nodes have stored changes places.
+    /// Swaps the stores of two nodes.
     Swap,
-    /// Something is wrong with executors (`e3`) from now on.
+    /// Begins a fault at executors (`e3`).
     Ail,
-    /// It is wrong no more.
+    /// Ends a fault at executors.
     Well,
-    /// Executors are others from now on, cold.
+    /// Replaces executors by cold processes.
     Renew,
-    /// Each call for the list takes so long, one after the other.
+    /// Sets the time that discovery takes for each request for the list. It serves requests one at a time.
     Overbook,
 }
 
 impl Action {
-    /// Whether it is done to executors.
+    /// Returns whether the action targets executors.
     #[must_use]
     pub fn targets_executors(self) -> bool {
         matches!(self, Self::Ail | Self::Well | Self::Renew)
     }
 
-    /// Whether it is done to links.
+    /// Returns whether the action targets links.
     #[must_use]
     pub fn targets_links(self) -> bool {
         use Action::{Cut, CutAt, Delay, Heal, Hold, Release, Repeat, Reset, Throttle};
@@ -233,23 +237,23 @@
     }
 }
 
-/// Why a plan is refused.
+/// An error in a plan.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// It is not TOML, or has an unknown key.
+    /// The plan is not valid TOML or has an unknown key.
     #[error("{0}")]
     Malformed(String),
-    /// Its figures make no sense; a line for each.
+    /// Values are out of range or inconsistent; one line for each.
     #[error("{0}")]
     Invalid(String),
 }
 
-/// Whichever coordinator spoke for the fleet last.
+/// The target that stands for the most recent leader among the coordinators.
 pub const LEADER: &str = "speaker";
-/// All processes that do not run.
+/// The target that stands for all processes that do not run.
 pub const DOWN: &str = "down";
 
-/// Whether a link or a process is meant by a pattern, in which `*` stands for any name's rest.
+/// Returns whether the name of a link or process matches a pattern, in which a trailing `*` stands for any suffix.
 #[must_use]
 pub fn name_matches(pattern: &str, name: &str) -> bool {
     match (pattern.split_once('>'), name.split_once('>')) {
@@ -263,54 +267,54 @@
 }
 
 impl Plan {
-    /// Reads a plan and checks it.
+    /// Parses and validates a plan.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it, each by its key.
+    /// Returns all problems, each with its key.
     pub fn read(text: &str) -> Result<Self, PlanError> {
         let plan: Self = toml::from_str(text).map_err(|e| PlanError::Malformed(e.to_string()))?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// The names of its processes.
+    /// Returns the names of the processes.
     #[must_use]
     pub fn processes(&self) -> Vec<String> {
         let nodes = (0..self.nodes).map(|i| format!("n{i}"));
         nodes.chain((0..self.coordinators).map(|i| format!("c{i}"))).collect()
     }
 
-    /// The names of the links between them: from clients (`k`) to nodes, from nodes to executors (`e0`) and
+    /// Returns the names of the links between processes: from clients (`k`) to nodes, from nodes to executors (`e0`) and
     /// discovery (`d`), between nodes (`n1>p0`), and from nodes, coordinators and the operator (`o`) to coordinators.
     #[must_use]
     pub fn link_names(&self) -> Vec<String> {
-        let mut ways = Vec::new();
+        let mut links = Vec::new();
         for n in 0..self.nodes {
-            ways.push(format!("k>n{n}"));
-            ways.push(format!("n{n}>d"));
-            ways.extend((0..self.executors).map(|e| format!("n{n}>e{e}")));
-            ways.extend((0..self.coordinators).map(|c| format!("n{n}>c{c}")));
+            links.push(format!("k>n{n}"));
+            links.push(format!("n{n}>d"));
+            links.extend((0..self.executors).map(|e| format!("n{n}>e{e}")));
+            links.extend((0..self.coordinators).map(|c| format!("n{n}>c{c}")));
             let others = (0..self.nodes).filter(|p| self.peers && *p != n);
-            ways.extend(others.map(|p| format!("n{n}>p{p}")));
+            links.extend(others.map(|p| format!("n{n}>p{p}")));
         }
         for c in 0..self.coordinators {
-            ways.push(format!("o>c{c}"));
-            ways.extend((0..self.coordinators).filter(|d| *d != c).map(|d| format!("c{c}>c{d}")));
+            links.push(format!("o>c{c}"));
+            links.extend((0..self.coordinators).filter(|d| *d != c).map(|d| format!("c{c}>c{d}")));
         }
-        ways
+        links
     }
 
-    /// Checks it as a whole.
+    /// Validates the plan as a whole.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it, each by its key.
+    /// Returns all problems, each with its key.
     pub fn check(&self) -> Result<(), PlanError> {
-        let mut faults = Vec::new();
-        let mut must = |fine: bool, key: &str, why: &str| {
-            if !fine {
-                faults.push(format!("{key}: {why}"));
+        let mut errors = Vec::new();
+        let mut must = |valid: bool, key: &str, reason: &str| {
+            if !valid {
+                errors.push(format!("{key}: {reason}"));
             }
         };
         must((1..=1024).contains(&self.nodes), "nodes", "from 1 to 1,024");
@@ -324,11 +328,11 @@
         must((50..=60_000).contains(&self.load.deadline_ms), "load.cut-off-ms", "from 50 to 60,000");
         must((0.0..=1.0).contains(&self.load.one_shot_share), "load.one-shot-share", "from 0 to 1");
         must(self.tail_ms <= 600_000, "tail-ms", "600,000 at most");
-        let (processes, ways) = (self.processes(), self.link_names());
+        let (processes, links) = (self.processes(), self.link_names());
         for (i, step) in self.steps.iter().enumerate() {
             let key = |k: &str| format!("steps[{i}].{k}");
             let waits = [&step.line, &step.log, &step.frame].iter().filter(|w| w.is_some()).count();
-            must(waits <= 1, &key("line"), "one thing is waited for");
+            must(waits <= 1, &key("line"), "only one of `line`, `log` and `frame` may be given");
             must(step.count > 0, &key("count"), "at least 1");
             must(step.after_ms <= 600_000, &key("after-ms"), "600,000 at most");
             if let Some(by) = &step.by {
@@ -340,49 +344,53 @@
             }
             if let Some(frame) = &step.frame {
                 must(kind_number(frame).is_some(), &key("frame"), "no such kind of frame");
-                let way = step.link.as_deref().unwrap_or("*>*");
-                must(ways.iter().any(|w| name_matches(way, w)), &key("way"), "no such way");
+                let link = step.link.as_deref().unwrap_or("*>*");
+                must(links.iter().any(|l| name_matches(link, l)), &key("way"), "no such link");
             }
             if matches!(step.action, Action::CutAt | Action::Repeat | Action::Hold) {
                 must(
                     step.target_frame_kind().is_some(),
                     &key("request"),
-                    "the kind of frame that it is done to",
+                    "must be the kind of frame that the action affects",
                 );
             }
             let executors: Vec<String> = (0..self.executors).map(|e| format!("e{e}")).collect();
             let names = match step.action {
-                on if on.targets_links() => &ways,
-                on if on.targets_executors() => &executors,
+                action if action.targets_links() => &links,
+                action if action.targets_executors() => &executors,
                 _ => &processes,
             };
             for to in &step.to {
-                let who = to == DOWN || (to == LEADER && self.coordinators > 0);
-                must(who || names.iter().any(|n| name_matches(to, n)), &key("to"), "nothing has this name");
+                let placeholder = to == DOWN || (to == LEADER && self.coordinators > 0);
+                must(
+                    placeholder || names.iter().any(|n| name_matches(to, n)),
+                    &key("to"),
+                    "no target has this name",
+                );
             }
-            let nobody =
+            let no_target =
                 matches!(step.action, Action::Nothing | Action::Propose | Action::Abort | Action::Overbook);
-            must(step.action != Action::Swap || step.to.len() == 2, &key("to"), "two that change places");
-            let ails = matches!(step.action, Action::Ail | Action::Well);
-            must(!ails || step.executor_fault().is_some(), &key("fault"), "nothing that ails an executor");
-            must(nobody || !step.to.is_empty(), &key("to"), "nobody is named");
+            must(step.action != Action::Swap || step.to.len() == 2, &key("to"), "exactly two processes");
+            let sets_fault = matches!(step.action, Action::Ail | Action::Well);
+            must(!sets_fault || step.executor_fault().is_some(), &key("fault"), "not a fault of an executor");
+            must(no_target || !step.to.is_empty(), &key("to"), "a target is required");
             if step.action == Action::Propose {
                 must(self.coordinators > 0, &key("do"), "there is no coordinator");
-                must(!step.request.is_empty(), &key("request"), "has no name");
+                must(!step.request.is_empty(), &key("request"), "a name is required");
             }
         }
-        if faults.is_empty() { Ok(()) } else { Err(PlanError::Invalid(faults.join("\n"))) }
+        if errors.is_empty() { Ok(()) } else { Err(PlanError::Invalid(errors.join("\n"))) }
     }
 }
 
 impl Step {
-    /// What ails an executor; it stands in `fault`.
+    /// Returns the executor fault that `fault` names.
     #[must_use]
     pub fn executor_fault(&self) -> Option<linestack_world::Fault> {
         serde_json::from_value(serde_json::Value::String(self.fault.clone())).ok()
     }
 
-    /// The kind of frame that the deed is done to; it stands in `request`.
+    /// Returns the kind of frame that the action affects, which `request` names.
     #[must_use]
     pub fn target_frame_kind(&self) -> Option<u8> {
         kind_number(&self.request)
