--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that tell what they asked, what they were told, and what they can't know.
+//! Clients that record each request, its answer, and whether an unanswered request may have run.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,27 +14,38 @@
 use crate::link::Link;
 use crate::plan::Load;
 
-/// Beyond the cut-off, before a client gives up on its connection.
-const SLACK: Duration = Duration::from_millis(1500);
-/// A client that was told to come back does, after this at most.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// The time after its deadline for which a client still waits for an answer.
+const ANSWER_GRACE: Duration = Duration::from_millis(1500);
+/// The upper limit on the delay before a retry, whatever `Retry-After` says.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// The product whose jobs must not be executed twice.
 pub const ONE_SHOT: &str = "once";
-/// The product whose jobs may be executed any number of times.
-pub const HARMLESS: &str = "look";
+/// The product whose jobs are idempotent.
+pub const IDEMPOTENT: &str = "look";
 
-/// Told of everything that a client does and sees.
+/// Receives an event for everything that a client sends and receives.
 pub type Observer = Arc<dyn Fn(What) + Send + Sync>;
 
-enum Told {
-    Status(u16, Option<Duration>),
+/// The outcome of one attempt.
+enum Attempt {
+    /// An answer with this status and `Retry-After`.
+    Answered(u16, Option<Duration>),
+    /// No answer, although a node may have read the request.
     Unknown,
+    /// No node can have read the whole request.
     Unsent,
 }
 
-/// One client, until it is told to stop. It asks nodes by chance, one submission at a time, at its pace.
-pub fn ask(number: usize, load: &Load, seed: u64, nodes: &[&Link], stop: &AtomicBool, seen: &Observer) {
+/// Runs one client until `stop` is set. It sends one submission at a time to randomly chosen nodes, at a fixed rate.
+pub fn run_client(
+    number: usize,
+    load: &Load,
+    seed: u64,
+    nodes: &[&Link],
+    stop: &AtomicBool,
+    seen: &Observer,
+) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64) << 24);
     let gap = Duration::from_secs_f64(load.clients as f64 / load.rate);
     let mut due = Instant::now() + gap.mul_f64(rng.random());
@@ -42,42 +53,42 @@
     let mut count = 0_u64;
     while !stop.load(Ordering::Relaxed) {
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        // What was missed is not made up for: the pace is a bound.
+        // The rate is an upper bound: a client that is behind schedule does not catch up.
         due = (due + gap).max(Instant::now());
         count += 1;
         let one_shot = rng.random::<f64>() < load.one_shot_share;
         let key = format!("k{number}-{count}");
         let mut node = rng.random_range(0..nodes.len());
-        for again in 0..load.tries {
+        for attempt in 0..load.tries {
             if stop.load(Ordering::Relaxed) {
                 break;
             }
             if !load.same_node {
                 node = rng.random_range(0..nodes.len());
             }
-            let id = format!("{number:x}-{count:x}-{again:x}");
+            let id = format!("{number:x}-{count:x}-{attempt:x}");
             seen(What::Asked { id: id.clone(), key: key.clone(), node: format!("n{node}"), one_shot });
-            let told = once(&mut sockets[node], nodes[node], load, &id, &key, one_shot, again > 0);
-            if matches!(told, Told::Unknown | Told::Unsent) {
+            let outcome = send_once(&mut sockets[node], nodes[node], load, &id, &key, one_shot, attempt > 0);
+            if matches!(outcome, Attempt::Unknown | Attempt::Unsent) {
                 sockets[node] = None;
             }
-            match told {
-                Told::Status(status, wait) => {
+            match outcome {
+                Attempt::Answered(status, retry_after) => {
                     seen(What::Told { id, status });
                     if !matches!(status, 429 | 503) {
                         break;
                     }
-                    std::thread::sleep(wait.unwrap_or_default().min(COME_BACK));
+                    std::thread::sleep(retry_after.unwrap_or_default().min(MAX_RETRY_DELAY));
                 }
-                Told::Unknown => {
+                Attempt::Unknown => {
                     seen(What::Unknown { id });
                     if !load.retry_when_unknown {
                         break;
                     }
                 }
-                Told::Unsent => {
+                Attempt::Unsent => {
                     seen(What::Unsent { id });
-                    // A node that is down refuses at once, and must not be asked in a loop.
+                    // A node that is down refuses connections at once; the pause avoids a busy loop.
                     std::thread::sleep(Duration::from_millis(if load.same_node { 100 } else { 10 }));
                 }
             }
@@ -85,33 +96,34 @@
     }
 }
 
-fn connect(to: SocketAddr, wait: Duration) -> io::Result<BufReader<TcpStream>> {
+fn connect(to: SocketAddr, timeout: Duration) -> io::Result<BufReader<TcpStream>> {
     let socket = TcpStream::connect_timeout(&to, Duration::from_secs(1))?;
     socket.set_nodelay(true)?;
-    socket.set_read_timeout(Some(wait))?;
-    socket.set_write_timeout(Some(wait))?;
+    socket.set_read_timeout(Some(timeout))?;
+    socket.set_write_timeout(Some(timeout))?;
     Ok(BufReader::new(socket))
 }
 
-fn once(
+/// Sends one request and waits for its answer.
+fn send_once(
     socket: &mut Option<BufReader<TcpStream>>,
     link: &Link,
     load: &Load,
     id: &str,
     key: &str,
     one_shot: bool,
-    again: bool,
-) -> Told {
-    let wait = Duration::from_millis(load.deadline_ms) + SLACK;
+    is_retry: bool,
+) -> Attempt {
+    let timeout = Duration::from_millis(load.deadline_ms) + ANSWER_GRACE;
     if socket.as_ref().is_some_and(closed) {
         *socket = None;
     }
     if socket.is_none() {
-        *socket = connect(link.address, wait).ok();
+        *socket = connect(link.address, timeout).ok();
     }
-    let Some(open) = socket else { return Told::Unsent };
+    let Some(open) = socket else { return Attempt::Unsent };
     let (product, retry) =
-        (if one_shot { ONE_SHOT } else { HARMLESS }, if again { "Req-Retry: 1\r\n" } else { "" });
+        (if one_shot { ONE_SHOT } else { IDEMPOTENT }, if is_retry { "Req-Retry: 1\r\n" } else { "" });
     let text = format!(
         "POST /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: {product}\r\nReq-Owner: all\r\n\
          Req-Key: {key}\r\nIdempotency-Key: {key}\r\n{retry}Req-Deadline-Ms: {}\r\nContent-Length: {}\r\n\r\n{key}",
@@ -119,30 +131,31 @@
         key.len()
     );
     if open.get_mut().write_all(text.as_bytes()).is_err() {
-        // Some of it may be there, but not all of it.
-        return Told::Unsent;
+        // The node may have read a part of the request, but not all of it.
+        return Attempt::Unsent;
     }
     match read_message(open) {
         Ok(Some((head, _))) => {
             let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-            let wait = header(&head, "retry-after").and_then(|w| w.parse().ok()).map(Duration::from_secs_f64);
+            let retry_after =
+                header(&head, "retry-after").and_then(|w| w.parse().ok()).map(Duration::from_secs_f64);
             if header(&head, "connection").is_some_and(|c| c.eq_ignore_ascii_case("close")) {
                 *socket = None;
             }
-            Told::Status(status, wait)
+            Attempt::Answered(status, retry_after)
         }
         _ => match open.get_ref().local_addr() {
-            // Nobody was there to take it.
-            Ok(near) if !link.reached_target(near) => Told::Unsent,
-            _ => Told::Unknown,
+            // The connection never reached the node.
+            Ok(near) if !link.reached_target(near) => Attempt::Unsent,
+            _ => Attempt::Unknown,
         },
     }
 }
 
-/// Whether the other end has closed it while it stood idle.
+/// Returns whether the other end has closed an idle connection.
 fn closed(socket: &BufReader<TcpStream>) -> bool {
     let socket = socket.get_ref();
-    let seen = socket.set_nonblocking(true).and_then(|()| socket.peek(&mut [0]));
-    let open = matches!(&seen, Err(e) if e.kind() == io::ErrorKind::WouldBlock);
+    let peeked = socket.set_nonblocking(true).and_then(|()| socket.peek(&mut [0]));
+    let open = matches!(&peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock);
     !open || socket.set_nonblocking(false).is_err()
 }
--- a/crates/rig/src/draw.rs
+++ b/crates/rig/src/draw.rs
@@ -1,4 +1,4 @@
-//! Plans drawn from seeds, and the smallest part of one that still fails.
+//! Draws random plans from seeds, and shrinks a failing plan.
 
 use rand::seq::IndexedRandom as _;
 use rand::{Rng as _, SeedableRng as _};
@@ -6,7 +6,7 @@
 
 use crate::plan::{Action, Load, Plan, Step};
 
-/// A plan of some changes among some faults, from its seed. Every fault ends before the plan does.
+/// Draws a plan with policy changes and faults from a seed. Every fault ends before the plan does.
 #[must_use]
 pub fn draw(seed: u64) -> Plan {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -21,30 +21,30 @@
         tail_ms: 1200,
         ..Plan::default()
     };
-    let (processes, ways) = (plan.processes(), plan.link_names());
-    let ways: Vec<String> = ways.into_iter().filter(|w| w.contains(">c")).collect();
+    let (processes, links) = (plan.processes(), plan.link_names());
+    let links: Vec<String> = links.into_iter().filter(|link| link.contains(">c")).collect();
     let (mut base, mut faults): (u64, Vec<Vec<Step>>) = (1, Vec::new());
     for number in 0..rng.random_range(2..=4) {
-        let pace = rng.random_range(0..400);
+        let delay_ms = rng.random_range(0..400);
         if rng.random::<f64>() < 0.6 || number == 0 {
-            // Some build on a version that is not there, and some can't be taken.
-            let built_on = if rng.random::<f64>() < 0.85 { base } else { base + 1 };
-            let terms = if rng.random::<f64>() < 0.9 { number + 2 } else { 0 };
+            // Some proposals build on a version that does not exist, and some contain an unacceptable policy.
+            let proposal_base = if rng.random::<f64>() < 0.85 { base } else { base + 1 };
+            let policy = if rng.random::<f64>() < 0.9 { number + 2 } else { 0 };
             plan.steps.push(Step {
-                after_ms: pace,
+                after_ms: delay_ms,
                 action: Action::Propose,
                 request: format!("r{number}"),
-                base: built_on,
-                policy: terms,
+                base: proposal_base,
+                policy,
                 all: rng.random::<f64>() < 0.2,
                 give_up_ms: rng.random_range(800..3000),
                 ..Step::default()
             });
             base += 1;
         }
-        let who = processes.choose(&mut rng).cloned().unwrap_or_default();
-        let way = ways.choose(&mut rng).cloned().unwrap_or_default();
-        let sides = match rng.random_range(0..3) {
+        let process = processes.choose(&mut rng).cloned().unwrap_or_default();
+        let link = links.choose(&mut rng).cloned().unwrap_or_default();
+        let directions = match rng.random_range(0..3) {
             0 => vec![crate::link::Direction::Forward],
             1 => vec![crate::link::Direction::Backward],
             _ => vec![crate::link::Direction::Forward, crate::link::Direction::Backward],
@@ -60,67 +60,68 @@
             to: vec![to.to_owned()],
             ..Step::default()
         };
-        let long = rng.random_range(100..2 * plan.lease_ms);
+        let duration_ms = rng.random_range(100..2 * plan.lease_ms);
         let pair = match rng.random_range(0..8) {
-            0 => vec![step(Action::Kill, &who), end(Action::Start, &who, long)],
-            1 => vec![step(Action::Pause, &who), end(Action::Resume, &who, long)],
-            2 => vec![Step { directions: sides, ..step(Action::Cut, &way) }, end(Action::Heal, &way, long)],
+            0 => vec![step(Action::Kill, &process), end(Action::Start, &process, duration_ms)],
+            1 => vec![step(Action::Pause, &process), end(Action::Resume, &process, duration_ms)],
+            2 => vec![Step { directions, ..step(Action::Cut, &link) }, end(Action::Heal, &link, duration_ms)],
             3 => vec![
-                Step { directions: sides, ms: 60, ..step(Action::Delay, &way) },
-                end(Action::Heal, &way, long),
+                Step { directions, ms: 60, ..step(Action::Delay, &link) },
+                end(Action::Heal, &link, duration_ms),
             ],
-            4 => vec![step(Action::Reset, &way)],
-            5 => vec![Step { request: frame.into(), ..step(Action::Repeat, &way) }],
+            4 => vec![step(Action::Reset, &link)],
+            5 => vec![Step { request: frame.into(), ..step(Action::Repeat, &link) }],
             6 => vec![Step {
                 request: frame.into(),
                 bytes: rng.random_range(0..60),
-                ..step(Action::CutAt, &way)
+                ..step(Action::CutAt, &link)
             }],
             _ => {
                 vec![
-                    Step { request: frame.into(), ..step(Action::Hold, &way) },
-                    end(Action::Release, &way, long),
+                    Step { request: frame.into(), ..step(Action::Hold, &link) },
+                    end(Action::Release, &link, duration_ms),
                 ]
             }
         };
         faults.push(pair);
     }
-    // One fault is over before the next begins, but for those that another step stands between.
+    // The steps of a fault are adjacent, unless a later insertion falls between them.
     for pair in faults {
         let at = rng.random_range(0..=plan.steps.len());
         for (i, step) in pair.into_iter().enumerate() {
             plan.steps.insert((at + i).min(plan.steps.len()), step);
         }
     }
-    // Whatever was begun twice is over at the end.
-    let whole = |action, to: &str| Step { action, to: vec![to.to_owned()], ..Step::default() };
-    plan.steps.push(whole(Action::Heal, "*>*"));
+    // Ends faults that were begun twice.
+    let final_step = |action, to: &str| Step { action, to: vec![to.to_owned()], ..Step::default() };
+    plan.steps.push(final_step(Action::Heal, "*>*"));
     plan
 }
 
-/// Leaves out steps, one after the other, for as long as `fails` says that it still does.
+/// Removes steps one by one while `fails` returns true for the smaller plan, with at most `tries` trials.
 pub fn shrink(plan: &Plan, mut fails: impl FnMut(&Plan) -> bool, mut tries: usize) -> Plan {
-    let mut small = plan.clone();
-    let mut at = small.steps.len();
+    let mut smallest = plan.clone();
+    let mut at = smallest.steps.len();
     while at > 0 && tries > 0 {
         at -= 1;
-        let mut less = small.clone();
-        let gone = less.steps.remove(at);
-        // What begins something takes its end with it.
-        let ends =
-            |s: &Step| s.to == gone.to && matches!(s.action, Action::Start | Action::Resume | Action::Heal);
-        if matches!(gone.action, Action::Kill | Action::Pause | Action::Cut | Action::Delay)
-            && let Some(end) = less.steps[at..].iter().position(ends)
+        let mut candidate = smallest.clone();
+        let removed = candidate.steps.remove(at);
+        // A step that begins a fault is removed together with the step that ends it.
+        let ends = |s: &Step| {
+            s.to == removed.to && matches!(s.action, Action::Start | Action::Resume | Action::Heal)
+        };
+        if matches!(removed.action, Action::Kill | Action::Pause | Action::Cut | Action::Delay)
+            && let Some(end) = candidate.steps[at..].iter().position(ends)
         {
-            less.steps.remove(at + end);
-        } else if matches!(gone.action, Action::Start | Action::Resume) {
+            candidate.steps.remove(at + end);
+        } else if matches!(removed.action, Action::Start | Action::Resume) {
             continue;
         }
         tries -= 1;
-        if less.check().is_ok() && fails(&less) {
-            small = less;
-            at = at.min(small.steps.len());
+        if candidate.check().is_ok() && fails(&candidate) {
+            smallest = candidate;
+            at = at.min(smallest.steps.len());
         }
     }
-    small
+    smallest
 }
--- a/crates/rig/src/run/mod.rs
+++ b/crates/rig/src/run/mod.rs
@@ -186,7 +186,7 @@
         let steps = std::thread::scope(|scope| {
             for number in 0..plan.load.clients {
                 let (nodes, stop) = (&nodes, &stop);
-                scope.spawn(move || clients::ask(number, &plan.load, plan.seed, nodes, stop, seen));
+                scope.spawn(move || clients::run_client(number, &plan.load, plan.seed, nodes, stop, seen));
             }
             scope.spawn(|| seconds::take_samples(&samples, &list_calls, &opened, &stop));
             let steps = self.play_steps();
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -56,7 +56,7 @@
         executors: vec![executors],
         products: vec![
             product(clients::ONE_SHOT, Repeats::OneShot),
-            product(clients::HARMLESS, Repeats::Harmless),
+            product(clients::IDEMPOTENT, Repeats::Harmless),
         ],
         tenants: vec![Tenant { name: "all".into(), ..Tenant::default() }],
         ..Scenario::default()
