--- a/crates/rig/src/stand_ins.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-in executors and discovery on loopback.
+//! Stand-in executors and a stand-in discovery on loopback.
 
 use std::collections::HashMap;
 use std::io::{self, BufReader, Write};
@@ -16,36 +16,39 @@
 use crate::load::MAX_CLIENTS;
 use crate::lock;
 
-/// Where the answer to each job that is held goes, and the id that it names.
-type Waiting = HashMap<Ticket, (TcpStream, String)>;
+/// For each job that is not answered yet: the connection for its answer, and its id.
+type PendingAnswers = HashMap<Ticket, (TcpStream, String)>;
 
-/// A stand-in executor's state, shared by its connections and its clock.
-struct Stand {
-    model: Mutex<(StandIn, Waiting)>,
+/// The state of a stand-in executor, shared by the threads of its connections and of its timers.
+struct Executor {
+    model: Mutex<(StandIn, PendingAnswers)>,
     changed: Condvar,
-    next: AtomicU64,
+    next_ticket: AtomicU64,
     start: Instant,
     stop: Arc<AtomicBool>,
-    seen: Option<Observer>,
+    observer: Option<Observer>,
 }
 
-/// Told of each execution that an executor took, and of each that it dropped before it had begun.
+/// Receives an event for each execution that an executor accepted, for each that it dropped before it had begun, and
+/// for each that exceeded its cold capacity.
 pub type Observer = Arc<dyn Fn(What) + Send + Sync>;
 
-impl Stand {
+impl Executor {
     fn now(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64 + 1
     }
 
+    /// Returns the load report as JSON; empty if the executor reports none.
     fn load(model: &mut StandIn, now: u64) -> String {
         model.report(now).map_or(String::new(), |r| {
-            let figure = |f: Option<f32>| f.unwrap_or(0.0);
-            let (x0, queue, inflight) = (figure(r.free_slots), figure(r.queued_jobs), figure(r.active_jobs));
+            let value = |f: Option<f32>| f.unwrap_or(0.0);
+            let (x0, queue, inflight) = (value(r.free_slots), value(r.queued_jobs), value(r.active_jobs));
             format!("{{\"x0\":{x0},\"queue\":{queue},\"inflight\":{inflight}}}")
         })
     }
 
-    fn line(model: &mut StandIn, now: u64, id: &str, state: &str) -> String {
+    /// Returns a whole answer with the state of a job.
+    fn answer(model: &mut StandIn, now: u64, id: &str, state: &str) -> String {
         let load = Self::load(model, now);
         let load = if load.is_empty() { load } else { format!(",\"load\":{load}") };
         let (from, result) = (model.name(), if state == "done" { ",\"result\":\"ok\"" } else { "" });
@@ -54,8 +57,8 @@
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{line}\r\n0\r\n\r\n")
     }
 
-    /// Answers what is done when it is, for as long as the stand-in runs.
-    fn keep_time(&self) {
+    /// Answers jobs when they are done, until the stand-in stops.
+    fn run_timers(&self) {
         while !self.stop.load(Ordering::Relaxed) {
             let mut guard = lock(&self.model);
             let now = self.now();
@@ -63,7 +66,7 @@
             let mut answers = Vec::with_capacity(done.len());
             for ticket in done {
                 if let Some((socket, id)) = guard.1.remove(&ticket) {
-                    let answer = Self::line(&mut guard.0, now, &id, "done");
+                    let answer = Self::answer(&mut guard.0, now, &id, "done");
                     answers.push((socket, answer));
                 }
             }
@@ -85,12 +88,12 @@
         socket.set_write_timeout(Some(PEER_TIMEOUT))?;
         let mut reader = BufReader::new(socket.try_clone()?);
         let mut socket = socket;
-        let mut held = None;
+        let mut pending = None;
         let end = loop {
             let (head, body) = match read_message(&mut reader) {
                 Ok(Some(message)) => message,
                 Ok(None) => break Ok(()),
-                Err(why) => break Err(why),
+                Err(error) => break Err(error),
             };
             if head.starts_with("GET") {
                 let mut guard = lock(&self.model);
@@ -104,25 +107,25 @@
             }
             let id = header(&head, "req-id").unwrap_or("").to_owned();
             let kind = header(&head, "req-kind").unwrap_or("").to_owned();
-            let ticket = self.next.fetch_add(1, Ordering::Relaxed);
+            let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
             let mut guard = lock(&self.model);
             let now = self.now();
             let answer = match guard.0.offer(now, ticket, &kind) {
                 Offer::Taken => {
-                    if let Some(seen) = &self.seen {
+                    if let Some(observer) = &self.observer {
                         let (executor, key) = (guard.0.name().to_owned(), String::from_utf8_lossy(&body));
                         if guard.0.pushed_over(now, &kind) {
-                            seen(What::PushedOver { executor: executor.clone() });
+                            observer(What::PushedOver { executor: executor.clone() });
                         }
-                        seen(What::Took { id: id.clone(), key: key.into_owned(), executor });
+                        observer(What::Took { id: id.clone(), key: key.into_owned(), executor });
                     }
                     guard.1.insert(ticket, (socket.try_clone()?, id));
-                    held = Some(ticket);
+                    pending = Some(ticket);
                     None
                 }
                 Offer::Lost => None,
-                Offer::Full => Some(Self::line(&mut guard.0, now, &id, "returned")),
-                Offer::Failed => Some(Self::line(&mut guard.0, now, &id, "failed")),
+                Offer::Full => Some(Self::answer(&mut guard.0, now, &id, "returned")),
+                Offer::Failed => Some(Self::answer(&mut guard.0, now, &id, "failed")),
             };
             drop(guard);
             match answer {
@@ -130,12 +133,12 @@
                 None => self.changed.notify_one(),
             }
         };
-        if let Some(ticket) = held {
+        if let Some(ticket) = pending {
             let mut guard = lock(&self.model);
             if let Some((_, id)) = guard.1.remove(&ticket) {
                 let unbegun = guard.0.withdraw(self.now(), ticket);
-                if let Some(seen) = self.seen.as_ref().filter(|_| unbegun) {
-                    seen(What::Unbegun { id });
+                if let Some(observer) = self.observer.as_ref().filter(|_| unbegun) {
+                    observer(What::Unbegun { id });
                 }
                 self.changed.notify_one();
             }
@@ -144,7 +147,8 @@
     }
 }
 
-/// Accepts on a loopback port of the system's choice, and gives each connection a thread, [`MAX_CLIENTS`] at most.
+/// Listens on a loopback port that the system chooses, and serves each connection in its own thread, at most
+/// [`MAX_CLIENTS`] at a time.
 fn accept(
     stop: &Arc<AtomicBool>,
     serve: impl Fn(TcpStream) -> io::Result<()> + Send + Sync + 'static,
@@ -172,69 +176,71 @@
     Ok(address)
 }
 
-/// Stand-in executors and discovery of a scenario, on loopback, until they are dropped.
+/// The stand-in executors and discovery of a scenario, which run on loopback until this is dropped.
 pub struct StandInFleet {
-    /// Where discovery listens.
+    /// The address of the first discovery, whose list has the executors' own addresses.
     pub discovery: SocketAddr,
-    /// Where each executor listens.
+    /// The address of each executor.
     pub executors: Vec<SocketAddr>,
-    stands: Vec<Arc<Stand>>,
+    states: Vec<Arc<Executor>>,
     scenario: Scenario,
     stop: Arc<AtomicBool>,
-    board: Arc<Board>,
-    /// Where lists are told.
-    lists: Mutex<Vec<SocketAddr>>,
-    /// How often a list was asked for.
+    executor_list: Arc<ExecutorList>,
+    /// The addresses of all discoveries.
+    discoveries: Mutex<Vec<SocketAddr>>,
+    /// The number of requests for the list so far.
     pub list_calls: Arc<AtomicU64>,
 }
 
-/// What discovery knows: the lines of the list, and with which version each changed last.
-struct Board {
-    lines: Mutex<(u64, Vec<(u64, Value)>)>,
+/// The state of discovery: the current version, and each entry of the list with the version of its last change.
+struct ExecutorList {
+    entries: Mutex<(u64, Vec<(u64, Value)>)>,
     changed: Condvar,
-    /// What a call takes, and when the next one is looked at: discovery does one after the other.
-    each: Mutex<(Duration, Instant)>,
+    /// The time that a request takes, and when the next one can begin: discovery serves requests one at a time.
+    request_queue: Mutex<(Duration, Instant)>,
 }
 
-/// A call that would wait longer is turned away.
-const QUEUED: Duration = Duration::from_secs(1);
+/// A request that would wait longer is rejected with 503.
+const MAX_QUEUE_DELAY: Duration = Duration::from_secs(1);
 
-impl Board {
-    /// All lines that changed after this version, with addresses as one node is to see them.
+impl ExecutorList {
+    /// Returns the current version and all entries that changed after the given one, with the addresses that the
+    /// node is to use.
     fn since(&self, after: u64, addresses: &[SocketAddr]) -> (u64, Vec<Value>) {
-        let lines = lock(&self.lines);
-        let named = lines.1.iter().zip(addresses).filter(|((at, _), _)| *at > after);
-        let lines_of = named.map(|((_, line), address)| {
-            let mut line = line.clone();
-            line["address"] = json!(address.to_string());
-            line
+        let entries = lock(&self.entries);
+        let changed = entries.1.iter().zip(addresses).filter(|((at, _), _)| *at > after);
+        let visible = changed.map(|((_, entry), address)| {
+            let mut entry = entry.clone();
+            entry["address"] = json!(address.to_string());
+            entry
         });
-        (lines.0, lines_of.collect())
+        (entries.0, visible.collect())
     }
 
+    /// Changes an entry under a new version and wakes the watches.
     fn change(&self, place: usize, change: impl FnOnce(&mut Value)) {
-        let mut lines = lock(&self.lines);
-        lines.0 += 1;
-        let version = lines.0;
-        if let Some(line) = lines.1.get_mut(place) {
+        let mut entries = lock(&self.entries);
+        entries.0 += 1;
+        let version = entries.0;
+        if let Some(line) = entries.1.get_mut(place) {
             change(&mut line.1);
             line.0 = version;
         }
-        drop(lines);
+        drop(entries);
         self.changed.notify_all();
     }
 
-    /// Waits until a call's turn has come. False if there are too many before it.
-    fn turn(&self) -> bool {
-        let mut each = lock(&self.each);
-        let at = each.1.max(Instant::now());
+    /// Waits until a request has been served. Returns false if it would have to wait too long for its turn.
+    fn wait_for_turn(&self) -> bool {
+        let mut queue = lock(&self.request_queue);
+        let at = queue.1.max(Instant::now());
         let wait = at.saturating_duration_since(Instant::now());
-        if wait > QUEUED {
+        if wait > MAX_QUEUE_DELAY {
             return false;
         }
-        each.1 = at + each.0;
-        let wait = wait + each.0;
-        drop(each);
+        queue.1 = at + queue.0;
+        let wait = wait + queue.0;
+        drop(queue);
         std::thread::sleep(wait);
         true
     }
@@ -243,82 +249,82 @@
 impl Drop for StandInFleet {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // Wakes those that wait for the next connection.
-        for address in self.executors.iter().chain(lock(&self.lists).iter()) {
+        // Wakes the threads that wait for the next connection.
+        for address in self.executors.iter().chain(lock(&self.discoveries).iter()) {
             let _ = TcpStream::connect_timeout(address, Duration::from_millis(100));
         }
     }
 }
 
 impl StandInFleet {
-    /// Starts as many as the scenario has.
+    /// Starts the executors of the scenario and discovery.
     ///
     /// # Errors
     ///
-    /// No address or descriptor is left.
+    /// The system has no address or descriptor left.
     pub fn start(scenario: &Scenario) -> io::Result<Self> {
         Self::start_observed(scenario, None)
     }
 
-    /// As [`StandInFleet::start`], with somebody who is told what executors take.
+    /// Starts a fleet as [`StandInFleet::start`] does, with an observer of the executors.
     ///
     /// # Errors
     ///
-    /// As there.
-    pub fn start_observed(scenario: &Scenario, seen: Option<Observer>) -> io::Result<Self> {
+    /// The system has no address or descriptor left.
+    pub fn start_observed(scenario: &Scenario, observer: Option<Observer>) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let count: u32 = scenario.executors.iter().map(|e| e.count).sum();
-        let (mut stands, mut executors, mut endpoints) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut states, mut executors, mut endpoints) = (Vec::new(), Vec::new(), Vec::new());
         for index in 0..count as usize {
             let model = StandIn::new(scenario, index);
             let entry = json!({"name": model.name(), "zone": format!("z{}", model.zone()), "type": model.kind(),
                 "group": model.group(), "status": "active", "weight": 1.0, "since_ms": 0});
-            let stand = Arc::new(Stand {
+            let executor = Arc::new(Executor {
                 model: Mutex::new((model, HashMap::new())),
                 changed: Condvar::new(),
-                next: AtomicU64::new(1),
+                next_ticket: AtomicU64::new(1),
                 start: Instant::now(),
                 stop: Arc::clone(&stop),
-                seen: seen.clone(),
+                observer: observer.clone(),
             });
-            let served = Arc::clone(&stand);
-            let address = accept(&stop, move |socket| served.serve(socket))?;
-            let timed = Arc::clone(&stand);
-            std::thread::spawn(move || timed.keep_time());
+            let serving = Arc::clone(&executor);
+            let address = accept(&stop, move |socket| serving.serve(socket))?;
+            let timed = Arc::clone(&executor);
+            std::thread::spawn(move || timed.run_timers());
             let mut entry = entry;
             entry["address"] = json!(address.to_string());
             endpoints.push(entry);
             executors.push(address);
-            stands.push(stand);
+            states.push(executor);
         }
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let board = Board {
-            lines: Mutex::new((1, endpoints.into_iter().map(|line| (1, line)).collect())),
+        let executor_list = ExecutorList {
+            entries: Mutex::new((1, endpoints.into_iter().map(|entry| (1, entry)).collect())),
             changed: Condvar::new(),
-            each: Mutex::new((Duration::ZERO, Instant::now())),
+            request_queue: Mutex::new((Duration::ZERO, Instant::now())),
         };
         let mut fleet = Self {
             discovery: nowhere,
             executors,
-            stands,
+            states,
             scenario: scenario.clone(),
             stop,
-            board: Arc::new(board),
-            lists: Mutex::default(),
+            executor_list: Arc::new(executor_list),
+            discoveries: Mutex::default(),
             list_calls: Arc::default(),
         };
         fleet.discovery = fleet.discovery_with(&fleet.executors.clone())?;
         Ok(fleet)
     }
 
-    /// A discovery whose list names these addresses in place of the executors' own.
+    /// Starts a discovery whose list has these addresses in place of the executors' own, and returns its address.
     ///
     /// # Errors
     ///
-    /// No address is left.
+    /// The system has no address left.
     pub fn discovery_with(&self, addresses: &[SocketAddr]) -> io::Result<SocketAddr> {
-        let (board, addresses) = (Arc::clone(&self.board), addresses.to_vec());
-        let stopped = Arc::clone(&self.stop);
+        let (executor_list, addresses) = (Arc::clone(&self.executor_list), addresses.to_vec());
+        let stop = Arc::clone(&self.stop);
         let calls = Arc::clone(&self.list_calls);
         let discovery = accept(&self.stop, move |socket| {
             socket.set_read_timeout(Some(PEER_TIMEOUT))?;
@@ -326,18 +332,18 @@
             let mut socket = socket;
             while let Some((head, _)) = read_message(&mut reader)? {
                 calls.fetch_add(1, Ordering::Relaxed);
-                if !board.turn() {
+                if !executor_list.wait_for_turn() {
                     socket
                         .write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")?;
                     break;
                 }
                 let after =
                     head.split_once("&after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
-                let (mut version, lines) = board.since(after.unwrap_or(0), &addresses);
-                let list = |version: u64, whole: bool, lines: Vec<Value>| {
-                    json!({"index": version, "snapshot": whole, "endpoints": lines}).to_string()
+                let (mut version, entries) = executor_list.since(after.unwrap_or(0), &addresses);
+                let message = |version: u64, whole: bool, entries: Vec<Value>| {
+                    json!({"index": version, "snapshot": whole, "endpoints": entries}).to_string()
                 };
-                let first = list(version, after.is_none(), lines);
+                let first = message(version, after.is_none(), entries);
                 if !head.contains("watch=1") {
                     let length = first.len();
                     write!(socket, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{first}")?;
@@ -348,67 +354,68 @@
                     socket,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{first}\n\r\n"
                 )?;
-                while !stopped.load(Ordering::Relaxed) {
-                    let known = lock(&board.lines);
-                    if known.0 == version {
-                        drop(board.changed.wait_timeout(known, Duration::from_secs(1)));
+                while !stop.load(Ordering::Relaxed) {
+                    let current = lock(&executor_list.entries);
+                    if current.0 == version {
+                        drop(executor_list.changed.wait_timeout(current, Duration::from_secs(1)));
                     } else {
-                        drop(known);
+                        drop(current);
                     }
-                    let (newer, lines) = board.since(version, &addresses);
+                    let (newer, entries) = executor_list.since(version, &addresses);
                     version = newer;
-                    let line = if lines.is_empty() { String::new() } else { list(version, false, lines) };
+                    let line =
+                        if entries.is_empty() { String::new() } else { message(version, false, entries) };
                     write!(socket, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
                 }
             }
             Ok(())
         })?;
-        lock(&self.lists).push(discovery);
+        lock(&self.discoveries).push(discovery);
         Ok(discovery)
     }
 
-    /// From now on each call for the list takes so long, one after the other.
-    pub fn set_list_delay(&self, each: Duration) {
-        lock(&self.board.each).0 = each;
+    /// Sets the time that discovery takes for each request for the list. Requests are served one at a time.
+    pub fn set_list_delay(&self, delay: Duration) {
+        lock(&self.executor_list.request_queue).0 = delay;
     }
 
-    /// An executor's process is another from now on, cold and with nothing in hand. Its connections are for whoever
-    /// has the ways to break.
+    /// Replaces an executor's process by a cold one without active jobs. Connections over a proxied link are left for
+    /// the caller to break.
     pub fn replace_executor(&self, place: usize) {
-        let Some(stand) = self.stands.get(place) else { return };
-        let mut guard = lock(&stand.model);
+        let Some(executor) = self.states.get(place) else { return };
+        let mut guard = lock(&executor.model);
         let mut model = StandIn::new(&self.scenario, place);
-        model.begun(stand.now());
+        model.begun(executor.now());
         guard.0 = model;
-        for (socket, _) in guard.1.drain().map(|(_, held)| held) {
+        for (socket, _) in guard.1.drain().map(|(_, pending)| pending) {
             let _ = socket.shutdown(std::net::Shutdown::Both);
         }
         drop(guard);
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        self.board.change(place, |line| line["since_ms"] = json!(unix.as_secs_f64() * 1e3));
+        self.executor_list.change(place, |line| line["since_ms"] = json!(unix.as_secs_f64() * 1e3));
     }
 
-    /// Discovery tells this of an executor from now on: `active`, `draining`, `left`.
+    /// Sets the status that discovery reports for an executor: `active`, `draining` or `left`.
     pub fn set_status(&self, place: usize, status: &str) {
-        self.board.change(place, |line| line["status"] = json!(status));
+        self.executor_list.change(place, |line| line["status"] = json!(status));
     }
 
-    /// Begins or ends a trouble at one executor.
+    /// Begins or ends a fault at one executor.
     pub fn set_executor_fault(&self, place: usize, kind: linestack_world::Fault, size: f64, begins: bool) {
-        let Some(stand) = self.stands.get(place) else { return };
-        let now = stand.now();
-        lock(&stand.model).0.ail(now, kind, size, begins);
-        stand.changed.notify_one();
+        let Some(executor) = self.states.get(place) else { return };
+        let now = executor.now();
+        lock(&executor.model).0.ail(now, kind, size, begins);
+        executor.changed.notify_one();
     }
 
-    /// Begins or ends a trouble at the first executors that make up its part.
+    /// Begins or ends a fault at the first executors that make up its share of the fleet. Returns their number.
     pub fn set_trouble(&self, t: &Trouble, begins: bool) -> usize {
-        let count = ((self.stands.len() as f64 * t.part).round() as usize).clamp(1, self.stands.len());
+        let count = ((self.states.len() as f64 * t.part).round() as usize).clamp(1, self.states.len());
         (0..count).for_each(|place| self.set_executor_fault(place, t.kind, t.size, begins));
         count
     }
 
-    /// Plays the scenario's troubles at their times, counted from now.
+    /// Carries out the scenario's faults at their times, counted from now.
     pub fn play_troubles(self: &Arc<Self>) {
         for t in self.scenario.troubles.clone() {
             let fleet = Arc::clone(self);
@@ -421,7 +428,7 @@
         }
     }
 
-    /// The file that a node is started with.
+    /// Returns the configuration file of a node.
     #[must_use]
     pub fn configuration(&self, name: &str, seed: u64) -> Value {
         let s = &self.scenario;
@@ -435,34 +442,34 @@
                 "effect": effect(p.repeats), "dedupScope": "cell", "memorySpanMs": p.memory_s * 1e3,
                 "payoff": p.payoff, "latePayoff": p.late_payoff})
         }).collect();
-        let shares: f64 = s.tenants.iter().map(|t| t.share).sum();
+        let total_share: f64 = s.tenants.iter().map(|t| t.share).sum();
         let tenants: Vec<Value> = s
             .tenants
             .iter()
-            .map(|t| json!({"name": t.name, "quotaPerS": s.rate() * t.share / shares.max(1e-9)}))
+            .map(|t| json!({"name": t.name, "quotaPerS": s.rate() * t.share / total_share.max(1e-9)}))
             .collect();
-        let least = |f: &dyn Fn(&linestack_world::Executors) -> f64| {
+        let minimum = |f: &dyn Fn(&linestack_world::Executors) -> f64| {
             s.executors.iter().map(f).fold(f64::INFINITY, f64::min)
         };
         let kinds: Vec<&str> = s.executors.iter().map(|e| e.kind.as_str()).collect();
         let zones: Vec<String> = (0..s.zones).map(|z| format!("z{z}")).collect();
         let cold_s = s.executors.iter().map(|e| e.cold_s).fold(0.0, f64::max);
-        let l = &s.limits;
+        let limits = &s.limits;
         json!({"name": name, "seed": format!("{seed:x}"), "listen": "127.0.0.1:0",
             "discovery": self.discovery.to_string(),
             "limits": {"memory_mb": s.nodes.memory_mb, "sockets": s.nodes.sockets},
             "settings": {
-                "az": 0, "balancers": s.nodes.count, "discovery": "push", "excessPayoff": l.excess_payoff,
-                "deductions": {"probe": l.probe_price, "crossZone": l.crossing_price},
+                "az": 0, "balancers": s.nodes.count, "discovery": "push", "excessPayoff": limits.excess_payoff,
+                "deductions": {"probe": limits.probe_price, "crossZone": limits.crossing_price},
                 "familyInfo": {"progressMs": s.progress_s * 1e3, "reportX0": "free slots", "tellsStart": false},
-                "invariants": {"answerSlackMs": l.answer_slack_ms, "coldFrom": least(&|e| e.cold_from),
+                "invariants": {"answerSlackMs": limits.answer_slack_ms, "coldFrom": minimum(&|e| e.cold_from),
                     "coldMs": cold_s * 1e3, "drainGraceMs": s.rules.drain_grace_ms,
                     "fallMs": s.rules.fall_window_ms, "fallMultiple": s.rules.fall_multiple},
                 "kinds": kinds, "zones": zones,
-                "limits": {"cancel": l.may_cancel, "connIdleMs": least(&|e| e.idle_s) * 1e3,
-                    "connectTimeoutMs": l.connect_ms, "maxExecutions": l.max_executions,
-                    "maxRetryAfterMs": l.come_back_ms, "mayDuplicate": l.may_duplicate,
-                    "mayProbe": l.may_probe, "retryAfter": l.come_back_ms > 0.0},
+                "limits": {"cancel": limits.may_cancel, "connIdleMs": minimum(&|e| e.idle_s) * 1e3,
+                    "connectTimeoutMs": limits.connect_ms, "maxExecutions": limits.max_executions,
+                    "maxRetryAfterMs": limits.come_back_ms, "mayDuplicate": limits.may_duplicate,
+                    "mayProbe": limits.may_probe, "retryAfter": limits.come_back_ms > 0.0},
                 "products": products,
                 "report": {"fields": if s.reports.told { vec!["x0", "backlog", "outstanding"] } else { vec![] }},
                 "tenants": tenants}})
