--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -1,4 +1,4 @@
-//! A link from one process to another: a TCP proxy that passes everything on until it is told to fail.
+//! A link from one process to another: a TCP proxy that forwards all bytes and injects faults on request.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{self, Read, Write};
@@ -12,52 +12,53 @@
 
 use crate::lock;
 
-/// How often a connection that waits for a cut to end looks whether it is still wanted.
+/// The interval at which a connection that waits for the end of a cut checks whether it was closed.
 const CUT_POLL: Duration = Duration::from_millis(20);
-/// The same for one that waits for bytes: it is woken when its connection is broken, and there are thousands.
+/// The same interval for a connection that waits for bytes. It is longer because a broken connection wakes its reader,
+/// and there are thousands of connections.
 const READ_POLL: Duration = Duration::from_millis(250);
-/// How long a link waits for its target to accept a connection.
+/// The time limit for connecting to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most connections on one link at a time; those beyond it are closed at once. A link to a coordinator carries one
-/// of every node.
+/// The maximum number of connections on one link at a time; connections beyond it are closed at once. A link to a
+/// coordinator may carry one connection from each node.
 const MAX_CONNECTIONS: u64 = 4096;
-/// Bytes of the stack of a thread that passes bytes on: its read buffer, and room to spare. A connection takes two.
+/// The stack size in bytes of a forwarding thread: its read buffer and a reserve. Each connection has two such threads.
 const THREAD_STACK: usize = 256 * 1024;
-/// Bytes that are read at once.
+/// The size in bytes of a read buffer.
 const READ_BUFFER: usize = 16 * 1024;
-/// Bytes that a throttled link passes on at once.
+/// The number of bytes that a throttled link forwards at once.
 const THROTTLED_CHUNK: usize = 64;
 
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// From the one that connects to the one that listens.
+    /// From the connecting process to the listening process.
     #[serde(rename = "forth")]
     Forward,
-    /// From the one that listens to the one that connects.
+    /// From the listening process to the connecting process.
     #[serde(rename = "back")]
     Backward,
 }
 
-/// What is to happen to the next frame of a kind.
+/// A fault for the next frame of a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameFault {
-    /// Pass this many of its bytes, then break the connection.
+    /// Forwards this many of its bytes, then breaks the connection.
     CutAt(usize),
-    /// Pass it twice.
+    /// Forwards it twice.
     Repeat,
-    /// Hold it until [`Link::release`], and pass what comes after it first.
+    /// Holds it until [`Link::release`] while later frames pass.
     Hold,
 }
 
-/// Called with the link's name, the side and the frame's kind for each frame that has passed. The
-/// connection stands still until it returns.
+/// Called with the link's name, the direction and the kind of each frame that has passed. The connection forwards
+/// nothing in that direction until the call returns.
 pub type FrameObserver = Arc<dyn Fn(&str, Direction, u8) + Send + Sync>;
 
-/// The proxy, which runs until it is dropped.
+/// A proxied link, which runs until it is dropped.
 pub struct Link {
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
     proxy: Arc<Proxy>,
 }
@@ -81,41 +82,41 @@
 
 /// Both sockets of a connection over the link.
 struct SocketPair {
-    /// To the one that connected.
+    /// The socket to the process that connected.
     near: TcpStream,
-    /// To the target.
+    /// The socket to the target.
     far: TcpStream,
 }
 
-/// The faults that are in force now. Arrays are indexed by [`index_of`].
+/// The active faults. Arrays are indexed by [`index_of`].
 #[derive(Default)]
 struct Faults {
     cut: [bool; 2],
     delay: [Duration; 2],
-    /// Bytes a second; 0 is no limit.
+    /// Bytes per second; 0 means unlimited.
     rate: [u64; 2],
     next_frames: Vec<PendingFrameFault>,
     held: Vec<HeldFrame>,
 }
 
-/// A fault that the next frame of a kind on a side will see.
+/// A fault that the next frame of a kind in a direction will see.
 struct PendingFrameFault {
-    side: Direction,
+    direction: Direction,
     kind: u8,
     fault: FrameFault,
 }
 
 struct HeldFrame {
     connection: ConnectionNumber,
-    side: Direction,
+    direction: Direction,
     bytes: Vec<u8>,
 }
 
-/// The connection can't go on, or is no longer wanted.
+/// The connection is broken, or the link was reset or dropped.
 struct Disconnected;
 
-fn index_of(side: Direction) -> usize {
-    usize::from(side == Direction::Backward)
+fn index_of(direction: Direction) -> usize {
+    usize::from(direction == Direction::Backward)
 }
 
 impl Drop for Link {
@@ -129,7 +130,8 @@
 }
 
 impl Link {
-    /// Opens a link that leads nowhere yet. `framed` says that frames pass here, which can be told apart.
+    /// Opens a link without a target. `framed` says that the link carries frames, so that faults can affect single
+    /// frames.
     ///
     /// # Errors
     ///
@@ -155,19 +157,19 @@
         Ok(Self { address, proxy })
     }
 
-    /// Connections lead to this address from now on. With none they are refused.
+    /// Sets the address to which new connections lead. Without one, connections are refused.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         *lock(&self.proxy.target) = target;
     }
 
-    /// Whether the connection from this address ever reached the target. Where not, it was refused: only
-    /// that the refusal comes a moment late.
+    /// Returns whether the connection from this address ever reached the target. If not, the proxy refused it, although
+    /// only after it had been accepted.
     #[must_use]
     pub fn reached_target(&self, from: SocketAddr) -> bool {
         lock(&self.proxy.reached).contains(&from)
     }
 
-    /// Connections made so far.
+    /// Returns the number of connections so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.proxy.opened.load(Ordering::Relaxed)
@@ -178,44 +180,44 @@
         self.proxy.faults_changed.notify_all();
     }
 
-    /// Nothing passes on these sides until the link is healed; what comes meanwhile waits, as with a network
-    /// that is cut and sends again.
-    pub fn cut(&self, sides: &[Direction]) {
-        self.change_faults(|f| sides.iter().for_each(|s| f.cut[index_of(*s)] = true));
+    /// Stops forwarding in these directions until the link is healed. Bytes are kept meanwhile, as TCP retransmits them
+    /// after a network outage.
+    pub fn cut(&self, directions: &[Direction]) {
+        self.change_faults(|f| directions.iter().for_each(|s| f.cut[index_of(*s)] = true));
     }
 
-    /// All faults end. Frames that are held stay so.
+    /// Ends all faults. Held frames stay held.
     pub fn heal(&self) {
         self.change_faults(|f| *f = Faults { held: std::mem::take(&mut f.held), ..Faults::default() });
     }
 
-    /// Everything that passes on these sides is delayed by this time, read by read.
-    pub fn delay(&self, sides: &[Direction], by: Duration) {
-        self.change_faults(|f| sides.iter().for_each(|s| f.delay[index_of(*s)] = by));
+    /// Delays the bytes of each read in these directions by this time.
+    pub fn delay(&self, directions: &[Direction], by: Duration) {
+        self.change_faults(|f| directions.iter().for_each(|s| f.delay[index_of(*s)] = by));
     }
 
-    /// These sides pass so many bytes a second.
-    pub fn throttle(&self, sides: &[Direction], rate: u64) {
-        self.change_faults(|f| sides.iter().for_each(|s| f.rate[index_of(*s)] = rate));
+    /// Limits these directions to `rate` bytes per second.
+    pub fn throttle(&self, directions: &[Direction], rate: u64) {
+        self.change_faults(|f| directions.iter().for_each(|s| f.rate[index_of(*s)] = rate));
     }
 
-    /// The next frame of a kind sees this fault. Does nothing where no frames pass.
-    pub fn fail_next_frame(&self, side: Direction, kind: u8, fault: FrameFault) {
-        self.change_faults(|f| f.next_frames.push(PendingFrameFault { side, kind, fault }));
+    /// Applies a fault to the next frame of a kind. Has no effect on a link that is not framed.
+    pub fn fail_next_frame(&self, direction: Direction, kind: u8, fault: FrameFault) {
+        self.change_faults(|f| f.next_frames.push(PendingFrameFault { direction, kind, fault }));
     }
 
-    /// What was held goes out, each frame on its connection if that is still there.
+    /// Forwards the held frames, each on its connection if that still exists.
     pub fn release(&self) {
         let held = std::mem::take(&mut lock(&self.proxy.faults).held);
         for frame in held {
             if let Some(pair) = lock(&self.proxy.connections).get(&frame.connection) {
-                let mut to = if frame.side == Direction::Forward { &pair.far } else { &pair.near };
+                let mut to = if frame.direction == Direction::Forward { &pair.far } else { &pair.near };
                 let _ = to.write_all(&frame.bytes);
             }
         }
     }
 
-    /// Breaks all its connections by a reset.
+    /// Resets all connections of the link.
     pub fn reset(&self) {
         for SocketPair { near, far } in lock(&self.proxy.connections).values() {
             for socket in [near, far] {
@@ -226,7 +228,7 @@
     }
 }
 
-/// Has a socket end by a reset when it is closed.
+/// Makes a socket send a reset when it is closed.
 fn reset_on_close(socket: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO))
 }
@@ -261,10 +263,10 @@
 
     /// Connects to the target and passes bytes in both directions until the connection ends.
     fn serve(self: &Arc<Self>, connection: ConnectionNumber, near: TcpStream) -> io::Result<()> {
-        // The port may have been another's before.
+        // The port may have been used by an earlier connection.
         lock(&self.reached).remove(&near.peer_addr()?);
         let Some(far) = self.connect() else {
-            // Nobody listens there: as a machine that is up says so.
+            // Nothing listens at the target: resets the connection, as a running machine refuses one.
             return reset_on_close(&near);
         };
         for socket in [&near, &far] {
@@ -276,8 +278,9 @@
         let (back_from, back_to) = (far.try_clone()?, near.try_clone()?);
         let proxy = Arc::clone(self);
         let thread = std::thread::Builder::new().stack_size(THREAD_STACK);
-        let back = thread.spawn(move || proxy.pump(connection, Direction::Backward, back_from, back_to))?;
-        self.pump(connection, Direction::Forward, near, far);
+        let back = thread
+            .spawn(move || proxy.forward_direction(connection, Direction::Backward, back_from, back_to))?;
+        self.forward_direction(connection, Direction::Forward, near, far);
         let _ = back.join();
         lock(&self.connections).remove(&connection);
         Ok(())
@@ -288,11 +291,17 @@
         TcpStream::connect_timeout(&target, CONNECT_TIMEOUT).ok()
     }
 
-    /// Passes one side of a connection on until it ends, and then passes on how it ended.
-    fn pump(&self, connection: ConnectionNumber, side: Direction, mut from: TcpStream, mut to: TcpStream) {
-        let ended = self.pass_all(connection, side, &mut from, &mut to);
-        // The end is something that passes, too.
-        if ended.is_ok() && self.wait_until_uncut(connection, side).is_ok() {
+    /// Forwards one direction of a connection until it ends, and then forwards its end: an orderly close or a reset.
+    fn forward_direction(
+        &self,
+        connection: ConnectionNumber,
+        direction: Direction,
+        mut from: TcpStream,
+        mut to: TcpStream,
+    ) {
+        let ended = self.forward_stream(connection, direction, &mut from, &mut to);
+        // The end of the stream is held back by a cut, too.
+        if ended.is_ok() && self.wait_while_cut(connection, direction).is_ok() {
             let _ = to.shutdown(Shutdown::Write);
         } else {
             let _ = reset_on_close(&to);
@@ -301,11 +310,11 @@
         }
     }
 
-    /// Passes on what is read, up to an orderly end.
-    fn pass_all(
+    /// Forwards bytes until the end of the stream.
+    fn forward_stream(
         &self,
         connection: ConnectionNumber,
-        side: Direction,
+        direction: Direction,
         from: &mut TcpStream,
         to: &mut TcpStream,
     ) -> Result<(), Disconnected> {
@@ -324,18 +333,18 @@
             };
             if self.framed {
                 reader.push(&buffer[..length]);
-                self.pass_frames(connection, side, &mut reader, to)?;
+                self.forward_frames(connection, direction, &mut reader, to)?;
             } else {
-                self.pass(connection, side, &buffer[..length], to)?;
+                self.forward(connection, direction, &buffer[..length], to)?;
             }
         }
     }
 
-    /// Passes on the whole frames that a reader holds, with the faults that wait for them.
-    fn pass_frames(
+    /// Forwards the complete frames in a reader's buffer and applies pending frame faults.
+    fn forward_frames(
         &self,
         connection: ConnectionNumber,
-        side: Direction,
+        direction: Direction,
         reader: &mut Reader,
         to: &mut TcpStream,
     ) -> Result<(), Disconnected> {
@@ -343,48 +352,48 @@
             let frame = match reader.next_frame() {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
-                // No frame: whoever reads it is to find out.
-                Err(_) => return self.pass(connection, side, std::mem::take(reader).buffered(), to),
+                // The bytes are not a frame: the receiver is left to detect that.
+                Err(_) => return self.forward(connection, direction, std::mem::take(reader).buffered(), to),
             };
             let bytes = encode(frame.kind, &frame.body).map_err(|_| Disconnected)?;
-            match self.take_frame_fault(side, frame.kind) {
-                None => self.pass(connection, side, &bytes, to)?,
+            match self.take_frame_fault(direction, frame.kind) {
+                None => self.forward(connection, direction, &bytes, to)?,
                 Some(FrameFault::Repeat) => {
-                    self.pass(connection, side, &[&bytes[..], &bytes].concat(), to)?;
+                    self.forward(connection, direction, &[&bytes[..], &bytes].concat(), to)?;
                 }
                 Some(FrameFault::CutAt(at)) => {
-                    self.pass(connection, side, &bytes[..at.min(bytes.len())], to)?;
+                    self.forward(connection, direction, &bytes[..at.min(bytes.len())], to)?;
                     return Err(Disconnected);
                 }
                 Some(FrameFault::Hold) => {
-                    lock(&self.faults).held.push(HeldFrame { connection, side, bytes });
+                    lock(&self.faults).held.push(HeldFrame { connection, direction, bytes });
                 }
             }
-            (self.observer)(&self.name, side, frame.kind);
+            (self.observer)(&self.name, direction, frame.kind);
         }
     }
 
-    /// The fault that the next frame of a kind is to see, if any; it is then no longer pending.
-    fn take_frame_fault(&self, side: Direction, kind: u8) -> Option<FrameFault> {
+    /// Removes and returns the pending fault for a frame of this kind, if any.
+    fn take_frame_fault(&self, direction: Direction, kind: u8) -> Option<FrameFault> {
         let pending = &mut lock(&self.faults).next_frames;
-        let found = pending.iter().position(|p| (p.side, p.kind) == (side, kind))?;
+        let found = pending.iter().position(|p| (p.direction, p.kind) == (direction, kind))?;
         Some(pending.remove(found).fault)
     }
 
-    /// Passes bytes on as the faults in force have it.
-    fn pass(
+    /// Forwards bytes subject to the active delay, cut and rate limit.
+    fn forward(
         &self,
         connection: ConnectionNumber,
-        side: Direction,
+        direction: Direction,
         bytes: &[u8],
         to: &mut TcpStream,
     ) -> Result<(), Disconnected> {
         let (delay, rate) = {
             let faults = lock(&self.faults);
-            (faults.delay[index_of(side)], faults.rate[index_of(side)])
+            (faults.delay[index_of(direction)], faults.rate[index_of(direction)])
         };
         std::thread::sleep(delay);
-        self.wait_until_uncut(connection, side)?;
+        self.wait_while_cut(connection, direction)?;
         if rate == 0 {
             return to.write_all(bytes).map_err(|_| Disconnected);
         }
@@ -398,10 +407,10 @@
         Ok(())
     }
 
-    /// Waits until nothing is cut on this side. Fails if the connection is no longer wanted.
-    fn wait_until_uncut(&self, connection: ConnectionNumber, side: Direction) -> Result<(), Disconnected> {
+    /// Waits until this direction is not cut. Fails if the connection was closed or the link stopped.
+    fn wait_while_cut(&self, connection: ConnectionNumber, direction: Direction) -> Result<(), Disconnected> {
         let mut faults = lock(&self.faults);
-        while faults.cut[index_of(side)] {
+        while faults.cut[index_of(direction)] {
             if self.stopped() || !lock(&self.connections).contains_key(&connection) {
                 return Err(Disconnected);
             }
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -16,18 +16,18 @@
 use crate::plan::{Action, DOWN, LEADER, Step, name_matches};
 use crate::process::{PROCESS_TIMEOUT, Process, copy_folder};
 
-/// The variable that names a fault to a process; test builds alone know it.
+/// The environment variable with a fault for a process to inject; only test builds read it.
 const FAULT_VARIABLE: &str = "LINESTACK_FAULT";
 
-/// No kind of frame.
+/// A number that no kind of frame has.
 const NO_FRAME_KIND: u8 = u8::MAX;
 
 impl Rig<'_> {
-    /// Does what a step says.
+    /// Carries out the action of a step.
     pub(super) fn carry_out(&mut self, step: &Step) -> io::Result<()> {
         match step.action {
-            deed if deed.targets_links() => self.act_on_links(step),
-            deed if deed.targets_executors() => self.act_on_executors(step),
+            action if action.targets_links() => self.act_on_links(step),
+            action if action.targets_executors() => self.act_on_executors(step),
             Action::Overbook => self.overbook(step),
             Action::Abort => self.abort(step),
             Action::Propose => return self.propose(step),
@@ -38,12 +38,12 @@
         Ok(())
     }
 
-    /// Writes into the history what was done to whom.
-    pub(super) fn note(&self, deed: &str, to: &str) {
-        self.write("rig", What::Did { deed: deed.to_owned(), to: to.to_owned() });
+    /// Records an action and its target in the history.
+    pub(super) fn note(&self, action: &str, to: &str) {
+        self.write("rig", What::Did { deed: action.to_owned(), to: to.to_owned() });
     }
 
-    /// Writes a line into the history in the name of a process.
+    /// Writes a line into the history on behalf of a process.
     pub(super) fn write(&self, by: &str, what: What) {
         let _ = self.history.send(Line::new(monotonic(), by, 0, what));
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Each call for the list takes the step's time from now on.
+    /// Sets the time that discovery takes for each request for the list.
     fn overbook(&self, step: &Step) {
         self.note(&name_of(Action::Overbook), "d");
         self.fleet.set_list_delay(Duration::from_millis(step.ms));
@@ -78,7 +78,7 @@
         }
     }
 
-    /// An executor is another from now on, cold, and its connections are broken.
+    /// Replaces an executor by a cold one and resets its connections.
     fn renew_executor(&self, place: usize, name: &str) {
         self.fleet.replace_executor(place);
         let pattern = format!("*>{name}");
@@ -87,10 +87,11 @@
     }
 
     fn act_on_processes(&mut self, step: &Step) -> io::Result<()> {
-        let names = self.processes_meant(step);
-        // What is done to many is done to all of them at once, as far as that can be.
+        let names = self.target_processes(step);
+        // An action applies to all its targets as nearly at once as possible: starts follow together below.
         for name in &names {
-            // What takes effect at once is noted before, so that nothing seen after it comes earlier.
+            // An action that takes effect at once is recorded first, so that its effects never precede it in the
+            // history.
             let noted_first = matches!(step.action, Action::Kill | Action::Pause | Action::Stop);
             if noted_first {
                 self.note(&name_of(step.action), name);
@@ -109,16 +110,16 @@
         if step.expect_failure { self.start_refused(&names) } else { self.start(&names) }
     }
 
-    /// The processes that a step is done to. Those that run need no start.
-    fn processes_meant(&self, step: &Step) -> Vec<String> {
-        let speaker = |to: &String| if to == LEADER { self.speaker() } else { to.clone() };
-        let to: Vec<String> = step.to.iter().map(speaker).collect();
-        let is_meant = |name: &str, process: &Process| {
+    /// Returns the processes that a step targets. A start skips processes that already run.
+    fn target_processes(&self, step: &Step) -> Vec<String> {
+        let resolve = |to: &String| if to == LEADER { self.leader() } else { to.clone() };
+        let to: Vec<String> = step.to.iter().map(resolve).collect();
+        let is_target = |name: &str, process: &Process| {
             to.iter().any(|to| name_matches(to, name) || (to == DOWN && !process.running()))
         };
         let wanted = |process: &Process| !is_start(step.action) || !process.running();
         let processes = self.processes.iter();
-        processes.filter(|(n, p)| is_meant(n, p) && wanted(p)).map(|(n, _)| n.clone()).collect()
+        processes.filter(|(n, p)| is_target(n, p) && wanted(p)).map(|(n, _)| n.clone()).collect()
     }
 
     fn act_on_process(&mut self, step: &Step, name: &str) -> io::Result<()> {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Another with an empty store gets a coordinator's number, and will be started instead.
+    /// Has the coordinators give a coordinator's number to a replacement with an empty store, and prepares its start.
     fn replace(&mut self, name: &str) -> io::Result<()> {
         let replacement = self.request_replacement(name.trim_start_matches('c'))?;
         let process = self.process(name)?;
@@ -147,7 +148,7 @@
         Ok(())
     }
 
-    /// Other settings stand in a node's own file; it is told so if it runs.
+    /// Writes another policy into a node's own file, and sends SIGHUP to the node if it runs.
     fn change_file(&mut self, name: &str, number: u64) -> io::Result<()> {
         let mut settings = self.policy(number);
         let process = self.process(name)?;
@@ -161,7 +162,7 @@
         if process.running() { process.signal(Signal::HUP) } else { Ok(()) }
     }
 
-    /// Nodes that start with nothing stored have new stores, which know that earlier ones are lost.
+    /// Creates new stores, which record that an earlier store was lost, for nodes that start with an empty one.
     fn init_lost_stores(&self, names: &[String]) -> io::Result<()> {
         for name in names.iter().filter(|name| name.starts_with('n')) {
             self.init_store(&store_of(&self.processes[name]), Earlier::Lost)?;
@@ -169,27 +170,27 @@
         Ok(())
     }
 
-    /// What two processes that do not run have stored changes places.
+    /// Swaps the stores of two processes that do not run.
     fn swap_stores(&self, to: &[String]) -> io::Result<()> {
         let [a, b] = to else { return Err(io::Error::other("two change places")) };
         let store = |name: &String| self.processes.get(name).filter(|p| !p.running()).map(Process::store);
         let (Some(a), Some(b)) = (store(a), store(b)) else { return Err(io::Error::other("both are down")) };
-        let aside = a.with_file_name("swapped");
-        fs::rename(&a, &aside)?;
+        let temporary = a.with_file_name("swapped");
+        fs::rename(&a, &temporary)?;
         fs::rename(&b, &a)?;
-        fs::rename(&aside, &b)
+        fs::rename(&temporary, &b)
     }
 }
 
-/// A deed's name, as plans and histories have it.
-fn name_of(deed: Action) -> String {
-    let value = serde_json::to_value(deed).unwrap_or_default();
+/// Returns the name of an action in plans and histories.
+fn name_of(action: Action) -> String {
+    let value = serde_json::to_value(action).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
 
-fn is_start(deed: Action) -> bool {
+fn is_start(action: Action) -> bool {
     matches!(
-        deed,
+        action,
         Action::Start | Action::StartEmpty | Action::StartOlder | Action::StartRolledBack | Action::Replace
     )
 }
@@ -210,7 +211,7 @@
     }
 }
 
-/// Tells a process to stop, and waits until it has ended well.
+/// Sends SIGTERM to a process and waits until it has ended with exit code 0.
 fn stop(process: &mut Process) -> io::Result<()> {
     process.signal(Signal::TERM)?;
     if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| status.success()) {
@@ -219,7 +220,7 @@
     Err(io::Error::other(format!("{} did not end with 0", process.name)))
 }
 
-/// Waits until a process has ended by itself, and not well.
+/// Waits until a process has ended by itself with an exit code other than 0.
 fn wait_until_failed(process: &mut Process) -> io::Result<()> {
     if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| !status.success()) {
         return Ok(());
@@ -227,7 +228,7 @@
     Err(io::Error::other(format!("{} did not end by itself", process.name)))
 }
 
-/// Where the copy of a process's store is.
+/// Returns the path of the copy of a process's store.
 fn copy_of_store(process: &Process) -> PathBuf {
     process.folder.join("older")
 }
@@ -238,7 +239,7 @@
     copy_folder(&process.store(), &older)
 }
 
-/// Puts what a process is started with into its place.
+/// Prepares the store and the injected fault for the start of a process.
 fn prepare_start(step: &Step, process: &mut Process) -> io::Result<()> {
     if matches!(step.action, Action::StartEmpty | Action::StartOlder) {
         fs::remove_dir_all(process.store())?;
--- a/crates/rig/src/run/histories.rs
+++ b/crates/rig/src/run/histories.rs
@@ -62,7 +62,7 @@
     }
 
     /// The coordinator that was established last, by the histories; the first, where none was.
-    pub(super) fn speaker(&self) -> String {
+    pub(super) fn leader(&self) -> String {
         let mut newest = (0, "c0".to_owned());
         for line in self.histories("c") {
             if let What::Established { round } = line.what
