--- a/crates/rig/src/run/histories.rs
+++ b/crates/rig/src/run/histories.rs
@@ -11,13 +11,13 @@
 use super::Rig;
 use crate::process::PROCESS_TIMEOUT;
 
-/// How often histories are looked at for whether the fleet has settled.
+/// The interval at which histories are checked for whether the fleet has settled.
 const SETTLED_POLL: Duration = Duration::from_millis(20);
 
-/// The stage of a start that is over.
+/// The stage after a completed start.
 const FULL_SERVICE: &str = "full";
 
-/// What the histories say of nodes: which version they go by, and which stage of a start they are in.
+/// The state of nodes according to the histories: the active version and the stage of the start, by node.
 #[derive(Default)]
 struct NodeStates {
     active: HashMap<String, u64>,
@@ -40,28 +40,28 @@
 }
 
 impl Rig<'_> {
-    /// Everything that was written down, merged by time. Histories that can't be read are faults.
+    /// Returns all recorded lines, merged by time. Adds a fault for each history that cannot be read.
     pub(super) fn collect(&self, received: &Receiver<Line>, faults: &mut Vec<String>) -> Vec<Line> {
         let mut lines: Vec<Line> = received.try_iter().collect();
         for process in self.processes.values() {
             let Ok(file) = fs::File::open(process.folder.join("history")) else { continue };
             match read(&mut io::BufReader::new(file)) {
                 Ok(more) => lines.extend(more),
-                Err(why) => faults.push(format!("history of {}: {why}", process.name)),
+                Err(error) => faults.push(format!("history of {}: {error}", process.name)),
             }
         }
         lines.sort_by_key(|line| line.at);
         lines
     }
 
-    /// What is written so far by processes whose names begin so.
-    fn histories(&self, start: &str) -> Vec<Line> {
-        let named = self.processes.iter().filter(|(name, _)| name.starts_with(start));
-        let files = named.filter_map(|(_, p)| fs::File::open(p.folder.join("history")).ok());
+    /// Returns the lines written so far by processes whose names begin with `prefix`.
+    fn histories(&self, prefix: &str) -> Vec<Line> {
+        let matching = self.processes.iter().filter(|(name, _)| name.starts_with(prefix));
+        let files = matching.filter_map(|(_, p)| fs::File::open(p.folder.join("history")).ok());
         files.flat_map(|file| read(&mut io::BufReader::new(file)).unwrap_or_default()).collect()
     }
 
-    /// The coordinator that was established last, by the histories; the first, where none was.
+    /// Returns the coordinator that became leader last according to the histories, or `c0` if none did.
     pub(super) fn leader(&self) -> String {
         let mut newest = (0, "c0".to_owned());
         for line in self.histories("c") {
@@ -74,8 +74,8 @@
         newest.1
     }
 
-    /// Waits, now that faults are over, until all nodes that run serve in full by the version that was decided
-    /// last. Returns what keeps those from it that never do.
+    /// Waits, after all faults have ended, until all running nodes are in full service under the last decided version.
+    /// Returns a description of each node that does not get there in time.
     pub(super) fn wait_until_settled(&self) -> Vec<String> {
         let begin = Instant::now();
         loop {
@@ -91,10 +91,10 @@
         let decided = self.last_decided();
         let states = NodeStates::of(self.histories("n"));
         let running = self.processes.iter().filter(|(n, p)| n.starts_with('n') && p.running() && !p.paused);
-        running.filter_map(|(name, _)| self.why_unsettled(name, &states, decided)).collect()
+        running.filter_map(|(name, _)| self.unsettled_reason(name, &states, decided)).collect()
     }
 
-    /// The last version that the coordinators decided; 0 for none.
+    /// Returns the last version that the coordinators decided, or 0.
     fn last_decided(&self) -> u64 {
         let version = |line: &Line| match line.what {
             What::Decided { version, .. } => Some(version),
@@ -103,8 +103,8 @@
         self.histories("c").iter().filter_map(version).max().unwrap_or(0)
     }
 
-    /// What keeps a node from full service by the version that was decided last, if anything does.
-    fn why_unsettled(&self, name: &str, states: &NodeStates, decided: u64) -> Option<String> {
+    /// Returns a description of a node that is not in full service under the last decided version.
+    fn unsettled_reason(&self, name: &str, states: &NodeStates, decided: u64) -> Option<String> {
         let (active, stage) = (states.active.get(name), states.stages.get(name));
         let full = !self.plan.starts.on || stage.is_some_and(|stage| stage == FULL_SERVICE);
         if active == Some(&decided) && full && self.is_healthy(name) {
--- a/crates/rig/src/run/mod.rs
+++ b/crates/rig/src/run/mod.rs
@@ -1,14 +1,13 @@
-//! Plays a plan: starts the processes, does what is planned while clients ask, collects the histories, and
-//! has them judged.
+//! Runs a plan: starts the processes, carries out the steps under load, collects the histories and checks them.
 //!
 //! | module | what it does |
 //! | --- | --- |
 //! | `setup` | opens the links and writes the configuration of each process |
-//! | `processes` | starts and ends processes, and has links lead to them |
-//! | `observations`, `timeline` | what has been seen of the processes; the steps that wait for it |
-//! | `actions`, `operator` | what a step does to links, executors and processes; an operator's commands |
-//! | `histories` | reads what the processes wrote down |
-//! | `seconds`, `recovery`, `outcome` | what came of the run |
+//! | `processes` | starts and ends processes, and sets the targets of links to them |
+//! | `observations`, `timeline` | observed frames, log and history lines; the steps that wait for them |
+//! | `actions`, `operator` | actions on links, executors and processes; an operator's commands |
+//! | `histories` | reads the histories that the processes write |
+//! | `seconds`, `recovery`, `outcome` | the results of the run |
 
 mod actions;
 mod histories;
@@ -48,18 +47,18 @@
 pub use self::seconds::Second;
 pub use self::setup::scenario;
 
-/// How often logs, histories and health are looked at for what is waited for.
+/// The interval at which logs, histories and health are checked while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Drift that clocks are allowed, and what a busy machine adds to every bound, in nanoseconds.
+/// The allowance in nanoseconds for clock drift and for delays on a busy machine.
 const CLOCK_AND_MACHINE_SLACK: u64 = 250_000_000;
 
-/// The most findings that an outcome holds.
+/// The maximum number of findings in an outcome.
 const MAX_FINDINGS: usize = 100;
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// A run under way.
+/// A run in progress.
 struct Rig<'a> {
     plan: &'a Plan,
     program: PathBuf,
@@ -67,71 +66,71 @@
     fleet_name: String,
     /// Stand-in executors and discovery.
     fleet: StandInFleet,
-    /// By name, such as `n0>c1`.
+    /// The links by name, such as `n0>c1`.
     links: BTreeMap<String, Arc<Link>>,
     processes: BTreeMap<String, Process>,
-    /// Where the processes that run listen.
+    /// The listen addresses of the running processes.
     addresses: HashMap<String, SocketAddr>,
     observations: Arc<Observations>,
     tails: LogTails,
     opened: Arc<OpenedConnections>,
-    /// Takes what the rig itself writes into the merged history.
+    /// Receives the lines that the rig itself writes into the merged history.
     history: Sender<Line>,
-    /// The settings that the fleet begins with.
+    /// The initial settings of the fleet.
     first_policy: Value,
-    /// Operators' commands that may still run.
+    /// The threads of operators' commands that may still run.
     operators: Vec<JoinHandle<()>>,
-    /// Which policy stands in each node's own file, where it is not the first.
+    /// The number of the policy in each node's own file, where it is not the first.
     file_policies: HashMap<String, u64>,
 }
 
-/// Where a fleet that has started can be reached.
+/// The addresses of a started fleet.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
-    /// Addresses of the coordinators, for operators.
+    /// The addresses of the coordinators for operators.
     pub coordinators: Vec<String>,
-    /// Addresses of the nodes, for clients.
+    /// The addresses of the nodes for clients.
     pub nodes: Vec<String>,
 }
 
-/// What the load and the steps left behind.
-struct Played {
-    /// When each step was done, or why a step could not be.
+/// The results of the load and the steps.
+struct PlayResult {
+    /// The time at which each step was completed, or the error of a step.
     steps: io::Result<Vec<u64>>,
     samples: Vec<Sample>,
 }
 
-/// Plays a plan with the program, in a folder that is empty or not there yet.
+/// Runs a plan with the program, in a folder that is empty or does not exist yet.
 ///
 /// # Errors
 ///
-/// The plan could not be played: a process did not start, or what a step waits for never came.
+/// The plan is invalid, or the fleet cannot be set up, started or stopped. The error of a step goes into the outcome.
 pub fn run(plan: &Plan, program: &Path, folder: &Path) -> io::Result<Outcome> {
     run_with_endpoints(plan, program, folder, &|_| {})
 }
 
-/// As [`run`]; `told` hears where the fleet is, once it serves.
+/// Runs a plan as [`run`] does, and calls `on_started` with the addresses of the fleet once it serves.
 ///
 /// # Errors
 ///
-/// As there.
+/// The same as those of [`run`].
 pub fn run_with_endpoints(
     plan: &Plan,
     program: &Path,
     folder: &Path,
-    told: &dyn Fn(&Endpoints),
+    on_started: &dyn Fn(&Endpoints),
 ) -> io::Result<Outcome> {
     plan.check().map_err(io::Error::other)?;
     let (history, received) = channel();
     let mut rig = Rig::set_up(plan, program, folder, history.clone())?;
     rig.start(&plan.processes())?;
     rig.wait_until_serving()?;
-    told(&rig.reachable_at());
+    on_started(&rig.reachable_at());
     let began = monotonic();
-    let Played { steps, samples } = rig.play(&observer(&history, "clients"));
+    let PlayResult { steps, samples } = rig.play(&observer(&history, "clients"));
     let (done, mut faults) = match steps {
         Ok(done) => (done, Vec::new()),
-        Err(why) => (Vec::new(), vec![why.to_string()]),
+        Err(error) => (Vec::new(), vec![error.to_string()]),
     };
     faults.extend(rig.end()?);
     let lines = rig.collect(&received, &mut faults);
@@ -150,12 +149,12 @@
     })
 }
 
-/// What a fleet under a plan promises.
+/// Returns the guarantees of a fleet under a plan.
 fn guarantees(plan: &Plan) -> Guarantees {
     let coordinated = plan.coordinators > 0;
     Guarantees {
         coordinated,
-        // The lease of whoever was granted one just before, and what a busy machine adds.
+        // A lease that was granted just before the decision, and the allowance.
         bound: plan.lease_ms * NANOS_PER_MS + CLOCK_AND_MACHINE_SLACK,
         strict: coordinated && plan.strict,
         remembered: plan.store && plan.load.same_node,
@@ -163,20 +162,20 @@
     }
 }
 
-/// An observer that writes what it sees into the merged history under a name.
+/// Returns an observer that writes events into the merged history under a name.
 fn observer(history: &Sender<Line>, by: &'static str) -> Observer {
     let history = Mutex::new(history.clone());
     Arc::new(move |what| drop(lock(&history).send(Line::new(monotonic(), by, 0, what))))
 }
 
-/// Whether a link leads to an end that `wanted` accepts.
+/// Returns whether `wanted` accepts the name of the end to which a link leads.
 fn leads_to(link: &str, wanted: impl Fn(&str) -> bool) -> bool {
     link.split_once('>').is_some_and(|(_, end)| wanted(end))
 }
 
 impl Rig<'_> {
-    /// Goes through the plan's steps while clients ask, and takes samples of the counters.
-    fn play(&mut self, seen: &Observer) -> Played {
+    /// Carries out the plan's steps under load, and samples the counters.
+    fn play(&mut self, observer: &Observer) -> PlayResult {
         let plan = self.plan;
         let client_links: Vec<Arc<Link>> =
             (0..plan.nodes).map(|n| Arc::clone(&self.links[&format!("k>n{n}")])).collect();
@@ -186,7 +185,8 @@
         let steps = std::thread::scope(|scope| {
             for number in 0..plan.load.clients {
                 let (nodes, stop) = (&nodes, &stop);
-                scope.spawn(move || clients::run_client(number, &plan.load, plan.seed, nodes, stop, seen));
+                scope
+                    .spawn(move || clients::run_client(number, &plan.load, plan.seed, nodes, stop, observer));
             }
             scope.spawn(|| seconds::take_samples(&samples, &list_calls, &opened, &stop));
             let steps = self.play_steps();
@@ -195,7 +195,7 @@
             steps
         });
         let samples = std::mem::take(&mut *lock(&samples));
-        Played { steps, samples }
+        PlayResult { steps, samples }
     }
 
     fn reachable_at(&self) -> Endpoints {
--- a/crates/rig/src/run/observations.rs
+++ b/crates/rig/src/run/observations.rs
@@ -1,5 +1,4 @@
-//! What has been seen of processes and links since a step began to wait: frames, and new lines of logs and
-//! histories.
+//! Observations of processes and links since the previous step: frames, and new lines of logs and histories.
 
 use std::collections::HashMap;
 use std::fs;
@@ -14,10 +13,10 @@
 use crate::plan::name_matches;
 use crate::process::PROCESS_TIMEOUT;
 
-/// How often a frame that is held back looks whether the run has ended.
+/// The interval at which a held frame checks whether the run has ended.
 const HELD_FRAME_POLL: Duration = Duration::from_millis(20);
 
-/// What has been seen, shared with the links.
+/// The observations, shared with the links.
 #[derive(Default)]
 pub(super) struct Observations {
     seen: Mutex<Seen>,
@@ -25,21 +24,21 @@
     stop: AtomicBool,
 }
 
-/// What has been seen since the step before was done.
+/// The observations since the previous step was completed.
 #[derive(Default)]
 pub(super) struct Seen {
     frames: HashMap<PassedFrame, u64>,
-    /// Kinds of the histories' new lines.
+    /// The kinds of the new history lines.
     pub(super) history: Vec<SeenLine>,
-    /// The logs' new lines.
+    /// The new log lines.
     pub(super) logs: Vec<SeenLine>,
-    /// Set while a step waits for frames.
+    /// The frames that the current step waits for, if any.
     awaited: Option<AwaitedFrames>,
-    /// The awaited frames have passed; their link stands still until the step is done.
-    step_under_way: bool,
+    /// Whether the awaited frames have passed. Their link then forwards nothing until the step is completed.
+    step_in_progress: bool,
 }
 
-/// Something that a process wrote.
+/// A log line, or the kind of a history line, of a process.
 pub(super) struct SeenLine {
     pub(super) process: String,
     pub(super) text: String,
@@ -52,7 +51,7 @@
     kind: u8,
 }
 
-/// Frames that a step waits for.
+/// The frames that a step waits for.
 pub(super) struct AwaitedFrames {
     /// A pattern of link names.
     pub(super) link: String,
@@ -62,46 +61,47 @@
 }
 
 impl Observations {
-    /// Counts a frame that has passed. If a step waits for it, returns when that step is done.
+    /// Counts a frame that has passed. If it is the last one that a step waits for, blocks until that step is completed.
     pub(super) fn frame_passed(&self, link: &str, side: Direction, kind: u8) {
         let mut seen = lock(&self.seen);
         *seen.frames.entry(PassedFrame { link: link.to_owned(), side, kind }).or_default() += 1;
         if !seen.awaited_frames_passed() {
             return;
         }
-        seen.step_under_way = true;
+        seen.step_in_progress = true;
         self.changed.notify_all();
         let begin = Instant::now();
-        while seen.step_under_way && !self.stop.load(Ordering::Relaxed) && begin.elapsed() < PROCESS_TIMEOUT {
+        while seen.step_in_progress && !self.stop.load(Ordering::Relaxed) && begin.elapsed() < PROCESS_TIMEOUT
+        {
             let waited = self.changed.wait_timeout(seen, HELD_FRAME_POLL);
             seen = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    /// From now on the link on which these frames have passed stands still until the step is done.
+    /// Sets the frames to wait for. Once they have passed, their link forwards nothing until the step is completed.
     pub(super) fn await_frames(&self, frames: AwaitedFrames) {
         lock(&self.seen).awaited = Some(frames);
     }
 
-    /// The step is done: links go on, and what was seen counts no more.
+    /// Completes a step: links continue, and the observations are cleared.
     pub(super) fn step_done(&self) {
         *lock(&self.seen) = Seen::default();
         self.changed.notify_all();
     }
 
-    /// Lets all links go on, for good.
+    /// Lets all links continue permanently.
     pub(super) fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// Looks at or adds to what has been seen.
-    pub(super) fn with<T>(&self, look: impl FnOnce(&mut Seen) -> T) -> T {
-        look(&mut lock(&self.seen))
+    /// Reads or changes the observations.
+    pub(super) fn with<T>(&self, access: impl FnOnce(&mut Seen) -> T) -> T {
+        access(&mut lock(&self.seen))
     }
 }
 
 impl Seen {
-    /// Whether as many frames have passed as the step waits for.
+    /// Returns whether the awaited number of frames has passed.
     pub(super) fn awaited_frames_passed(&self) -> bool {
         let Some(awaited) = &self.awaited else { return false };
         let fits = |frame: &PassedFrame| {
@@ -114,14 +114,14 @@
     }
 }
 
-/// How far each log and history has been read.
+/// The position up to which each log and history has been read.
 #[derive(Default)]
 pub(super) struct LogTails {
     read: HashMap<PathBuf, u64>,
 }
 
 impl LogTails {
-    /// The whole lines by which a file has grown since the last call; none if it isn't there yet.
+    /// Returns the complete lines that were added to a file since the last call; none if it does not exist yet.
     pub(super) fn new_lines(&mut self, file: &Path) -> io::Result<Vec<String>> {
         let Ok(mut open) = fs::File::open(file) else { return Ok(Vec::new()) };
         let read = self.read.entry(file.to_owned()).or_default();
