--- a/crates/rig/src/run/operator.rs
+++ b/crates/rig/src/run/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's commands, given by the program itself.
+//! An operator's commands, run with the program itself.
 
 use std::fs;
 use std::io;
@@ -13,11 +13,11 @@
 use crate::plan::Step;
 use crate::process::PROCESS_TIMEOUT;
 
-/// A replacement that was not granted is asked for again after this time.
+/// The delay before a replacement that was not granted is requested again.
 const REPLACEMENT_RETRY: Duration = Duration::from_millis(50);
 
 impl Rig<'_> {
-    /// A command of `linestack fleet`, to all coordinators.
+    /// Returns a `linestack fleet` command that addresses all coordinators.
     fn fleet_command(&self) -> Command {
         let mut command = Command::new(&self.program);
         let coordinators = self.coordinators_for("o").join(",");
@@ -25,7 +25,7 @@
         command
     }
 
-    /// Proposes a change of the policy, and goes on meanwhile.
+    /// Proposes a change of the policy without waiting for its outcome.
     pub(super) fn propose(&mut self, step: &Step) -> io::Result<()> {
         let path = self.folder.join(format!("change-{}.json", step.request));
         fs::write(&path, self.policy(step.policy).to_string())?;
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Aborts a change, and goes on meanwhile.
+    /// Aborts a change without waiting for the outcome.
     pub(super) fn abort(&mut self, step: &Step) {
         let mut command = self.fleet_command();
         command.args(["abort", &step.request]);
@@ -51,7 +51,7 @@
         self.run_operator(command, format!("abort of {}", step.request));
     }
 
-    /// Runs a command beside everything else, and writes down what its operator heard.
+    /// Runs a command in a thread, and records the outcome that the operator received.
     fn run_operator(&mut self, mut command: Command, request: String) {
         let history = self.history.clone();
         self.operators.push(std::thread::spawn(move || {
@@ -61,7 +61,7 @@
         }));
     }
 
-    /// Has a coordinator's number given to another, and returns which one of that number it is.
+    /// Requests a replacement for a coordinator's number, and returns the number of the replacement.
     pub(super) fn request_replacement(&self, number: &str) -> io::Result<u64> {
         let begin = Instant::now();
         loop {
@@ -70,7 +70,7 @@
             if let Some(replacement) = reply["replacement"].as_u64() {
                 return Ok(replacement);
             }
-            // It may have been heard a moment ago.
+            // The request may fail because the old coordinator was heard from recently.
             if begin.elapsed() > PROCESS_TIMEOUT {
                 return Err(io::Error::other(format!("coordinator {number} was not replaced: {reply}")));
             }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Goes on from one coordinator's store, as an operator does when the others have lost theirs.
+    /// Founds the fleet anew from one coordinator's store, as an operator does when the others have lost theirs.
     pub(super) fn refound(&mut self, from: &str) -> io::Result<()> {
         let names: Vec<String> = (0..self.plan.coordinators).map(|c| format!("c{c}")).collect();
         let lost: Vec<&String> = names.iter().filter(|name| *name != from).collect();
@@ -103,11 +103,11 @@
     }
 }
 
-/// What a command of `linestack fleet` told its operator, by its exit code.
+/// Returns the outcome that a `linestack fleet` command reported by its exit code.
 fn outcome_of(output: io::Result<Output>) -> String {
     let output = match output {
         Ok(output) => output,
-        Err(why) => return format!("failed: {why}"),
+        Err(error) => return format!("failed: {error}"),
     };
     match output.status.code() {
         Some(0) => "decided".to_owned(),
--- a/crates/rig/src/run/outcome.rs
+++ b/crates/rig/src/run/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a run.
+//! The outcome of a run.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,34 @@
 use super::Second;
 use crate::check::Finding;
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Promises that the histories show to be broken.
+    /// The violations of guarantees that the histories show.
     pub findings: Vec<Finding>,
-    /// The merged histories, by time.
+    /// The merged histories, ordered by time.
     pub lines: Vec<Line>,
-    /// By second from the start of the load.
+    /// The counts of each second from the start of the load.
     pub seconds: Vec<Second>,
-    /// One-shots that began more than once.
+    /// The number of one-shot jobs that were started more than once.
     pub duplicates: usize,
-    /// Processes that ended though nobody told them to, and what stood in the way of the plan.
+    /// Descriptions of processes that ended unexpectedly, and of errors that prevented parts of the plan.
     pub faults: Vec<String>,
-    /// Nanoseconds on the monotonic clock at which each step was done.
+    /// The time at which each step was completed, in nanoseconds on the monotonic clock.
     pub steps_done_at: Vec<u64>,
-    /// Nanoseconds on the monotonic clock at which the load began.
+    /// The time at which the load began, in nanoseconds on the monotonic clock.
     pub load_began_at: u64,
 }
 
 impl Outcome {
-    /// Whether no promise was broken and the plan was played as it stands.
+    /// Returns whether no guarantee was violated and the whole plan was carried out.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.findings.is_empty() && self.faults.is_empty()
     }
 
-    /// For how long nodes went by different versions, in all, in nanoseconds; none if they still do.
+    /// Returns the total time in nanoseconds during which nodes applied different versions, or `None` if they still do
+    /// at the end.
     #[must_use]
     pub fn mixed_version_time(&self) -> Option<u64> {
         let mut active: BTreeMap<&str, u64> = BTreeMap::new();
@@ -43,7 +44,7 @@
             let under_load = line.at >= self.load_began_at;
             match &line.what {
                 What::Active { version, .. } => drop(active.insert(&line.by, *version)),
-                // One that is dead goes by nothing; one that is paused may wake at any moment.
+                // A killed node applies no version; a paused node may resume at any moment and still counts.
                 What::Did { deed, to } if deed == "kill" && under_load => drop(active.remove(to.as_str())),
                 _ => continue,
             }
--- a/crates/rig/src/run/processes.rs
+++ b/crates/rig/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! Starts and ends processes, and has links lead to those that run.
+//! Starts and ends processes, and sets the targets of links to those that run.
 
 use std::fs;
 use std::io;
@@ -10,22 +10,22 @@
 use super::{POLL_INTERVAL, Rig, leads_to};
 use crate::process::{PROCESS_TIMEOUT, Process};
 
-/// A node that does not answer about its health in this time is not healthy.
+/// The time limit of a health check; a node that does not answer in time is unhealthy.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Rig<'_> {
-    /// A process of the plan, by its name.
+    /// Returns a process of the plan by its name.
     pub(super) fn process(&mut self, name: &str) -> io::Result<&mut Process> {
         self.processes.get_mut(name).ok_or_else(|| io::Error::other("no such process"))
     }
 
-    /// Starts processes, and then waits until each listens. The others run even if one fails.
+    /// Starts processes, then waits until each listens. If one fails, the others still run.
     pub(super) fn start(&mut self, names: &[String]) -> io::Result<()> {
         let failed = self.start_some(names)?;
         if failed.is_empty() { Ok(()) } else { Err(io::Error::other(failed.join("; "))) }
     }
 
-    /// As [`Self::start`], of processes none of which is to listen.
+    /// Starts processes, all of which are expected to fail before they listen.
     pub(super) fn start_refused(&mut self, names: &[String]) -> io::Result<()> {
         let failed = self.start_some(names)?;
         if failed.len() == names.len() {
@@ -34,14 +34,14 @@
         Err(io::Error::other(format!("of {names:?} only these failed: {failed:?}")))
     }
 
-    /// Starts processes, and tells why those that failed did.
+    /// Starts processes, and returns the errors of those that failed.
     fn start_some(&mut self, names: &[String]) -> io::Result<Vec<String>> {
         let mut began = Vec::new();
         for name in names {
             let process = self.process(name)?;
             let log_length = fs::metadata(process.log()).map_or(0, |m| m.len());
             process.start()?;
-            // Whoever was there before is gone, and so is its address.
+            // The address of the previous run is no longer valid.
             self.set_address(name, None);
             began.push((name, log_length));
         }
@@ -49,7 +49,7 @@
         for (name, log_length) in began {
             match self.process(name)?.wait_until_listening(log_length) {
                 Ok(address) => self.process_listens(name, address, log_length),
-                Err(why) => failed.push(why.to_string()),
+                Err(error) => failed.push(error.to_string()),
             }
         }
         Ok(failed)
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Has links lead to where a process listens, or nowhere.
+    /// Sets the address of a process, or that it has none, as the target of all links to it.
     fn set_address(&mut self, name: &str, address: Option<SocketAddr>) {
         match address {
             Some(address) => self.addresses.insert(name.to_owned(), address),
@@ -72,10 +72,10 @@
         self.set_targets(name, address);
     }
 
-    /// Has other nodes' links lead to where a node answers peers, if its log tells.
+    /// Sets the target of other nodes' links to the address for peers that a node logged, or to none.
     fn set_peer_address(&self, name: &str, log_length: u64) {
-        let word = self.processes[name].log_value("peers_at=", log_length);
-        let address = word.and_then(|address| address.parse().ok());
+        let value = self.processes[name].log_value("peers_at=", log_length);
+        let address = value.and_then(|address| address.parse().ok());
         self.set_targets(&format!("p{}", name.trim_start_matches('n')), address);
     }
 
@@ -84,7 +84,7 @@
         links.for_each(|(_, link)| link.set_target(address));
     }
 
-    /// Waits until every node says that clients should come.
+    /// Waits until every node reports that it is healthy.
     pub(super) fn wait_until_serving(&self) -> io::Result<()> {
         let begin = Instant::now();
         for number in 0..self.plan.nodes {
@@ -104,7 +104,8 @@
         crate::http::get_status(*address, "/healthz", HEALTH_TIMEOUT).is_ok_and(|status| status == 200)
     }
 
-    /// Ends all that runs, nodes first, and tells of those that had ended by themselves.
+    /// Stops all processes, nodes first. Returns the faults: nodes that did not settle, processes that had ended by
+    /// themselves, and processes that did not end cleanly.
     pub(super) fn end(&mut self) -> io::Result<Vec<String>> {
         let mut faults = Vec::new();
         for operator in self.operators.drain(..) {
@@ -115,7 +116,7 @@
         }
         let names = self.plan.processes();
         for name in &names {
-            faults.extend(self.tell_to_stop(name)?);
+            faults.extend(self.request_stop(name)?);
         }
         for name in &names {
             faults.extend(self.wait_until_stopped(name)?);
@@ -123,8 +124,8 @@
         Ok(faults)
     }
 
-    /// Tells a process to stop; a fault if it had ended by itself.
-    fn tell_to_stop(&mut self, name: &str) -> io::Result<Option<String>> {
+    /// Sends SIGTERM to a process. Returns a fault if the process had ended by itself.
+    fn request_stop(&mut self, name: &str) -> io::Result<Option<String>> {
         let Some(process) = self.processes.get_mut(name) else { return Ok(None) };
         if process.paused {
             process.pause(false)?;
@@ -138,7 +139,7 @@
         Ok(None)
     }
 
-    /// Waits for a process that was told to stop; a fault if it does not end as it should.
+    /// Waits for a process to stop. Returns a fault if it does not end in time with exit code 0.
     fn wait_until_stopped(&mut self, name: &str) -> io::Result<Option<String>> {
         let Some(process) = self.processes.get_mut(name) else { return Ok(None) };
         if !process.running() {
--- a/crates/rig/src/run/recovery.rs
+++ b/crates/rig/src/run/recovery.rs
@@ -1,4 +1,4 @@
-//! Whether and when a fleet serves in full again after processes were killed and started.
+//! Recovery: whether and when a fleet is back in full service after processes were killed and started.
 
 use std::collections::HashMap;
 
@@ -7,37 +7,37 @@
 
 use super::{Outcome, Second};
 
-/// Full service holds for so long on end, in nanoseconds.
+/// The time in nanoseconds for which full service must last without interruption.
 const WINDOW: u64 = 5_000_000_000;
-/// Windows are looked at in steps of this, in nanoseconds.
+/// The distance in nanoseconds between the starts of successive windows.
 const WINDOW_STEP: u64 = 100_000_000;
-/// In full service the rate and the 99th percentile are within this part of what they were.
+/// In full service, the rate and the 99th percentile are within this share of their values before the kill.
 const TOLERANCE: f64 = 0.05;
-/// And times are within what a machine's timers are good for, in milliseconds.
+/// The additional allowance in milliseconds for the precision of the machine's timers.
 const TIMER_TOLERANCE_MS: f64 = 5.0;
 const NANOS_PER_S: f64 = 1e9;
 const NANOS_PER_MS: f64 = 1e6;
-/// The identifiers of first tries end so; see [`crate::clients`].
+/// The suffix of the ids of first attempts; see [`crate::clients`].
 const FIRST_TRY: &str = "-0";
 
-/// Whether a fleet serves in full again: how it did before, and from when on it does so again.
+/// The recovery of a fleet: its service before the kill, and the time until it was back in full service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Recovery {
-    /// Satisfied a second, and the 99th percentile of answer times in ms, in the span before the first process
-    /// was killed.
+    /// Satisfied submissions per second and the 99th percentile of latencies in ms, in the window before the first
+    /// process was killed.
     pub before: (f64, f64),
-    /// Seconds from the last process being up to the first span of full service; none if there was none.
+    /// Seconds from the time at which the last process was up to the first window of full service, if there was one.
     pub after_s: Option<f64>,
-    /// Made in the second with most, from the kill on: connections by clients, to executors, to coordinators,
-    /// and calls for the list.
+    /// The maxima per second from the kill on: connections from clients, to executors and to coordinators, and
+    /// requests for the list.
     pub peak: [u64; 4],
-    /// The same in a second before the kill, on average.
+    /// The averages per second of the same counts before the kill.
     pub steady: [f64; 4],
-    /// Submissions that were not satisfied at their first try, from the kill to full service.
+    /// Submissions that were not satisfied at their first attempt, from the kill to full service.
     pub missed: u64,
 }
 
-/// An answer with a result.
+/// An answer with a result, and its latency.
 struct Answer {
     at: u64,
     took_ms: f64,
@@ -48,13 +48,13 @@
     satisfied: bool,
 }
 
-/// What clients saw of a run.
+/// The answers and first attempts of a run as clients recorded them.
 struct ClientView {
     answers: Vec<Answer>,
     first_tries: Vec<FirstTry>,
 }
 
-/// Service over a span of time.
+/// The service over a window of time.
 #[derive(Clone, Copy)]
 struct Service {
     satisfied_per_s: f64,
@@ -62,7 +62,7 @@
 }
 
 impl Service {
-    /// Whether this is as good as it was, within the tolerances.
+    /// Returns whether the service is as good as before, within the tolerances.
     fn is_full(self, before: Self) -> bool {
         let rate_holds = self.satisfied_per_s >= before.satisfied_per_s * (1.0 - TOLERANCE);
         rate_holds && self.p99_ms <= before.p99_ms * (1.0 + TOLERANCE) + TIMER_TOLERANCE_MS
@@ -95,7 +95,7 @@
         Self { answers, first_tries: first_tries.into_values().collect() }
     }
 
-    /// Service from one time up to another.
+    /// Returns the service from one time up to another.
     fn service(&self, from: u64, to: u64) -> Service {
         let within = self.answers.iter().filter(|a| (from..to).contains(&a.at));
         let mut times: Vec<f64> = within.map(|a| a.took_ms).collect();
@@ -107,14 +107,14 @@
         }
     }
 
-    /// First tries made from one time up to another that were not satisfied.
+    /// Returns the number of unsatisfied first attempts from one time up to another.
     fn missed(&self, from: u64, to: u64) -> usize {
         let missed = |first: &&FirstTry| !first.satisfied && (from..to).contains(&first.at);
         self.first_tries.iter().filter(missed).count()
     }
 }
 
-/// The times at which a deed that `wanted` accepts was done.
+/// Returns the times of the actions that `wanted` accepts.
 fn times_of<'a>(lines: &'a [Line], wanted: impl Fn(&str) -> bool + 'a) -> impl Iterator<Item = u64> + 'a {
     lines.iter().filter_map(move |line| match &line.what {
         What::Did { deed, .. } if wanted(deed) => Some(line.at),
@@ -123,13 +123,12 @@
 }
 
 impl Outcome {
-    /// How long it took to come back, where processes were killed and started again and the plan leaves room
-    /// to see it.
+    /// Returns the recovery of the fleet if processes were killed and started again and a client got an answer.
     #[must_use]
     pub fn recovery(&self) -> Option<Recovery> {
         let killed = times_of(&self.lines, |deed| deed == "kill").next()?;
         let started = times_of(&self.lines, |deed| deed.starts_with("start") || deed == "replace").max()?;
-        // The step is done when all that it started listen.
+        // A start step is completed when all processes that it started listen.
         let up = self.steps_done_at.iter().copied().filter(|at| *at >= started).min().unwrap_or(started);
         let view = ClientView::of(&self.lines);
         let before = view.service(killed.saturating_sub(WINDOW).max(self.load_began_at), killed);
@@ -147,11 +146,11 @@
         })
     }
 
-    /// Connections and calls as [`Recovery`] has them: in the busiest second from a time on, and in one before it.
+    /// Returns the counts of [`Recovery`]: their maxima per second from a time on, and their averages before it.
     fn connections_around(&self, at: u64) -> ([u64; 4], [f64; 4]) {
         let second = (at.saturating_sub(self.load_began_at) / 1_000_000_000) as usize;
         let after = self.seconds.get(second..).unwrap_or_default();
-        // The first second is that of those who connect for the first time.
+        // The first second is left out, as all clients and nodes make their first connections in it.
         let before = self.seconds.get(second.min(1)..second).unwrap_or_default();
         let figures: [fn(&Second) -> u64; 4] =
             [|s| s.connections, |s| s.connects, |s| s.sessions, |s| s.list_calls];
--- a/crates/rig/src/run/seconds.rs
+++ b/crates/rig/src/run/seconds.rs
@@ -1,4 +1,4 @@
-//! What happened in each second of a run.
+//! Counts of each second of a run.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -10,10 +10,10 @@
 
 use crate::{lock, monotonic};
 
-/// Counters are read once in this time.
+/// The interval at which counters are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What happens after so many seconds is not counted.
+/// The number of seconds after which nothing is counted.
 const MAX_SECONDS: usize = 3600;
 
 const NANOS_PER_S: u64 = 1_000_000_000;
@@ -21,21 +21,21 @@
 /// Counts of one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Second {
-    /// Tries that clients made.
+    /// Attempts by clients.
     pub asked: u64,
     /// Answers with a result.
     pub satisfied: u64,
-    /// Answers that turned a submission away.
+    /// Answers that rejected a submission.
     pub dismissed: u64,
     /// All other answers.
     pub aborted: u64,
-    /// Tries without an answer that may have run.
+    /// Attempts without an answer that may have run.
     pub unknown: u64,
-    /// Tries that no node can have read.
+    /// Attempts that no node can have read completely.
     pub unsent: u64,
-    /// Satisfied after half of the deadline.
+    /// Submissions that were satisfied after more than half of the deadline.
     pub late: u64,
-    /// Calls of nodes for the whole list.
+    /// Requests of nodes for the list.
     pub list_calls: u64,
     /// Connections made by clients to nodes.
     pub connections: u64,
@@ -43,11 +43,11 @@
     pub connects: u64,
     /// Connections made to coordinators.
     pub sessions: u64,
-    /// Executions that executors took.
+    /// Executions that executors accepted.
     pub executions: u64,
 }
 
-/// Connections made so far, by what they lead to.
+/// The number of connections made so far, by target.
 #[derive(Default)]
 pub(super) struct OpenedConnections {
     pub(super) to_nodes: AtomicU64,
@@ -55,7 +55,7 @@
     pub(super) to_coordinators: AtomicU64,
 }
 
-/// Counters since the beginning, as they stood at a time.
+/// The values of the counters at one time.
 #[derive(Clone, Copy)]
 pub(super) struct Sample {
     at: u64,
@@ -65,7 +65,7 @@
     to_coordinators: u64,
 }
 
-/// Takes samples until told to stop.
+/// Takes samples until `stop` is set.
 pub(super) fn take_samples(
     samples: &Mutex<Vec<Sample>>,
     list_calls: &AtomicU64,
@@ -85,14 +85,14 @@
     }
 }
 
-/// Seconds from the beginning of the load, as far as something happened.
+/// The counts of each second from the start of the load up to the last event.
 struct Seconds {
     began: u64,
     seconds: Vec<Second>,
 }
 
 impl Seconds {
-    /// Counts something in the second of a time.
+    /// Applies `add` to the counts of the second that contains a time.
     fn count(&mut self, at: u64, add: impl FnOnce(&mut Second)) {
         let index = (at.saturating_sub(self.began) / NANOS_PER_S) as usize;
         if index >= MAX_SECONDS {
@@ -149,7 +149,7 @@
     }
 }
 
-/// What happened in each second from `began` on. `late_after` is in nanoseconds.
+/// Returns the counts of each second from `began` on. `late_after` is in nanoseconds.
 pub(super) fn per_second(lines: &[Line], samples: &[Sample], began: u64, late_after: u64) -> Vec<Second> {
     let mut seconds = Seconds { began, seconds: Vec::new() };
     seconds.count_lines(lines, late_after);
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! Sets a run up: stand-ins, links, and the configuration of each process.
+//! Sets up a run: stand-ins, links, and the configuration of each process.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fs;
@@ -22,17 +22,17 @@
 use crate::process::Process;
 use crate::stand_ins::StandInFleet;
 
-/// Nodes remember submissions for so many seconds.
+/// The time in seconds for which nodes remember submissions.
 const REMEMBER_S: u64 = 600;
 
-/// Coordinators hold leadership for this part of a lease, and this many milliseconds at least.
+/// Coordinators hold leadership for a lease divided by this, but for at least [`MIN_HOLD_MS`].
 const LEASES_PER_HOLD: u64 = 4;
 const MIN_HOLD_MS: u64 = 100;
 
-/// The policy that a fleet begins with.
+/// The number of the initial policy of a fleet.
 const FIRST_POLICY: u64 = 1;
 
-/// What the stand-ins are.
+/// Returns the scenario of the stand-ins for a plan.
 #[must_use]
 pub fn scenario(plan: &Plan) -> Scenario {
     let product = |name: &str, repeats| Product {
@@ -66,8 +66,8 @@
     scenario
 }
 
-/// A name that no other run on this machine has: ports are reused, and a process of another run that reached a
-/// coordinator of this one must be refused.
+/// Returns a fleet name that no other run on this machine has. Ports are reused, so a process of another run may reach
+/// a coordinator of this run, which must refuse it.
 fn unique_fleet_name() -> String {
     static RUNS: AtomicU32 = AtomicU32::new(0);
     format!("rig-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed))
@@ -134,34 +134,34 @@
         write_file(&mut process, "PROXY_CONFIG", "node.json", &file.to_string())?;
         if plan.store {
             let store = store_of(&process);
-            let terms = json!({"store": {"folder": store, "same-by": "idempotency-key",
+            let content = json!({"store": {"folder": store, "same-by": "idempotency-key",
                 "remember-s": REMEMBER_S}});
-            write_toml(&mut process, "PROXY_STORE", "store.toml", &terms)?;
+            write_toml(&mut process, "PROXY_STORE", "store.toml", &content)?;
             self.init_store(&store, Earlier::None)?;
         }
         if plan.peers {
             let ask = self.peer_addresses(number);
-            let terms = json!({"peers": {"fleet": self.fleet_name, "listen": "127.0.0.1:0", "ask": ask}});
-            write_toml(&mut process, "PROXY_PEERS", "peers.toml", &terms)?;
+            let content = json!({"peers": {"fleet": self.fleet_name, "listen": "127.0.0.1:0", "ask": ask}});
+            write_toml(&mut process, "PROXY_PEERS", "peers.toml", &content)?;
         }
         if plan.starts.on {
             let StagedStart { connects_per_s, lists_per_s, sessions_per_s, .. } = plan.starts;
-            let terms = json!({"start": {"connects-per-s": connects_per_s, "lists-per-s": lists_per_s,
+            let content = json!({"start": {"connects-per-s": connects_per_s, "lists-per-s": lists_per_s,
                 "sessions-per-s": sessions_per_s}});
-            write_toml(&mut process, "PROXY_START", "start.toml", &terms)?;
+            write_toml(&mut process, "PROXY_START", "start.toml", &content)?;
         }
         if plan.coordinators > 0 {
-            let terms = json!({"fleet": {"id": self.fleet_name, "member": name,
+            let content = json!({"fleet": {"id": self.fleet_name, "member": name,
                 "coordinators": self.coordinators_for(&name), "folder": process.store(),
                 "mode": if plan.strict { "strict" } else { "available" },
                 "history": process.folder.join("history")}});
-            write_toml(&mut process, "PROXY_FLEET", "fleet.toml", &terms)?;
+            write_toml(&mut process, "PROXY_FLEET", "fleet.toml", &content)?;
         }
         self.processes.insert(name, process);
         Ok(())
     }
 
-    /// A node's own file, by which it reaches discovery and executors over its links.
+    /// Returns a node's own configuration file, by which it reaches discovery and executors over its links.
     fn node_file(&self, name: &str, number: usize) -> io::Result<Value> {
         let link_to = |executor| self.links[&format!("{name}>e{executor}")].address;
         let executors: Vec<SocketAddr> = (0..self.plan.executors).map(link_to).collect();
@@ -172,13 +172,13 @@
         Ok(file)
     }
 
-    /// Where a node reaches the other nodes, to learn from them.
+    /// Returns the addresses at which a node asks the other nodes for their observations.
     fn peer_addresses(&self, number: usize) -> Vec<String> {
         let others = (0..self.plan.nodes).filter(|other| *other != number);
         others.map(|other| self.links[&format!("n{number}>p{other}")].address.to_string()).collect()
     }
 
-    /// Where a process reaches each coordinator; empty for itself.
+    /// Returns the address at which a process reaches each coordinator; empty for itself.
     pub(super) fn coordinators_for(&self, from: &str) -> Vec<String> {
         let address =
             |number| self.links.get(&format!("{from}>c{number}")).map(|link| link.address.to_string());
@@ -189,23 +189,23 @@
         let name = format!("c{number}");
         let folder = self.folder.join(&name);
         let path = folder.join("coordinator.toml");
-        let words = ["coordinate", &path.display().to_string()];
-        let mut process = Process::new(&name, folder.clone(), &self.program, &words);
+        let arguments = ["coordinate", &path.display().to_string()];
+        let mut process = Process::new(&name, folder.clone(), &self.program, &arguments);
         process.next_start_arguments.push("--first".into());
         fs::create_dir_all(process.store())?;
         let first_policy = folder.join("policy.json");
         fs::write(&first_policy, self.policy(FIRST_POLICY).to_string())?;
         let lease_ms = self.plan.lease_ms;
-        let terms = json!({"coordinator": {"fleet": self.fleet_name, "number": number, "listen": "127.0.0.1:0",
+        let content = json!({"coordinator": {"fleet": self.fleet_name, "number": number, "listen": "127.0.0.1:0",
             "peers": self.coordinators_for(&name), "folder": process.store(), "first-policy": first_policy,
             "lease-ms": lease_ms, "hold-ms": (lease_ms / LEASES_PER_HOLD).max(MIN_HOLD_MS),
             "history": folder.join("history")}});
-        fs::write(&path, toml::to_string(&terms).map_err(io::Error::other)?)?;
+        fs::write(&path, toml::to_string(&content).map_err(io::Error::other)?)?;
         self.processes.insert(name, process);
         Ok(())
     }
 
-    /// Makes a node's store, as an operator does.
+    /// Creates a node's store, as an operator does.
     pub(super) fn init_store(&self, folder: &Path, earlier: Earlier) -> io::Result<()> {
         let mut command = Command::new(&self.program);
         command.args(["store", "init"]).args((earlier == Earlier::Lost).then_some("--lost")).arg(folder);
@@ -216,8 +216,8 @@
         Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()))
     }
 
-    /// The settings of a policy's number: they differ in what traffic beyond a share is worth. Those of
-    /// number 0 can't be taken, for they have another product.
+    /// Returns the settings of a policy by its number. Policies differ in the payoff of traffic beyond a tenant's share.
+    /// Policy 0 cannot be adopted, because it has a different product.
     pub(super) fn policy(&self, number: u64) -> Value {
         let mut policy = self.first_policy.clone();
         if let Some(policy) = policy.as_object_mut() {
@@ -231,7 +231,7 @@
     }
 }
 
-/// What there was before a store that is made now.
+/// Whether there was a store before the one that is created.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Earlier {
     None,
@@ -239,12 +239,12 @@
     Lost,
 }
 
-/// The folder of a node's embedded store.
+/// Returns the folder of a node's embedded store.
 pub(super) fn store_of(process: &Process) -> PathBuf {
     process.store().join("kept")
 }
 
-/// Writes a file into a process's folder, and has a variable name it.
+/// Writes a file into a process's folder, and sets an environment variable of the process to its path.
 fn write_file(process: &mut Process, variable: &str, file: &str, text: &str) -> io::Result<()> {
     let path = process.folder.join(file);
     fs::write(&path, text)?;
@@ -252,7 +252,7 @@
     Ok(())
 }
 
-fn write_toml(process: &mut Process, variable: &str, file: &str, terms: &Value) -> io::Result<()> {
-    let text = toml::to_string(terms).map_err(io::Error::other)?;
+fn write_toml(process: &mut Process, variable: &str, file: &str, content: &Value) -> io::Result<()> {
+    let text = toml::to_string(content).map_err(io::Error::other)?;
     write_file(process, variable, file, &text)
 }
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -1,4 +1,4 @@
-//! The plan's steps, one after the other: each waits for what it names, and is then done.
+//! Carries out the plan's steps in order: each waits for its event, and then its action is carried out.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -12,11 +12,12 @@
 use crate::plan::{Step, name_matches};
 use crate::process::PROCESS_TIMEOUT;
 
-/// What a node without coordinators logs when it goes by other settings.
+/// The log message of a node without coordinators that adopts other settings.
 const SETTINGS_TAKEN_OVER: &str = "settings taken over";
 
 impl Rig<'_> {
-    /// Does all steps, lets the load go on for the plan's tail, and returns when each step was done.
+    /// Carries out all steps, continues the load for the plan's tail, and returns the time at which each step was
+    /// completed.
     pub(super) fn play_steps(&mut self) -> io::Result<Vec<u64>> {
         let plan = self.plan;
         let mut done = Vec::new();
@@ -31,7 +32,7 @@
         Ok(done)
     }
 
-    /// Waits for what a step names, and then for its pace.
+    /// Waits for the event of a step, and then for its delay.
     fn wait_for(&mut self, step: &Step) -> io::Result<()> {
         if let Some(kind) = step.frame.as_deref().and_then(linestack_frames::kind_number) {
             let link = step.link.clone().unwrap_or_else(|| "*>*".into());
@@ -45,12 +46,12 @@
         let begin = Instant::now();
         loop {
             self.observe()?;
-            if self.observations.with(|seen| has_come(step, seen)) {
+            if self.observations.with(|seen| has_occurred(step, seen)) {
                 break;
             }
             if begin.elapsed() > PROCESS_TIMEOUT {
-                let what = step.line.as_ref().or(step.log.as_ref()).or(step.frame.as_ref());
-                return Err(io::Error::other(format!("{:?} never came for {:?}", what, step.action)));
+                let awaited = step.line.as_ref().or(step.log.as_ref()).or(step.frame.as_ref());
+                return Err(io::Error::other(format!("{:?} never came for {:?}", awaited, step.action)));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -66,7 +67,7 @@
         Ok(())
     }
 
-    /// Counts connections, and reads what logs and histories have grown by.
+    /// Counts connections, and reads the new lines of logs and histories.
     fn observe(&mut self) -> io::Result<()> {
         self.count_connections();
         let names: Vec<String> = self.processes.keys().cloned().collect();
@@ -88,7 +89,7 @@
 
     fn read_log(&mut self, name: &str) -> io::Result<()> {
         for text in self.tails.new_lines(&self.processes[name].log())? {
-            // Nodes without coordinators have no history: their log tells that they go by other settings.
+            // Nodes without coordinators have no history: only their log shows that they adopt other settings.
             if self.plan.coordinators == 0 && text.contains(SETTINGS_TAKEN_OVER) {
                 self.write_active(name);
             }
@@ -106,28 +107,28 @@
         Ok(())
     }
 
-    /// Writes into the history that a node goes by the settings of its own file.
+    /// Records in the history that a node applies the settings of its own file.
     pub(super) fn write_active(&self, name: &str) {
         let version = self.file_policies.get(name).copied().unwrap_or(1);
         self.write(name, What::Active { version, digest: 0 });
     }
 }
 
-/// Whether what a step waits for has come. A step that names nothing need not wait.
-fn has_come(step: &Step, seen: &Seen) -> bool {
-    let by_whom = |line: &&SeenLine| step.by.as_ref().is_none_or(|by| name_matches(by, &line.process));
+/// Returns whether the event of a step has occurred. A step without an event need not wait.
+fn has_occurred(step: &Step, seen: &Seen) -> bool {
+    let is_by_process = |line: &&SeenLine| step.by.as_ref().is_none_or(|by| name_matches(by, &line.process));
     if let Some(kind) = &step.line {
-        let lines = seen.history.iter().filter(by_whom);
+        let lines = seen.history.iter().filter(is_by_process);
         return lines.filter(|line| line.text == *kind).count() as u64 >= step.count;
     }
     if let Some(words) = &step.log {
-        let lines = seen.logs.iter().filter(by_whom);
+        let lines = seen.logs.iter().filter(is_by_process);
         return lines.filter(|line| line.text.contains(words.as_str())).count() as u64 >= step.count;
     }
     step.frame.is_none() || seen.awaited_frames_passed()
 }
 
-/// The kind that a history's line names; empty if it names none.
+/// Returns the kind of a history line; empty if it has none.
 fn kind_of(line: &str) -> &str {
     let kind = line.split_once("\"what\":\"").and_then(|(_, rest)| rest.split_once('"'));
     kind.map_or("", |(kind, _)| kind)
