--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_rig::check::Violation;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome, run};
@@ -31,7 +31,7 @@
 /// Returns the outcome that the operator was told for a request, or "nothing".
 fn operator_outcome<'a>(outcome: &'a Outcome, request: &str) -> &'a str {
     let found = outcome.lines.iter().find_map(|l| match &l.what {
-        What::Heard { request: r, outcome } if r == request => Some(outcome.as_str()),
+        HistoryEvent::Heard { request: r, outcome } if r == request => Some(outcome.as_str()),
         _ => None,
     });
     found.unwrap_or("nothing")
@@ -39,7 +39,7 @@
 
 fn last_decided_version(outcome: &Outcome) -> u64 {
     let versions = outcome.lines.iter().filter_map(|l| match l.what {
-        What::Decided { version, .. } => Some(version),
+        HistoryEvent::Decided { version, .. } => Some(version),
         _ => None,
     });
     versions.max().unwrap_or(0)
@@ -65,7 +65,8 @@
     assert_sound(&outcome);
     assert_eq!((operator_outcome(&outcome, "r1"), last_decided_version(&outcome)), ("decided", 2));
     // After it resumed, requests were waiting at it, and it may not accept them.
-    let rejected = |l: &&linestack_history::Line| l.by == "n2" && matches!(l.what, What::TurnedAway { .. });
+    let rejected =
+        |l: &&linestack_history::Line| l.by == "n2" && matches!(l.what, HistoryEvent::TurnedAway { .. });
     assert!(outcome.lines.iter().filter(rejected).count() > 0);
 }
 
@@ -113,7 +114,7 @@
          to = [\"c0\", \"c1\"]\n{DECIDED}"
     )));
     assert_sound(&outcome);
-    let rejected = outcome.lines.iter().filter(|l| matches!(l.what, What::TurnedAway { .. })).count();
+    let rejected = outcome.lines.iter().filter(|l| matches!(l.what, HistoryEvent::TurnedAway { .. })).count();
     assert!(rejected > 10, "nodes accepted requests without a lease: {rejected} rejected");
     assert_eq!(last_decided_version(&outcome), 2);
 }
@@ -271,7 +272,7 @@
         "strict = false\n[[steps]]\nafter-ms = 300\ndo = \"kill\"\nto = [\"c*\"]\n[[steps]]\nafter-ms = 2000\ndo = \"start\"\nto = [\"c*\"]\n",
     ));
     assert_sound(&outcome);
-    assert!(!outcome.lines.iter().any(|l| matches!(l.what, What::TurnedAway { .. })));
+    assert!(!outcome.lines.iter().any(|l| matches!(l.what, HistoryEvent::TurnedAway { .. })));
 }
 
 // Faulty nodes are detected: each process has a known fault switched on.
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use linestack_history::{Ended, Line, What};
+use linestack_history::{Ended, HistoryEvent, Line};
 
 /// The guarantees that a fleet was set up to give.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
     let mut all: HashMap<String, Vec<(u64, u64)>> = HashMap::new();
     let mut ongoing: HashMap<(String, bool), u64> = HashMap::new();
     for line in lines {
-        let What::Did { deed, to } = &line.what else { continue };
+        let HistoryEvent::Did { deed, to } = &line.what else { continue };
         // A fault on a link from clients to a node counts as a fault of the node.
         let is_link = to.contains('>');
         let name = to.strip_prefix("k>").unwrap_or(to).to_owned();
@@ -123,7 +123,7 @@
     for line in lines {
         let by = line.by.as_str();
         match &line.what {
-            What::Decided { request, version, digest } => {
+            HistoryEvent::Decided { request, version, digest } => {
                 let known = decided.entry(*version).or_insert((line.at, *digest));
                 if known.1 != *digest || dropped.contains(version) {
                     add(
@@ -140,15 +140,15 @@
                     add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
-            What::Dropped { request, version, .. } => {
+            HistoryEvent::Dropped { request, version, .. } => {
                 dropped.insert(*version);
                 let differs = *outcomes.entry(request).or_insert((false, *version)) != (false, *version);
                 if differs || decided.contains_key(version) {
                     add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
-            What::Established { round } => newest = newest.max((*round, by)),
-            What::Granted { round, member, version } if guarantees.strict => {
+            HistoryEvent::Established { round } => newest = newest.max((*round, by)),
+            HistoryEvent::Granted { round, member, version } if guarantees.strict => {
                 if (*round, by) < newest {
                     let reason = format!(
                         "let {member} serve in round {round}, but {} speaks in {}",
@@ -160,17 +160,17 @@
                     add(found, Violation::Undecided, line, format!("let {member} serve under {version}"));
                 }
             }
-            What::Active { version, digest } => match decided.get(version) {
+            HistoryEvent::Active { version, digest } => match decided.get(version) {
                 Some((_, text)) if text == digest => {}
                 Some(_) => {
                     add(found, Violation::TwoOutcomes, line, format!("version {version} with another text"))
                 }
                 None => add(found, Violation::Undecided, line, format!("goes by version {version}")),
             },
-            What::Leased { version, until } => {
+            HistoryEvent::Leased { version, until } => {
                 leased.insert((by, line.life), (*version, *until));
             }
-            What::Taken { id, version } if guarantees.strict && *version > 0 => {
+            HistoryEvent::Taken { id, version } if guarantees.strict && *version > 0 => {
                 match leased.get(&(by, line.life)) {
                     Some((_, until)) if line.at < *until => {}
                     Some((_, until)) => {
@@ -196,7 +196,7 @@
                     add(found, Violation::OldVersion, line, reason);
                 }
             }
-            What::Heard { request, outcome } => {
+            HistoryEvent::Heard { request, outcome } => {
                 let actual = outcomes.get(request.as_str()).map(|(decided, _)| *decided);
                 let wrong = match outcome.as_str() {
                     "decided" => actual != Some(true),
@@ -214,7 +214,7 @@
     }
     // A request that an operator was told is refused must not be decided later.
     for line in lines {
-        if let What::Heard { request, outcome } = &line.what
+        if let HistoryEvent::Heard { request, outcome } = &line.what
             && outcome == "refused"
             && outcomes.get(request.as_str()).is_some_and(|(decided, _)| *decided)
         {
@@ -234,11 +234,12 @@
     let mut accepted: HashMap<(&str, u64, &str), Accepted> = HashMap::new();
     for line in lines {
         match &line.what {
-            What::Taken { id, version } => {
+            HistoryEvent::Taken { id, version } => {
                 let submission = Accepted { line, version: *version, answered: false };
                 accepted.insert((&line.by, line.life, id), submission);
             }
-            What::Sent { id, version } => match accepted.get(&(line.by.as_str(), line.life, id.as_str())) {
+            HistoryEvent::Sent { id, version } => match accepted.get(&(line.by.as_str(), line.life, id.as_str()))
+            {
                 Some(submission) if submission.answered => {
                     add(found, Violation::AnsweredTwice, line, format!("sent {id} after its answer"));
                 }
@@ -251,7 +252,7 @@
                     add(found, Violation::VersionChanged, line, format!("sent {id}, which it had not taken"))
                 }
             },
-            What::Answered { id, version, ended } if *ended != Ended::Repeated => {
+            HistoryEvent::Answered { id, version, ended } if *ended != Ended::Repeated => {
                 match accepted.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
                     Some(submission) if submission.answered => {
                         add(found, Violation::AnsweredTwice, line, format!("answered {id} twice"));
@@ -274,7 +275,7 @@
     let disconnected: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
-            What::Unknown { id } | What::Unsent { id } => Some(id.as_str()),
+            HistoryEvent::Unknown { id } | HistoryEvent::Unsent { id } => Some(id.as_str()),
             _ => None,
         })
         .collect();
@@ -289,17 +290,17 @@
     let one_shots: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
-            What::Asked { key, one_shot: true, .. } => Some(key.as_str()),
+            HistoryEvent::Asked { key, one_shot: true, .. } => Some(key.as_str()),
             _ => None,
         })
         .collect();
     let mut began: HashMap<&str, Vec<(&Line, &str)>> = HashMap::new();
     for line in lines {
         match &line.what {
-            What::Took { id, key, .. } if one_shots.contains(key.as_str()) => {
+            HistoryEvent::Took { id, key, .. } if one_shots.contains(key.as_str()) => {
                 began.entry(key).or_default().push((line, id));
             }
-            What::PushedOver { executor } => {
+            HistoryEvent::PushedOver { executor } => {
                 add(
                     found,
                     Violation::PushedOver,
@@ -307,7 +308,9 @@
                     format!("{executor} is cold and was handed more than it bears"),
                 );
             }
-            What::Unbegun { id } => began.values_mut().for_each(|b| b.retain(|(_, other)| other != id)),
+            HistoryEvent::Unbegun { id } => {
+                began.values_mut().for_each(|b| b.retain(|(_, other)| other != id))
+            }
             _ => {}
         }
     }
@@ -340,14 +343,14 @@
     let mut answered: BTreeSet<&str> = BTreeSet::new();
     for line in lines {
         match &line.what {
-            What::Asked { id, node, .. } => {
+            HistoryEvent::Asked { id, node, .. } => {
                 asked.insert(id, (line, node));
             }
-            What::Told { id, .. } => {
+            HistoryEvent::Told { id, .. } => {
                 let first = answered.insert(id);
                 (!first).then(|| add(found, Violation::AnsweredTwice, line, format!("{id} was told twice")));
             }
-            What::Unknown { id } => {
+            HistoryEvent::Unknown { id } => {
                 let Some((from, node)) = asked.get(id.as_str()) else { continue };
                 let overlaps = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
                 if !faults.get(*node).into_iter().flatten().any(overlaps) {
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -25,7 +25,7 @@
 pub const IDEMPOTENT: &str = "look";
 
 /// Receives an event for everything that a client sends and receives.
-pub type Observer = Arc<dyn Fn(What) + Send + Sync>;
+pub type Observer = Arc<dyn Fn(HistoryEvent) + Send + Sync>;
 
 /// The outcome of one attempt.
 enum Attempt {
@@ -67,27 +67,32 @@
                 node = rng.random_range(0..nodes.len());
             }
             let id = format!("{number:x}-{count:x}-{attempt:x}");
-            seen(What::Asked { id: id.clone(), key: key.clone(), node: format!("n{node}"), one_shot });
+            seen(HistoryEvent::Asked {
+                id: id.clone(),
+                key: key.clone(),
+                node: format!("n{node}"),
+                one_shot,
+            });
             let outcome = send_once(&mut sockets[node], nodes[node], load, &id, &key, one_shot, attempt > 0);
             if matches!(outcome, Attempt::Unknown | Attempt::Unsent) {
                 sockets[node] = None;
             }
             match outcome {
                 Attempt::Answered(status, retry_after) => {
-                    seen(What::Told { id, status });
+                    seen(HistoryEvent::Told { id, status });
                     if !matches!(status, 429 | 503) {
                         break;
                     }
                     std::thread::sleep(retry_after.unwrap_or_default().min(MAX_RETRY_DELAY));
                 }
                 Attempt::Unknown => {
-                    seen(What::Unknown { id });
+                    seen(HistoryEvent::Unknown { id });
                     if !load.retry_when_unknown {
                         break;
                     }
                 }
                 Attempt::Unsent => {
-                    seen(What::Unsent { id });
+                    seen(HistoryEvent::Unsent { id });
                     // A node that is down refuses connections at once; the pause avoids a busy loop.
                     std::thread::sleep(Duration::from_millis(if load.same_node { 100 } else { 10 }));
                 }
--- a/crates/rig/src/run/outcome.rs
+++ b/crates/rig/src/run/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linestack_history::{Line, What};
+use linestack_history::{HistoryEvent, Line};
 
 use super::Second;
 use crate::check::Finding;
@@ -43,9 +43,11 @@
         for line in &self.lines {
             let under_load = line.at >= self.load_began_at;
             match &line.what {
-                What::Active { version, .. } => drop(active.insert(&line.by, *version)),
+                HistoryEvent::Active { version, .. } => drop(active.insert(&line.by, *version)),
                 // A killed node applies no version; a paused node may resume at any moment and still counts.
-                What::Did { deed, to } if deed == "kill" && under_load => drop(active.remove(to.as_str())),
+                HistoryEvent::Did { deed, to } if deed == "kill" && under_load => {
+                    active.remove(to.as_str());
+                }
                 _ => continue,
             }
             let mixed = under_load && active.values().min() != active.values().max();
--- a/crates/rig/src/stand_ins.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_world::standin::{Offer, StandIn, Ticket};
 use linestack_world::{Repeats, Scenario, Trouble};
 use serde_json::{Value, json};
@@ -31,7 +31,7 @@
 
 /// Receives an event for each execution that an executor accepted, for each that it dropped before it had begun, and
 /// for each that exceeded its cold capacity.
-pub type Observer = Arc<dyn Fn(What) + Send + Sync>;
+pub type Observer = Arc<dyn Fn(HistoryEvent) + Send + Sync>;
 
 impl Executor {
     fn now(&self) -> u64 {
@@ -115,9 +115,9 @@
                     if let Some(observer) = &self.observer {
                         let (executor, key) = (guard.0.name().to_owned(), String::from_utf8_lossy(&body));
                         if guard.0.pushed_over(now, &kind) {
-                            observer(What::PushedOver { executor: executor.clone() });
+                            observer(HistoryEvent::PushedOver { executor: executor.clone() });
                         }
-                        observer(What::Took { id: id.clone(), key: key.into_owned(), executor });
+                        observer(HistoryEvent::Took { id: id.clone(), key: key.into_owned(), executor });
                     }
                     guard.1.insert(ticket, (socket.try_clone()?, id));
                     pending = Some(ticket);
@@ -138,7 +138,7 @@
             if let Some((_, id)) = guard.1.remove(&ticket) {
                 let unbegun = guard.0.withdraw(self.now(), ticket);
                 if let Some(observer) = self.observer.as_ref().filter(|_| unbegun) {
-                    observer(What::Unbegun { id });
+                    observer(HistoryEvent::Unbegun { id });
                 }
                 self.changed.notify_one();
             }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,30 +1,30 @@
-//! What a store can fail with.
+//! The error type of the store.
 
 use std::io;
 
 use thiserror::Error;
 
-use crate::format::{FORM, LARGEST};
+use crate::format::{FORMAT_VERSION, MAX_RECORD_LENGTH};
 
-/// Why a store can't be opened, read or written.
+/// An error from opening, reading or writing a store.
 #[derive(Debug, Error)]
-pub enum Fault {
-    /// The file system's error.
+pub enum StoreError {
+    /// An error of the file system.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A file is not as it was written.
-    #[error("{file}: damaged at byte {at}: {why}")]
+    /// The content of a file differs from what was written.
+    #[error("{file}: damaged at byte {offset}: {reason}")]
     Damaged {
         /// The file.
         file: String,
         /// The offset of the damage.
-        at: u64,
+        offset: u64,
         /// What is damaged.
-        why: &'static str,
+        reason: &'static str,
     },
     /// A file has another format version.
-    #[error("{file}: of form {found}, and this reads {FORM}")]
-    Form {
+    #[error("{file}: of form {found}, and this reads {FORMAT_VERSION}")]
+    FormatVersion {
         /// The file.
         file: String,
         /// Its format version.
@@ -35,16 +35,16 @@
     Missing,
     /// There is a store in the folder, where none was expected.
     #[error("there is a store here already")]
-    There,
-    /// A record is too large; the bytes of its key and value.
-    #[error("a record of {0} bytes, {LARGEST} at most")]
-    Large(usize),
-    /// A write or a sync failed before. What is on the disk is not known, so the store takes nothing more.
-    #[error("the store has failed")]
+    AlreadyExists,
+    /// A record is too large for the store or for one segment. Holds the length of its key and value in bytes.
+    #[error("a record of {0} bytes is too large, {MAX_RECORD_LENGTH} at most are allowed")]
+    TooLarge(usize),
+    /// An earlier write or sync failed. The state of the disk is unknown, so the store accepts no more operations.
+    #[error("an earlier write to the store failed")]
     Failed,
 }
 
-/// A [`Fault::Damaged`].
-pub(crate) fn damaged(file: &str, at: u64, why: &'static str) -> Fault {
-    Fault::Damaged { file: file.to_owned(), at, why }
+/// Creates a [`StoreError::Damaged`].
+pub(crate) fn damaged(file: &str, offset: u64, reason: &'static str) -> StoreError {
+    StoreError::Damaged { file: file.to_owned(), offset, reason }
 }
