--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -238,20 +238,25 @@
                 let submission = Accepted { line, version: *version, answered: false };
                 accepted.insert((&line.by, line.life, id), submission);
             }
-            HistoryEvent::Sent { id, version } => match accepted.get(&(line.by.as_str(), line.life, id.as_str()))
-            {
-                Some(submission) if submission.answered => {
-                    add(found, Violation::AnsweredTwice, line, format!("sent {id} after its answer"));
-                }
-                Some(submission) if submission.version == *version => {}
-                Some(submission) => {
-                    let reason = format!("{id}: taken under {}, sent under {version}", submission.version);
-                    add(found, Violation::VersionChanged, line, reason);
-                }
-                None => {
-                    add(found, Violation::VersionChanged, line, format!("sent {id}, which it had not taken"))
+            HistoryEvent::Sent { id, version } => {
+                match accepted.get(&(line.by.as_str(), line.life, id.as_str())) {
+                    Some(submission) if submission.answered => {
+                        add(found, Violation::AnsweredTwice, line, format!("sent {id} after its answer"));
+                    }
+                    Some(submission) if submission.version == *version => {}
+                    Some(submission) => {
+                        let reason =
+                            format!("{id}: taken under {}, sent under {version}", submission.version);
+                        add(found, Violation::VersionChanged, line, reason);
+                    }
+                    None => add(
+                        found,
+                        Violation::VersionChanged,
+                        line,
+                        format!("sent {id}, which it had not taken"),
+                    ),
                 }
-            },
+            }
             HistoryEvent::Answered { id, version, ended } if *ended != Ended::Repeated => {
                 match accepted.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
                     Some(submission) if submission.answered => {
