--- a/crates/rig/tests/check.rs
+++ b/crates/rig/tests/check.rs
@@ -1,4 +1,4 @@
-//! The checker is proved by histories that are sound, and by each way in which one can be broken.
+//! Tests the history checker with a correct history, and with one violation of each kind.
 
 use linestack_history::{Ended, HistoryEvent, Line};
 use linestack_rig::check::{Guarantees, Violation, check};
@@ -54,8 +54,9 @@
     line(ms, "clients", HistoryEvent::Unknown { id: id.into() })
 }
 
-/// One node, two versions, the second decided at 1,000 ms; leaves to serve last 500 ms.
-fn sound() -> Vec<Line> {
+/// A history without violations: one node and two versions, the second of which is decided at 1,000 ms. Leases last
+/// about 500 ms.
+fn correct_history() -> Vec<Line> {
     let (n, c) = ("n0", "c0");
     vec![
         line(1, c, HistoryEvent::Established { round: 1 }),
@@ -77,7 +78,7 @@
         line(1100, c, granted(1, 2)),
         line(1110, n, HistoryEvent::Active { version: 2, digest: 2 }),
         line(1110, n, leased(2, 1600)),
-        // Taken under the old terms, and finished under them.
+        // Accepted under the old policy, and answered under it.
         line(1120, n, answered("b", 1)),
         line(1130, n, taken("c", 2)),
         line(1140, n, answered("c", 2)),
@@ -85,26 +86,26 @@
 }
 
 #[rstest]
-#[case::sound(vec![], None)]
+#[case::correct(vec![], None)]
 #[case::old_version(vec![line(1590, "n0", taken("d", 1)), line(1591, "n0", answered("d", 1))], Some(Violation::OldVersion))]
-#[case::before_it_was_decided(vec![line(955, "n0", HistoryEvent::Active { version: 2, digest: 2 })], Some(Violation::Undecided))]
-#[case::let_serve_undecided(vec![line(960, "c0", granted(1, 2))], Some(Violation::Undecided))]
-#[case::two_texts(
+#[case::applied_before_its_decision(vec![line(955, "n0", HistoryEvent::Active { version: 2, digest: 2 })], Some(Violation::Undecided))]
+#[case::lease_under_an_undecided_version(vec![line(960, "c0", granted(1, 2))], Some(Violation::Undecided))]
+#[case::two_contents(
     vec![line(1111, "c1", HistoryEvent::Decided { request: "r".into(), version: 2, digest: 9 })],
     Some(Violation::TwoOutcomes)
 )]
-#[case::two_ends(
+#[case::two_outcomes(
     vec![line(1111, "c1", HistoryEvent::Dropped { request: "r".into(), version: 2, why: "x".into() })],
     Some(Violation::TwoOutcomes)
 )]
-#[case::another_text_at_a_node(
+#[case::other_content_at_a_node(
     vec![line(1200, "n0", HistoryEvent::Active { version: 2, digest: 3 })],
     Some(Violation::TwoOutcomes)
 )]
-#[case::told_otherwise(vec![line(1300, "operator", heard("dropped"))], Some(Violation::WrongWord))]
+#[case::operator_got_another_outcome(vec![line(1300, "operator", heard("dropped"))], Some(Violation::WrongWord))]
 #[case::refused_and_decided(vec![line(500, "operator", heard("refused"))], Some(Violation::WrongWord))]
-#[case::unknown_is_no_lie(vec![line(500, "operator", heard("unknown"))], None)]
-#[case::pushed_over(
+#[case::unknown_is_allowed(vec![line(500, "operator", heard("unknown"))], None)]
+#[case::cold_executor_overloaded(
     vec![line(1200, "executors", HistoryEvent::PushedOver { executor: "e0".into() })],
     Some(Violation::PushedOver)
 )]
@@ -112,13 +113,13 @@
     vec![line(1150, "c1", HistoryEvent::Established { round: 2 }), line(1160, "c0", granted(1, 2))],
     Some(Violation::OldCoordinator)
 )]
-#[case::unfenced(vec![line(1700, "n0", taken("d", 2)), line(1701, "n0", answered("d", 2))], Some(Violation::Unfenced))]
-#[case::without_leave(vec![line(30, "n1", taken("d", 1)), line(31, "n1", answered("d", 1))], Some(Violation::Unfenced))]
-#[case::changed_on_the_way(
+#[case::expired_lease(vec![line(1700, "n0", taken("d", 2)), line(1701, "n0", answered("d", 2))], Some(Violation::Unfenced))]
+#[case::without_a_lease(vec![line(30, "n1", taken("d", 1)), line(31, "n1", answered("d", 1))], Some(Violation::Unfenced))]
+#[case::answered_under_another_version(
     vec![line(1140, "n0", taken("d", 2)), line(1141, "n0", answered("d", 1))],
     Some(Violation::VersionChanged)
 )]
-#[case::sent_without_being_taken(
+#[case::sent_without_being_accepted(
     vec![line(30, "n0", HistoryEvent::Sent { id: "z".into(), version: 1 })],
     Some(Violation::VersionChanged)
 )]
@@ -127,14 +128,14 @@
     vec![line(25, "n0", HistoryEvent::Sent { id: "a".into(), version: 1 })],
     Some(Violation::AnsweredTwice)
 )]
-#[case::told_twice(vec![line(22, "clients", told("a"))], Some(Violation::AnsweredTwice))]
+#[case::client_got_two_answers(vec![line(22, "clients", told("a"))], Some(Violation::AnsweredTwice))]
 #[case::unanswered(vec![line(1200, "n0", taken("d", 2))], Some(Violation::Unanswered))]
 #[case::killed_before_its_answer(
     vec![line(1200, "n0", taken("d", 2)), line(1250, "rig", did("kill", "n0"))],
     None
 )]
 #[case::no_answer(vec![line(1200, "clients", asked("d", "n0")), unknown(1300, "d")], Some(Violation::NoAnswer))]
-#[case::no_answer_over_a_cut_way(
+#[case::no_answer_over_a_cut_link(
     vec![
         line(1200, "clients", asked("d", "n0")),
         line(1210, "rig", did("cut", "k>n0")),
@@ -143,13 +144,13 @@
     ],
     None
 )]
-#[case::twice(vec![line(40, "executors", took("a2", "key-a"))], Some(Violation::Twice))]
-#[case::again_after_one_that_never_began(
+#[case::started_twice(vec![line(40, "executors", took("a2", "key-a"))], Some(Violation::Twice))]
+#[case::started_again_after_one_that_never_began(
     vec![line(14, "executors", HistoryEvent::Unbegun { id: "a".into() }), line(40, "executors", took("a2", "key-a"))],
     None
 )]
-fn judged(#[case] more: Vec<Line>, #[case] violation: Option<Violation>) {
-    let lines = [sound(), more].concat();
+fn violations_are_found(#[case] additional: Vec<Line>, #[case] violation: Option<Violation>) {
+    let lines = [correct_history(), additional].concat();
     let guarantees = Guarantees {
         coordinated: true,
         bound: 500 * MS,
