--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -44,7 +44,7 @@
     seed: u64,
     nodes: &[&Link],
     stop: &AtomicBool,
-    seen: &Observer,
+    observer: &Observer,
 ) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64) << 24);
     let gap = Duration::from_secs_f64(load.clients as f64 / load.rate);
@@ -67,7 +67,7 @@
                 node = rng.random_range(0..nodes.len());
             }
             let id = format!("{number:x}-{count:x}-{attempt:x}");
-            seen(HistoryEvent::Asked {
+            observer(HistoryEvent::Asked {
                 id: id.clone(),
                 key: key.clone(),
                 node: format!("n{node}"),
@@ -79,20 +79,20 @@
             }
             match outcome {
                 Attempt::Answered(status, retry_after) => {
-                    seen(HistoryEvent::Told { id, status });
+                    observer(HistoryEvent::Told { id, status });
                     if !matches!(status, 429 | 503) {
                         break;
                     }
                     std::thread::sleep(retry_after.unwrap_or_default().min(MAX_RETRY_DELAY));
                 }
                 Attempt::Unknown => {
-                    seen(HistoryEvent::Unknown { id });
+                    observer(HistoryEvent::Unknown { id });
                     if !load.retry_when_unknown {
                         break;
                     }
                 }
                 Attempt::Unsent => {
-                    seen(HistoryEvent::Unsent { id });
+                    observer(HistoryEvent::Unsent { id });
                     // A node that is down refuses connections at once; the pause avoids a busy loop.
                     std::thread::sleep(Duration::from_millis(if load.same_node { 100 } else { 10 }));
                 }
--- a/crates/rig/src/run/observations.rs
+++ b/crates/rig/src/run/observations.rs
@@ -19,14 +19,14 @@
 /// The observations, shared with the links.
 #[derive(Default)]
 pub(super) struct Observations {
-    seen: Mutex<Seen>,
+    observed: Mutex<StepObservations>,
     changed: Condvar,
     stop: AtomicBool,
 }
 
 /// The observations since the previous step was completed.
 #[derive(Default)]
-pub(super) struct Seen {
+pub(super) struct StepObservations {
     frames: HashMap<PassedFrame, u64>,
     /// The kinds of the new history lines.
     pub(super) history: Vec<SeenLine>,
@@ -47,7 +47,7 @@
 #[derive(PartialEq, Eq, Hash)]
 struct PassedFrame {
     link: String,
-    side: Direction,
+    direction: Direction,
     kind: u8,
 }
 
@@ -55,37 +55,39 @@
 pub(super) struct AwaitedFrames {
     /// A pattern of link names.
     pub(super) link: String,
-    pub(super) side: Direction,
+    pub(super) direction: Direction,
     pub(super) kind: u8,
     pub(super) count: u64,
 }
 
 impl Observations {
     /// Counts a frame that has passed. If it is the last one that a step waits for, blocks until that step is completed.
-    pub(super) fn frame_passed(&self, link: &str, side: Direction, kind: u8) {
-        let mut seen = lock(&self.seen);
-        *seen.frames.entry(PassedFrame { link: link.to_owned(), side, kind }).or_default() += 1;
-        if !seen.awaited_frames_passed() {
+    pub(super) fn frame_passed(&self, link: &str, direction: Direction, kind: u8) {
+        let mut observed = lock(&self.observed);
+        *observed.frames.entry(PassedFrame { link: link.to_owned(), direction, kind }).or_default() += 1;
+        if !observed.awaited_frames_passed() {
             return;
         }
-        seen.step_in_progress = true;
+        observed.step_in_progress = true;
         self.changed.notify_all();
         let begin = Instant::now();
-        while seen.step_in_progress && !self.stop.load(Ordering::Relaxed) && begin.elapsed() < PROCESS_TIMEOUT
+        while observed.step_in_progress
+            && !self.stop.load(Ordering::Relaxed)
+            && begin.elapsed() < PROCESS_TIMEOUT
         {
-            let waited = self.changed.wait_timeout(seen, HELD_FRAME_POLL);
-            seen = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let waited = self.changed.wait_timeout(observed, HELD_FRAME_POLL);
+            observed = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
     /// Sets the frames to wait for. Once they have passed, their link forwards nothing until the step is completed.
     pub(super) fn await_frames(&self, frames: AwaitedFrames) {
-        lock(&self.seen).awaited = Some(frames);
+        lock(&self.observed).awaited = Some(frames);
     }
 
     /// Completes a step: links continue, and the observations are cleared.
     pub(super) fn step_done(&self) {
-        *lock(&self.seen) = Seen::default();
+        *lock(&self.observed) = StepObservations::default();
         self.changed.notify_all();
     }
 
@@ -95,18 +97,18 @@
     }
 
     /// Reads or changes the observations.
-    pub(super) fn with<T>(&self, access: impl FnOnce(&mut Seen) -> T) -> T {
-        access(&mut lock(&self.seen))
+    pub(super) fn with<T>(&self, access: impl FnOnce(&mut StepObservations) -> T) -> T {
+        access(&mut lock(&self.observed))
     }
 }
 
-impl Seen {
+impl StepObservations {
     /// Returns whether the awaited number of frames has passed.
     pub(super) fn awaited_frames_passed(&self) -> bool {
         let Some(awaited) = &self.awaited else { return false };
         let fits = |frame: &PassedFrame| {
             name_matches(&awaited.link, &frame.link)
-                && frame.side == awaited.side
+                && frame.direction == awaited.direction
                 && frame.kind == awaited.kind
         };
         let passed: u64 = self.frames.iter().filter(|(f, _)| fits(f)).map(|(_, count)| count).sum();
--- a/crates/rig/src/run/recovery.rs
+++ b/crates/rig/src/run/recovery.rs
@@ -126,8 +126,9 @@
     /// Returns the recovery of the fleet if processes were killed and started again and a client got an answer.
     #[must_use]
     pub fn recovery(&self) -> Option<Recovery> {
-        let killed = times_of(&self.lines, |deed| deed == "kill").next()?;
-        let started = times_of(&self.lines, |deed| deed.starts_with("start") || deed == "replace").max()?;
+        let killed = times_of(&self.lines, |action| action == "kill").next()?;
+        let started =
+            times_of(&self.lines, |action| action.starts_with("start") || action == "replace").max()?;
         // A start step is completed when all processes that it started listen.
         let up = self.steps_done_at.iter().copied().filter(|at| *at >= started).min().unwrap_or(started);
         let view = ClientView::of(&self.lines);
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -6,7 +6,7 @@
 
 use linestack_history::HistoryEvent;
 
-use super::observations::{AwaitedFrames, Seen, SeenLine};
+use super::observations::{AwaitedFrames, SeenLine, StepObservations};
 use super::{POLL_INTERVAL, Rig, leads_to};
 use crate::monotonic;
 use crate::plan::{Step, name_matches};
@@ -38,7 +38,7 @@
             let link = step.link.clone().unwrap_or_else(|| "*>*".into());
             self.observations.await_frames(AwaitedFrames {
                 link,
-                side: step.direction,
+                direction: step.direction,
                 kind,
                 count: step.count,
             });
@@ -46,7 +46,7 @@
         let begin = Instant::now();
         loop {
             self.observe()?;
-            if self.observations.with(|seen| has_occurred(step, seen)) {
+            if self.observations.with(|observed| has_occurred(step, observed)) {
                 break;
             }
             if begin.elapsed() > PROCESS_TIMEOUT {
@@ -94,7 +94,7 @@
                 self.write_active(name);
             }
             let line = SeenLine { process: name.to_owned(), text };
-            self.observations.with(|seen| seen.logs.push(line));
+            self.observations.with(|observed| observed.logs.push(line));
         }
         Ok(())
     }
@@ -102,7 +102,7 @@
     fn read_history(&mut self, name: &str) -> io::Result<()> {
         for line in self.tails.new_lines(&self.processes[name].folder.join("history"))? {
             let line = SeenLine { process: name.to_owned(), text: kind_of(&line).to_owned() };
-            self.observations.with(|seen| seen.history.push(line));
+            self.observations.with(|observed| observed.history.push(line));
         }
         Ok(())
     }
@@ -115,17 +115,17 @@
 }
 
 /// Returns whether the event of a step has occurred. A step without an event need not wait.
-fn has_occurred(step: &Step, seen: &Seen) -> bool {
+fn has_occurred(step: &Step, observed: &StepObservations) -> bool {
     let is_by_process = |line: &&SeenLine| step.by.as_ref().is_none_or(|by| name_matches(by, &line.process));
     if let Some(kind) = &step.line {
-        let lines = seen.history.iter().filter(is_by_process);
+        let lines = observed.history.iter().filter(is_by_process);
         return lines.filter(|line| line.text == *kind).count() as u64 >= step.count;
     }
-    if let Some(words) = &step.log {
-        let lines = seen.logs.iter().filter(is_by_process);
-        return lines.filter(|line| line.text.contains(words.as_str())).count() as u64 >= step.count;
+    if let Some(text) = &step.log {
+        let lines = observed.logs.iter().filter(is_by_process);
+        return lines.filter(|line| line.text.contains(text.as_str())).count() as u64 >= step.count;
     }
-    step.frame.is_none() || seen.awaited_frames_passed()
+    step.frame.is_none() || observed.awaited_frames_passed()
 }
 
 /// Returns the kind of a history line; empty if it has none.
