--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -5,10 +5,10 @@
 use std::process::Command;
 
 use linestack_history::HistoryEvent;
+use linestack_rig::node_process::NodeProcess;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome, run};
-use linestack_rig::stand::Fleet;
-use linestack_rig::started::Started;
+use linestack_rig::stand_ins::StandInFleet;
 use rstest::rstest;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linestack");
@@ -28,13 +28,13 @@
 #[test]
 fn no_job_runs_twice_over_twenty_kills() {
     let with = run_plan(&kill_plan(true));
-    assert!(with.sound(), "{:?} {:?}", with.findings, with.faults);
+    assert!(with.passed(), "{:?} {:?}", with.findings, with.faults);
     let unknown = with.lines.iter().filter(|l| matches!(l.what, HistoryEvent::Unknown { .. })).count();
-    assert!(unknown > 10 && with.doubled == 0, "{unknown} unknown, {} doubled", with.doubled);
+    assert!(unknown > 10 && with.duplicates == 0, "{unknown} unknown, {} doubled", with.duplicates);
     // The repeated request for a completed job gets its stored result; one that may have run is aborted.
     assert!(with.seconds.iter().map(|s| s.aborted).sum::<u64>() > 0);
     let without = run_plan(&kill_plan(false));
-    assert!(without.doubled > 5, "{}", without.doubled);
+    assert!(without.duplicates > 5, "{}", without.duplicates);
 }
 
 fn linestack(words: &[&str]) -> (i32, String) {
@@ -74,7 +74,7 @@
 fn an_unusable_store_is_refused_by_key(#[case] line: &str, #[case] expected: &str) {
     let folder = tempfile::tempdir().unwrap();
     let scenario = linestack_world::Scenario::default();
-    let fleet = Fleet::start(&scenario).unwrap();
+    let fleet = StandInFleet::start(&scenario).unwrap();
     let (node, store) = (folder.path().join("node.json"), folder.path().join("store.toml"));
     std::fs::write(&node, fleet.configuration("n0", 1).to_string()).unwrap();
     let same_by = if line.contains("same-by") { "" } else { "same-by = \"req-id\"\n" };
@@ -89,8 +89,8 @@
 // A node without a configured store serves none of the store's paths.
 #[test]
 fn without_a_store_its_paths_do_not_exist() {
-    let fleet = Fleet::start(&linestack_world::Scenario::default()).unwrap();
-    let node = Started::start(Path::new(PROGRAM), &fleet.configuration("n0", 1)).unwrap();
+    let fleet = StandInFleet::start(&linestack_world::Scenario::default()).unwrap();
+    let node = NodeProcess::start(Path::new(PROGRAM), &fleet.configuration("n0", 1)).unwrap();
     let within = std::time::Duration::from_secs(5);
-    assert_eq!(linestack_rig::http::get(node.address, "/v1/submissions/a", within).unwrap(), 404);
+    assert_eq!(linestack_rig::http::get_status(node.address, "/v1/submissions/a", within).unwrap(), 404);
 }
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -1,118 +1,123 @@
-//! Judges merged histories. It knows what is promised and nothing of how it is kept.
+//! Checks merged histories against the guarantees of a fleet, without knowledge of how the fleet provides them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use linestack_history::{Ended, HistoryEvent, Line};
 
-/// What was promised.
+/// The guarantees that a fleet was set up to give.
 #[derive(Clone, Debug)]
-pub struct Promise {
-    /// There are coordinators: versions are agreed on.
+pub struct Guarantees {
+    /// Coordinators run, so nodes agree on policy versions.
     pub coordinated: bool,
-    /// Nanoseconds after a decision from which no process takes anything under the version before.
+    /// Time in nanoseconds after a decision from which no process accepts a submission under an older version.
     pub bound: u64,
-    /// Nodes that can't prove their terms current take nothing.
+    /// Nodes that cannot prove that their policy is current accept no submissions.
     pub strict: bool,
-    /// Nodes keep a store, and clients come back to the node that they asked: none of what it sent begins twice.
+    /// Nodes keep a store and clients retry at the same node, so no job that the node sent is started twice.
     pub remembered: bool,
-    /// Clients ask again also when the first try may have run, so that doubles are counted and not judged.
-    pub asked_when_unknown: bool,
+    /// Clients also retry when the first attempt may have run, so duplicate executions are counted, not reported.
+    pub retried_when_unknown: bool,
 }
 
-/// A promise that was not kept, and by what it shows.
+/// A kind of broken guarantee. The names appear in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Broken {
-    /// A submission was taken under a version after another had been decided for longer than the bound.
+pub enum Violation {
+    /// A node accepted a submission under a version although a newer one was decided longer ago than the bound.
     OldVersion,
-    /// A node went by a version that was not decided yet, or never.
+    /// A node applied a version that was not decided yet, or never was.
     Undecided,
-    /// One version with two texts, one change with two ends, or decisions out of order.
+    /// A version has two contents, or a change has two outcomes.
     TwoOutcomes,
-    /// An operator was told another end than the change had.
+    /// An operator received an outcome that differs from the actual outcome of the change.
     WrongWord,
-    /// A coordinator granted after another spoke for the fleet.
+    /// A coordinator granted a lease after another coordinator had become the leader.
     OldCoordinator,
-    /// A node took a submission after its leave to serve was over.
+    /// A node accepted a submission without a valid lease.
     Unfenced,
-    /// A submission changed its version on the way.
+    /// A submission was sent or answered under a version other than the one it was accepted under, or was sent
+    /// without having been accepted.
     VersionChanged,
-    /// Answered twice, or handed out after its answer.
+    /// A submission was answered twice, or sent to an executor after its answer.
     AnsweredTwice,
-    /// Taken and never answered by a process that lived on.
+    /// A process that kept running accepted a submission and never answered it.
     Unanswered,
-    /// A client that no fault kept from its answer did not get one.
+    /// A client got no answer although no fault affected the node or the link to it.
     NoAnswer,
-    /// A one-shot was executed twice.
+    /// A one-shot job was started more than once.
     Twice,
-    /// A cold executor was handed more than it bears, by all nodes together.
+    /// All nodes together sent a cold executor more than its current capacity.
     PushedOver,
 }
 
-/// A promise that was not kept once.
+/// One occurrence of a broken guarantee.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// Which one.
-    pub broken: Broken,
-    /// When, in nanoseconds on the monotonic clock.
+    /// The guarantee that was broken.
+    pub violation: Violation,
+    /// The time of the history line in nanoseconds on the monotonic clock.
     pub at: u64,
-    /// Whose line of the history shows it.
+    /// The process that wrote the history line.
     pub by: String,
-    /// What shows it.
-    pub why: String,
+    /// A description of the observed violation.
+    pub reason: String,
 }
 
-/// Intervals in which a process or its ways were not whole, by its name.
-fn troubled(lines: &[Line]) -> HashMap<String, Vec<(u64, u64)>> {
+/// Returns the intervals in which a fault affected each process or link, by its name.
+fn fault_intervals(lines: &[Line]) -> HashMap<String, Vec<(u64, u64)>> {
     let mut all: HashMap<String, Vec<(u64, u64)>> = HashMap::new();
-    let mut open: HashMap<(String, bool), u64> = HashMap::new();
+    let mut ongoing: HashMap<(String, bool), u64> = HashMap::new();
     for line in lines {
         let HistoryEvent::Did { deed, to } = &line.what else { continue };
-        // A way from clients to a node is the node's.
-        let way = to.contains('>');
-        let who = to.strip_prefix("k>").unwrap_or(to).to_owned();
+        // A fault on a link from clients to a node counts as a fault of the node.
+        let is_link = to.contains('>');
+        let name = to.strip_prefix("k>").unwrap_or(to).to_owned();
         match deed.as_str() {
             "kill" | "pause" | "stop" | "cut" | "delay" | "throttle" => {
-                open.entry((who, way)).or_insert(line.at);
+                ongoing.entry((name, is_link)).or_insert(line.at);
             }
             "start" | "start-empty" | "start-older" | "start-rolled-back" | "replace" | "resume" | "heal" => {
-                if let Some(from) = open.remove(&(who.clone(), way)) {
-                    all.entry(who).or_default().push((from, line.at));
+                if let Some(from) = ongoing.remove(&(name.clone(), is_link)) {
+                    all.entry(name).or_default().push((from, line.at));
                 }
             }
-            "reset" | "cut-at" => all.entry(who).or_default().push((line.at, line.at)),
+            "reset" | "cut-at" => all.entry(name).or_default().push((line.at, line.at)),
             _ => {}
         }
     }
-    for ((who, _), from) in open {
-        all.entry(who).or_default().push((from, u64::MAX));
+    for ((name, _), from) in ongoing {
+        all.entry(name).or_default().push((from, u64::MAX));
     }
     all
 }
 
-/// All that the histories show to be broken. The lines may come in any order.
+/// Returns all violations that the merged histories show, ordered by time. The lines may be in any order.
 #[must_use]
-pub fn check(lines: &[Line], promise: &Promise) -> Vec<Finding> {
+pub fn check(lines: &[Line], guarantees: &Guarantees) -> Vec<Finding> {
     let mut lines = lines.to_vec();
     lines.sort_by_key(|l| l.at);
     let mut found = Vec::new();
-    if promise.coordinated {
-        agreement(&lines, promise, &mut found);
+    if guarantees.coordinated {
+        check_agreement(&lines, guarantees, &mut found);
     }
-    submissions(&lines, promise, &mut found);
-    clients(&lines, promise, &mut found);
+    check_submissions(&lines, guarantees, &mut found);
+    check_clients(&lines, &mut found);
     found.sort_by_key(|f: &Finding| f.at);
     found
 }
 
-fn add(found: &mut Vec<Finding>, broken: Broken, line: &Line, why: String) {
-    found.push(Finding { broken, at: line.at, by: line.by.clone(), why });
+fn add(found: &mut Vec<Finding>, violation: Violation, line: &Line, reason: String) {
+    found.push(Finding { violation, at: line.at, by: line.by.clone(), reason });
 }
 
-fn agreement(lines: &[Line], promise: &Promise, found: &mut Vec<Finding>) {
-    // Version: when it was first known to be decided, and the digest of its text.
+/// Checks policy versions, leases, and the outcomes that operators received.
+fn check_agreement(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
+    // For each version: the time of the first line that shows it as decided, and the digest of its content.
     let mut decided: BTreeMap<u64, (u64, u32)> = BTreeMap::new();
-    let mut ends: HashMap<&str, (bool, u64)> = HashMap::new();
+    // For each request: whether its change was decided or dropped, and the version.
+    let mut outcomes: HashMap<&str, (bool, u64)> = HashMap::new();
+    // The highest round and its leader.
     let mut newest: (u64, &str) = (0, "");
+    // For each process run: the version and the expiry of its lease.
     let mut leased: HashMap<(&str, u64), (u64, u64)> = HashMap::new();
     let mut dropped: BTreeSet<u64> = BTreeSet::new();
     for line in lines {
@@ -123,137 +128,146 @@
                 if known.1 != *digest || dropped.contains(version) {
                     add(
                         found,
-                        Broken::TwoOutcomes,
+                        Violation::TwoOutcomes,
                         line,
                         format!("version {version} has two texts or two ends"),
                     );
                 }
-                // The first terms of all are nobody's request.
-                if !request.is_empty() && *ends.entry(request).or_insert((true, *version)) != (true, *version)
+                // The initial policy has no request.
+                if !request.is_empty()
+                    && *outcomes.entry(request).or_insert((true, *version)) != (true, *version)
                 {
-                    add(found, Broken::TwoOutcomes, line, format!("{request} ended otherwise before"));
+                    add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
             HistoryEvent::Dropped { request, version, .. } => {
                 dropped.insert(*version);
-                let other = *ends.entry(request).or_insert((false, *version)) != (false, *version);
-                if other || decided.contains_key(version) {
-                    add(found, Broken::TwoOutcomes, line, format!("{request} ended otherwise before"));
+                let differs = *outcomes.entry(request).or_insert((false, *version)) != (false, *version);
+                if differs || decided.contains_key(version) {
+                    add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
                 }
             }
             HistoryEvent::Established { round } => newest = newest.max((*round, by)),
-            HistoryEvent::Granted { round, member, version } if promise.strict => {
+            HistoryEvent::Granted { round, member, version } if guarantees.strict => {
                 if (*round, by) < newest {
-                    let why = format!(
+                    let reason = format!(
                         "let {member} serve in round {round}, but {} speaks in {}",
                         newest.1, newest.0
                     );
-                    add(found, Broken::OldCoordinator, line, why);
+                    add(found, Violation::OldCoordinator, line, reason);
                 }
                 if !decided.contains_key(version) {
-                    add(found, Broken::Undecided, line, format!("let {member} serve under {version}"));
+                    add(found, Violation::Undecided, line, format!("let {member} serve under {version}"));
                 }
             }
             HistoryEvent::Active { version, digest } => match decided.get(version) {
                 Some((_, text)) if text == digest => {}
                 Some(_) => {
-                    add(found, Broken::TwoOutcomes, line, format!("version {version} with another text"))
+                    add(found, Violation::TwoOutcomes, line, format!("version {version} with another text"))
                 }
-                None => add(found, Broken::Undecided, line, format!("goes by version {version}")),
+                None => add(found, Violation::Undecided, line, format!("goes by version {version}")),
             },
             HistoryEvent::Leased { version, until } => {
                 leased.insert((by, line.life), (*version, *until));
             }
-            HistoryEvent::Taken { id, version } if promise.strict && *version > 0 => {
+            HistoryEvent::Taken { id, version } if guarantees.strict && *version > 0 => {
                 match leased.get(&(by, line.life)) {
                     Some((_, until)) if line.at < *until => {}
                     Some((_, until)) => {
                         let over = (line.at - until) / 1000;
                         add(
                             found,
-                            Broken::Unfenced,
+                            Violation::Unfenced,
                             line,
                             format!("took {id} {over} us after its leave was over"),
                         );
                     }
-                    None => add(found, Broken::Unfenced, line, format!("took {id} without leave")),
+                    None => add(found, Violation::Unfenced, line, format!("took {id} without leave")),
                 }
                 if !decided.contains_key(version) {
-                    add(found, Broken::Undecided, line, format!("took {id} under {version}"));
+                    add(found, Violation::Undecided, line, format!("took {id} under {version}"));
                 }
                 let newer = decided.range(version + 1..).map(|(v, (at, _))| (*at, *v)).min();
                 if let Some((at, v)) = newer
-                    && line.at > at + promise.bound
+                    && line.at > at + guarantees.bound
                 {
                     let late = (line.at - at) / 1_000_000;
-                    let why = format!("took {id} under {version}, {late} ms after {v} was decided");
-                    add(found, Broken::OldVersion, line, why);
+                    let reason = format!("took {id} under {version}, {late} ms after {v} was decided");
+                    add(found, Violation::OldVersion, line, reason);
                 }
             }
             HistoryEvent::Heard { request, outcome } => {
-                let end = ends.get(request.as_str()).map(|(decided, _)| *decided);
+                let actual = outcomes.get(request.as_str()).map(|(decided, _)| *decided);
                 let wrong = match outcome.as_str() {
-                    "decided" => end != Some(true),
-                    "dropped" => end != Some(false),
-                    // Refused at once: it was never put before the fleet, now or later.
-                    "refused" => end.is_some(),
+                    "decided" => actual != Some(true),
+                    "dropped" => actual != Some(false),
+                    // A refused request is never proposed to the coordinators.
+                    "refused" => actual.is_some(),
                     _ => false,
                 };
                 if wrong {
-                    add(found, Broken::WrongWord, line, format!("{request}: told {outcome}"));
+                    add(found, Violation::WrongWord, line, format!("{request}: told {outcome}"));
                 }
             }
             _ => {}
         }
     }
-    // Whatever was told first, a request that was refused may not be decided later.
+    // A request that an operator was told is refused must not be decided later.
     for line in lines {
         if let HistoryEvent::Heard { request, outcome } = &line.what
             && outcome == "refused"
-            && ends.get(request.as_str()).is_some_and(|(decided, _)| *decided)
+            && outcomes.get(request.as_str()).is_some_and(|(decided, _)| *decided)
         {
-            add(found, Broken::WrongWord, line, format!("{request}: told refused, and decided"));
+            add(found, Violation::WrongWord, line, format!("{request}: told refused, and decided"));
         }
     }
 }
 
-fn submissions(lines: &[Line], promise: &Promise, found: &mut Vec<Finding>) {
-    struct Held<'a> {
+/// Checks that each accepted submission is sent and answered as guaranteed, and that executions are not duplicated.
+fn check_submissions(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
+    struct Accepted<'a> {
         line: &'a Line,
         version: u64,
         answered: bool,
     }
-    let mut held: HashMap<(&str, u64, &str), Held> = HashMap::new();
+    // By process, run of the process, and id of the submission.
+    let mut accepted: HashMap<(&str, u64, &str), Accepted> = HashMap::new();
     for line in lines {
         match &line.what {
             HistoryEvent::Taken { id, version } => {
-                let taken = Held { line, version: *version, answered: false };
-                held.insert((&line.by, line.life, id), taken);
+                let submission = Accepted { line, version: *version, answered: false };
+                accepted.insert((&line.by, line.life, id), submission);
             }
-            HistoryEvent::Sent { id, version } => match held.get(&(line.by.as_str(), line.life, id.as_str()))
-            {
-                Some(h) if h.answered => {
-                    add(found, Broken::AnsweredTwice, line, format!("sent {id} after its answer"));
-                }
-                Some(h) if h.version == *version => {}
-                Some(h) => {
-                    let why = format!("{id}: taken under {}, sent under {version}", h.version);
-                    add(found, Broken::VersionChanged, line, why);
-                }
-                None => {
-                    add(found, Broken::VersionChanged, line, format!("sent {id}, which it had not taken"))
+            HistoryEvent::Sent { id, version } => {
+                match accepted.get(&(line.by.as_str(), line.life, id.as_str())) {
+                    Some(submission) if submission.answered => {
+                        add(found, Violation::AnsweredTwice, line, format!("sent {id} after its answer"));
+                    }
+                    Some(submission) if submission.version == *version => {}
+                    Some(submission) => {
+                        let reason =
+                            format!("{id}: taken under {}, sent under {version}", submission.version);
+                        add(found, Violation::VersionChanged, line, reason);
+                    }
+                    None => add(
+                        found,
+                        Violation::VersionChanged,
+                        line,
+                        format!("sent {id}, which it had not taken"),
+                    ),
                 }
-            },
+            }
             HistoryEvent::Answered { id, version, ended } if *ended != Ended::Repeated => {
-                match held.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
-                    Some(h) if h.answered => {
-                        add(found, Broken::AnsweredTwice, line, format!("answered {id} twice"));
+                match accepted.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
+                    Some(submission) if submission.answered => {
+                        add(found, Violation::AnsweredTwice, line, format!("answered {id} twice"));
                     }
-                    Some(h) => {
-                        h.answered = true;
-                        if h.version != *version {
-                            let why = format!("{id}: taken under {}, answered under {version}", h.version);
-                            add(found, Broken::VersionChanged, line, why);
+                    Some(submission) => {
+                        submission.answered = true;
+                        if submission.version != *version {
+                            let reason =
+                                format!("{id}: taken under {}, answered under {version}", submission.version);
+                            add(found, Violation::VersionChanged, line, reason);
                         }
                     }
                     None => {}
@@ -262,22 +276,22 @@
             _ => {}
         }
     }
-    // A client that left is owed nothing; that it left shows in its own history.
-    let left: BTreeSet<&str> = lines
+    // No answer is due to a client that disconnected, which its own history shows.
+    let disconnected: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
             HistoryEvent::Unknown { id } | HistoryEvent::Unsent { id } => Some(id.as_str()),
             _ => None,
         })
         .collect();
-    let troubles = troubled(lines);
-    for ((by, _, id), h) in &held {
-        let excused = troubles.get(*by).into_iter().flatten().any(|(_, to)| *to >= h.line.at);
-        if !h.answered && !excused && !left.contains(id) {
-            add(found, Broken::Unanswered, h.line, format!("{id} was never answered"));
+    let faults = fault_intervals(lines);
+    for ((by, _, id), submission) in &accepted {
+        let excused = faults.get(*by).into_iter().flatten().any(|(_, to)| *to >= submission.line.at);
+        if !submission.answered && !excused && !disconnected.contains(id) {
+            add(found, Violation::Unanswered, submission.line, format!("{id} was never answered"));
         }
     }
-    // Executions that began, by what they are about.
+    // Executions that began, by the key of the job.
     let one_shots: BTreeSet<&str> = lines
         .iter()
         .filter_map(|l| match &l.what {
@@ -294,7 +308,7 @@
             HistoryEvent::PushedOver { executor } => {
                 add(
                     found,
-                    Broken::PushedOver,
+                    Violation::PushedOver,
                     line,
                     format!("{executor} is cold and was handed more than it bears"),
                 );
@@ -305,41 +319,52 @@
             _ => {}
         }
     }
-    if !promise.asked_when_unknown || promise.remembered {
+    if !guarantees.retried_when_unknown || guarantees.remembered {
         for (key, began) in began.iter().filter(|(_, b)| b.len() > 1) {
-            add(found, Broken::Twice, began[1].0, format!("{key} began {} times", began.len()));
+            add(found, Violation::Twice, began[1].0, format!("{key} began {} times", began.len()));
         }
     }
 }
 
-/// How many one-shots began more than once.
+/// Returns the number of one-shot jobs that were started more than once.
 #[must_use]
-pub fn doubled(lines: &[Line]) -> usize {
-    let promise =
-        Promise { coordinated: false, bound: 0, strict: false, remembered: false, asked_when_unknown: false };
+pub fn count_duplicates(lines: &[Line]) -> usize {
+    let guarantees = Guarantees {
+        coordinated: false,
+        bound: 0,
+        strict: false,
+        remembered: false,
+        retried_when_unknown: false,
+    };
     let mut found = Vec::new();
-    submissions(lines, &promise, &mut found);
-    found.iter().filter(|f| f.broken == Broken::Twice).count()
+    check_submissions(lines, &guarantees, &mut found);
+    found.iter().filter(|f| f.violation == Violation::Twice).count()
 }
 
-fn clients(lines: &[Line], _: &Promise, found: &mut Vec<Finding>) {
-    let troubles = troubled(lines);
+/// Checks that each client got exactly one answer unless a fault affected the node or the link to it.
+fn check_clients(lines: &[Line], found: &mut Vec<Finding>) {
+    let faults = fault_intervals(lines);
     let mut asked: HashMap<&str, (&Line, &str)> = HashMap::new();
-    let mut told: BTreeSet<&str> = BTreeSet::new();
+    let mut answered: BTreeSet<&str> = BTreeSet::new();
     for line in lines {
         match &line.what {
             HistoryEvent::Asked { id, node, .. } => {
                 asked.insert(id, (line, node));
             }
             HistoryEvent::Told { id, .. } => {
-                let first = told.insert(id);
-                (!first).then(|| add(found, Broken::AnsweredTwice, line, format!("{id} was told twice")));
+                let first = answered.insert(id);
+                (!first).then(|| add(found, Violation::AnsweredTwice, line, format!("{id} was told twice")));
             }
             HistoryEvent::Unknown { id } => {
                 let Some((from, node)) = asked.get(id.as_str()) else { continue };
-                let hit = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
-                if !troubles.get(*node).into_iter().flatten().any(hit) {
-                    add(found, Broken::NoAnswer, line, format!("{id} at {node}, which nothing had befallen"));
+                let overlaps = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
+                if !faults.get(*node).into_iter().flatten().any(overlaps) {
+                    add(
+                        found,
+                        Violation::NoAnswer,
+                        line,
+                        format!("{id} at {node}, which nothing had befallen"),
+                    );
                 }
             }
             _ => {}
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -13,141 +13,142 @@
 use super::setup::{Earlier, store_of};
 use crate::link::{FrameFault, Link};
 use crate::monotonic;
-use crate::plan::{DOWN, Deed, SPEAKER, Step, meant};
-use crate::process::{PATIENCE, Process, copy};
+use crate::plan::{Action, DOWN, LEADER, Step, name_matches};
+use crate::process::{PROCESS_TIMEOUT, Process, copy_folder};
 
-/// The variable that names a fault to a process; test builds alone know it.
+/// The environment variable with a fault for a process to inject; only test builds read it.
 const FAULT_VARIABLE: &str = "LINESTACK_FAULT";
 
-/// No kind of frame.
+/// A number that no kind of frame has.
 const NO_FRAME_KIND: u8 = u8::MAX;
 
 impl Rig<'_> {
-    /// Does what a step says.
+    /// Carries out the action of a step.
     pub(super) fn carry_out(&mut self, step: &Step) -> io::Result<()> {
-        match step.r#do {
-            deed if deed.on_ways() => self.act_on_links(step),
-            deed if deed.on_executors() => self.act_on_executors(step),
-            Deed::Overbook => self.overbook(step),
-            Deed::Abort => self.abort(step),
-            Deed::Propose => return self.propose(step),
-            Deed::Swap => return self.swap_stores(&step.to),
-            Deed::Refound => return self.refound(&step.to[0]),
+        match step.action {
+            action if action.targets_links() => self.act_on_links(step),
+            action if action.targets_executors() => self.act_on_executors(step),
+            Action::Overbook => self.overbook(step),
+            Action::Abort => self.abort(step),
+            Action::Propose => return self.propose(step),
+            Action::Swap => return self.swap_stores(&step.to),
+            Action::Refound => return self.refound(&step.to[0]),
             _ => return self.act_on_processes(step),
         }
         Ok(())
     }
 
-    /// Writes into the history what was done to whom.
-    pub(super) fn note(&self, deed: &str, to: &str) {
-        self.write("rig", HistoryEvent::Did { deed: deed.to_owned(), to: to.to_owned() });
+    /// Records an action and its target in the history.
+    pub(super) fn note(&self, action: &str, to: &str) {
+        self.write("rig", HistoryEvent::Did { deed: action.to_owned(), to: to.to_owned() });
     }
 
-    /// Writes a line into the history in the name of a process.
+    /// Writes a line into the history on behalf of a process.
     pub(super) fn write(&self, by: &str, what: HistoryEvent) {
         let _ = self.history.send(Line::new(monotonic(), by, 0, what));
     }
 
     fn act_on_links(&self, step: &Step) {
         for (name, link) in &self.links {
-            if step.to.iter().any(|to| meant(to, name)) {
-                self.note(&name_of(step.r#do), name);
+            if step.to.iter().any(|to| name_matches(to, name)) {
+                self.note(&name_of(step.action), name);
                 act_on_link(step, link);
             }
         }
     }
 
-    /// Each call for the list takes the step's time from now on.
+    /// Sets the time that discovery takes for each request for the list.
     fn overbook(&self, step: &Step) {
-        self.note(&name_of(Deed::Overbook), "d");
-        self.fleet.overbook(Duration::from_millis(step.ms));
+        self.note(&name_of(Action::Overbook), "d");
+        self.fleet.set_list_delay(Duration::from_millis(step.ms));
     }
 
     fn act_on_executors(&self, step: &Step) {
         for place in 0..self.plan.executors as usize {
             let name = format!("e{place}");
-            if !step.to.iter().any(|to| meant(to, &name)) {
+            if !step.to.iter().any(|to| name_matches(to, &name)) {
                 continue;
             }
-            self.note(&name_of(step.r#do), &name);
-            if step.r#do == Deed::Renew {
+            self.note(&name_of(step.action), &name);
+            if step.action == Action::Renew {
                 self.renew_executor(place, &name);
-            } else if let Some(kind) = step.trouble() {
-                self.fleet.ail(place, kind, step.size, step.r#do == Deed::Ail);
+            } else if let Some(kind) = step.executor_fault() {
+                self.fleet.set_executor_fault(place, kind, step.size, step.action == Action::Ail);
             }
         }
     }
 
-    /// An executor is another from now on, cold, and its connections are broken.
+    /// Replaces an executor by a cold one and resets its connections.
     fn renew_executor(&self, place: usize, name: &str) {
-        self.fleet.renew(place);
+        self.fleet.replace_executor(place);
         let pattern = format!("*>{name}");
-        let links = self.links.iter().filter(|(link, _)| meant(&pattern, link));
+        let links = self.links.iter().filter(|(link, _)| name_matches(&pattern, link));
         links.for_each(|(_, link)| link.reset());
     }
 
     fn act_on_processes(&mut self, step: &Step) -> io::Result<()> {
-        let names = self.processes_meant(step);
-        // What is done to many is done to all of them at once, as far as that can be.
+        let names = self.target_processes(step);
+        // An action applies to all its targets as nearly at once as possible: starts follow together below.
         for name in &names {
-            // What takes effect at once is noted before, so that nothing seen after it comes earlier.
-            let noted_first = matches!(step.r#do, Deed::Kill | Deed::Pause | Deed::Stop);
+            // An action that takes effect at once is recorded first, so that its effects never precede it in the
+            // history.
+            let noted_first = matches!(step.action, Action::Kill | Action::Pause | Action::Stop);
             if noted_first {
-                self.note(&name_of(step.r#do), name);
+                self.note(&name_of(step.action), name);
             }
             self.act_on_process(step, name)?;
             if !noted_first {
-                self.note(&name_of(step.r#do), name);
+                self.note(&name_of(step.action), name);
             }
         }
-        if !is_start(step.r#do) {
+        if !is_start(step.action) {
             return Ok(());
         }
-        if step.r#do == Deed::StartEmpty && self.plan.store {
+        if step.action == Action::StartEmpty && self.plan.store {
             self.init_lost_stores(&names)?;
         }
-        if step.refused { self.start_refused(&names) } else { self.start(&names) }
+        if step.expect_failure { self.start_refused(&names) } else { self.start(&names) }
     }
 
-    /// The processes that a step is done to. Those that run need no start.
-    fn processes_meant(&self, step: &Step) -> Vec<String> {
-        let speaker = |to: &String| if to == SPEAKER { self.speaker() } else { to.clone() };
-        let to: Vec<String> = step.to.iter().map(speaker).collect();
-        let is_meant = |name: &str, process: &Process| {
-            to.iter().any(|to| meant(to, name) || (to == DOWN && !process.running()))
+    /// Returns the processes that a step targets. A start skips processes that already run.
+    fn target_processes(&self, step: &Step) -> Vec<String> {
+        let resolve = |to: &String| if to == LEADER { self.leader() } else { to.clone() };
+        let to: Vec<String> = step.to.iter().map(resolve).collect();
+        let is_target = |name: &str, process: &Process| {
+            to.iter().any(|to| name_matches(to, name) || (to == DOWN && !process.running()))
         };
-        let wanted = |process: &Process| !is_start(step.r#do) || !process.running();
+        let wanted = |process: &Process| !is_start(step.action) || !process.running();
         let processes = self.processes.iter();
-        processes.filter(|(n, p)| is_meant(n, p) && wanted(p)).map(|(n, _)| n.clone()).collect()
+        processes.filter(|(n, p)| is_target(n, p) && wanted(p)).map(|(n, _)| n.clone()).collect()
     }
 
     fn act_on_process(&mut self, step: &Step, name: &str) -> io::Result<()> {
-        match step.r#do {
-            Deed::Kill => self.process(name)?.kill(),
-            Deed::Pause => self.process(name)?.pause(true),
-            Deed::Resume => self.process(name)?.pause(false),
-            Deed::Stop => stop(self.process(name)?),
-            Deed::Copy => copy_store(self.process(name)?),
-            Deed::Replace => self.replace(name),
-            Deed::Gone => wait_until_failed(self.process(name)?),
-            Deed::Start | Deed::StartEmpty | Deed::StartOlder | Deed::StartRolledBack => {
+        match step.action {
+            Action::Kill => self.process(name)?.kill(),
+            Action::Pause => self.process(name)?.pause(true),
+            Action::Resume => self.process(name)?.pause(false),
+            Action::Stop => stop(self.process(name)?),
+            Action::Copy => copy_store(self.process(name)?),
+            Action::Replace => self.replace(name),
+            Action::Gone => wait_until_failed(self.process(name)?),
+            Action::Start | Action::StartEmpty | Action::StartOlder | Action::StartRolledBack => {
                 prepare_start(step, self.process(name)?)
             }
-            Deed::Terms => self.change_file(name, step.terms),
+            Action::Terms => self.change_file(name, step.policy),
             _ => Ok(()),
         }
     }
 
-    /// Another with an empty store gets a coordinator's number, and will be started instead.
+    /// Has the coordinators give a coordinator's number to a replacement with an empty store, and prepares its start.
     fn replace(&mut self, name: &str) -> io::Result<()> {
         let replacement = self.request_replacement(name.trim_start_matches('c'))?;
         let process = self.process(name)?;
         fs::remove_dir_all(process.store())?;
-        process.once = vec!["--replacement".into(), replacement.to_string()];
+        process.next_start_arguments = vec!["--replacement".into(), replacement.to_string()];
         Ok(())
     }
 
-    /// Other settings stand in a node's own file; it is told so if it runs.
+    /// Writes another policy into a node's own file, and sends SIGHUP to the node if it runs.
     fn change_file(&mut self, name: &str, number: u64) -> io::Result<()> {
         let mut settings = self.policy(number);
         let process = self.process(name)?;
@@ -161,7 +162,7 @@
         if process.running() { process.signal(Signal::HUP) } else { Ok(()) }
     }
 
-    /// Nodes that start with nothing stored have new stores, which know that earlier ones are lost.
+    /// Creates new stores, which record that an earlier store was lost, for nodes that start with an empty one.
     fn init_lost_stores(&self, names: &[String]) -> io::Result<()> {
         for name in names.iter().filter(|name| name.starts_with('n')) {
             self.init_store(&store_of(&self.processes[name]), Earlier::Lost)?;
@@ -169,62 +170,65 @@
         Ok(())
     }
 
-    /// What two processes that do not run have stored changes places.
+    /// Swaps the stores of two processes that do not run.
     fn swap_stores(&self, to: &[String]) -> io::Result<()> {
         let [a, b] = to else { return Err(io::Error::other("two change places")) };
         let store = |name: &String| self.processes.get(name).filter(|p| !p.running()).map(Process::store);
         let (Some(a), Some(b)) = (store(a), store(b)) else { return Err(io::Error::other("both are down")) };
-        let aside = a.with_file_name("swapped");
-        fs::rename(&a, &aside)?;
+        let temporary = a.with_file_name("swapped");
+        fs::rename(&a, &temporary)?;
         fs::rename(&b, &a)?;
-        fs::rename(&aside, &b)
+        fs::rename(&temporary, &b)
     }
 }
 
-/// A deed's name, as plans and histories have it.
-fn name_of(deed: Deed) -> String {
-    let value = serde_json::to_value(deed).unwrap_or_default();
+/// Returns the name of an action in plans and histories.
+fn name_of(action: Action) -> String {
+    let value = serde_json::to_value(action).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
 
-fn is_start(deed: Deed) -> bool {
-    matches!(deed, Deed::Start | Deed::StartEmpty | Deed::StartOlder | Deed::StartRolledBack | Deed::Replace)
+fn is_start(action: Action) -> bool {
+    matches!(
+        action,
+        Action::Start | Action::StartEmpty | Action::StartOlder | Action::StartRolledBack | Action::Replace
+    )
 }
 
 fn act_on_link(step: &Step, link: &Link) {
-    let kind = step.frame_for().unwrap_or(NO_FRAME_KIND);
-    match step.r#do {
-        Deed::Cut => link.cut(&step.sides),
-        Deed::Heal => link.heal(),
-        Deed::Delay => link.delay(&step.sides, Duration::from_millis(step.ms)),
-        Deed::Throttle => link.throttle(&step.sides, step.bytes),
-        Deed::Reset => link.reset(),
-        Deed::CutAt => link.fail_next_frame(step.side, kind, FrameFault::CutAt(step.bytes as usize)),
-        Deed::Repeat => link.fail_next_frame(step.side, kind, FrameFault::Repeat),
-        Deed::Hold => link.fail_next_frame(step.side, kind, FrameFault::Hold),
-        Deed::Release => link.release(),
+    let kind = step.target_frame_kind().unwrap_or(NO_FRAME_KIND);
+    match step.action {
+        Action::Cut => link.cut(&step.directions),
+        Action::Heal => link.heal(),
+        Action::Delay => link.delay(&step.directions, Duration::from_millis(step.ms)),
+        Action::Throttle => link.throttle(&step.directions, step.bytes),
+        Action::Reset => link.reset(),
+        Action::CutAt => link.fail_next_frame(step.direction, kind, FrameFault::CutAt(step.bytes as usize)),
+        Action::Repeat => link.fail_next_frame(step.direction, kind, FrameFault::Repeat),
+        Action::Hold => link.fail_next_frame(step.direction, kind, FrameFault::Hold),
+        Action::Release => link.release(),
         _ => {}
     }
 }
 
-/// Tells a process to stop, and waits until it has ended well.
+/// Sends SIGTERM to a process and waits until it has ended with exit code 0.
 fn stop(process: &mut Process) -> io::Result<()> {
     process.signal(Signal::TERM)?;
-    if process.wait(PATIENCE)?.is_some_and(|status| status.success()) {
+    if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| status.success()) {
         return Ok(());
     }
     Err(io::Error::other(format!("{} did not end with 0", process.name)))
 }
 
-/// Waits until a process has ended by itself, and not well.
+/// Waits until a process has ended by itself with an exit code other than 0.
 fn wait_until_failed(process: &mut Process) -> io::Result<()> {
-    if process.wait(PATIENCE)?.is_some_and(|status| !status.success()) {
+    if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| !status.success()) {
         return Ok(());
     }
     Err(io::Error::other(format!("{} did not end by itself", process.name)))
 }
 
-/// Where the copy of a process's store is.
+/// Returns the path of the copy of a process's store.
 fn copy_of_store(process: &Process) -> PathBuf {
     process.folder.join("older")
 }
@@ -232,16 +236,16 @@
 fn copy_store(process: &Process) -> io::Result<()> {
     let older = copy_of_store(process);
     let _ = fs::remove_dir_all(&older);
-    copy(&process.store(), &older)
+    copy_folder(&process.store(), &older)
 }
 
-/// Puts what a process is started with into its place.
+/// Prepares the store and the injected fault for the start of a process.
 fn prepare_start(step: &Step, process: &mut Process) -> io::Result<()> {
-    if matches!(step.r#do, Deed::StartEmpty | Deed::StartOlder) {
+    if matches!(step.action, Action::StartEmpty | Action::StartOlder) {
         fs::remove_dir_all(process.store())?;
     }
-    if matches!(step.r#do, Deed::StartOlder | Deed::StartRolledBack) {
-        copy(&copy_of_store(process), &process.store())?;
+    if matches!(step.action, Action::StartOlder | Action::StartRolledBack) {
+        copy_folder(&copy_of_store(process), &process.store())?;
     }
     process.variables.retain(|(key, _)| key != FAULT_VARIABLE);
     if !step.fault.is_empty() {
