--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -83,8 +83,8 @@
                 Ok(())
             }
         };
-        if let Err(why) = done {
-            self.recorder.now(Event::DriverAction { action: format!("failed: {fault:?}: {why}") });
+        if let Err(reason) = done {
+            self.recorder.now(Event::DriverAction { action: format!("failed: {fault:?}: {reason}") });
         }
     }
 
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,5 @@
-//! What happened in a run, as the stand-ins and the driver saw it. The judge knows nothing else.
+//! The events of a run, as observed by the simulated clients, executors and discovery and by the driver. The judge knows
+//! nothing else.
 
 use std::sync::Mutex;
 
@@ -8,41 +9,41 @@
 
 /// Nanoseconds on the machine's monotonic clock.
 pub type Nanos = u64;
-/// A client's connection, numbered by the run.
+/// The number of a client's connection, unique within the run.
 pub type ClientConnectionId = u64;
-/// An executor's connection, numbered by the run.
+/// The number of a connection to an executor, unique within the run.
 pub type ExecutorConnectionId = u64;
 
-/// How a client's wait for an answer ended without one.
+/// Why a client got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MissingAnswer {
-    /// The connection ended or broke.
+    /// The connection was closed or broke.
     Closed,
-    /// Nothing came, long after the deadline.
+    /// No byte of an answer arrived until long after the deadline.
     Silence,
-    /// What came was no answer.
+    /// The received bytes are no valid answer.
     Garbled,
 }
 
-/// What a client does that no client should.
+/// The ways in which a client misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Misbehavior {
-    /// Connects and says nothing.
+    /// Connects and sends nothing.
     Silent,
-    /// Sends half a request and stays.
+    /// Sends half a request and keeps the connection open.
     Half,
-    /// Sends a byte now and then.
+    /// Sends a request byte by byte with long pauses.
     Dripping,
-    /// Sends what is no request.
+    /// Sends bytes that are no HTTP request.
     Garbage,
-    /// Sends much at once and goes.
+    /// Sends many bytes at once and resets the connection.
     Flood,
 }
 
-#[allow(missing_docs, reason = "the fields are told with what they are of")]
-/// Something that happened.
+#[allow(missing_docs, reason = "the fields are described with their variant")]
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum Event {
@@ -56,25 +57,25 @@
         #[serde(rename = "conversation")]
         client_connection: ClientConnectionId,
         deadline_ms: u64,
-        /// It is the first request on its connection.
+        /// Whether the request is the first on its connection.
         first: bool,
-        /// How many were sent before it on its connection and are not answered.
+        /// The number of unanswered requests that were sent before this one on its connection.
         behind: usize,
     },
-    /// A client got an answer, to its last byte.
+    /// A client received a complete answer.
     Answered { id: String, status: u16, result: String },
-    /// A client got something more on a connection on which nothing was owed.
+    /// A client received bytes on a connection without an outstanding request.
     #[serde(rename = "unasked")]
     UnexpectedBytes {
         #[serde(rename = "conversation")]
         client_connection: ClientConnectionId,
     },
-    /// A client got no answer.
+    /// A client received no answer.
     Unanswered { id: String, how: MissingAnswer },
-    /// A client closed or reset its connection with this request out.
+    /// A client closed or reset its connection while this request was in flight.
     #[serde(rename = "left")]
     ClientLeft { id: String },
-    /// A client that misbehaves begins.
+    /// A client started to misbehave on a connection.
     Misbehaved {
         #[serde(rename = "conversation")]
         client_connection: ClientConnectionId,
@@ -82,126 +83,126 @@
         life: u64,
         how: Misbehavior,
     },
-    /// It got an error or a close.
+    /// A client that misbehaved got an error, or its connection was closed.
     #[serde(rename = "rebuked")]
     MisbehaviorAnswered {
         #[serde(rename = "conversation")]
         client_connection: ClientConnectionId,
     },
-    /// An executor saw the first byte of a request whose head and body then came whole.
+    /// An executor received a complete request.
     Received {
         id: String,
         executor: usize,
         connection: ExecutorConnectionId,
-        /// When its first byte came.
+        /// When its first byte arrived.
         first_byte: Nanos,
-        /// The deadline that it was told, in milliseconds.
+        /// The value of its deadline header, in milliseconds.
         #[serde(rename = "told-ms")]
         deadline_header_ms: Option<u64>,
     },
-    /// An executor said that it never began it.
+    /// An executor declined a request without beginning it.
     Declined { id: String, connection: ExecutorConnectionId },
-    /// An execution is no longer out: it was answered, or its connection is gone.
+    /// An execution is no longer in flight: it was answered, or its connection is gone.
     #[serde(rename = "over")]
     ExecutionEnded { id: String, connection: ExecutorConnectionId },
-    /// An executor got a request that it can't make sense of.
+    /// An executor received a malformed request.
     Malformed { executor: usize, why: String },
-    /// Discovery knows an executor from now on, under this version of the list.
+    /// Discovery lists an executor with this status as of this version of the list.
     Listed { version: u64, executor: usize, status: Status, started: Nanos },
-    /// Discovery has written the list up to this version to a node.
+    /// Discovery has sent the list up to this version to a node.
     #[serde(rename = "told")]
     ListSent { node: usize, life: u64, version: u64 },
-    /// A node's watch fell silent for good.
+    /// A node's watch became permanently silent.
     #[serde(rename = "muted")]
     WatchSilenced { node: usize, life: u64 },
-    /// A trouble has begun by which discovery can't be reached properly, or one is over; they may overlap.
+    /// A fault that impairs discovery has begun, or one is over. Such faults may overlap.
     Discovery { reachable: bool },
-    /// The driver did something to a node.
+    /// Something happened to a node's process.
     Node {
         node: usize,
         life: u64,
         #[serde(rename = "deed")]
         node_event: NodeEvent,
     },
-    /// The driver did something else.
+    /// The driver performed another action.
     #[serde(rename = "did")]
     DriverAction {
         #[serde(rename = "what-was-done")]
         action: String,
     },
-    /// The driver itself was late by so much: what was seen around then is not judged.
+    /// The driver itself was delayed by this long: violations around this time are not counted.
     #[serde(rename = "late")]
     DriverDelayed { by: Nanos },
-    /// All troubles are over; from now on everything has to be served.
+    /// All faults are over; from now on nearly all requests must be served.
     Calm,
 }
 
-/// What an executor is listed as.
+/// The status under which discovery lists an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// Takes work.
+    /// Accepts work.
     Active,
-    /// Finishes what it has.
+    /// Drains: finishes its current work.
     Leaving,
-    /// Is gone.
+    /// Has left.
     Left,
 }
 
-#[allow(missing_docs, reason = "the fields are told with what they are of")]
-/// What happens to a node's process.
+#[allow(missing_docs, reason = "the fields are described with their variant")]
+/// An event of a node's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NodeEvent {
-    /// It was started; its system calls fail by this plan.
+    /// It was started with this shim plan, by which its system calls fail.
     Started { shim: String },
     /// `/healthz` answered 200 for the first time.
     Ready,
     /// It was sent SIGTERM.
     Stopped,
-    /// It was killed outright.
+    /// It was sent SIGKILL.
     Killed,
-    /// It stands still.
+    /// It was sent SIGSTOP.
     Paused,
-    /// It goes on.
+    /// It was sent SIGCONT.
     Resumed,
-    /// It was told to read its configuration again.
+    /// It was sent SIGHUP, to read its configuration again.
     Reloaded,
-    /// It ended by itself, with this code; none for a signal.
+    /// It exited, with this code; none if a signal ended it.
     Ended { code: Option<i32> },
-    /// Its log has a line that it should never have.
+    /// Its log contains a line that reports a bug.
     #[serde(rename = "complained")]
     ErrorLogged { line: String },
 }
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When it was seen.
+    /// When the event was observed.
     pub at: Nanos,
-    /// What it was.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// Takes what happens, from all threads of a run.
+/// Collects events from all threads of a run.
 #[derive(Debug, Default)]
 pub struct Recorder {
     entries: Mutex<Vec<Entry>>,
 }
 
 impl Recorder {
-    /// Something has happened now.
+    /// Records an event at the current time.
     pub fn now(&self, event: Event) {
         self.at(linestack_rig::monotonic(), event);
     }
 
-    /// Something happened at this time.
+    /// Records an event at the given time.
     pub fn at(&self, at: Nanos, event: Event) {
         crate::lock(&self.entries).push(Entry { at, event });
     }
 
-    /// All that was recorded, by time.
+    /// Returns all recorded events, ordered by time.
     #[must_use]
     pub fn history(&self) -> Vec<Entry> {
         let mut entries = crate::lock(&self.entries).clone();
--- a/crates/soak/src/judge/answers.rs
+++ b/crates/soak/src/judge/answers.rs
@@ -1,28 +1,28 @@
-//! Answers: one for each request taken, in time, by an executor's result, and nothing after it.
+//! Checks answers: each accepted request gets one, in time, with its executor's result, and no bytes follow it.
 
-use super::{Facts, Life, Request, Rule, SLACK, Violation, ms};
+use super::{Facts, NodeProcess, OBSERVATION_SLACK, Request, Rule, Violation, ms};
 use crate::generator::BREAKS;
 use crate::history::{Event, Misbehavior, MissingAnswer, Nanos, NodeEvent};
 use crate::millis;
 
-/// Up to so long after its deadline an answer only earns nothing.
-const LATE_BY: Nanos = 500_000_000;
-/// What a kill finds unanswered is lost if it comes later than this after SIGTERM: the protocol page, "Figures".
-const KILL_LOSES_AFTER: Nanos = 700_000_000;
-/// A client that misbehaves gets an error or a close within this.
-const REBUKED_WITHIN: Nanos = 3_000_000_000;
+/// An answer that comes up to this long after the deadline earns no payoff, but violates no rule.
+const LATE_ANSWER_LIMIT: Nanos = 500_000_000;
+/// A kill later than this after SIGTERM does not excuse an unanswered request: the protocol page, "Figures".
+const KILL_EXCUSED_WITHIN: Nanos = 700_000_000;
+/// A client that misbehaves gets an error, or its connection is closed, within this time.
+const MISBEHAVIOR_ANSWER_LIMIT: Nanos = 3_000_000_000;
 
-pub(super) fn judge(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     for (id, request) in &facts.requests {
-        answered(facts, id, request, found);
+        check_answers(facts, id, request, violations);
     }
-    unasked(facts, found);
-    bad_clients(facts, found);
+    unexpected_bytes(facts, violations);
+    misbehaving_clients(facts, violations);
 }
 
-fn answered(facts: &Facts<'_>, id: &str, request: &Request, found: &mut Vec<Violation>) {
+fn check_answers(facts: &Facts<'_>, id: &str, request: &Request, violations: &mut Vec<Violation>) {
     let mut add = |rule, at, description: String| {
-        found.push(Violation { rule, at, description: format!("{id}: {description}") })
+        violations.push(Violation { rule, at, description: format!("{id}: {description}") })
     };
     let answers = request.ends.iter().filter(|(_, end)| matches!(end, Event::Answered { .. })).count();
     if answers > 1 {
@@ -38,82 +38,84 @@
                     add(Rule::Answer, *at, format!("answered {status} {} ms after its deadline", ms(late)));
                 }
             }
-            Event::Unanswered { how, .. } if !excused(facts.life(request), request, *how, *at) => {
-                add(Rule::Answer, *at, unanswered(request, *how, *at));
+            Event::Unanswered { how, .. } if !is_excused(facts.life(request), request, *how, *at) => {
+                add(Rule::Answer, *at, describe_missing_answer(request, *how, *at));
             }
             _ => {}
         }
     }
 }
 
-fn unanswered(request: &Request, how: MissingAnswer, at: Nanos) -> String {
+fn describe_missing_answer(request: &Request, how: MissingAnswer, at: Nanos) -> String {
     let Request { node, life, behind, .. } = request;
     let waited = ms(at.saturating_sub(request.asked));
     let connection = if request.first { "new" } else { "kept" };
     format!("{how:?} after {waited} ms, node {node} life {life}, {connection} connection, {behind} before it")
 }
 
-/// By how much an answer came too late; none if it did not. Those that waited behind others are not judged.
+/// Returns how long after its deadline an answer came if that is too late, else none. A request that was pipelined behind
+/// others is not judged.
 fn late_by(facts: &Facts<'_>, request: &Request, at: Nanos) -> Option<Nanos> {
     if request.behind > 0 {
         return None;
     }
     let paused = facts.life(request).map_or(0, |life| life.paused(request.asked, at));
-    let late = at.checked_sub(request.deadline + LATE_BY + paused + SLACK)?;
-    Some(late + LATE_BY)
+    let late = at.checked_sub(request.deadline + LATE_ANSWER_LIMIT + paused + OBSERVATION_SLACK)?;
+    Some(late + LATE_ANSWER_LIMIT)
 }
 
-/// Nobody can be answered whose connection was broken by the shim. A process that was killed outright owes nothing, unless it
-/// had been told to end for long enough and was not held still since.
-fn excused(life: Option<&Life>, request: &Request, how: MissingAnswer, at: Nanos) -> bool {
+/// Returns whether a missing answer violates no rule. A request cannot be answered if the shim broke its connection. A process
+/// that got SIGKILL owes no answers, unless it had got SIGTERM long enough before and was not paused since.
+fn is_excused(life: Option<&NodeProcess>, request: &Request, how: MissingAnswer, at: Nanos) -> bool {
     let Some(life) = life else { return true };
     let killed = life.when(|node_event| *node_event == NodeEvent::Killed).filter(|killed| *killed <= at);
     let stopped = life.when(|node_event| *node_event == NodeEvent::Stopped).filter(|stopped| *stopped <= at);
-    let no_time =
-        |stopped: Nanos, killed: Nanos| killed <= stopped + KILL_LOSES_AFTER || life.paused(stopped, at) > 0;
+    let no_time = |stopped: Nanos, killed: Nanos| {
+        killed <= stopped + KILL_EXCUSED_WITHIN || life.paused(stopped, at) > 0
+    };
     if killed.is_some_and(|killed| stopped.is_none_or(|stopped| no_time(stopped, killed))) {
         return true;
     }
     if life.shim().contains(BREAKS) && how == MissingAnswer::Closed {
         return true;
     }
-    // Of those behind another it can't be told from outside whether they were read before a close.
+    // Whether a pipelined request was read before a close can't be observed from outside.
     let partly_read = !life.shim().is_empty() || stopped.is_some();
     request.behind > 0 && how == MissingAnswer::Closed && partly_read
 }
 
-fn unasked(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+fn unexpected_bytes(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     for entry in facts.case.history {
         if let Event::UnexpectedBytes { client_connection } = &entry.event {
             let description = format!("connection {client_connection}: something came behind the answer");
-            found.push(Violation { rule: Rule::Unasked, at: entry.at, description });
+            violations.push(Violation { rule: Rule::Unasked, at: entry.at, description });
         }
     }
 }
 
-fn bad_clients(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+fn misbehaving_clients(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     let last = facts.case.history.last().map_or(0, |entry| entry.at);
     for entry in facts.case.history {
         let Event::Misbehaved { client_connection, node, life, how } = &entry.event else { continue };
         if *how == Misbehavior::Flood {
             continue;
         }
-        let wanted = Event::MisbehaviorAnswered { client_connection: *client_connection };
-        let rebuked = facts.case.history.iter().find(|later| later.event == wanted).map(|later| later.at);
-        let life_of = facts.lives.get(&(*node, *life));
-        let paused = life_of.map_or(0, |l| l.paused(entry.at, rebuked.unwrap_or(last)));
-        let due = entry.at + REBUKED_WITHIN + paused + SLACK + millis(100);
-        let gone = life_of.and_then(|l| {
+        let answer = Event::MisbehaviorAnswered { client_connection: *client_connection };
+        let answered = facts.case.history.iter().find(|later| later.event == answer).map(|later| later.at);
+        let process = facts.processes.get(&(*node, *life));
+        let paused = process.map_or(0, |l| l.paused(entry.at, answered.unwrap_or(last)));
+        let due = entry.at + MISBEHAVIOR_ANSWER_LIMIT + paused + OBSERVATION_SLACK + millis(100);
+        let gone = process.and_then(|l| {
             l.when(|node_event| matches!(node_event, NodeEvent::Killed | NodeEvent::Ended { .. }))
         });
-        if gone.is_some_and(|gone| gone <= due) || rebuked.is_none() && last <= due {
+        if gone.is_some_and(|gone| gone <= due) || answered.is_none() && last <= due {
             continue;
         }
-        if rebuked.is_none_or(|rebuked| rebuked > due) {
-            let waited = rebuked.map_or("never".to_owned(), |at| format!("{} ms later", ms(at - entry.at)));
+        if answered.is_none_or(|answered| answered > due) {
+            let waited = answered.map_or("never".to_owned(), |at| format!("{} ms later", ms(at - entry.at)));
             let description =
                 format!("{how:?} at node {node} life {life}: an error or a close came {waited}");
-            found.push(Violation { rule: Rule::BadClient, at: entry.at, description });
+            violations.push(Violation { rule: Rule::BadClient, at: entry.at, description });
         }
     }
 }
--- a/crates/soak/src/judge/cold.rs
+++ b/crates/soak/src/judge/cold.rs
@@ -1,14 +1,15 @@
-//! Cold executors: all nodes together send one that has just started no more than it bears, and what chance explains.
+//! Checks cold executors: all nodes together send an executor that has just started no more than its reduced capacity, with
+//! an allowance for random variation.
 
 use super::{Facts, Rule, Violation, ms};
 use crate::history::{Event, Nanos};
 use crate::millis;
 use crate::settings::{COLD_CAPACITY_SHARE, OVERLOAD_FACTOR, OVERLOAD_WINDOW_MS, SLOW_START_MS};
 
-/// Under so many, chance explains more.
-const FEW: f64 = 30.0;
+/// Below this number of requests, the allowance for random variation is wider.
+const SMALL_SAMPLE: f64 = 30.0;
 
-pub(super) fn judge(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     for entry in facts.case.history {
         let Event::Listed { executor, started, .. } = entry.event else { continue };
         if started == 0 {
@@ -19,12 +20,12 @@
             let age = ms(at.saturating_sub(started));
             let description =
                 format!("executor {executor}, {age} ms old: {sent} requests in the window, {most:.1} borne");
-            found.push(Violation { rule: Rule::Cold, at, description });
+            violations.push(Violation { rule: Rule::Cold, at, description });
         }
     }
 }
 
-/// The first time at which it got more than it bears: when, how many, and how many it bears.
+/// Returns the first time at which an executor got more requests than its limit, how many it got, and the limit.
 fn overload(
     facts: &Facts<'_>,
     executor: usize,
@@ -41,12 +42,13 @@
     for (last, at) in times.iter().enumerate() {
         let first = times.partition_point(|time| time + window < *at);
         let sent = last + 1 - first;
-        let warmth = (at - started) as f64 / cold as f64;
-        let present = COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * warmth;
-        let bears = OVERLOAD_FACTOR * present * slots * OVERLOAD_WINDOW_MS / work_ms;
-        let chance = if bears < FEW { 3.0 * bears.sqrt() + 3.0 } else { 2.0 * bears.sqrt() + 2.0 };
-        if sent as f64 > bears + chance {
-            return Some((*at, sent, bears + chance));
+        let age_share = (at - started) as f64 / cold as f64;
+        let capacity_share = COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * age_share;
+        let limit = OVERLOAD_FACTOR * capacity_share * slots * OVERLOAD_WINDOW_MS / work_ms;
+        let allowance =
+            if limit < SMALL_SAMPLE { 3.0 * limit.sqrt() + 3.0 } else { 2.0 * limit.sqrt() + 2.0 };
+        if sent as f64 > limit + allowance {
+            return Some((*at, sent, limit + allowance));
         }
     }
     None
--- a/crates/soak/src/judge/drains.rs
+++ b/crates/soak/src/judge/drains.rs
@@ -1,23 +1,23 @@
-//! Drains: nothing new to an executor that drains or has left, once that was told and the grace is over.
+//! Checks drains: an executor that drains or has left gets nothing new once the node knows of it and the grace period is over.
 
-use super::{Facts, Life, Rule, SLACK, Violation, ms};
+use super::{Facts, NodeProcess, OBSERVATION_SLACK, Rule, Violation, ms};
 use crate::history::{Event, Nanos, NodeEvent, Status};
 use crate::millis;
 
-/// Whatever failed, a change counts as told so long after discovery had it and could be reached.
-const TOLD_AT_LAST: Nanos = 6_000_000_000;
-/// Time limits are this much longer on sockets.
-const SOCKETS: Nanos = 50_000_000;
+/// Whatever failed, a node is expected to know a change this long after discovery had it and could be reached.
+const KNOWN_WITHIN: Nanos = 6_000_000_000;
+/// Tolerance added to time limits that are observed on sockets.
+const SOCKET_SLACK: Nanos = 50_000_000;
 
-/// An executor was listed as draining or gone from then on, until it was listed as active again.
-struct Leaving {
+/// A span in which an executor was listed as leaving or left, until it was listed as active again.
+struct LeavingSpan {
     executor: usize,
     version: u64,
     at: Nanos,
     until: Nanos,
 }
 
-pub(super) fn judge(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     let leavings = leavings(facts);
     for (id, request) in &facts.requests {
         let Some(life) = facts.life(request) else { continue };
@@ -25,17 +25,20 @@
             let here = leavings.iter().filter(|leaving| leaving.executor == execution.executor);
             for leaving in here.filter(|leaving| (leaving.at..leaving.until).contains(&execution.first_byte))
             {
-                let Some(told) = told(facts, life, leaving) else { continue };
-                let last = told + millis(facts.case.settings.drain_grace_ms) + SOCKETS + SLACK;
+                let Some(known_from) = known_from(facts, life, leaving) else { continue };
+                let last = known_from
+                    + millis(facts.case.settings.drain_grace_ms)
+                    + SOCKET_SLACK
+                    + OBSERVATION_SLACK;
                 if execution.first_byte > last {
                     let description = format!(
                         "{id}: node {} life {} sent to executor {} {} ms after it was told that it leaves",
                         request.node,
                         request.life,
                         leaving.executor,
-                        ms(execution.first_byte - told)
+                        ms(execution.first_byte - known_from)
                     );
-                    found.push(Violation { rule: Rule::Drained, at: execution.first_byte, description });
+                    violations.push(Violation { rule: Rule::Drained, at: execution.first_byte, description });
                     break;
                 }
             }
@@ -43,37 +46,38 @@
     }
 }
 
-fn leavings(facts: &Facts<'_>) -> Vec<Leaving> {
-    let mut all: Vec<Leaving> = Vec::new();
+fn leavings(facts: &Facts<'_>) -> Vec<LeavingSpan> {
+    let mut all: Vec<LeavingSpan> = Vec::new();
     for entry in facts.case.history {
         let Event::Listed { version, executor, status, .. } = &entry.event else { continue };
         if *status == Status::Active {
             let open = all.iter_mut().filter(|l| l.executor == *executor && l.until == Nanos::MAX);
             open.for_each(|leaving| leaving.until = entry.at);
         } else if !all.iter().any(|l| l.executor == *executor && l.until == Nanos::MAX) {
-            // Replaced under its name, it has the version of the one that took its place, which comes next.
-            all.push(Leaving { executor: *executor, version: *version, at: entry.at, until: Nanos::MAX });
+            // An executor that was replaced under its name is listed with version 0: the change has the version of the
+            // replacement, which is the next event.
+            all.push(LeavingSpan { executor: *executor, version: *version, at: entry.at, until: Nanos::MAX });
         }
     }
     all
 }
 
-/// When a process counts as told of a change.
-fn told(facts: &Facts<'_>, life: &Life, leaving: &Leaving) -> Option<Nanos> {
+/// Returns when a process is expected to know a change.
+fn known_from(facts: &Facts<'_>, life: &NodeProcess, leaving: &LeavingSpan) -> Option<Nanos> {
     let version = if leaving.version == 0 { version_after(facts, leaving.at)? } else { leaving.version };
-    let written = life.told.iter().find(|(_, told)| *told >= version).map(|(at, _)| *at);
+    let sent = life.lists_sent.iter().find(|(_, listed)| *listed >= version).map(|(at, _)| *at);
     let started = life.when(|node_event| matches!(node_event, NodeEvent::Started { .. }))?;
-    // What discovery had for so long before a process began counts for it from its first moment.
-    let at_last = reachable_from(facts, leaving.at).map(|from| (from + TOLD_AT_LAST).max(started));
+    // A change that discovery had for this long before the process started counts from the start of the process.
+    let at_latest = reachable_from(facts, leaving.at).map(|from| (from + KNOWN_WITHIN).max(started));
     let pushed = (facts.case.settings.pushed && leaving.at < started).then_some(started);
-    // What a silent watch misses counts from when it fell silent, if another could be had meanwhile.
-    let unbroken = |muted: &Nanos| reachable_from(facts, *muted) == Some(*muted);
-    let missed = |muted: &Nanos| (*muted..*muted + TOLD_AT_LAST).contains(&leaving.at);
-    let silent = life.muted.filter(missed).filter(unbroken).map(|muted| muted + TOLD_AT_LAST);
-    [written, at_last, pushed, silent].into_iter().flatten().min()
+    // A change that a silent watch missed counts from when the watch fell silent, if discovery stayed reachable for another.
+    let unbroken = |silenced: &Nanos| reachable_from(facts, *silenced) == Some(*silenced);
+    let missed = |silenced: &Nanos| (*silenced..*silenced + KNOWN_WITHIN).contains(&leaving.at);
+    let silent = life.watch_silenced.filter(missed).filter(unbroken).map(|silenced| silenced + KNOWN_WITHIN);
+    [sent, at_latest, pushed, silent].into_iter().flatten().min()
 }
 
-/// The version of the first change from then on.
+/// Returns the version of the first change at or after a time.
 fn version_after(facts: &Facts<'_>, at: Nanos) -> Option<u64> {
     let later = facts.case.history.iter().filter(|entry| entry.at >= at);
     later
@@ -83,17 +87,17 @@
         .find(|version| *version > 0)
 }
 
-/// From when on discovery could be reached without a break for as long as a change may take to count as told.
+/// Returns the time at or after `at` from which discovery could be reached without interruption for [`KNOWN_WITHIN`].
 fn reachable_from(facts: &Facts<'_>, at: Nanos) -> Option<Nanos> {
-    let mut faults = 0_usize;
+    let mut outages = 0_usize;
     let mut from = Some(at);
     for entry in facts.case.history {
         let Event::Discovery { reachable } = entry.event else { continue };
-        if from.is_some_and(|from| entry.at >= from + TOLD_AT_LAST) {
+        if from.is_some_and(|from| entry.at >= from + KNOWN_WITHIN) {
             break;
         }
-        faults = if reachable { faults.saturating_sub(1) } else { faults + 1 };
-        from = (faults == 0).then_some(entry.at.max(at));
+        outages = if reachable { outages.saturating_sub(1) } else { outages + 1 };
+        from = (outages == 0).then_some(entry.at.max(at));
     }
     from
 }
--- a/crates/soak/src/judge/executions.rs
+++ b/crates/soak/src/judge/executions.rs
@@ -1,29 +1,29 @@
-//! Executions: no effect twice, no refusal of what ran, nothing for nobody, no deadline beyond the client's, no product
-//! where it may not go.
+//! Checks executions: no effect happens twice, no executed request is refused, nothing begins for a client that has left, no
+//! deadline exceeds the client's, and a bound product stays in its zone.
 
-use super::{Execution, Facts, Request, Rule, SLACK, Violation, ms};
+use super::{Execution, Facts, OBSERVATION_SLACK, Request, Rule, Violation, ms};
 use crate::history::{Event, Nanos};
 use crate::millis;
 use crate::settings::{BOUND_ZONE, Class, Effect};
 
-/// An attempt may begin so long after its client has left.
+/// An execution may begin up to this long after its client has left.
 const LEFT_GRACE: Nanos = 100_000_000;
-/// A deadline may be told so much too long.
-const TOLD_SLACK_MS: u64 = 150;
-/// Time limits are this much longer on sockets.
-const SOCKETS: Nanos = 50_000_000;
+/// The deadline sent to an executor may exceed the client's by this much.
+const DEADLINE_SLACK_MS: u64 = 150;
+/// Tolerance added to time limits that are observed on sockets.
+const SOCKET_SLACK: Nanos = 50_000_000;
 
-pub(super) fn judge(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     for (id, request) in &facts.requests {
         let mut add = |rule, at, description: String| {
-            found.push(Violation {
+            violations.push(Violation {
                 rule,
                 at,
                 description: format!("{id} ({}): {description}", request.class.name()),
             })
         };
         repeated(facts, request, &mut add);
-        refused(request, &mut add);
+        refused_and_run(request, &mut add);
         for (number, execution) in request.executions.iter().enumerate() {
             for_nobody(request, number, execution, &mut add);
             deadline(facts, request, execution, &mut add);
@@ -33,13 +33,13 @@
     for entry in facts.case.history {
         if let Event::Malformed { executor, why } = &entry.event {
             let description = format!("executor {executor}: {why}");
-            found.push(Violation { rule: Rule::Malformed, at: entry.at, description });
+            violations.push(Violation { rule: Rule::Malformed, at: entry.at, description });
         }
     }
 }
 
-/// Those that may have run, in order.
-fn ran(request: &Request) -> impl Iterator<Item = &Execution> {
+/// Returns the executions that may have had an effect, in order.
+fn not_declined(request: &Request) -> impl Iterator<Item = &Execution> {
     request.executions.iter().filter(|execution| !execution.declined)
 }
 
@@ -49,7 +49,7 @@
     if let Some(last) = all.get(settings.max_executions) {
         add(Rule::TooMany, last.first_byte, format!("{} executions", all.len()));
     }
-    let first = ran(request).next();
+    let first = not_declined(request).next();
     let after_first =
         |first: &Execution| all.iter().filter(|e| e.received > first.received).collect::<Vec<_>>();
     if let Some(first) = first {
@@ -62,8 +62,11 @@
                 Effect::Keyed => {
                     let group =
                         |e: &Execution| facts.case.locations.get(e.executor).map(|location| location.group);
-                    let late =
-                        again.received > first.received + millis(settings.dedup_window_ms) + SOCKETS + SLACK;
+                    let late = again.received
+                        > first.received
+                            + millis(settings.dedup_window_ms)
+                            + SOCKET_SLACK
+                            + OBSERVATION_SLACK;
                     if group(first) != group(again) {
                         add(Rule::Twice, again.first_byte, format!("outside its group: {to}"));
                     } else if late {
@@ -75,7 +78,7 @@
     }
     if !settings.may_duplicate {
         for pair in all.windows(2) {
-            let out = pair[0].finished.is_none_or(|finished| finished > pair[1].received + SLACK);
+            let out = pair[0].finished.is_none_or(|finished| finished > pair[1].received + OBSERVATION_SLACK);
             if out {
                 let description = format!("executors {} and {}", pair[0].executor, pair[1].executor);
                 add(Rule::TwoOut, pair[1].first_byte, description);
@@ -84,14 +87,14 @@
     }
 }
 
-/// A refusal promises that asking again is harmless.
-fn refused(request: &Request, add: &mut impl FnMut(Rule, Nanos, String)) {
+/// A refusal promises that a retry is harmless, so the request must not have been executed.
+fn refused_and_run(request: &Request, add: &mut impl FnMut(Rule, Nanos, String)) {
     if request.class.effect() == Effect::Pure {
         return;
     }
     let refusal = |(_, end): &&(Nanos, Event)| matches!(end, Event::Answered { status: 429 | 503, .. });
     let Some((at, _)) = request.ends.iter().find(refusal) else { return };
-    if let Some(execution) = ran(request).next() {
+    if let Some(execution) = not_declined(request).next() {
         add(Rule::RefusedAndRun, *at, format!("refused, and executor {} got it", execution.executor));
     }
 }
@@ -103,7 +106,7 @@
     add: &mut impl FnMut(Rule, Nanos, String),
 ) {
     let Some(left) = request.left else { return };
-    if execution.first_byte > left + LEFT_GRACE + SLACK {
+    if execution.first_byte > left + LEFT_GRACE + OBSERVATION_SLACK {
         let late = ms(execution.first_byte - left);
         add(
             Rule::ForNobody,
@@ -122,11 +125,11 @@
     let Some(told) = execution.deadline_header_ms else { return };
     let left = request.deadline.saturating_sub(execution.first_byte);
     let paused = facts.life(request).map_or(0, |life| life.paused(request.asked, execution.first_byte));
-    // A process that stood still while a request came can't know for how long it had waited.
+    // A process that was paused while a request arrived can't know how long the request had waited.
     if paused > 0 {
         return;
     }
-    let most = ms(left + SLACK) + TOLD_SLACK_MS;
+    let most = ms(left + OBSERVATION_SLACK) + DEADLINE_SLACK_MS;
     if told > most {
         let behind = request.behind;
         add(
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -1,5 +1,5 @@
-//! Holds a history against the invariants of `docs/invariants.md`, one rule a function. It knows what was seen from outside
-//! and nothing of how the program keeps a rule.
+//! Checks a history against the invariants of `docs/invariants.md`, one function per rule. The judge sees only what was
+//! observed from outside the program and knows nothing of how the program implements a rule.
 
 mod answers;
 mod cold;
@@ -15,72 +15,72 @@
 use crate::run::{Location, RunRecord};
 use crate::settings::{Class, RunSettings};
 
-/// A rule of the page, by the name that it has there.
+/// An invariant, under the name that it has in `docs/invariants.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request taken gets one final answer, in time.
+    /// Each accepted request gets exactly one final answer, in time.
     Answer,
-    /// The answer is what an executor made for this request.
+    /// The answer is the result that an executor produced for this request.
     OwnAnswer,
-    /// Nothing comes that nobody asked for.
+    /// A client receives no bytes that it did not ask for.
     Unasked,
-    /// No effect twice.
+    /// No effect happens twice.
     Twice,
-    /// A refusal promises that nothing has run.
+    /// A refused request has not been executed.
     RefusedAndRun,
-    /// Two executions are out at once only where that is allowed.
+    /// Two executions of a submission are in flight at once only if the settings allow it.
     TwoOut,
-    /// No more executions than allowed.
+    /// A submission has no more executions than the settings allow.
     TooMany,
-    /// Nothing new to a draining or gone executor.
+    /// An executor that drains or has left gets no new executions.
     Drained,
-    /// No cold executor is pushed over.
+    /// No cold executor is overloaded.
     Cold,
-    /// Nothing begins for a client that has left.
+    /// No execution begins for a client that has disconnected.
     ForNobody,
-    /// No executor is told more time than its client has left.
+    /// The deadline sent to an executor is not later than the client's deadline.
     Deadline,
-    /// A bound product goes only where it may.
+    /// A product that is bound to a zone is executed only there.
     Placement,
-    /// Executors get what makes sense.
+    /// Executors get only well-formed requests.
     Malformed,
-    /// Clients that misbehave get an error or a close.
+    /// Clients that misbehave get an error, or their connection is closed.
     BadClient,
-    /// No process ends by itself, or has a line in its log that it should never have.
+    /// No process exits by itself, and no log contains a line that reports a bug.
     Crash,
-    /// A process that is told to end does, in time.
+    /// A process that gets SIGTERM exits cleanly and in time.
     Exit,
-    /// Processes that start are ready in time.
+    /// A process that starts becomes ready in time.
     Ready,
-    /// When all troubles are over, all is served.
+    /// Once all faults are over, nearly all requests are served.
     Recovered,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When it showed.
+    /// When the violation was observed.
     pub at: Nanos,
-    /// By which request, process or executor, and how.
+    /// Which request, process or executor violated the rule, and how.
     pub description: String,
 }
 
-/// What is judged.
+/// The input of the judge.
 pub struct Case<'a> {
-    /// All that happened, by time.
+    /// All events, ordered by time.
     pub history: &'a [Entry],
-    /// The terms of the run.
+    /// The settings of the run.
     pub settings: &'a RunSettings,
-    /// Where executors are.
+    /// The zone and group of each executor, by index.
     pub locations: &'a [Location],
-    /// Their slots, and milliseconds of a job.
+    /// The slots of each executor and the average duration of its jobs in milliseconds, by index.
     pub capacities: &'a [(usize, f64)],
 }
 
 impl<'a> Case<'a> {
-    /// A plan that was played.
+    /// Builds the judge's input from a plan and the record of its run.
     #[must_use]
     pub fn of(plan: &'a Plan, played: &'a RunRecord) -> Self {
         Self {
@@ -92,42 +92,42 @@
     }
 }
 
-/// What came of a case.
+/// The result of judging a case.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// All that was broken, by time.
+    /// All violations, ordered by time.
     pub violations: Vec<Violation>,
-    /// What looked broken while the driver itself was late, and is not counted.
+    /// Apparent violations while the driver itself was delayed. They are not counted.
     pub doubtful: Vec<Violation>,
-    /// What the run had in it.
+    /// Totals of the run.
     pub counts: Counts,
 }
 
-/// How much of everything a run had.
+/// Totals of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that clients sent.
     pub asked: usize,
-    /// Answers 200,
+    /// Answers with status 200.
     pub served: usize,
-    /// 429 and 503,
+    /// Answers with status 429 or 503.
     pub refused: usize,
-    /// and others.
+    /// All other answers, and requests that got none.
     pub failed: usize,
-    /// Requests whose client left.
+    /// Requests whose client disconnected before the answer.
     pub left: usize,
-    /// Executions that executors saw.
+    /// Executions that executors received.
     pub executions: usize,
-    /// Starts of nodes.
+    /// Starts of node processes.
     pub starts: usize,
 }
 
-/// The stand-ins are threads of a busy machine: they may see things so late.
-pub(crate) const SLACK: Nanos = 100_000_000;
-/// For so long around a time at which the driver was late nothing is judged.
-const DOUBT: Nanos = 400_000_000;
+/// Tolerance for late observations: the simulated clients and executors are threads on a busy machine.
+pub(crate) const OBSERVATION_SLACK: Nanos = 100_000_000;
+/// No event within this span before or after a delay of the driver is judged.
+const DOUBTFUL_SPAN: Nanos = 400_000_000;
 
-/// A request, as its client and its executors saw it.
+/// A request, as observed by its client and its executors.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) class: Class,
@@ -143,7 +143,7 @@
     pub(crate) executions: Vec<Execution>,
 }
 
-/// An execution, as its executor saw it.
+/// An execution, as observed by its executor.
 #[derive(Clone, Debug)]
 pub(crate) struct Execution {
     pub(crate) executor: usize,
@@ -155,20 +155,20 @@
     pub(crate) finished: Option<Nanos>,
 }
 
-/// One process of a node.
+/// The observations of one process of a node.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Life {
+pub(crate) struct NodeProcess {
     pub(crate) events: Vec<(Nanos, NodeEvent)>,
-    pub(crate) told: Vec<(Nanos, u64)>,
-    pub(crate) muted: Option<Nanos>,
+    pub(crate) lists_sent: Vec<(Nanos, u64)>,
+    pub(crate) watch_silenced: Option<Nanos>,
 }
 
-impl Life {
-    pub(crate) fn when(&self, wanted: impl Fn(&NodeEvent) -> bool) -> Option<Nanos> {
-        self.events.iter().find(|(_, node_event)| wanted(node_event)).map(|(at, _)| *at)
+impl NodeProcess {
+    pub(crate) fn when(&self, matches: impl Fn(&NodeEvent) -> bool) -> Option<Nanos> {
+        self.events.iter().find(|(_, node_event)| matches(node_event)).map(|(at, _)| *at)
     }
 
-    /// What fails in it.
+    /// Returns the shim plan by which system calls of this process fail.
     pub(crate) fn shim(&self) -> &str {
         let shims = self.events.iter().filter_map(|(_, node_event)| match node_event {
             NodeEvent::Started { shim } => Some(shim.as_str()),
@@ -177,7 +177,7 @@
         shims.fold("", |_, latest| latest)
     }
 
-    /// For how long in all it stood still between two times.
+    /// Returns for how long in total the process was paused between two times.
     pub(crate) fn paused(&self, from: Nanos, until: Nanos) -> Nanos {
         let mut paused = 0;
         let mut since = None;
@@ -195,49 +195,49 @@
     }
 }
 
-/// A history, put in order by requests and processes.
+/// A history, grouped by requests and processes.
 pub(crate) struct Facts<'a> {
     pub(crate) case: &'a Case<'a>,
     pub(crate) requests: BTreeMap<String, Request>,
-    pub(crate) lives: HashMap<(usize, u64), Life>,
+    pub(crate) processes: HashMap<(usize, u64), NodeProcess>,
     pub(crate) calm: Option<Nanos>,
 }
 
-/// Judges a run.
+/// Checks all rules against the history of a run.
 #[must_use]
 pub fn judge(case: &Case<'_>) -> Verdict {
     let facts = Facts::gather(case);
-    let mut found = Vec::new();
-    answers::judge(&facts, &mut found);
-    executions::judge(&facts, &mut found);
-    drains::judge(&facts, &mut found);
-    cold::judge(&facts, &mut found);
-    processes::judge(&facts, &mut found);
-    found.sort_by_key(|violation| violation.at);
-    let late: Vec<(Nanos, Nanos)> = case.history.iter().filter_map(|entry| entry.late()).collect();
-    let doubted = |at: Nanos| late.iter().any(|(from, until)| (*from..*until).contains(&at));
-    let (doubtful, violations) = found.into_iter().partition(|violation| doubted(violation.at));
+    let mut violations = Vec::new();
+    answers::judge(&facts, &mut violations);
+    executions::judge(&facts, &mut violations);
+    drains::judge(&facts, &mut violations);
+    cold::judge(&facts, &mut violations);
+    processes::judge(&facts, &mut violations);
+    violations.sort_by_key(|violation| violation.at);
+    let delays: Vec<(Nanos, Nanos)> = case.history.iter().filter_map(|entry| entry.doubtful_span()).collect();
+    let is_doubtful = |at: Nanos| delays.iter().any(|(from, until)| (*from..*until).contains(&at));
+    let (doubtful, violations) = violations.into_iter().partition(|violation| is_doubtful(violation.at));
     Verdict { violations, doubtful, counts: facts.counts() }
 }
 
 impl Entry {
-    /// Around which times nothing is judged, since the driver was late then.
-    fn late(&self) -> Option<(Nanos, Nanos)> {
+    /// Returns the span that is not judged because the driver was delayed; none for any other event.
+    fn doubtful_span(&self) -> Option<(Nanos, Nanos)> {
         let Event::DriverDelayed { by } = self.event else { return None };
-        Some((self.at.saturating_sub(by + DOUBT), self.at + DOUBT))
+        Some((self.at.saturating_sub(by + DOUBTFUL_SPAN), self.at + DOUBTFUL_SPAN))
     }
 }
 
 impl<'a> Facts<'a> {
     fn gather(case: &'a Case<'a>) -> Self {
-        let mut facts = Self { case, requests: BTreeMap::new(), lives: HashMap::new(), calm: None };
+        let mut facts = Self { case, requests: BTreeMap::new(), processes: HashMap::new(), calm: None };
         for entry in case.history {
-            facts.take(entry.at, &entry.event);
+            facts.record(entry.at, &entry.event);
         }
         facts
     }
 
-    fn take(&mut self, at: Nanos, event: &Event) {
+    fn record(&mut self, at: Nanos, event: &Event) {
         match event {
             Event::RequestSent { id, node, life, class, client_connection, deadline_ms, first, behind } => {
                 let request = self.requests.entry(id.clone()).or_insert_with(|| Request {
@@ -253,7 +253,7 @@
                     left: None,
                     executions: Vec::new(),
                 });
-                // Sent once more after a close that crossed it: what counts is the last.
+                // A request is sent again if the node closed its connection as the request arrived; the last attempt counts.
                 (request.node, request.life, request.client_connection) = (*node, *life, *client_connection);
                 (request.asked, request.first, request.behind) = (at, *first, *behind);
                 request.deadline = at + millis(*deadline_ms);
@@ -292,13 +292,13 @@
                 }
             }
             Event::ListSent { node, life, version } => {
-                self.lives.entry((*node, *life)).or_default().told.push((at, *version));
+                self.processes.entry((*node, *life)).or_default().lists_sent.push((at, *version));
             }
             Event::WatchSilenced { node, life } => {
-                self.lives.entry((*node, *life)).or_default().muted = Some(at);
+                self.processes.entry((*node, *life)).or_default().watch_silenced = Some(at);
             }
             Event::Node { node, life, node_event } => {
-                self.lives.entry((*node, *life)).or_default().events.push((at, node_event.clone()));
+                self.processes.entry((*node, *life)).or_default().events.push((at, node_event.clone()));
             }
             Event::Calm => self.calm = Some(at),
             _ => {}
@@ -310,8 +310,8 @@
         executions.iter_mut().rev().find(|execution| execution.connection == connection)
     }
 
-    pub(crate) fn life(&self, request: &Request) -> Option<&Life> {
-        self.lives.get(&(request.node, request.life))
+    pub(crate) fn life(&self, request: &Request) -> Option<&NodeProcess> {
+        self.processes.get(&(request.node, request.life))
     }
 
     fn counts(&self) -> Counts {
@@ -328,12 +328,12 @@
             }
         }
         let started = |(_, node_event): &&(Nanos, NodeEvent)| matches!(node_event, NodeEvent::Started { .. });
-        counts.starts = self.lives.values().flat_map(|life| life.events.iter().filter(started)).count();
+        counts.starts = self.processes.values().flat_map(|life| life.events.iter().filter(started)).count();
         counts
     }
 }
 
-/// A span in milliseconds, for people.
+/// Converts nanoseconds to whole milliseconds, for messages.
 pub(crate) fn ms(span: Nanos) -> u64 {
     span / 1_000_000
 }
--- a/crates/soak/src/judge/processes.rs
+++ b/crates/soak/src/judge/processes.rs
@@ -1,45 +1,45 @@
-//! Processes: none ends by itself, all that start are ready in time, and when troubles are over all is served.
+//! Checks processes: none exits by itself, each becomes ready in time, and once all faults are over requests are served.
 
-use super::{Facts, Life, Rule, SLACK, Violation, ms};
+use super::{Facts, NodeProcess, OBSERVATION_SLACK, Rule, Violation, ms};
 use crate::history::{Event, Nanos, NodeEvent};
 use crate::millis;
 
-/// A process that starts is ready within this,
-const READY_AT_MOST: Nanos = 30_000_000_000;
-/// and most of them within this.
+/// Each process that starts is ready within this time.
+const READY_LIMIT: Nanos = 30_000_000_000;
+/// Most processes that start are ready within this time.
 const READY_SOON: Nanos = 10_000_000_000;
-/// How many of ten are ready soon.
-const OF_TEN: usize = 9;
-/// A process is killed so long after the longest deadline, counted from SIGTERM.
+/// How many starts of ten must be ready within [`READY_SOON`].
+const READY_SOON_OF_TEN: usize = 9;
+/// The driver sends SIGKILL this long after the longest deadline, counted from SIGTERM.
 const KILL_AFTER: Nanos = 700_000_000;
-/// The part of the requests that is served when troubles are over.
-const SERVED: f64 = 0.95;
-/// Fewer tell nothing.
-const FEW: usize = 50;
+/// The share of requests that must be served once all faults are over.
+const SERVED_SHARE: f64 = 0.95;
+/// With fewer requests, the share is not judged.
+const MIN_REQUESTS: usize = 50;
 
-pub(super) fn judge(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     let last = facts.case.history.last().map_or(0, |entry| entry.at);
     let mut waits = Vec::new();
-    for ((node, life), process) in &facts.lives {
+    for ((node, life), process) in &facts.processes {
         let mut add = |rule, at, description: &str| {
-            found.push(Violation {
+            violations.push(Violation {
                 rule,
                 at,
                 description: format!("node {node} life {life}: {description}"),
             });
         };
-        ends(facts, process, &mut add);
+        exits(facts, process, &mut add);
         waits.extend(ready(process, last, &mut add));
     }
     let soon = waits.iter().filter(|wait| **wait <= READY_SOON).count();
-    if soon * 10 < waits.len() * OF_TEN {
+    if soon * 10 < waits.len() * READY_SOON_OF_TEN {
         let description = format!("{soon} of {} starts were ready within 10 s", waits.len());
-        found.push(Violation { rule: Rule::Ready, at: last, description });
+        violations.push(Violation { rule: Rule::Ready, at: last, description });
     }
-    recovered(facts, found);
+    recovered(facts, violations);
 }
 
-fn ends(facts: &Facts<'_>, process: &Life, add: &mut impl FnMut(Rule, Nanos, &str)) {
+fn exits(facts: &Facts<'_>, process: &NodeProcess, add: &mut impl FnMut(Rule, Nanos, &str)) {
     let stopped = process.when(|node_event| *node_event == NodeEvent::Stopped);
     for (at, node_event) in &process.events {
         match node_event {
@@ -62,8 +62,8 @@
     }
 }
 
-/// How long a start took, if that can be told.
-fn ready(process: &Life, last: Nanos, add: &mut impl FnMut(Rule, Nanos, &str)) -> Option<Nanos> {
+/// Returns how long a start took, or none if the process did not become ready.
+fn ready(process: &NodeProcess, last: Nanos, add: &mut impl FnMut(Rule, Nanos, &str)) -> Option<Nanos> {
     let started = process.when(|node_event| matches!(node_event, NodeEvent::Started { .. }))?;
     let ready = process.when(|node_event| *node_event == NodeEvent::Ready);
     let ended = process.when(|node_event| {
@@ -71,19 +71,19 @@
     });
     let until = ready.or(ended).unwrap_or(last);
     let wait = (until - started).saturating_sub(process.paused(started, until));
-    if wait > READY_AT_MOST + SLACK {
+    if wait > READY_LIMIT + OBSERVATION_SLACK {
         add(Rule::Ready, until, &format!("it was not ready in {} ms", ms(wait)));
     }
     ready.map(|_| wait)
 }
 
-fn recovered(facts: &Facts<'_>, found: &mut Vec<Violation>) {
+fn recovered(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     let Some(calm) = facts.calm else { return };
     let asked = || facts.requests.values().filter(|request| request.asked > calm && !request.ends.is_empty());
     let served = |end: &(Nanos, Event)| matches!(end.1, Event::Answered { status: 200, .. });
     let (all, good) = (asked().count(), asked().filter(|request| request.ends.iter().any(served)).count());
-    if all >= FEW && (good as f64) < SERVED * all as f64 {
+    if all >= MIN_REQUESTS && (good as f64) < SERVED_SHARE * all as f64 {
         let description = format!("{good} of {all} were served after all troubles were over");
-        found.push(Violation { rule: Rule::Recovered, at: calm, description });
+        violations.push(Violation { rule: Rule::Recovered, at: calm, description });
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,48 +1,48 @@
-//! What happens in a run, as a file.
+//! The plan of a run: its size, settings and faults, stored as a TOML file.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::settings::RunSettings;
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Plan {
-    /// Of all chance that is not in the plan: classes, times between requests, what fails.
+    /// The seed of all randomness that is not in the plan: classes, times between requests, failing requests.
     pub seed: u64,
-    /// Processes of the program.
+    /// The number of nodes, each a process of the program.
     pub nodes: usize,
-    /// Stand-in executors at the start.
+    /// The number of simulated executors at the start.
     pub executors: usize,
-    /// Clients that behave.
+    /// The number of well-behaved clients.
     pub clients: usize,
-    /// Clients that don't.
+    /// The number of misbehaving clients.
     pub bad_clients: usize,
-    /// Requests a second of all clients that behave.
+    /// Requests per second of all well-behaved clients together.
     pub rate: f64,
-    /// For how long troubles may happen, in milliseconds.
+    /// How long faults may occur, in milliseconds.
     pub span_ms: u64,
-    /// For how long nothing happens afterwards, and all has to be served.
+    /// The length of the period without faults that follows, in which requests must be served, in milliseconds.
     pub calm_ms: u64,
-    /// What nodes are configured with.
+    /// The settings of the nodes.
     #[serde(rename = "terms")]
     pub settings: RunSettings,
-    /// What fails in the processes that are there at the start, by node; see the shim's plans.
+    /// The shim plans of the processes that run at the start, by node.
     #[serde(default)]
     pub shims: Vec<Shim>,
-    /// What happens, in any order.
+    /// The faults, in any order.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-/// What fails in the first process of a node.
+/// The system calls that fail in the first process of a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Shim {
-    /// Of which node.
+    /// The index of the node.
     pub node: usize,
-    /// A plan of the preloaded library.
+    /// A plan in the language of the preloaded shim library.
     pub plan: String,
 }
 
@@ -50,31 +50,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ExecutorFault {
-    /// Answers nothing.
+    /// Sends no answers.
     Hangs,
-    /// Turns work away unbegun.
+    /// Declines work without beginning it.
     Declines,
-    /// Fails what it began.
+    /// Begins work and reports that it failed.
     Fails,
-    /// Resets connections under requests that have begun.
+    /// Resets connections on which a request has begun.
     Resets,
-    /// Answers what is no answer, or half of one.
+    /// Sends bytes that are no valid answer, or half of one.
     Garbles,
-    /// Answers a second time, some milliseconds later.
+    /// Sends each answer a second time, some milliseconds later.
     Repeats,
-    /// Closes connections that rest, or resets them.
+    /// Closes or resets idle connections early.
     Forgets,
-    /// Answers in small pieces.
+    /// Sends answers in small pieces.
     Drips,
 }
 
-/// Signals that a node gets one after the other, so long apart as the trouble says.
+/// A sequence of signals to a node; the fault sets the time between them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SignalSequence {
     /// SIGHUP twice, then SIGTERM.
     ReloadReloadStop,
-    /// SIGTERM while a configuration is read.
+    /// SIGTERM while the node reads a configuration.
     ReloadStop,
     /// SIGTERM, and SIGHUP soon after the next process has started.
     StopReloadAtStart,
@@ -82,47 +82,47 @@
     PauseStopResume,
 }
 
-#[allow(missing_docs, reason = "the fields are told with what they are of")]
-/// Something that happens to a run; times are milliseconds since its clients began.
+#[allow(missing_docs, reason = "the fields are described with their variant")]
+/// A fault in a run. Times are in milliseconds; `at_ms` counts from the start of the clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", rename_all_fields = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// A node is told to end, and started again.
+    /// A node gets SIGTERM and is started again.
     StopNode { at_ms: u64, node: usize, back_after_ms: u64, shim: String },
-    /// A node is killed outright, and started again.
+    /// A node gets SIGKILL and is started again.
     KillNode { at_ms: u64, node: usize, back_after_ms: u64, shim: String },
-    /// A node stands still.
+    /// A node is paused by SIGSTOP.
     PauseNode { at_ms: u64, node: usize, for_ms: u64 },
-    /// Nodes read a configuration that names the other discovery; a second time soon after, where it says so, and before
-    /// that one that makes no sense.
+    /// Nodes reload a configuration that names the other discovery server: twice in a row if `twice`, and after an invalid
+    /// configuration if `bad_first`.
     Reload { at_ms: u64, nodes: Vec<usize>, twice: bool, bad_first: bool },
-    /// An executor drains, and leaves some time later.
+    /// An executor drains and leaves some time later.
     Drain { at_ms: u64, executor: usize, left_after_ms: u64 },
-    /// An executor leaves, and one at another address takes its place at once, under its name or a new one.
+    /// An executor leaves and is replaced at once by one at another address, under the same or a new name.
     Replace { at_ms: u64, executor: usize, same_name: bool },
-    /// An executor's process ends and begins anew at its address.
+    /// An executor's process ends and restarts at the same address.
     Restart { at_ms: u64, executor: usize, down_ms: u64 },
-    /// An executor misbehaves for some requests.
+    /// An executor misbehaves for a share of its requests.
     Ail { at_ms: u64, executor: usize, for_ms: u64, how: ExecutorFault, rate: f64 },
     /// Discovery resets all calls and watches.
     DiscoveryDown { at_ms: u64, for_ms: u64 },
-    /// All watches that are open fall silent for good.
+    /// All open watches become permanently silent.
     WatchesMute { at_ms: u64 },
-    /// All watches that are open are reset.
+    /// All open watches are reset.
     WatchesReset { at_ms: u64 },
-    /// Calls are answered late.
+    /// Discovery delays its answers.
     DiscoverySlow { at_ms: u64, for_ms: u64, each_ms: u64 },
-    /// Connections that say nothing come to a node.
+    /// Connections that send nothing are opened to a node.
     IdleFlood { at_ms: u64, node: usize, connections: usize, for_ms: u64 },
-    /// A node gets several signals, ends, and is started again.
+    /// A node gets a sequence of signals, exits and is started again.
     Signals { at_ms: u64, node: usize, series: SignalSequence, after_ms: u64, back_after_ms: u64 },
-    /// Connections fill a node's descriptors: half requests of clients that asked before, answers read to the half, and
-    /// clients at rest.
+    /// Connections use up a node's file descriptors: clients that stop in the middle of a second request, clients that stop
+    /// in the middle of reading an answer, and idle clients.
     Crowd { at_ms: u64, node: usize, half: usize, unread: usize, idle: usize, for_ms: u64 },
 }
 
 impl Fault {
-    /// When it begins.
+    /// Returns when the fault begins.
     #[must_use]
     pub fn at_ms(&self) -> u64 {
         match self {
@@ -145,58 +145,58 @@
     }
 }
 
-/// Why a plan can't be played.
+/// An error of reading or writing a plan.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// It is not understood.
+    /// The text is no valid plan.
     #[error("the plan is not understood: {0}")]
     Form(#[from] toml::de::Error),
-    /// It can't be written.
+    /// The plan can't be written.
     #[error("the plan can't be written: {0}")]
     Write(#[from] toml::ser::Error),
-    /// A key names what is not there, or too much.
-    #[error("{key}: {why}")]
+    /// A value is out of range, or refers to a node or executor that does not exist.
+    #[error("{key}: {reason}")]
     Key {
-        /// Which.
+        /// The key of the value.
         key: &'static str,
-        /// What is wrong with it.
-        why: String,
+        /// What is wrong with the value.
+        reason: String,
     },
 }
 
-/// Nodes, executors and clients of a run, at most, each. A machine bears far fewer nodes.
-const MOST: usize = 1_024;
+/// The largest number of nodes, of executors and of clients in a plan. A machine can run far fewer nodes.
+const MAX_COUNT: usize = 1_024;
 
 impl Plan {
-    /// Reads a plan from its file's text.
+    /// Parses a plan from the text of its file.
     ///
     /// # Errors
     ///
-    /// The key that is not understood.
+    /// The text is no valid plan, or a value is out of range.
     pub fn read(text: &str) -> Result<Self, PlanError> {
         let plan: Self = toml::from_str(text)?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// The text of its file.
+    /// Returns the plan as the text of its file.
     ///
     /// # Errors
     ///
-    /// A value has no form in TOML.
+    /// A value can't be represented in TOML.
     pub fn write(&self) -> Result<String, PlanError> {
         Ok(toml::to_string(self)?)
     }
 
     fn check(&self) -> Result<(), PlanError> {
         let within = |key: &'static str, value: usize, most: usize| {
-            let why = format!("{value} is not from 1 to {most}");
-            if (1..=most).contains(&value) { Ok(()) } else { Err(PlanError::Key { key, why }) }
+            let reason = format!("{value} is not from 1 to {most}");
+            if (1..=most).contains(&value) { Ok(()) } else { Err(PlanError::Key { key, reason }) }
         };
-        within("nodes", self.nodes, MOST)?;
-        within("executors", self.executors, MOST)?;
-        within("clients", self.clients, MOST)?;
-        within("bad-clients", self.bad_clients + 1, MOST + 1)?;
+        within("nodes", self.nodes, MAX_COUNT)?;
+        within("executors", self.executors, MAX_COUNT)?;
+        within("clients", self.clients, MAX_COUNT)?;
+        within("bad-clients", self.bad_clients + 1, MAX_COUNT + 1)?;
         for fault in &self.faults {
             let (nodes, executor) = match fault {
                 Fault::StopNode { node, .. }
@@ -213,11 +213,11 @@
                 _ => (Vec::new(), None),
             };
             if let Some(node) = nodes.into_iter().find(|node| *node >= self.nodes) {
-                return Err(PlanError::Key { key: "troubles.node", why: format!("there is no node {node}") });
+                return Err(PlanError::Key { key: "troubles.node", reason: format!("there is no node {node}") });
             }
             if let Some(executor) = executor.filter(|executor| *executor >= self.executors) {
-                let why = format!("there is no executor {executor}");
-                return Err(PlanError::Key { key: "troubles.executor", why });
+                let reason = format!("there is no executor {executor}");
+                return Err(PlanError::Key { key: "troubles.executor", reason });
             }
         }
         Ok(())
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -39,12 +39,12 @@
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The system's.
-    #[error("{what}: {why}")]
+    #[error("{what}: {reason}")]
     System {
         /// What failed.
         what: &'static str,
         /// How.
-        why: io::Error,
+        reason: io::Error,
     },
     /// Nodes did not come up before anything was done to them.
     #[error("{ready} of {all} nodes were ready at the start")]
@@ -116,7 +116,7 @@
 ///
 /// It could not be played; what happened in it is no error.
 pub fn run(plan: &Plan, program: &Path, folder: &Path) -> Result<RunRecord, RunError> {
-    let system = |what: &'static str| move |why: io::Error| RunError::System { what, why };
+    let system = |what: &'static str| move |reason: io::Error| RunError::System { what, reason };
     fs::create_dir_all(folder).map_err(system("folder"))?;
     let (recorder, finished) = (Arc::new(Recorder::default()), Arc::new(AtomicBool::new(false)));
     let network = Network::next();
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,19 +1,19 @@
-//! The terms of a run: what nodes are configured with, and what the judge holds them to.
+//! The settings of a run, with which nodes are configured and which the judge applies.
 
 use rand::Rng as _;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// How often something may be executed.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
     /// Any number of times.
     Pure,
-    /// Carries an idempotency key, by which the executors of one group drop repeats.
+    /// Several times within one group of executors, which drop repeats by the idempotency key.
     Keyed,
-    /// Once.
+    /// At most once.
     OneShot,
 }
 
@@ -23,7 +23,7 @@
 pub enum Class {
     /// One-shot.
     Pay,
-    /// Keyed, within a cell.
+    /// Keyed, within a cell of executors.
     TopUp,
     /// Pure.
     Look,
@@ -32,10 +32,10 @@
 }
 
 impl Class {
-    /// All of them.
+    /// All classes.
     pub const ALL: [Self; 4] = [Self::Pay, Self::TopUp, Self::Look, Self::Local];
 
-    /// As requests and settings name it.
+    /// Returns the product name used in requests and settings.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// How often it may be executed.
+    /// Returns how often a request of this class may be executed.
     #[must_use]
     pub fn effect(self) -> Effect {
         match self {
@@ -57,55 +57,55 @@
     }
 }
 
-/// The zones that executors are in.
+/// The zones of the executors.
 pub const ZONES: [&str; 2] = ["north", "south"];
-/// The zone that [`Class::Local`] is bound to, by its place among [`ZONES`].
+/// The zone to which [`Class::Local`] is bound, as an index into [`ZONES`].
 pub const BOUND_ZONE: usize = 0;
 /// The only kind of executor.
 pub const KIND: &str = "small";
 /// The only tenant.
 pub const TENANT: &str = "all";
 
-/// What a run's settings say, as far as it is drawn.
+/// The randomly drawn part of a run's settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RunSettings {
-    /// Lists are pushed; else they have to be asked for.
+    /// Whether discovery pushes lists; otherwise nodes request them.
     pub pushed: bool,
-    /// Two executions of one submission may be out at once.
+    /// Whether two executions of one submission may be in flight at once.
     pub may_duplicate: bool,
-    /// An execution may be called off.
+    /// Whether an execution may be cancelled.
     pub may_cancel: bool,
-    /// Executors may be probed.
+    /// Whether executors may be probed.
     pub may_probe: bool,
-    /// Executors tell when a job starts.
+    /// Whether executors report when a job starts.
     #[serde(rename = "tells-start")]
     pub reports_start: bool,
-    /// The longest that a client waits, in milliseconds.
+    /// The longest deadline of a client, in milliseconds.
     pub deadline_ms: u64,
-    /// For how long executors remember a key, in milliseconds.
+    /// How long executors remember an idempotency key, in milliseconds.
     #[serde(rename = "memory-ms")]
     pub dedup_window_ms: u64,
-    /// How long after a drain was told something new may still arrive, in milliseconds.
+    /// How long after a node was notified of a drain new work may still arrive, in milliseconds.
     #[serde(rename = "grace-ms")]
     pub drain_grace_ms: u64,
-    /// After how long executors close an idle connection, in milliseconds.
+    /// The time after which executors close an idle connection, in milliseconds.
     pub idle_ms: u64,
-    /// How many executions a submission may have.
+    /// The largest number of executions of a submission.
     pub max_executions: usize,
 }
 
-/// What a cold executor bears, and for how long it is cold.
+/// The share of its capacity that an executor has when its process starts.
 pub const COLD_CAPACITY_SHARE: f64 = 0.3;
-/// Milliseconds.
+/// The duration of the slow start, during which an executor counts as cold.
 pub const SLOW_START_MS: f64 = 9_000.0;
-/// Multiples of what it can do.
+/// The multiple of its capacity at which an executor is overloaded.
 pub const OVERLOAD_FACTOR: f64 = 2.5;
-/// Milliseconds.
+/// The window over which an executor's load is counted.
 pub const OVERLOAD_WINDOW_MS: f64 = 1_000.0;
 
 impl RunSettings {
-    /// Terms by chance.
+    /// Draws settings at random.
     #[must_use]
     pub fn random(rng: &mut Pcg64Mcg) -> Self {
         Self {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The settings object of a node, of so many.
+    /// Returns the settings object of a node in a fleet of `nodes` nodes.
     #[must_use]
     pub fn node_settings(&self, nodes: usize) -> Value {
         let product = |class: Class| {
