--- a/crates/soak/src/bad_client.rs
+++ b/crates/soak/src/bad_client.rs
@@ -1,4 +1,5 @@
-//! Clients that misbehave: they are owed an error or a close within 3 s, and must cost the others nothing.
+//! Clients that misbehave. A node must answer them with an error or close their connection within 3 s, and other clients must
+//! not suffer.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -13,19 +14,19 @@
 use crate::history::{Event, Misbehavior};
 use crate::network::reset;
 
-const CONNECT: Duration = Duration::from_secs(1);
-/// Longer than they are owed: what comes later is seen to.
-const PATIENCE: Duration = Duration::from_secs(8);
-const FLOOD: usize = 200_000;
-const DRIP: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longer than the 3 s within which a node must react, so that a late reaction is observed too.
+const REACTION_TIMEOUT: Duration = Duration::from_secs(8);
+const FLOOD_BYTES: usize = 200_000;
+const DRIP_INTERVAL: Duration = Duration::from_millis(250);
 const KINDS: [Misbehavior; 5] =
     [Misbehavior::Silent, Misbehavior::Half, Misbehavior::Dripping, Misbehavior::Garbage, Misbehavior::Flood];
 
-/// Misbehaves in one way after another until the run is calm or over.
+/// Misbehaves in one random way after another until the faults or the run are over.
 pub fn run(number: usize, seed: u64, context: &Arc<ClientContext>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xBAD ^ (number as u64) << 24);
-    let goes_on = || !context.finished.load(Ordering::Relaxed) && !context.calm.load(Ordering::Relaxed);
-    while goes_on() {
+    let continues = || !context.finished.load(Ordering::Relaxed) && !context.calm.load(Ordering::Relaxed);
+    while continues() {
         std::thread::sleep(Duration::from_millis(rng.random_range(50..600)));
         let Some((node, life, address)) = context.directory.choose(rng.random()) else { continue };
         let how = KINDS[rng.random_range(0..KINDS.len())];
@@ -39,14 +40,14 @@
 }
 
 fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let socket = TcpStream::connect_timeout(&address, CONNECT)?;
+    let socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
     socket.set_nodelay(true)?;
-    socket.set_write_timeout(Some(PATIENCE))?;
-    socket.set_read_timeout(Some(PATIENCE))?;
+    socket.set_write_timeout(Some(REACTION_TIMEOUT))?;
+    socket.set_read_timeout(Some(REACTION_TIMEOUT))?;
     Ok(socket)
 }
 
-/// True once an error or a close has come, or where none is owed.
+/// Returns whether the node reacted with an error or a close; true for a flood, to which it need not react.
 fn misbehave(mut socket: &TcpStream, how: Misbehavior) -> io::Result<bool> {
     const HALF: &[u8] = b"POST /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: half\r\nContent-Le";
     match how {
@@ -54,17 +55,17 @@
         Misbehavior::Half => socket.write_all(HALF)?,
         Misbehavior::Garbage => socket.write_all(b"\x16\x03\x01\x02\x00 not a request\r\n\r\n")?,
         Misbehavior::Flood => {
-            let _ = socket.write_all(&vec![b'x'; FLOOD]);
+            let _ = socket.write_all(&vec![b'x'; FLOOD_BYTES]);
             reset(socket);
             return Ok(true);
         }
         Misbehavior::Dripping => return drip(socket, HALF),
     }
-    heard(socket)
+    reacts(socket)
 }
 
-/// Whether an error or a close comes in time.
-fn heard(mut socket: &TcpStream) -> io::Result<bool> {
+/// Returns whether the node answers or closes the connection before the read timeout.
+fn reacts(mut socket: &TcpStream) -> io::Result<bool> {
     match socket.read(&mut [0; 64]) {
         Ok(_) => Ok(true),
         Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => Ok(false),
@@ -74,13 +75,13 @@
 
 fn drip(mut socket: &TcpStream, text: &[u8]) -> io::Result<bool> {
     let begun = Instant::now();
-    socket.set_read_timeout(Some(DRIP))?;
+    socket.set_read_timeout(Some(DRIP_INTERVAL))?;
     for byte in text.iter().cycle() {
-        if begun.elapsed() > PATIENCE {
+        if begun.elapsed() > REACTION_TIMEOUT {
             return Ok(false);
         }
         socket.write_all(&[*byte])?;
-        if heard(socket)? {
+        if reacts(socket)? {
             return Ok(true);
         }
     }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients that behave: one request at a time on a connection, kept from one to the next. Some leave before they are
-//! answered, some send several requests ahead.
+//! Well-behaved clients. A client sends one request at a time and reuses its connection. Some disconnect before the answer,
+//! and some pipeline several requests.
 
 use std::io::{self, BufReader, Write};
 use std::net::TcpStream;
@@ -16,40 +16,40 @@
 use crate::nodes::NodeDirectory;
 use crate::settings::{Class, RunSettings, TENANT};
 
-/// How long a client listens beyond its deadline before it takes an answer for lost.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// A connection that ends so soon after a request that was written to it at rest was being closed as the request came.
-const CROSSING: Duration = Duration::from_millis(150);
-const CONNECT: Duration = Duration::from_secs(1);
-/// Of its requests, a client leaves this part before they are answered,
-const LEAVES: f64 = 0.06;
-/// and sends this part with others behind.
-const SENDS_AHEAD: f64 = 0.04;
-const MOST_AHEAD: usize = 4;
+/// How long after its deadline a client still waits for an answer before it records silence.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// A reused connection that is closed this soon after a request was being closed as the request arrived.
+const CLOSE_RACE: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The share of requests whose client disconnects before the answer.
+const LEAVE_SHARE: f64 = 0.06;
+/// The share of sends that pipeline several requests.
+const PIPELINE_SHARE: f64 = 0.04;
+const MAX_PIPELINED: usize = 4;
 
-/// Numbers connections of clients.
+/// Numbers the connections of clients.
 static CONVERSATIONS: AtomicU64 = AtomicU64::new(1);
 
-/// The next connection's number.
+/// Returns the number of the next connection.
 pub(crate) fn next_client_connection() -> ClientConnectionId {
     CONVERSATIONS.fetch_add(1, Ordering::Relaxed)
 }
 
-/// What all clients of a run share.
+/// The state that all clients of a run share.
 pub struct ClientContext {
-    /// Where nodes can be found.
+    /// The nodes that accept clients.
     pub directory: Arc<NodeDirectory>,
-    /// Where clients note what they saw.
+    /// Records what clients observe.
     pub recorder: Arc<Recorder>,
-    /// What they may ask for.
+    /// The settings of the run.
     pub settings: RunSettings,
-    /// The run is over.
+    /// Set when clients must stop.
     pub finished: Arc<AtomicBool>,
-    /// Clients are not to misbehave any more, nor to leave.
+    /// Set when faults are over: clients must not misbehave or disconnect early any more.
     pub calm: Arc<AtomicBool>,
 }
 
-/// One client.
+/// A well-behaved client.
 pub struct Client {
     number: usize,
     rng: Pcg64Mcg,
@@ -58,7 +58,7 @@
     open: Option<Open>,
 }
 
-/// A connection to a node.
+/// An open connection to a node.
 struct Open {
     reader: BufReader<TcpStream>,
     node: usize,
@@ -74,33 +74,33 @@
 }
 
 enum Answer {
-    Whole { status: u16, result: String, closes: bool },
+    Complete { status: u16, result: String, closes: bool },
     Ended,
     Silence,
     Garbled,
 }
 
 impl Client {
-    /// One that asks from now on when it is run.
+    /// Creates a client; [`Client::run`] sends its requests.
     #[must_use]
     pub fn new(number: usize, seed: u64, context: Arc<ClientContext>) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64) << 20);
         Self { number, rng, context, count: 0, open: None }
     }
 
-    /// Asks at this pace until the run is over.
-    pub fn run(mut self, gap: Duration) {
-        let mut due = Instant::now() + gap.mul_f64(self.rng.random());
+    /// Sends requests at this average interval until the run is over.
+    pub fn run(mut self, interval: Duration) {
+        let mut due = Instant::now() + interval.mul_f64(self.rng.random());
         while !self.context.finished.load(Ordering::Relaxed) {
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            due = (due + gap.mul_f64(self.rng.random_range(0.5..1.5))).max(Instant::now());
+            due = (due + interval.mul_f64(self.rng.random_range(0.5..1.5))).max(Instant::now());
             let calm = self.context.calm.load(Ordering::Relaxed);
-            if !calm && self.rng.random_bool(SENDS_AHEAD) {
-                let ahead = self.rng.random_range(2..=MOST_AHEAD);
-                self.ask_ahead(ahead);
+            if !calm && self.rng.random_bool(PIPELINE_SHARE) {
+                let count = self.rng.random_range(2..=MAX_PIPELINED);
+                self.send_pipelined(count);
             } else {
-                let leaves = !calm && self.rng.random_bool(LEAVES);
-                self.ask(leaves);
+                let leaves = !calm && self.rng.random_bool(LEAVE_SHARE);
+                self.send(leaves);
             }
         }
     }
@@ -118,7 +118,7 @@
         Request { id, class, text }
     }
 
-    /// A connection that can be written to; none if no node takes one now.
+    /// Returns a writable connection, or none if no node accepts one now.
     fn connection(&mut self) -> Option<&mut Open> {
         if self.open.as_ref().is_some_and(|open| is_closed(open.reader.get_ref())) {
             self.open = None;
@@ -127,7 +127,7 @@
             self.context.recorder.now(Event::UnexpectedBytes { client_connection: open.client_connection });
             self.open = None;
         }
-        // Now and then a client goes elsewhere.
+        // Now and then a client moves to another node.
         if self.rng.random_bool(0.05) {
             self.open = None;
         }
@@ -141,14 +141,14 @@
         let choice: f64 = self.rng.random();
         let none = || io::Error::other("no node takes clients");
         let (node, life, address) = self.context.directory.choose(choice).ok_or_else(none)?;
-        let socket = TcpStream::connect_timeout(&address, CONNECT)?;
+        let socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         socket.set_nodelay(true)?;
-        socket.set_write_timeout(Some(PATIENCE))?;
+        socket.set_write_timeout(Some(ANSWER_TIMEOUT))?;
         let client_connection = next_client_connection();
         Ok(Open { reader: BufReader::new(socket), node, life, client_connection, used: false })
     }
 
-    fn asked(&self, request: &Request, open: &Open, behind: usize) {
+    fn record_sent(&self, request: &Request, open: &Open, behind: usize) {
         self.context.recorder.now(Event::RequestSent {
             id: request.id.clone(),
             node: open.node,
@@ -161,8 +161,8 @@
         });
     }
 
-    /// Sends one request, and listens for its answer or leaves.
-    fn ask(&mut self, leaves: bool) {
+    /// Sends one request and waits for its answer, or disconnects if `leaves`.
+    fn send(&mut self, leaves: bool) {
         let request = self.request();
         loop {
             if self.connection().is_none() {
@@ -172,20 +172,20 @@
             if open.reader.get_mut().write_all(request.text.as_bytes()).is_err() {
                 continue;
             }
-            self.asked(&request, &open, 0);
-            let (asked, rested) = (Instant::now(), open.used);
+            self.record_sent(&request, &open, 0);
+            let (sent_at, reused) = (Instant::now(), open.used);
             if leaves {
                 return self.leave(&request, &open);
             }
-            let answer = answer(&mut open.reader, self.wait());
+            let answer = read_answer(&mut open.reader, self.answer_timeout());
             let closed =
                 matches!(answer, Answer::Ended) && self.context.directory.is_alive(open.node, open.life);
-            let crossed = rested && closed && asked.elapsed() < CROSSING;
-            if crossed && !self.context.finished.load(Ordering::Relaxed) {
-                // It is sent once more, on a new connection.
+            let close_race = reused && closed && sent_at.elapsed() < CLOSE_RACE;
+            if close_race && !self.context.finished.load(Ordering::Relaxed) {
+                // The request is sent again on a new connection.
                 continue;
             }
-            if self.note(&request.id, &answer) {
+            if self.record_end(&request.id, &answer) {
                 open.used = true;
                 self.open = Some(open);
             }
@@ -193,24 +193,24 @@
         }
     }
 
-    fn wait(&self) -> Duration {
-        Duration::from_millis(self.context.settings.deadline_ms) + PATIENCE
+    fn answer_timeout(&self) -> Duration {
+        Duration::from_millis(self.context.settings.deadline_ms) + ANSWER_TIMEOUT
     }
 
     fn leave(&mut self, request: &Request, open: &Open) {
-        let most = Duration::from_millis(self.context.settings.deadline_ms);
-        std::thread::sleep(most.mul_f64(self.rng.random_range(0.0..0.5)));
+        let deadline = Duration::from_millis(self.context.settings.deadline_ms);
+        std::thread::sleep(deadline.mul_f64(self.rng.random_range(0.0..0.5)));
         self.context.recorder.now(Event::ClientLeft { id: request.id.clone() });
         if self.rng.random_bool(0.5) {
             reset(open.reader.get_ref());
         }
     }
 
-    /// Notes how a request ended. True if its connection can be used again.
-    fn note(&self, id: &str, answer: &Answer) -> bool {
+    /// Records how a request ended. Returns whether its connection can be reused.
+    fn record_end(&self, id: &str, answer: &Answer) -> bool {
         let id = id.to_owned();
         let event = match answer {
-            Answer::Whole { status, result, .. } => {
+            Answer::Complete { status, result, .. } => {
                 Event::Answered { id, status: *status, result: result.clone() }
             }
             Answer::Ended => Event::Unanswered { id, how: MissingAnswer::Closed },
@@ -218,17 +218,18 @@
             Answer::Garbled => Event::Unanswered { id, how: MissingAnswer::Garbled },
         };
         self.context.recorder.now(event);
-        matches!(answer, Answer::Whole { closes: false, .. })
+        matches!(answer, Answer::Complete { closes: false, .. })
     }
 
-    /// Sends several requests at once, and listens for all answers, in their order.
-    fn ask_ahead(&mut self, count: usize) {
+    /// Sends several requests at once and waits for all answers, in their order.
+    fn send_pipelined(&mut self, count: usize) {
         let requests: Vec<Request> = (0..count).map(|_| self.request()).collect();
         if self.connection().is_none() {
             return;
         }
         let Some(mut open) = self.open.take() else { return };
-        // On one at rest, a close that crosses is no loss, and that can't be told for those behind the first.
+        // A reused connection may be closed as the requests arrive. For those after the first, that can't be told apart from a
+        // lost answer, so a new connection is opened.
         if open.used {
             match self.connect() {
                 Ok(new) => open = new,
@@ -240,26 +241,26 @@
             return;
         }
         for (behind, request) in requests.iter().enumerate() {
-            self.asked(request, &open, behind);
+            self.record_sent(request, &open, behind);
         }
         for request in &requests {
-            let answer = answer(&mut open.reader, self.wait());
-            if !self.note(&request.id, &answer) && !matches!(answer, Answer::Whole { .. }) {
-                // The rest can't be told from what was cut off with it: each is noted by itself.
+            let answer = read_answer(&mut open.reader, self.answer_timeout());
+            if !self.record_end(&request.id, &answer) && !matches!(answer, Answer::Complete { .. }) {
+                // The remaining requests failed with this one; the end of each is recorded separately.
                 continue;
             }
         }
     }
 }
 
-fn answer(reader: &mut BufReader<TcpStream>, wait: Duration) -> Answer {
-    let _ = reader.get_ref().set_read_timeout(Some(wait));
+fn read_answer(reader: &mut BufReader<TcpStream>, timeout: Duration) -> Answer {
+    let _ = reader.get_ref().set_read_timeout(Some(timeout));
     match message(reader) {
         Ok(Some((head, body))) => {
             let status = head.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok());
             let closes = head.to_ascii_lowercase().contains("\r\nconnection: close\r\n");
             match (status, String::from_utf8(body)) {
-                (Some(status), Ok(result)) => Answer::Whole { status, result, closes },
+                (Some(status), Ok(result)) => Answer::Complete { status, result, closes },
                 _ => Answer::Garbled,
             }
         }
--- a/crates/soak/src/crowd.rs
+++ b/crates/soak/src/crowd.rs
@@ -1,4 +1,4 @@
-//! A crowd at one node: connections that hold its descriptors, each in the middle of something.
+//! A crowd at one node: many connections that occupy its file descriptors, each stopped at some point of a request.
 
 use std::io::{self, BufReader, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -12,57 +12,58 @@
 use crate::history::{Event, Misbehavior, Recorder};
 use crate::settings::{Class, TENANT};
 
-const CONNECT: Duration = Duration::from_millis(500);
-/// A member of a crowd waits so long for the answer to its first request.
-const FIRST_ANSWER: Duration = Duration::from_secs(3);
-/// How long it is seen to whether a half request gets its error or its close.
-const REBUKE_PATIENCE: Duration = Duration::from_secs(8);
-/// Bytes of an answer that a slow reader takes.
-const TAKEN_OF_ANSWER: usize = 9;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a client of a crowd waits for the answer to its first request.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a client waits for an error or a close after half a request; longer than the node's limit, so that a late
+/// reaction is observed too.
+const REACTION_TIMEOUT: Duration = Duration::from_secs(8);
+/// The number of bytes of an answer that a slow reader reads.
+const PARTIAL_ANSWER_BYTES: usize = 9;
 
-/// Numbers the requests of crowds, which nobody judges.
+/// Numbers the requests of crowds, which are not judged.
 static REQUESTS: AtomicU64 = AtomicU64::new(1);
 
-/// How many connections a crowd has of each kind.
+/// The number of connections of each kind in a crowd.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrowdSize {
-    /// They have asked before, and stop in the middle of their next request.
+    /// Connections that have completed one request and stop in the middle of the next.
     pub half: usize,
-    /// They have asked, and stop in the middle of reading the answer.
+    /// Connections that stop in the middle of reading the answer to their first request.
     pub unread: usize,
-    /// They have asked before, and rest.
+    /// Connections that have completed one request and stay idle.
     pub idle: usize,
 }
 
-/// Where a crowd gathers.
+/// Opens and holds the connections of a crowd.
 pub struct CrowdRunner {
-    /// The node,
+    /// The index of the node.
     pub node: usize,
-    /// its process,
+    /// The number of the node's current process.
     pub life: u64,
-    /// and its address.
+    /// The address of the node.
     pub address: SocketAddr,
-    /// What its clients say they wait for, in milliseconds.
+    /// The deadline of its requests, in milliseconds.
     pub deadline_ms: u64,
-    /// Where it is noted what half requests got.
+    /// Records how the node reacts to half requests.
     pub recorder: Arc<Recorder>,
 }
 
 impl CrowdRunner {
-    /// Holds a crowd together for a while.
+    /// Opens the connections of a crowd and holds them for a span.
     pub fn hold(self, crowd: CrowdSize, span: Duration) {
-        let gathering = Arc::new(self);
+        let runner = Arc::new(self);
         let mut kept = Vec::new();
         let mut watchers = Vec::new();
         for number in 0..crowd.half + crowd.unread + crowd.idle {
-            // One that finds no room or no answer is not part of it.
-            let Ok(client) = gathering.join(number >= crowd.half && number < crowd.half + crowd.unread)
+            // A client that gets no connection or no answer is left out.
+            let Ok(client) = runner.connect(number >= crowd.half && number < crowd.half + crowd.unread)
             else {
                 continue;
             };
             if number < crowd.half {
-                let gathering = Arc::clone(&gathering);
-                watchers.push(std::thread::spawn(move || gathering.stop_halfway(client, span)));
+                let runner = Arc::clone(&runner);
+                watchers.push(std::thread::spawn(move || runner.stop_halfway(client, span)));
             } else {
                 kept.push(client);
             }
@@ -83,23 +84,23 @@
         )
     }
 
-    /// A connection on which a request was answered, or, of a slow reader, half of the answer was taken.
-    fn join(&self, reads_half: bool) -> io::Result<BufReader<TcpStream>> {
-        let socket = TcpStream::connect_timeout(&self.address, CONNECT)?;
+    /// Opens a connection and completes one request on it, or, for a slow reader, reads only the start of the answer.
+    fn connect(&self, reads_half: bool) -> io::Result<BufReader<TcpStream>> {
+        let socket = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(FIRST_ANSWER))?;
-        socket.set_write_timeout(Some(FIRST_ANSWER))?;
-        let mut client = BufReader::with_capacity(TAKEN_OF_ANSWER, socket);
+        socket.set_read_timeout(Some(FIRST_ANSWER_TIMEOUT))?;
+        socket.set_write_timeout(Some(FIRST_ANSWER_TIMEOUT))?;
+        let mut client = BufReader::with_capacity(PARTIAL_ANSWER_BYTES, socket);
         client.get_mut().write_all(self.request().as_bytes())?;
         if reads_half {
-            client.read_exact(&mut [0; TAKEN_OF_ANSWER])?;
+            client.read_exact(&mut [0; PARTIAL_ANSWER_BYTES])?;
         } else {
             message(&mut client)?.ok_or(io::ErrorKind::UnexpectedEof)?;
         }
         Ok(client)
     }
 
-    /// Sends half a request and stays, for as long as the crowd does and until it is known what comes of it.
+    /// Sends half a request, records the node's reaction and keeps the connection open for the span of the crowd.
     fn stop_halfway(&self, mut client: BufReader<TcpStream>, span: Duration) {
         let request = self.request();
         if client.get_mut().write_all(&request.as_bytes()[..request.len() / 2]).is_err() {
@@ -109,10 +110,11 @@
         let (node, life, how) = (self.node, self.life, Misbehavior::Half);
         self.recorder.now(Event::Misbehaved { client_connection, node, life, how });
         let begun = Instant::now();
-        let _ = client.get_ref().set_read_timeout(Some(REBUKE_PATIENCE));
-        let told = client.read(&mut [0; 64]);
-        let silent = |e: &io::Error| matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut);
-        if !told.is_err_and(|e| silent(&e)) {
+        let _ = client.get_ref().set_read_timeout(Some(REACTION_TIMEOUT));
+        let reaction = client.read(&mut [0; 64]);
+        let timed_out =
+            |e: &io::Error| matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut);
+        if !reaction.is_err_and(|e| timed_out(&e)) {
             self.recorder.now(Event::MisbehaviorAnswered { client_connection });
         }
         std::thread::sleep(span.saturating_sub(begun.elapsed()));
--- a/crates/soak/src/delay_monitor.rs
+++ b/crates/soak/src/delay_monitor.rs
@@ -1,7 +1,8 @@
-//! Tells when the machine has no time for the stand-ins: what they then see late tells nothing of the nodes.
+//! Detects when the machine is too busy to run the simulated clients and executors in time, so that late observations then
+//! say nothing about the nodes.
 //!
-//! A connection is made again and again that is served as a stand-in's is, by a thread of its own, and timed from its start to
-//! the answer.
+//! It repeatedly opens a connection that is served like one of a simulated executor, by a thread of its own, and measures the
+//! time from its start to the answer.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,16 +12,16 @@
 
 use crate::history::{Event, Recorder};
 
-const EVERY: Duration = Duration::from_millis(20);
-/// Longer than a connection and an answer take on a machine that is not overloaded, many times over.
-const LATE: Duration = Duration::from_millis(40);
-const PATIENCE: Duration = Duration::from_secs(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Many times longer than a connection and an answer take on a machine that is not overloaded.
+const DELAY_LIMIT: Duration = Duration::from_millis(40);
+const SOCKET_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Notes it whenever the machine is late, until the run is over.
+/// Records each delay of the machine until the run is over.
 ///
 /// # Errors
 ///
-/// No address is left.
+/// No listener can be opened.
 pub fn start(recorder: &Arc<Recorder>, finished: &Arc<AtomicBool>) -> io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -37,28 +38,28 @@
     std::thread::spawn(move || {
         while !finished.load(Ordering::Relaxed) {
             let begun = Instant::now();
-            std::thread::sleep(EVERY);
-            let asked = ask(address);
-            let took = begun.elapsed().saturating_sub(EVERY);
-            if asked.is_err() || took > LATE {
+            std::thread::sleep(CHECK_INTERVAL);
+            let answered = round_trip(address);
+            let took = begun.elapsed().saturating_sub(CHECK_INTERVAL);
+            if answered.is_err() || took > DELAY_LIMIT {
                 recorder.now(Event::DriverDelayed { by: took.as_nanos() as u64 });
             }
         }
-        let _ = TcpStream::connect_timeout(&address, EVERY);
+        let _ = TcpStream::connect_timeout(&address, CHECK_INTERVAL);
     });
     Ok(())
 }
 
 fn answer(mut socket: TcpStream) -> io::Result<()> {
-    socket.set_read_timeout(Some(PATIENCE))?;
+    socket.set_read_timeout(Some(SOCKET_TIMEOUT))?;
     let mut byte = [0];
     socket.read_exact(&mut byte)?;
     socket.write_all(&byte)
 }
 
-fn ask(address: SocketAddr) -> io::Result<()> {
-    let mut socket = TcpStream::connect_timeout(&address, PATIENCE)?;
-    socket.set_read_timeout(Some(PATIENCE))?;
+fn round_trip(address: SocketAddr) -> io::Result<()> {
+    let mut socket = TcpStream::connect_timeout(&address, SOCKET_TIMEOUT)?;
+    socket.set_read_timeout(Some(SOCKET_TIMEOUT))?;
     socket.write_all(b"?")?;
     socket.read_exact(&mut [0])
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-in discovery: a listener for each node, so that it is known whom it told what.
+//! Simulated discovery, with a listener for each node, so that it is known which list each node received.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,69 +12,70 @@
 use crate::history::{Event, Recorder};
 use crate::network::{is_closed, reset};
 
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// How soon a watch sees that it is to end or to fall silent.
-const LOOK: Duration = Duration::from_millis(50);
-const PIECE: usize = 97;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// The interval at which a watch checks whether it must end or become silent.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const CHUNK_BYTES: usize = 97;
 
-/// How discovery fares; shared by all its listeners.
+/// The current faults of discovery, shared by all its listeners.
 #[derive(Debug, Default)]
 pub struct DiscoveryFaults {
-    /// Troubles that overlap, each of which has it down,
-    down: AtomicU64,
-    /// and what those that make it slow add up to.
+    /// The number of current outages, which may overlap.
+    outages: AtomicU64,
+    /// The sum of the current delays of answers.
     slow_ms: AtomicU64,
-    /// Watches of an earlier count are to be reset, or are silent.
+    /// The number of resets of all watches. A watch that began at a lower number must be reset.
     resets: AtomicU64,
-    mutes: AtomicU64,
+    /// The number of times that all watches were silenced. A watch that began at a lower number must become silent.
+    silencings: AtomicU64,
 }
 
 impl DiscoveryFaults {
-    /// Discovery is down, until [`DiscoveryFaults::end_outage`].
+    /// Begins an outage, which ends with [`DiscoveryFaults::end_outage`].
     pub fn begin_outage(&self) {
-        self.down.fetch_add(1, Ordering::SeqCst);
+        self.outages.fetch_add(1, Ordering::SeqCst);
         self.reset_watches();
     }
 
-    /// One of those that had it down is over.
+    /// Ends one of the current outages.
     pub fn end_outage(&self) {
-        self.down.fetch_sub(1, Ordering::SeqCst);
+        self.outages.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// Each call is answered so much later, until [`DiscoveryFaults::end_slowdown`].
+    /// Delays each answer by `ms` more, until [`DiscoveryFaults::end_slowdown`].
     pub fn begin_slowdown(&self, ms: u64) {
         self.slow_ms.fetch_add(ms, Ordering::SeqCst);
     }
 
-    /// One of those that made it slow is over.
+    /// Ends a delay of `ms`.
     pub fn end_slowdown(&self, ms: u64) {
         self.slow_ms.fetch_sub(ms, Ordering::SeqCst);
     }
 
-    /// All watches that are open now are reset.
+    /// Resets all watches that are open now.
     pub fn reset_watches(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// All watches that are open now fall silent for good.
+    /// Makes all watches that are open now permanently silent.
     pub fn silence_watches(&self) {
-        self.mutes.fetch_add(1, Ordering::SeqCst);
+        self.silencings.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// One listener, for one node.
+/// A discovery server for one node.
 pub struct Discovery {
-    /// The node that it is for.
+    /// The index of the node.
     pub node: usize,
-    /// Counts the node's processes.
+    /// The number of the node's current process.
     pub life: Arc<AtomicU64>,
-    /// What it tells.
+    /// The list that it serves.
     pub executor_list: Arc<ExecutorList>,
-    /// How it fares.
+    /// Its current faults.
     pub discovery_faults: Arc<DiscoveryFaults>,
-    /// Where it notes what it told.
+    /// Records which versions of the list were sent.
     pub recorder: Arc<Recorder>,
-    /// The run is over.
+    /// Set when the run is over.
     pub finished: Arc<AtomicBool>,
 }
 
@@ -83,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// The address is taken.
+    /// The address is in use.
     pub fn start(self, address: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(address)?;
         let discovery = Arc::new(self);
@@ -103,19 +104,21 @@
     fn serve(&self, socket: TcpStream) -> io::Result<()> {
         let discovery_faults = &self.discovery_faults;
         let life = self.life.load(Ordering::SeqCst);
-        if discovery_faults.down.load(Ordering::SeqCst) > 0 {
+        if discovery_faults.outages.load(Ordering::SeqCst) > 0 {
             reset(&socket);
             return Ok(());
         }
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(Duration::from_secs(10)))?;
         socket.set_write_timeout(Some(Duration::from_secs(10)))?;
-        let (resets, mutes) =
-            (discovery_faults.resets.load(Ordering::SeqCst), discovery_faults.mutes.load(Ordering::SeqCst));
+        let (resets, silencings) = (
+            discovery_faults.resets.load(Ordering::SeqCst),
+            discovery_faults.silencings.load(Ordering::SeqCst),
+        );
         let Some((head, _)) = message(&mut BufReader::new(socket.try_clone()?))? else { return Ok(()) };
         std::thread::sleep(Duration::from_millis(discovery_faults.slow_ms.load(Ordering::SeqCst)));
         let after = head.split_once("&after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
-        self.watch(&socket, life, after, resets, mutes)
+        self.watch(&socket, life, after, resets, silencings)
     }
 
     fn watch(
@@ -124,16 +127,16 @@
         life: u64,
         after: Option<u64>,
         resets: u64,
-        mutes: u64,
+        silencings: u64,
     ) -> io::Result<()> {
         let discovery_faults = &self.discovery_faults;
         let (mut version, list) = self.executor_list.since(after);
         let mut writer = socket;
         writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-        self.tell(writer, life, version, &list)?;
+        self.send(writer, life, version, &list)?;
         let mut last_line = Instant::now();
         loop {
-            self.executor_list.wait(version, LOOK);
+            self.executor_list.wait(version, POLL_INTERVAL);
             if self.finished.load(Ordering::Relaxed) || is_closed(socket) {
                 return Ok(());
             }
@@ -141,24 +144,24 @@
                 reset(socket);
                 return Ok(());
             }
-            if discovery_faults.mutes.load(Ordering::SeqCst) != mutes {
+            if discovery_faults.silencings.load(Ordering::SeqCst) != silencings {
                 self.recorder.now(Event::WatchSilenced { node: self.node, life });
                 return self.stay_silent(socket);
             }
             let (newer, list) = self.executor_list.since(Some(version));
             if newer != version {
                 version = newer;
-                self.tell(writer, life, version, &list)?;
+                self.send(writer, life, version, &list)?;
                 last_line = Instant::now();
-            } else if last_line.elapsed() >= HEARTBEAT {
+            } else if last_line.elapsed() >= HEARTBEAT_INTERVAL {
                 writer.write_all(b"1\r\n\n\r\n")?;
                 last_line = Instant::now();
             }
         }
     }
 
-    /// What is written counts as told from then on. Lists come indented and in pieces at every other node.
-    fn tell(
+    /// Sends a list and records it as sent. Nodes with an odd index get it indented and in small pieces.
+    fn send(
         &self,
         mut writer: &TcpStream,
         life: u64,
@@ -169,7 +172,7 @@
         let text = if odd { format!("{list:#}\n") } else { format!("{list}\n") };
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         if odd {
-            for piece in chunk.as_bytes().chunks(PIECE) {
+            for piece in chunk.as_bytes().chunks(CHUNK_BYTES) {
                 writer.write_all(piece)?;
             }
         } else {
@@ -181,7 +184,7 @@
 
     fn stay_silent(&self, socket: &TcpStream) -> io::Result<()> {
         while !self.finished.load(Ordering::Relaxed) && !is_closed(socket) {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
--- a/crates/soak/src/executor.rs
+++ b/crates/soak/src/executor.rs
@@ -1,4 +1,4 @@
-//! Stand-in executors: they do the work that they are sent, note each execution, and misbehave as a plan says.
+//! Simulated executors: they execute the requests that they receive, record each execution, and misbehave as the plan says.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead as _, BufReader, Write};
@@ -17,15 +17,15 @@
 use crate::network::{is_closed, reset};
 use crate::plan::ExecutorFault;
 
-/// How soon a stand-in at work sees that its client has gone, or that it is to end.
+/// The interval at which a working executor checks whether its client has disconnected or its process has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
-/// How long the rest of a request may take, once its first byte has come.
+/// How long the rest of a request may take once its first byte has arrived.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
-/// When a second answer follows the first.
+/// The delay of a repeated answer after the first.
 const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(8);
 const CHUNK_BYTES: usize = 7;
 
-/// What an executor does beside its work.
+/// The faults of an executor that are active, with the share of requests that each affects.
 #[derive(Debug, Default)]
 struct ActiveFaults {
     rates: HashMap<u8, f64>,
@@ -37,28 +37,28 @@
     }
 }
 
-/// One executor.
+/// A simulated executor.
 pub struct Executor {
-    /// Its place among all of the run.
+    /// Its index among all executors of the run.
     pub index: usize,
-    /// Jobs that it does at once.
+    /// The number of jobs that it executes at once.
     pub slots: usize,
-    /// What a job takes on average, in milliseconds.
+    /// The average duration of a job, in milliseconds.
     pub work_ms: f64,
-    /// After how long it closes a connection that rests.
+    /// The time after which it closes an idle connection.
     pub idle: Duration,
     faults: Mutex<ActiveFaults>,
     rng: Mutex<Pcg64Mcg>,
     busy: Mutex<usize>,
     sockets: Mutex<HashMap<ExecutorConnectionId, TcpStream>>,
     next: AtomicU64,
-    /// Its process is there. A later process has a later number.
+    /// The number of its current process; incremented when the process starts and when it ends.
     process: AtomicU64,
     recorder: Arc<Recorder>,
     finished: Arc<AtomicBool>,
 }
 
-/// A request that has come whole.
+/// A request that was received completely.
 struct Request {
     id: String,
     deadline_header_ms: Option<u64>,
@@ -66,7 +66,7 @@
     probe: Option<String>,
 }
 
-/// What becomes of a request.
+/// How the execution of a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobOutcome {
     Done,
@@ -74,12 +74,12 @@
     Failed,
     Reset,
     Garbled,
-    /// It ended unanswered: its client went, or this process did.
+    /// It ended without an answer: its client disconnected, or this process ended.
     Gone,
 }
 
 impl Executor {
-    /// One that does not listen yet.
+    /// Creates an executor that does not listen yet.
     #[must_use]
     pub fn new(
         index: usize,
@@ -106,11 +106,11 @@
         })
     }
 
-    /// Its process begins at this address.
+    /// Starts its process at this address.
     ///
     /// # Errors
     ///
-    /// The address is taken.
+    /// The address is in use.
     pub fn listen(self: &Arc<Self>, address: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(address)?;
         let number = self.process.fetch_add(1, Ordering::SeqCst) + 1;
@@ -122,23 +122,23 @@
                 }
                 let Ok(socket) = socket else { continue };
                 let executor = Arc::clone(&executor);
-                std::thread::spawn(move || executor.converse(&socket, number));
+                std::thread::spawn(move || executor.handle_connection(&socket, number));
             }
         });
         Ok(())
     }
 
-    /// Its process ends: its connections break, and new ones are refused.
+    /// Ends its process: its connections are reset, and new ones are refused.
     pub fn end(&self, address: SocketAddr) {
         self.process.fetch_add(1, Ordering::SeqCst);
         for (_, socket) in lock(&self.sockets).drain() {
             reset(&socket);
         }
-        // Wakes the listener, which then closes.
+        // Wakes the listener, which then closes its socket.
         let _ = TcpStream::connect_timeout(&address, Duration::from_millis(200));
     }
 
-    /// It misbehaves from now on for this part of what it gets; 0 ends it.
+    /// Sets the share of requests that a fault affects from now on; 0 ends the fault.
     pub fn set_fault_rate(&self, how: ExecutorFault, rate: f64) {
         lock(&self.faults).rates.insert(how as u8, rate);
     }
@@ -156,7 +156,7 @@
         self.finished.load(Ordering::Relaxed) || self.process.load(Ordering::SeqCst) != number
     }
 
-    fn converse(&self, socket: &TcpStream, number: u64) {
+    fn handle_connection(&self, socket: &TcpStream, number: u64) {
         let connection = self.next.fetch_add(1, Ordering::Relaxed);
         let Ok(own) = socket.try_clone() else { return };
         lock(&self.sockets).insert(connection, own);
@@ -174,7 +174,7 @@
             socket.set_read_timeout(Some(REQUEST_TIMEOUT))?;
             let Some((head, body)) = message(&mut reader)? else { return Ok(()) };
             if !head.ends_with("\r\n\r\n") {
-                // Its connection ended in the middle of it.
+                // The connection was closed in the middle of the request.
                 return Ok(());
             }
             let request = match read(&head, body) {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// When the first byte of the next request comes; none if the connection is over before that.
+    /// Waits for the next request and returns when its first byte arrived; none if the connection ends before.
     fn first_byte(&self, reader: &mut BufReader<TcpStream>, number: u64) -> io::Result<Option<u64>> {
         let begun = Instant::now();
         let forgets = self.draws_fault(ExecutorFault::Forgets);
@@ -240,7 +240,7 @@
         format!("{{\"x0\":{},\"queue\":0,\"inflight\":{busy}}}", self.slots.saturating_sub(busy))
     }
 
-    /// Does one job. False if the connection is to be closed behind it.
+    /// Executes one request. Returns false if the connection must be closed afterwards.
     fn execute(
         &self,
         socket: &TcpStream,
@@ -253,7 +253,7 @@
         if outcome == JobOutcome::Declined {
             self.recorder.now(Event::Declined { id: id.clone(), connection });
         }
-        // Noted before the answer goes out: with it another may come at once.
+        // Recorded before the answer is sent, since the next request may follow it at once.
         self.recorder.now(Event::ExecutionEnded { id, connection });
         match outcome {
             JobOutcome::Gone => return Ok(false),
@@ -289,9 +289,9 @@
         } else {
             JobOutcome::Done
         };
-        let stayed = self.work(socket, number);
+        let completed = self.work(socket, number);
         *lock(&self.busy) -= 1;
-        if stayed { outcome } else { JobOutcome::Gone }
+        if completed { outcome } else { JobOutcome::Gone }
     }
 
     fn take_slot(&self) -> bool {
@@ -301,10 +301,11 @@
         free
     }
 
-    /// Works for as long as a job takes, and longer while it hangs. False if its client has gone.
+    /// Works for the duration of a job, or longer while the executor hangs. Returns false if the client has disconnected or
+    /// the process has ended.
     fn work(&self, socket: &TcpStream, number: u64) -> bool {
-        let part: f64 = lock(&self.rng).random_range(0.3..2.0);
-        let until = Instant::now() + Duration::from_secs_f64(self.work_ms * part / 1e3);
+        let factor: f64 = lock(&self.rng).random_range(0.3..2.0);
+        let until = Instant::now() + Duration::from_secs_f64(self.work_ms * factor / 1e3);
         while Instant::now() < until || self.hangs() {
             if self.is_over(number) || is_closed(socket) {
                 return false;
@@ -345,8 +346,8 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
             "",
         ];
-        let place = lock(&self.rng).random_range(0..forms.len());
-        forms[place].to_owned()
+        let index = lock(&self.rng).random_range(0..forms.len());
+        forms[index].to_owned()
     }
 
     fn write(&self, mut socket: &TcpStream, bytes: &[u8]) -> io::Result<()> {
@@ -367,6 +368,6 @@
         return Ok(Request { id: String::new(), deadline_header_ms: None, body, probe: Some(path) });
     }
     let id = header(head, "req-id").ok_or_else(|| format!("no id: {}", head.lines().next().unwrap_or("")))?;
-    let deadline_header_ms = header(head, "req-deadline-ms").and_then(|told| told.parse().ok());
+    let deadline_header_ms = header(head, "req-deadline-ms").and_then(|value| value.parse().ok());
     Ok(Request { id: id.to_owned(), deadline_header_ms, body, probe: None })
 }
--- a/crates/soak/src/executor_list.rs
+++ b/crates/soak/src/executor_list.rs
@@ -1,4 +1,4 @@
-//! What discovery knows: the list of executors, with versions.
+//! The list of executors that simulated discovery serves, with versions.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -10,22 +10,22 @@
 use crate::lock;
 use crate::settings::{KIND, ZONES};
 
-/// An executor as it is listed.
+/// A listed executor.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The stand-in behind it.
+    /// The index of the simulated executor.
     pub executor: usize,
-    /// The same at every node.
+    /// The name, the same at every node.
     pub name: String,
-    /// Where it can be reached.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its place among the zones.
+    /// The index of its zone.
     pub zone: usize,
     /// The group that shares idempotency keys.
     pub group: usize,
-    /// What it is listed as.
+    /// The listed status.
     pub status: Status,
-    /// When its process began, in Unix milliseconds; 0 for long ago.
+    /// When its process started, in Unix milliseconds; 0 for long ago.
     pub since_ms: f64,
     version: u64,
 }
@@ -36,7 +36,7 @@
     entries: Vec<Entry>,
 }
 
-/// The list, and who waits for it to change.
+/// The list, with a notification when it changes.
 #[derive(Debug)]
 pub struct ExecutorList {
     list: Mutex<List>,
@@ -45,7 +45,7 @@
 }
 
 impl ExecutorList {
-    /// An empty list.
+    /// Creates an empty list.
     #[must_use]
     pub fn new(recorder: Arc<Recorder>) -> Self {
         let list = Mutex::new(List { version: 0, entries: Vec::new() });
@@ -73,7 +73,7 @@
         self.changed.notify_all();
     }
 
-    /// An executor is there; `started` is when its process began, none for long ago.
+    /// Adds an executor; `started` is when its process started, none for long ago.
     pub fn add(&self, entry: Entry, started: Option<Nanos>) {
         self.edit(entry.executor, started, |entries| {
             entries.push(entry);
@@ -81,7 +81,7 @@
         });
     }
 
-    /// An executor drains or has left.
+    /// Sets the status of an executor.
     pub fn set_status(&self, executor: usize, status: Status) {
         self.edit(executor, None, |entries| {
             let place = entries.iter().position(|entry| entry.executor == executor)?;
@@ -90,15 +90,15 @@
         });
     }
 
-    /// An executor's process is another from now on, at its address.
+    /// Lists an executor with a new process at the same address.
     pub fn restarted(&self, executor: usize, started: Nanos) {
         self.edit(executor, Some(started), |entries| {
             entries.iter().position(|entry| entry.executor == executor)
         });
     }
 
-    /// Another stand-in goes by the name of one that is there, at its own address.
-    pub fn renamed(&self, old: usize, new: usize, address: SocketAddr, started: Nanos) {
+    /// Replaces the executor `old` by `new`, at another address but under the same name.
+    pub fn replaced(&self, old: usize, new: usize, address: SocketAddr, started: Nanos) {
         self.recorder.now(Event::Listed { version: 0, executor: old, status: Status::Left, started: 0 });
         self.edit(new, Some(started), |entries| {
             let place = entries.iter().position(|entry| entry.executor == old)?;
@@ -108,19 +108,19 @@
         });
     }
 
-    /// The version of the list.
+    /// Returns the version of the list.
     #[must_use]
     pub fn version(&self) -> u64 {
         lock(&self.list).version
     }
 
-    /// The entry of an executor.
+    /// Returns the entry of an executor.
     #[must_use]
     pub fn entry(&self, executor: usize) -> Option<Entry> {
         lock(&self.list).entries.iter().find(|entry| entry.executor == executor).cloned()
     }
 
-    /// The list as JSON, of what changed after a version, and its version; the whole list without one.
+    /// Returns the version of the list and, as JSON, the entries that changed after a version; all entries without one.
     #[must_use]
     pub fn since(&self, after: Option<u64>) -> (u64, Value) {
         let list = lock(&self.list);
@@ -129,17 +129,17 @@
         (list.version, json!({"index": list.version, "snapshot": after.is_none(), "endpoints": endpoints}))
     }
 
-    /// Waits until the list is newer than this version, or for so long.
-    pub fn wait(&self, version: u64, most: Duration) {
+    /// Waits until the list is newer than this version, at most for `limit`.
+    pub fn wait(&self, version: u64, limit: Duration) {
         let list: MutexGuard<'_, List> = lock(&self.list);
         if list.version == version {
-            drop(self.changed.wait_timeout(list, most));
+            drop(self.changed.wait_timeout(list, limit));
         }
     }
 }
 
 impl Entry {
-    /// A new one.
+    /// Creates an active entry.
     #[must_use]
     pub fn new(executor: usize, name: String, address: SocketAddr, zone: usize, group: usize) -> Self {
         Self { executor, name, address, zone, group, status: Status::Active, since_ms: 0.0, version: 0 }
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -210,7 +210,7 @@
             return;
         }
         if same_name {
-            self.executor_list.renamed(executor, index, address, monotonic());
+            self.executor_list.replaced(executor, index, address, monotonic());
         } else {
             let entry = Entry::new(index, format!("e{index}"), address, old.zone, old.group);
             self.executor_list.add(entry, Some(monotonic()));
--- a/crates/soak/src/generator.rs
+++ b/crates/soak/src/generator.rs
@@ -1,4 +1,5 @@
-//! Plans from seeds: troubles come in bursts, and those of one overlap with one another and with what the last has left.
+//! Generates plans from seeds. Faults come in bursts; those of one burst overlap with each other and with the effects of the
+//! previous burst.
 
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -6,16 +7,16 @@
 use crate::plan::{ExecutorFault, Fault, Plan, Shim, SignalSequence};
 use crate::settings::RunSettings;
 
-/// How large a run is.
+/// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Processes of the program.
+    /// The number of nodes, each a process of the program.
     pub nodes: usize,
-    /// Stand-in executors.
+    /// The number of simulated executors.
     pub executors: usize,
-    /// Clients that behave.
+    /// The number of well-behaved clients.
     pub clients: usize,
-    /// For how long troubles may happen, in milliseconds.
+    /// How long faults may occur, in milliseconds.
     pub span_ms: u64,
 }
 
@@ -25,28 +26,30 @@
     }
 }
 
-/// Requests a second of each client, about.
-const RATE_EACH: f64 = 10.0;
+/// The average number of requests per second of each client.
+const CLIENT_RATE: f64 = 10.0;
 const CALM_MS: u64 = 3_000;
-/// Bursts of troubles come so far apart at most.
-const BURST_EVERY_MS: u64 = 2_000;
-/// Troubles of one burst begin within this.
+/// The longest time between the starts of two bursts.
+const MAX_BURST_INTERVAL_MS: u64 = 2_000;
+/// The span within which the faults of a burst begin.
 const BURST_MS: u64 = 700;
-/// So many, for thirty nodes.
-const MOST_IN_BURST: usize = 10;
-/// The shim's rule by which connections break, those of clients too.
+/// The largest number of faults in a burst, for a run of thirty nodes.
+const MAX_BURST_FAULTS: usize = 10;
+/// The shim's rule by which connections break, including those of clients.
 pub(crate) const BREAKS: &str = "broken";
-/// The part of the processes whose system calls fail.
-const SHIMMED: f64 = 0.4;
+/// The share of the processes whose system calls fail.
+const SHIM_SHARE: f64 = 0.4;
 
-/// The part of the runs that have a crowd, and how many connections one has: about as many as a node lets in.
-const CROWDED_RUNS: f64 = 0.4;
-const CROWD: std::ops::RangeInclusive<usize> = 40..=140;
-/// The part of the runs that have a long outage of discovery, and its milliseconds.
-const RUNS_WITH_OUTAGE: f64 = 0.35;
+/// The share of the runs that have crowds.
+const CROWD_SHARE: f64 = 0.4;
+/// The number of connections of a crowd: about as many as a node accepts.
+const CROWD_CONNECTIONS: std::ops::RangeInclusive<usize> = 40..=140;
+/// The share of the runs that have a long outage of discovery.
+const OUTAGE_SHARE: f64 = 0.35;
+/// The duration of a long outage.
 const LONG_OUTAGE_MS: std::ops::Range<u64> = 4_000..12_000;
 
-const AILMENTS: [ExecutorFault; 8] = [
+const EXECUTOR_FAULTS: [ExecutorFault; 8] = [
     ExecutorFault::Hangs,
     ExecutorFault::Declines,
     ExecutorFault::Fails,
@@ -62,37 +65,37 @@
     size: Size,
 }
 
-/// The plan of a seed.
+/// Generates the plan of a seed.
 #[must_use]
 pub fn generate(seed: u64, size: Size) -> Plan {
-    let mut draw = Generator { rng: Pcg64Mcg::seed_from_u64(seed), size };
-    let settings = RunSettings::random(&mut draw.rng);
+    let mut generator = Generator { rng: Pcg64Mcg::seed_from_u64(seed), size };
+    let settings = RunSettings::random(&mut generator.rng);
     let shims = (0..size.nodes).filter_map(|node| {
-        let plan = draw.shim();
+        let plan = generator.shim();
         (!plan.is_empty()).then_some(Shim { node, plan })
     });
     let shims = shims.collect();
     let mut faults = Vec::new();
-    let mut at = draw.rng.random_range(300..BURST_EVERY_MS);
+    let mut at = generator.rng.random_range(300..MAX_BURST_INTERVAL_MS);
     while at + BURST_MS < size.span_ms {
-        for _ in 0..draw.rng.random_range(MOST_IN_BURST / 2..=MOST_IN_BURST) {
-            let begins = at + draw.rng.random_range(0..BURST_MS);
-            faults.push(draw.fault(begins));
+        for _ in 0..generator.rng.random_range(MAX_BURST_FAULTS / 2..=MAX_BURST_FAULTS) {
+            let begins = at + generator.rng.random_range(0..BURST_MS);
+            faults.push(generator.fault(begins));
         }
-        at += draw.rng.random_range(BURST_MS..BURST_EVERY_MS);
+        at += generator.rng.random_range(BURST_MS..MAX_BURST_INTERVAL_MS);
     }
-    // Of a chance of its own, so that what was drawn for a seed before stays as it was.
-    let mut later = Generator { rng: Pcg64Mcg::seed_from_u64(!seed), size };
-    later.signals(&mut faults);
-    later.crowds(&mut faults);
-    later.outage(&mut faults);
+    // These faults have a random generator of their own, so that the faults above stay the same for a seed.
+    let mut second = Generator { rng: Pcg64Mcg::seed_from_u64(!seed), size };
+    second.signals(&mut faults);
+    second.crowds(&mut faults);
+    second.outage(&mut faults);
     Plan {
         seed,
         nodes: size.nodes,
         executors: size.executors,
         clients: size.clients,
         bad_clients: (size.clients / 8).max(1),
-        rate: size.clients as f64 * RATE_EACH,
+        rate: size.clients as f64 * CLIENT_RATE,
         span_ms: size.span_ms,
         calm_ms: CALM_MS,
         settings,
@@ -114,10 +117,10 @@
         self.rng.random_range(least..=most)
     }
 
-    /// Some nodes, one at the least.
+    /// Draws a set of nodes, at least one.
     fn nodes(&mut self) -> Vec<usize> {
-        let part: f64 = self.rng.random_range(0.1..0.6);
-        let mut nodes: Vec<usize> = (0..self.size.nodes).filter(|_| self.rng.random_bool(part)).collect();
+        let share: f64 = self.rng.random_range(0.1..0.6);
+        let mut nodes: Vec<usize> = (0..self.size.nodes).filter(|_| self.rng.random_bool(share)).collect();
         if nodes.is_empty() {
             nodes.push(self.node());
         }
@@ -150,7 +153,7 @@
                 at_ms,
                 executor: self.executor(),
                 for_ms: self.ms(300, 4_000),
-                how: AILMENTS[self.rng.random_range(0..AILMENTS.len())],
+                how: EXECUTOR_FAULTS[self.rng.random_range(0..EXECUTOR_FAULTS.len())],
                 rate: self.rng.random_range(0.2..1.0),
             },
             15 => Fault::DiscoveryDown { at_ms, for_ms: self.ms(200, 4_000) },
@@ -179,7 +182,7 @@
                     at_ms: self.ms(300, self.size.span_ms),
                     node: self.node(),
                     series,
-                    // A program that has hardly begun has no handler yet, and would be ended by SIGHUP.
+                    // A program that has just started has no signal handler yet, and SIGHUP would end it.
                     after_ms: self.ms(200, 900),
                     back_after_ms: self.ms(0, 1_500),
                 });
@@ -187,13 +190,13 @@
         }
     }
 
-    /// In some runs a crowd, at a node that it fills or nearly fills.
+    /// In some runs, adds crowds that use up, or nearly use up, the connections of a node.
     fn crowds(&mut self, faults: &mut Vec<Fault>) {
-        if !self.rng.random_bool(CROWDED_RUNS) {
+        if !self.rng.random_bool(CROWD_SHARE) {
             return;
         }
         for _ in 0..self.rng.random_range(1..=3) {
-            let all = self.rng.random_range(CROWD);
+            let all = self.rng.random_range(CROWD_CONNECTIONS);
             let half = (all as f64 * self.rng.random_range(0.3..1.0)) as usize;
             let unread = self.rng.random_range(0..=(all - half) / 2);
             faults.push(Fault::Crowd {
@@ -207,9 +210,9 @@
         }
     }
 
-    /// In some runs a long outage of discovery, within which nodes start, and executors that they don't find.
+    /// In some runs, adds a long outage of discovery in which nodes restart. Also adds restarts after which connects fail.
     fn outage(&mut self, faults: &mut Vec<Fault>) {
-        if self.rng.random_bool(RUNS_WITH_OUTAGE) {
+        if self.rng.random_bool(OUTAGE_SHARE) {
             let begins = self.ms(300, self.size.span_ms / 2);
             let for_ms = self.ms(LONG_OUTAGE_MS.start, LONG_OUTAGE_MS.end);
             faults.push(Fault::DiscoveryDown { at_ms: begins, for_ms });
@@ -227,9 +230,9 @@
         }
     }
 
-    /// What fails in one process; often nothing.
+    /// Draws the shim plan of one process; often an empty one.
     fn shim(&mut self) -> String {
-        if !self.rng.random_bool(SHIMMED) {
+        if !self.rng.random_bool(SHIM_SHARE) {
             return String::new();
         }
         let mut rules = vec![format!("seed={}", self.rng.random_range(1..1_000_000))];
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! The soak: a few dozen processes of the real program on loopback, among executors, discovery and clients that misbehave,
-//! under troubles that overlap, and a judge that holds what was seen from outside against the invariants
+//! The soak test: a few dozen processes of the real program run on loopback, with simulated executors, discovery and clients,
+//! some of which misbehave, under overlapping faults. A judge checks what was observed from outside against the invariants
 //! (`docs/invariants.md`).
 //!
-//! A run follows a [`plan::Plan`], which is drawn from a seed or read from a file. Its history is judged by [`judge::judge`].
+//! A run follows a [`plan::Plan`], which is generated from a seed or read from a file. [`judge::judge`] checks its history.
 
 #![warn(missing_docs)]
 
@@ -25,12 +25,12 @@
 pub mod run;
 pub mod settings;
 
-/// Locks a mutex whose holders keep it consistent between statements.
+/// Locks a mutex, also a poisoned one: its holders keep the data consistent between statements.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Nanoseconds of so many milliseconds.
+/// Converts milliseconds to nanoseconds.
 #[must_use]
 pub(crate) fn millis(ms: u64) -> u64 {
     ms * 1_000_000
--- a/crates/soak/src/network.rs
+++ b/crates/soak/src/network.rs
@@ -1,4 +1,4 @@
-//! The loopback addresses of a run, and the small things that all its stand-ins do with sockets.
+//! The loopback addresses of a run, and socket helpers shared by all simulated clients and servers.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -13,7 +13,7 @@
 const CLIENT_PORT: u16 = 8_443;
 const EXECUTOR_PORT: u16 = 9_000;
 const DISCOVERY_PORT: u16 = 8_500;
-/// Of 127.0.0.0/8, the second byte: those below are left to other programs.
+/// The first value of the second byte of an address in 127.0.0.0/8; values below are left to other programs.
 const FIRST_NETWORK: u32 = 16;
 const NETWORKS: u32 = 230;
 const HOSTS: usize = 250;
@@ -25,7 +25,7 @@
 }
 
 impl Network {
-    /// One that no other run of this process has, and that those of other processes hardly have.
+    /// Returns a network that no other run of this process uses and that runs of other processes are unlikely to use.
     #[must_use]
     pub fn next() -> Self {
         static COUNT: AtomicU32 = AtomicU32::new(0);
@@ -40,26 +40,26 @@
         SocketAddr::from((Ipv4Addr::new(127, self.number, part + page, host), port))
     }
 
-    /// Where a node listens for clients.
+    /// Returns the address on which a node listens for clients.
     #[must_use]
     pub fn node(self, index: usize) -> SocketAddr {
         self.address(NODES, index, CLIENT_PORT)
     }
 
-    /// Where an executor listens; each of its processes that is not at the address of the one before has a number.
+    /// Returns the address on which an executor listens; `number` tells apart executors that replace one another.
     #[must_use]
     pub fn executor(self, index: usize, number: u16) -> SocketAddr {
         self.address(EXECUTORS, index, EXECUTOR_PORT + number)
     }
 
-    /// Where one of the discoveries listens for a node.
+    /// Returns the address on which one of the discovery servers listens for a node.
     #[must_use]
     pub fn discovery(self, node: usize, number: u16) -> SocketAddr {
         self.address(DISCOVERIES, node, DISCOVERY_PORT + number)
     }
 }
 
-/// Whether the other end has closed or reset a connection. What it has sent stays.
+/// Returns whether the peer has closed or reset a connection. Bytes that it sent before are not consumed.
 #[must_use]
 pub fn is_closed(socket: &TcpStream) -> bool {
     if socket.set_nonblocking(true).is_err() {
@@ -75,7 +75,7 @@
     !open || blocking.is_err()
 }
 
-/// Whether something has come that was not read.
+/// Returns whether the connection has unread bytes.
 #[must_use]
 pub fn has_bytes(socket: &TcpStream) -> bool {
     if socket.set_nonblocking(true).is_err() {
@@ -85,7 +85,7 @@
     socket.set_nonblocking(false).is_ok() && seen
 }
 
-/// Ends a connection the hard way: what its other end has not read may be lost.
+/// Resets a connection: bytes that its peer has not read may be lost.
 pub fn reset(socket: &TcpStream) {
     let _ = SockRef::from(socket).set_linger(Some(Duration::ZERO));
     let _ = socket.shutdown(std::net::Shutdown::Both);
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -213,7 +213,10 @@
                 _ => (Vec::new(), None),
             };
             if let Some(node) = nodes.into_iter().find(|node| *node >= self.nodes) {
-                return Err(PlanError::Key { key: "troubles.node", reason: format!("there is no node {node}") });
+                return Err(PlanError::Key {
+                    key: "troubles.node",
+                    reason: format!("there is no node {node}"),
+                });
             }
             if let Some(executor) = executor.filter(|executor| *executor >= self.executors) {
                 let reason = format!("there is no executor {executor}");
