--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -28,11 +28,11 @@
 const MAX_PIPELINED: usize = 4;
 
 /// Numbers the connections of clients.
-static CONVERSATIONS: AtomicU64 = AtomicU64::new(1);
+static CLIENT_CONNECTIONS: AtomicU64 = AtomicU64::new(1);
 
 /// Returns the number of the next connection.
 pub(crate) fn next_client_connection() -> ClientConnectionId {
-    CONVERSATIONS.fetch_add(1, Ordering::Relaxed)
+    CLIENT_CONNECTIONS.fetch_add(1, Ordering::Relaxed)
 }
 
 /// The state that all clients of a run share.
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Does what a plan says, at its times.
+//! Injects the faults of a plan at their times.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,34 +15,34 @@
 use crate::plan::{Fault, SignalSequence};
 use crate::run::{Executors, Location};
 
-/// Between two configurations in a row.
-const SECOND_RELOAD: Duration = Duration::from_millis(120);
-/// An executor that has left answers what it has for so long, and is then gone.
-const GONE_AFTER: Duration = Duration::from_millis(1_500);
+/// The time between two reloads in a row.
+const SECOND_RELOAD_DELAY: Duration = Duration::from_millis(120);
+/// How long an executor that has left still answers its current requests before its process ends.
+const EXIT_DELAY: Duration = Duration::from_millis(1_500);
 
-/// What troubles are done to.
+/// Injects faults into the parts of a run.
 pub struct FaultInjector {
     /// The nodes.
     pub nodes: Arc<Nodes>,
-    /// The executors, which grow in number as some are replaced.
+    /// The executors; a replacement is added to them.
     pub executors: Arc<Executors>,
-    /// The list.
+    /// The list that discovery serves.
     pub executor_list: Arc<ExecutorList>,
-    /// How discovery fares.
+    /// The current faults of discovery.
     pub discovery_faults: Arc<DiscoveryFaults>,
-    /// Whose addresses are given out.
+    /// The network that provides the addresses of new executors.
     pub network: Network,
-    /// The longest that a client waits, in milliseconds.
+    /// The longest deadline of a client, in milliseconds.
     pub deadline_ms: u64,
-    /// Where all is noted.
+    /// Records the actions of the injector.
     pub recorder: Arc<Recorder>,
-    /// The run is over.
+    /// Set when the run is over.
     pub finished: Arc<AtomicBool>,
 }
 
 impl FaultInjector {
-    /// Begins each trouble at its time, from now on, and returns when all are over.
-    pub fn play(self: &Arc<Self>, faults: &[Fault]) {
+    /// Begins each fault at its time, counted from now, and returns when all are over.
+    pub fn run(self: &Arc<Self>, faults: &[Fault]) {
         let begun = Instant::now();
         let mut ordered: Vec<&Fault> = faults.iter().collect();
         ordered.sort_by_key(|fault| fault.at_ms());
@@ -54,15 +54,15 @@
                 break;
             }
             self.recorder.now(Event::DriverAction { action: format!("{fault:?}") });
-            let (stage, fault) = (Arc::clone(self), fault.clone());
-            running.push(std::thread::spawn(move || stage.perform(&fault)));
+            let (injector, fault) = (Arc::clone(self), fault.clone());
+            running.push(std::thread::spawn(move || injector.inject(&fault)));
         }
         for fault in running {
             let _ = fault.join();
         }
     }
 
-    fn perform(&self, fault: &Fault) {
+    fn inject(&self, fault: &Fault) {
         let done = match fault {
             Fault::StopNode { node, back_after_ms, shim, .. } => {
                 self.nodes.stop(*node, Some(Duration::from_millis(*back_after_ms)), shim)
@@ -79,7 +79,7 @@
                 Duration::from_millis(*back_after_ms),
             ),
             other => {
-                self.perform_elsewhere(other);
+                self.inject_outside_nodes(other);
                 Ok(())
             }
         };
@@ -91,17 +91,17 @@
     fn reload(&self, nodes: &[usize], twice: bool, bad_first: bool) -> std::io::Result<()> {
         if bad_first {
             nodes.iter().try_for_each(|node| self.nodes.reload(*node, false))?;
-            std::thread::sleep(SECOND_RELOAD);
+            std::thread::sleep(SECOND_RELOAD_DELAY);
         }
         nodes.iter().try_for_each(|node| self.nodes.reload(*node, true))?;
         if twice {
-            std::thread::sleep(SECOND_RELOAD);
+            std::thread::sleep(SECOND_RELOAD_DELAY);
             nodes.iter().try_for_each(|node| self.nodes.reload(*node, true))?;
         }
         Ok(())
     }
 
-    /// Signals in series; the node is stopped in each, and started again.
+    /// Sends a sequence of signals to a node. Each sequence stops the node, which is then started again.
     fn signals(
         &self,
         node: usize,
@@ -134,36 +134,36 @@
         }
     }
 
-    fn perform_elsewhere(&self, fault: &Fault) {
-        let span = |ms: &u64| std::thread::sleep(Duration::from_millis(*ms));
+    fn inject_outside_nodes(&self, fault: &Fault) {
+        let sleep = |ms: &u64| std::thread::sleep(Duration::from_millis(*ms));
         match fault {
             Fault::Drain { executor, left_after_ms, .. } => {
                 self.executor_list.set_status(*executor, Status::Leaving);
-                span(left_after_ms);
+                sleep(left_after_ms);
                 self.leave(*executor);
             }
             Fault::Replace { executor, same_name, .. } => self.replace(*executor, *same_name),
             Fault::Restart { executor, down_ms, .. } => self.restart(*executor, *down_ms),
             Fault::Ail { executor, for_ms, how, rate, .. } => {
-                let ailing = self.executors.get(*executor);
-                ailing.set_fault_rate(*how, *rate);
-                span(for_ms);
-                ailing.set_fault_rate(*how, 0.0);
+                let affected = self.executors.get(*executor);
+                affected.set_fault_rate(*how, *rate);
+                sleep(for_ms);
+                affected.set_fault_rate(*how, 0.0);
             }
             Fault::DiscoveryDown { for_ms, .. } => {
                 self.recorder.now(Event::Discovery { reachable: false });
                 self.discovery_faults.begin_outage();
-                span(for_ms);
+                sleep(for_ms);
                 self.discovery_faults.end_outage();
                 self.recorder.now(Event::Discovery { reachable: true });
             }
             Fault::DiscoverySlow { for_ms, each_ms, .. } => {
                 self.recorder.now(Event::Discovery { reachable: false });
                 self.discovery_faults.begin_slowdown(*each_ms);
-                span(for_ms);
+                sleep(for_ms);
                 self.discovery_faults.end_slowdown(*each_ms);
-                // A call that was made just before is answered late still.
-                span(each_ms);
+                // A call that was made just before the end is still answered late.
+                sleep(each_ms);
                 self.recorder.now(Event::Discovery { reachable: true });
             }
             Fault::WatchesMute { .. } => self.discovery_faults.silence_watches(),
@@ -172,11 +172,11 @@
                 let address = self.network.node(*node);
                 let connect = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200));
                 let idle: Vec<_> = (0..*connections).map_while(|_| connect().ok()).collect();
-                span(for_ms);
+                sleep(for_ms);
                 drop(idle);
             }
             Fault::Crowd { node, half, unread, idle, for_ms, .. } => {
-                let gathering = CrowdRunner {
+                let runner = CrowdRunner {
                     node: *node,
                     life: self.nodes.life(*node).load(Ordering::SeqCst),
                     address: self.network.node(*node),
@@ -184,17 +184,17 @@
                     recorder: Arc::clone(&self.recorder),
                 };
                 let crowd = CrowdSize { half: *half, unread: *unread, idle: *idle };
-                gathering.hold(crowd, Duration::from_millis(*for_ms));
+                runner.hold(crowd, Duration::from_millis(*for_ms));
             }
             _ => {}
         }
     }
 
-    /// An executor has left: it is listed so, and gone a little later.
+    /// Lists an executor as left, and ends its process a little later.
     fn leave(&self, executor: usize) {
         let Some(entry) = self.executor_list.entry(executor) else { return };
         self.executor_list.set_status(executor, Status::Left);
-        std::thread::sleep(GONE_AFTER);
+        std::thread::sleep(EXIT_DELAY);
         self.executors.get(executor).end(entry.address);
     }
 
@@ -216,7 +216,7 @@
             self.executor_list.add(entry, Some(monotonic()));
             self.executor_list.set_status(executor, Status::Left);
         }
-        std::thread::sleep(GONE_AFTER);
+        std::thread::sleep(EXIT_DELAY);
         self.executors.get(executor).end(old.address);
     }
 
@@ -225,9 +225,9 @@
         let own = self.executors.get(executor);
         own.end(entry.address);
         std::thread::sleep(Duration::from_millis(down_ms));
-        // Its listener may still be closing.
+        // The previous listener may still be closing.
         let begun = Instant::now();
-        while own.listen(entry.address).is_err() && begun.elapsed() < GONE_AFTER {
+        while own.listen(entry.address).is_err() && begun.elapsed() < EXIT_DELAY {
             std::thread::sleep(Duration::from_millis(10));
         }
         if entry.status == Status::Active {
--- a/crates/soak/src/judge/executions.rs
+++ b/crates/soak/src/judge/executions.rs
@@ -122,7 +122,7 @@
     execution: &Execution,
     add: &mut impl FnMut(Rule, Nanos, String),
 ) {
-    let Some(told) = execution.deadline_header_ms else { return };
+    let Some(sent_ms) = execution.deadline_header_ms else { return };
     let left = request.deadline.saturating_sub(execution.first_byte);
     let paused = facts.life(request).map_or(0, |life| life.paused(request.asked, execution.first_byte));
     // A process that was paused while a request arrived can't know how long the request had waited.
@@ -130,12 +130,12 @@
         return;
     }
     let most = ms(left + OBSERVATION_SLACK) + DEADLINE_SLACK_MS;
-    if told > most {
+    if sent_ms > most {
         let behind = request.behind;
         add(
             Rule::Deadline,
             execution.first_byte,
-            format!("told {told} ms, {} left, {behind} before it", ms(left)),
+            format!("told {sent_ms} ms, {} left, {behind} before it", ms(left)),
         );
     }
 }
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -82,12 +82,12 @@
 impl<'a> Case<'a> {
     /// Builds the judge's input from a plan and the record of its run.
     #[must_use]
-    pub fn of(plan: &'a Plan, played: &'a RunRecord) -> Self {
+    pub fn of(plan: &'a Plan, record: &'a RunRecord) -> Self {
         Self {
-            history: &played.history,
+            history: &record.history,
             settings: &plan.settings,
-            locations: &played.locations,
-            capacities: &played.capacities,
+            locations: &record.locations,
+            capacities: &record.capacities,
         }
     }
 }
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -1,4 +1,5 @@
-//! The nodes of a run: real processes, started, stopped, killed and held still, and the front that deals clients out.
+//! The nodes of a run: real processes that are started, stopped, killed and paused, and the directory by which clients choose
+//! among them.
 
 use std::fs;
 use std::io;
@@ -19,86 +20,86 @@
 use crate::lock;
 use crate::network::Network;
 
-/// How soon the front sees whether a node that was started is ready.
-const LOOK: Duration = Duration::from_millis(20);
-/// How long the front waits for a node at most.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// When clients stop coming to a node that was told to end,
+/// The interval at which a started node is checked for readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The longest wait for a started node to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time after which clients no longer choose a node that got SIGTERM.
 const STOP_NOTICED: Duration = Duration::from_millis(300);
-/// and to one that was killed.
+/// The time after which clients no longer choose a node that got SIGKILL.
 const KILL_NOTICED: Duration = Duration::from_millis(1_000);
-/// A kill comes so long after the longest deadline, counted from SIGTERM.
+/// SIGKILL is sent this long after the longest deadline, counted from SIGTERM.
 const KILL_AFTER: Duration = Duration::from_millis(700);
-/// No program has a handler in the moment in which it begins, and a signal ends it.
-const HANDLERS_THERE: Duration = Duration::from_millis(100);
-/// A process that starts reads its configuration within this; one that makes no sense ends it then, as it should.
+/// A program that has just started has no signal handlers yet, and a signal would end it.
+const HANDLERS_INSTALLED: Duration = Duration::from_millis(100);
+/// A process reads its configuration within this time after its start; an invalid one then ends it, as intended.
 const CONFIGURATION_READ: Duration = Duration::from_secs(1);
-/// Lines that no log should have.
-const COMPLAINTS: [&str; 2] = ["invariant broken", "panicked"];
+/// Messages that report a bug; no log may contain them.
+const BUG_MESSAGES: [&str; 2] = ["invariant broken", "panicked"];
 
-/// What clients know of the nodes.
+/// The states of all nodes, by which clients choose among them.
 #[derive(Debug)]
 pub struct NodeDirectory {
-    nodes_state: Vec<NodeState>,
+    states: Vec<NodeState>,
 }
 
 #[derive(Debug)]
 struct NodeState {
     address: SocketAddr,
     open: AtomicBool,
-    /// Its process was killed, or has ended.
+    /// Its process was killed, or has not been started.
     dead: AtomicBool,
-    /// Its connections break by the shim.
+    /// The shim breaks its connections.
     breaks: AtomicBool,
     life: Arc<AtomicU64>,
 }
 
 impl NodeDirectory {
-    /// A node that takes clients, drawn by a number from 0 to 1.
+    /// Returns the node at a point from 0 to 1 among those that accept clients.
     #[must_use]
     pub fn choose(&self, choice: f64) -> Option<(usize, u64, SocketAddr)> {
-        let open: Vec<usize> = (0..self.nodes_state.len())
-            .filter(|state| self.nodes_state[*state].open.load(Ordering::SeqCst))
-            .collect();
+        let open: Vec<usize> =
+            (0..self.states.len()).filter(|state| self.states[*state].open.load(Ordering::SeqCst)).collect();
         let node = *open.get((choice * open.len() as f64) as usize)?;
-        let state = &self.nodes_state[node];
+        let state = &self.states[node];
         Some((node, state.life.load(Ordering::SeqCst), state.address))
     }
 
-    /// Whether this process of a node is there: a connection that it ends was closed by it, and not by its death.
+    /// Returns whether this process of a node still runs without broken connections, so that a closed connection was closed by
+    /// the process itself.
     #[must_use]
     pub fn is_alive(&self, node: usize, life: u64) -> bool {
-        let state = &self.nodes_state[node];
+        let state = &self.states[node];
         let stays = !state.dead.load(Ordering::SeqCst) && !state.breaks.load(Ordering::SeqCst);
         stays && state.life.load(Ordering::SeqCst) == life
     }
 
-    /// How many nodes take clients.
+    /// Returns how many nodes accept clients.
     #[must_use]
     pub fn open(&self) -> usize {
-        self.nodes_state.iter().filter(|state| state.open.load(Ordering::SeqCst)).count()
+        self.states.iter().filter(|state| state.open.load(Ordering::SeqCst)).count()
     }
 }
 
-/// What all nodes of a run are made of.
+/// The configuration that all nodes of a run share.
 pub struct NodeSetup {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// Where each node has a folder.
+    /// The folder in which each node has a folder of its own.
     pub folder: PathBuf,
-    /// Whose addresses they have.
+    /// The network that provides their addresses.
     pub network: Network,
     /// Their settings.
     pub settings: Value,
-    /// The list that all know at their start, however old it is by then.
+    /// The executor list in their configuration, possibly outdated when they start.
     pub known: Value,
-    /// The longest that a client waits.
+    /// The longest deadline of a client.
     pub deadline: Duration,
-    /// Where all is noted.
+    /// Records the events of the nodes.
     pub recorder: Arc<Recorder>,
 }
 
-/// All nodes.
+/// All nodes of a run.
 pub struct Nodes {
     setup: NodeSetup,
     directory: Arc<NodeDirectory>,
@@ -108,11 +109,11 @@
 
 struct Node {
     process: Process,
-    /// Which discovery its configuration names.
+    /// The number of the discovery server in its configuration.
     discovery: u16,
-    /// How much of its log was looked at.
-    read: usize,
-    /// When its process was started last.
+    /// The number of bytes of its log that have been checked.
+    log_checked: usize,
+    /// When its process was last started.
     started: Option<Instant>,
 }
 
@@ -123,7 +124,7 @@
 }
 
 impl Nodes {
-    /// As many as are wanted; none of them runs yet.
+    /// Creates the nodes without starting them.
     #[must_use]
     pub fn new(setup: NodeSetup, count: usize) -> Self {
         let state = |node: usize| NodeState {
@@ -133,38 +134,38 @@
             breaks: AtomicBool::new(false),
             life: Arc::default(),
         };
-        let directory = Arc::new(NodeDirectory { nodes_state: (0..count).map(state).collect() });
+        let directory = Arc::new(NodeDirectory { states: (0..count).map(state).collect() });
         let nodes = (0..count).map(|node| {
             let name = format!("n{node}");
             let folder = setup.folder.join(&name);
             let process = Process::new(&name, folder, &setup.program, &[]);
-            Mutex::new(Node { process, discovery: 0, read: 0, started: None })
+            Mutex::new(Node { process, discovery: 0, log_checked: 0, started: None })
         });
         let nodes = nodes.collect();
         Self { setup, directory, nodes, ending: AtomicBool::new(false) }
     }
 
-    /// What clients know of them.
+    /// Returns the directory by which clients choose nodes.
     #[must_use]
     pub fn directory(&self) -> Arc<NodeDirectory> {
         Arc::clone(&self.directory)
     }
 
-    /// Counts the processes of a node.
+    /// Returns the number of a node's current process, which counts its starts.
     #[must_use]
     pub fn life(&self, node: usize) -> Arc<AtomicU64> {
-        Arc::clone(&self.directory.nodes_state[node].life)
+        Arc::clone(&self.directory.states[node].life)
     }
 
-    fn note(&self, node: usize, node_event: NodeEvent) {
-        let life = self.directory.nodes_state[node].life.load(Ordering::SeqCst);
+    fn record(&self, node: usize, node_event: NodeEvent) {
+        let life = self.directory.states[node].life.load(Ordering::SeqCst);
         self.setup.recorder.now(Event::Node { node, life, node_event });
     }
 
     fn configuration(&self, node: usize, discovery: u16) -> Value {
         json!({
             "name": format!("n{node}"),
-            "listen": self.directory.nodes_state[node].address.to_string(),
+            "listen": self.directory.states[node].address.to_string(),
             "discovery": self.setup.network.discovery(node, discovery).to_string(),
             "seed": format!("{:x}", node + 1),
             "limits": {"sockets": 256, "memory_mb": 64},
@@ -179,13 +180,13 @@
 
     fn write_configuration(&self, node: usize, text: &str) -> io::Result<()> {
         let file = self.configuration_file(node);
-        // In one step, so that a process never reads half of it.
+        // The file is replaced atomically, so that a process never reads half of it.
         let new = file.with_extension("new");
         fs::write(&new, text)?;
         fs::rename(&new, &file)
     }
 
-    /// Starts a node, whose system calls fail by this plan if it is not empty, and lets clients come once it is ready.
+    /// Starts a node, with this shim plan if it is not empty, and lets clients choose it once it is ready.
     ///
     /// # Errors
     ///
@@ -193,7 +194,7 @@
     pub fn start(&self, node: usize, plan: &str) -> io::Result<()> {
         let mut own = lock(&self.nodes[node]);
         if own.process.running() {
-            // Another trouble that it had at the same time has started it.
+            // Another fault at the same time has already started the node.
             return Ok(());
         }
         let folder = own.process.folder.clone();
@@ -208,75 +209,77 @@
             variables.push((shim::PLAN.to_owned(), format!("{plan}; log={}", log.display())));
         }
         own.process.variables = variables;
-        let life = self.directory.nodes_state[node].life.fetch_add(1, Ordering::SeqCst) + 1;
+        let life = self.directory.states[node].life.fetch_add(1, Ordering::SeqCst) + 1;
         own.process.start()?;
         own.started = Some(Instant::now());
-        self.directory.nodes_state[node].dead.store(false, Ordering::SeqCst);
-        self.directory.nodes_state[node].breaks.store(plan.contains(BREAKS), Ordering::SeqCst);
+        self.directory.states[node].dead.store(false, Ordering::SeqCst);
+        self.directory.states[node].breaks.store(plan.contains(BREAKS), Ordering::SeqCst);
         drop(own);
-        self.note(node, NodeEvent::Started { shim: plan.to_owned() });
+        self.record(node, NodeEvent::Started { shim: plan.to_owned() });
         self.wait_until_ready(node, life);
         Ok(())
     }
 
     fn wait_until_ready(&self, node: usize, life: u64) {
-        let state = &self.directory.nodes_state[node];
+        let state = &self.directory.states[node];
         let begun = Instant::now();
-        while begun.elapsed() < READY_WITHIN && !self.ending.load(Ordering::Relaxed) {
+        while begun.elapsed() < READY_TIMEOUT && !self.ending.load(Ordering::Relaxed) {
             if state.life.load(Ordering::SeqCst) != life {
                 return;
             }
             if get(state.address, "/healthz", Duration::from_millis(500)).is_ok_and(|status| status == 200) {
                 state.open.store(true, Ordering::SeqCst);
-                return self.note(node, NodeEvent::Ready);
+                return self.record(node, NodeEvent::Ready);
             }
             self.check_exit_and_log(node);
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Notes it if a node has ended by itself, and what its log complains of.
+    /// Records whether a node has exited, and the bugs that its log reports.
     pub fn check_exit_and_log(&self, node: usize) {
         let mut own = lock(&self.nodes[node]);
         if let Ok(Some(status)) = own.process.ended() {
-            self.directory.nodes_state[node].open.store(false, Ordering::SeqCst);
-            self.note(node, NodeEvent::Ended { code: status.code() });
+            self.directory.states[node].open.store(false, Ordering::SeqCst);
+            self.record(node, NodeEvent::Ended { code: status.code() });
         }
         self.read_log(node, &mut own);
     }
 
     fn read_log(&self, node: usize, own: &mut Node) {
         let text = fs::read(own.process.log()).unwrap_or_default();
-        let new = String::from_utf8_lossy(text.get(own.read..).unwrap_or_default()).into_owned();
+        let new = String::from_utf8_lossy(text.get(own.log_checked..).unwrap_or_default()).into_owned();
         let whole = new.rfind('\n').map_or(0, |end| end + 1);
-        own.read += whole;
-        for line in new[..whole].lines().filter(|line| COMPLAINTS.iter().any(|bad| line.contains(bad))) {
-            self.note(node, NodeEvent::ErrorLogged { line: line.to_owned() });
+        own.log_checked += whole;
+        for line in
+            new[..whole].lines().filter(|line| BUG_MESSAGES.iter().any(|message| line.contains(message)))
+        {
+            self.record(node, NodeEvent::ErrorLogged { line: line.to_owned() });
         }
     }
 
-    /// Tells a node to end, kills it if it has not in time, and starts it again after a while.
+    /// Sends SIGTERM to a node, kills it if it does not exit in time, and starts it again after `back_after`, if any.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// A signal can't be sent, or the node can't be started.
     pub fn stop(&self, node: usize, back_after: Option<Duration>, plan: &str) -> io::Result<()> {
         {
             let own = lock(&self.nodes[node]);
             if !own.process.running() || own.process.paused {
                 return Ok(());
             }
-            self.note(node, NodeEvent::Stopped);
+            self.record(node, NodeEvent::Stopped);
             own.process.signal(Signal::TERM)?;
         }
         self.wait_for_exit(node, Instant::now(), back_after, plan)
     }
 
-    /// Tells a node to end while it stands still, and lets it go on after a while.
+    /// Sends SIGTERM to a node while it is paused, and resumes it after `paused`.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// A signal can't be sent, or the node can't be started.
     pub fn stop_while_paused(&self, node: usize, paused: Duration, back_after: Duration) -> io::Result<()> {
         {
             let mut own = lock(&self.nodes[node]);
@@ -284,8 +287,8 @@
                 return Ok(());
             }
             own.process.pause(true)?;
-            self.note(node, NodeEvent::Paused);
-            self.note(node, NodeEvent::Stopped);
+            self.record(node, NodeEvent::Paused);
+            self.record(node, NodeEvent::Stopped);
             own.process.signal(Signal::TERM)?;
         }
         let begun = Instant::now();
@@ -293,27 +296,27 @@
         {
             let mut own = lock(&self.nodes[node]);
             if own.process.running() && own.process.paused {
-                self.note(node, NodeEvent::Resumed);
+                self.record(node, NodeEvent::Resumed);
                 own.process.pause(false)?;
             }
         }
         self.wait_for_exit(node, begun, Some(back_after), "")
     }
 
-    /// Has the process of this count read a configuration so long after it was started.
+    /// Waits for the process with number `life` to start and has it reload its configuration `after` later.
     pub fn reload_at_start(&self, node: usize, life: u64, after: Duration) {
         let begun = Instant::now();
-        while self.directory.nodes_state[node].life.load(Ordering::SeqCst) < life {
-            if begun.elapsed() > READY_WITHIN || self.ending.load(Ordering::Relaxed) {
+        while self.directory.states[node].life.load(Ordering::SeqCst) < life {
+            if begun.elapsed() > READY_TIMEOUT || self.ending.load(Ordering::Relaxed) {
                 return;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         std::thread::sleep(after);
         let _ = self.reload(node, true);
     }
 
-    /// Waits for a node that was told to end, kills it as soon as that may come, and starts it again after a while.
+    /// Waits for a node that got SIGTERM to exit, kills it at its time limit, and starts it again after `back_after`, if any.
     fn wait_for_exit(
         &self,
         node: usize,
@@ -321,21 +324,21 @@
         back_after: Option<Duration>,
         plan: &str,
     ) -> io::Result<()> {
-        let last = self.setup.deadline + KILL_AFTER;
-        while begun.elapsed() < last {
+        let limit = self.setup.deadline + KILL_AFTER;
+        while begun.elapsed() < limit {
             if begun.elapsed() > STOP_NOTICED {
-                self.directory.nodes_state[node].open.store(false, Ordering::SeqCst);
+                self.directory.states[node].open.store(false, Ordering::SeqCst);
             }
             self.check_exit_and_log(node);
             if !lock(&self.nodes[node]).process.running() {
                 break;
             }
-            std::thread::sleep(LOOK / 4);
+            std::thread::sleep(POLL_INTERVAL / 4);
         }
-        self.directory.nodes_state[node].open.store(false, Ordering::SeqCst);
+        self.directory.states[node].open.store(false, Ordering::SeqCst);
         if lock(&self.nodes[node]).process.running() {
-            self.directory.nodes_state[node].dead.store(true, Ordering::SeqCst);
-            self.note(node, NodeEvent::Killed);
+            self.directory.states[node].dead.store(true, Ordering::SeqCst);
+            self.record(node, NodeEvent::Killed);
             lock(&self.nodes[node]).process.kill()?;
         }
         let Some(back_after) = back_after else { return Ok(()) };
@@ -343,32 +346,32 @@
         self.start(node, plan)
     }
 
-    /// Kills a node outright, and starts it again after a while.
+    /// Sends SIGKILL to a node and starts it again after `back_after`.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// The signal can't be sent, or the node can't be started.
     pub fn kill(&self, node: usize, back_after: Duration, plan: &str) -> io::Result<()> {
         {
             let mut own = lock(&self.nodes[node]);
             if !own.process.running() {
                 return Ok(());
             }
-            self.directory.nodes_state[node].dead.store(true, Ordering::SeqCst);
-            self.note(node, NodeEvent::Killed);
+            self.directory.states[node].dead.store(true, Ordering::SeqCst);
+            self.record(node, NodeEvent::Killed);
             own.process.kill()?;
         }
         std::thread::sleep(KILL_NOTICED.min(back_after));
-        self.directory.nodes_state[node].open.store(false, Ordering::SeqCst);
+        self.directory.states[node].open.store(false, Ordering::SeqCst);
         std::thread::sleep(back_after.saturating_sub(KILL_NOTICED));
         self.start(node, plan)
     }
 
-    /// Holds a node still for a while.
+    /// Pauses a node for a span.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// A signal can't be sent.
     pub fn pause(&self, node: usize, span: Duration) -> io::Result<()> {
         {
             let mut own = lock(&self.nodes[node]);
@@ -376,55 +379,55 @@
                 return Ok(());
             }
             own.process.pause(true)?;
-            self.note(node, NodeEvent::Paused);
+            self.record(node, NodeEvent::Paused);
         }
         std::thread::sleep(span);
         let mut own = lock(&self.nodes[node]);
         if own.process.running() && own.process.paused {
-            self.note(node, NodeEvent::Resumed);
+            self.record(node, NodeEvent::Resumed);
             own.process.pause(false)?;
         }
         Ok(())
     }
 
-    /// Has a node read a configuration that names the other discovery, or one that makes no sense.
+    /// Has a node reload a configuration that names the other discovery server, or an invalid one.
     ///
     /// # Errors
     ///
-    /// The system's.
-    pub fn reload(&self, node: usize, sense: bool) -> io::Result<()> {
+    /// The configuration can't be written, or the signal can't be sent.
+    pub fn reload(&self, node: usize, valid: bool) -> io::Result<()> {
         let mut own = lock(&self.nodes[node]);
-        if !sense && own.started_within(CONFIGURATION_READ) {
+        if !valid && own.started_within(CONFIGURATION_READ) {
             return Ok(());
         }
-        if sense {
+        if valid {
             own.discovery = 1 - own.discovery;
             let configuration = self.configuration(node, own.discovery);
             self.write_configuration(node, &configuration.to_string())?;
         } else {
             self.write_configuration(node, "{\"name\": \"n\", \"discovery\": 7}")?;
         }
-        if own.process.running() && !own.started_within(HANDLERS_THERE) {
-            self.note(node, NodeEvent::Reloaded);
+        if own.process.running() && !own.started_within(HANDLERS_INSTALLED) {
+            self.record(node, NodeEvent::Reloaded);
             own.process.signal(Signal::HUP)?;
         }
         Ok(())
     }
 
-    /// All run and serve, or were waited for long enough.
+    /// Waits until all nodes accept clients, and returns whether they do within the time limit.
     #[must_use]
-    pub fn wait_until_all_ready(&self, within: Duration) -> bool {
+    pub fn wait_until_all_ready(&self, timeout: Duration) -> bool {
         let begun = Instant::now();
-        while begun.elapsed() < within {
+        while begun.elapsed() < timeout {
             if self.directory.open() == self.nodes.len() {
                 return true;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
-    /// Tells all to end, and waits until they have.
+    /// Stops all nodes and waits until they have exited.
     pub fn end(self: &Arc<Self>) {
         self.ending.store(true, Ordering::SeqCst);
         let stops: Vec<_> = (0..self.nodes.len())
@@ -439,13 +442,13 @@
         (0..self.nodes.len()).for_each(|node| self.check_exit_and_log(node));
     }
 
-    /// How many there are.
+    /// Returns the number of nodes.
     #[must_use]
     pub fn count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// The log of a node.
+    /// Returns the path of a node's log.
     #[must_use]
     pub fn log(folder: &Path, node: usize) -> PathBuf {
         folder.join(format!("n{node}")).join("log")
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan, and returns its history.
+//! Runs a plan and returns its history.
 
 use std::fs;
 use std::io;
@@ -22,44 +22,44 @@
 use crate::plan::Plan;
 use crate::settings::ZONES;
 
-/// Executors of one cell.
-const CELL: usize = 3;
-const START_WITHIN: Duration = Duration::from_secs(30);
-/// After the last trouble all nodes are waited for as long, before the calm is judged.
-const BACK_WITHIN: Duration = Duration::from_secs(20);
-/// Cold executors and set-asides are over by then.
-const SETTLE: Duration = Duration::from_millis(2_500);
-/// Answers that are out are listened for as long.
-const LINGER: Duration = Duration::from_millis(6_500);
-const WATCH_EVERY: Duration = Duration::from_millis(10);
-/// The discoveries that configurations name in turn.
-const DISCOVERIES: u16 = 2;
+/// The number of executors in a cell.
+const CELL_SIZE: usize = 3;
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// The longest wait for all nodes to be ready after the last fault.
+const RESTART_TIMEOUT: Duration = Duration::from_secs(20);
+/// The time after the last fault after which no executor is cold or ejected any more.
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
+/// The longest wait at the end for answers that are outstanding.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(6_500);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The number of discovery servers per node, which configurations name in turn.
+const DISCOVERY_SERVERS: u16 = 2;
 
-/// Why a run could not be played.
+/// An error by which a plan could not be run.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The system's.
+    /// A system call failed.
     #[error("{what}: {reason}")]
     System {
         /// What failed.
         what: &'static str,
-        /// How.
+        /// The error of the system.
         reason: io::Error,
     },
-    /// Nodes did not come up before anything was done to them.
+    /// Some nodes did not become ready before the first fault.
     #[error("{ready} of {all} nodes were ready at the start")]
     Start {
-        /// So many did.
+        /// The number of nodes that became ready.
         ready: usize,
-        /// Of so many.
+        /// The number of all nodes.
         all: usize,
     },
 }
 
-/// All executors of a run, those that were replaced too.
+/// All executors of a run, including those that were replaced.
 pub struct Executors {
     pub(crate) all: Mutex<Vec<Arc<Executor>>>,
-    /// Where they are.
+    /// The zone and group of each executor, by index.
     pub(crate) locations: Mutex<Vec<Location>>,
     seed: u64,
     idle: Duration,
@@ -68,7 +68,7 @@
 }
 
 impl Executors {
-    /// One more, which does not listen yet.
+    /// Adds an executor, which does not listen yet.
     pub(crate) fn add(&self, location: Location) -> Arc<Executor> {
         let mut all = crate::lock(&self.all);
         let (recorder, finished) = (Arc::clone(&self.recorder), Arc::clone(&self.finished));
@@ -78,43 +78,44 @@
         executor
     }
 
-    /// The one at this place.
+    /// Returns the executor with this index.
     #[must_use]
     pub fn get(&self, index: usize) -> Arc<Executor> {
         Arc::clone(&crate::lock(&self.all)[index])
     }
 
-    /// What a cold executor bears is counted by these: slots, and milliseconds of a job, by executor.
+    /// Returns the slots of each executor and the average duration of its jobs in milliseconds, by which the capacity of a
+    /// cold executor is calculated.
     #[must_use]
     pub fn capacities(&self) -> Vec<(usize, f64)> {
         crate::lock(&self.all).iter().map(|executor| (executor.slots, executor.work_ms)).collect()
     }
 }
 
-/// What a run leaves.
+/// The record of a run, which is judged.
 pub struct RunRecord {
-    /// All that happened, by time.
+    /// All events, ordered by time.
     pub history: Vec<HistoryEntry>,
-    /// Slots and milliseconds of a job, by executor.
+    /// The slots of each executor and the average duration of its jobs in milliseconds.
     pub capacities: Vec<(usize, f64)>,
-    /// Zone and group, by executor as it was first listed.
+    /// The zone and group of each executor, by index.
     pub locations: Vec<Location>,
 }
 
-/// Where an executor is.
+/// The zone and group of an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// Its place among the zones.
+    /// The index of its zone.
     pub zone: usize,
     /// The group that shares idempotency keys.
     pub group: usize,
 }
 
-/// Plays a plan with this program; nodes have their folders in `folder`.
+/// Runs a plan with this program. The folders of the nodes are created in `folder`.
 ///
 /// # Errors
 ///
-/// It could not be played; what happened in it is no error.
+/// The run could not be started. Violations of rules are no errors here.
 pub fn run(plan: &Plan, program: &Path, folder: &Path) -> Result<RunRecord, RunError> {
     let system = |what: &'static str| move |reason: io::Error| RunError::System { what, reason };
     fs::create_dir_all(folder).map_err(system("folder"))?;
@@ -131,7 +132,7 @@
         finished: Arc::clone(&finished),
     });
     for index in 0..plan.executors {
-        let location = Location { zone: index % ZONES.len(), group: index / CELL };
+        let location = Location { zone: index % ZONES.len(), group: index / CELL_SIZE };
         let (executor, address) = (executors.add(location), network.executor(index, 0));
         executor.listen(address).map_err(system("executor"))?;
         executor_list
@@ -148,7 +149,7 @@
     };
     let nodes = Arc::new(Nodes::new(setup, plan.nodes));
     for node in 0..plan.nodes {
-        for number in 0..DISCOVERIES {
+        for number in 0..DISCOVERY_SERVERS {
             let discovery = Discovery {
                 node,
                 life: nodes.life(node),
@@ -162,7 +163,7 @@
     }
     delay_monitor::start(&recorder, &finished).map_err(system("canary"))?;
     start_all(plan, &nodes);
-    if !nodes.wait_until_all_ready(START_WITHIN) {
+    if !nodes.wait_until_all_ready(START_TIMEOUT) {
         let ready = nodes.directory().open();
         finished.store(true, Ordering::SeqCst);
         nodes.end();
@@ -178,7 +179,7 @@
         calm: Arc::clone(&calm),
     });
     let mut clients = start_clients(plan, &context);
-    let stage = Arc::new(FaultInjector {
+    let injector = Arc::new(FaultInjector {
         nodes: Arc::clone(&nodes),
         executors: Arc::clone(&executors),
         executor_list,
@@ -189,23 +190,23 @@
         finished: Arc::clone(&finished),
     });
     let begun = Instant::now();
-    stage.play(&plan.faults);
+    injector.run(&plan.faults);
     std::thread::sleep(Duration::from_millis(plan.span_ms).saturating_sub(begun.elapsed()));
     calm.store(true, Ordering::SeqCst);
-    let _ = nodes.wait_until_all_ready(BACK_WITHIN);
-    std::thread::sleep(SETTLE);
+    let _ = nodes.wait_until_all_ready(RESTART_TIMEOUT);
+    std::thread::sleep(SETTLE_TIME);
     (0..nodes.count()).for_each(|node| nodes.check_exit_and_log(node));
     recorder.now(Event::Calm);
     std::thread::sleep(Duration::from_millis(plan.calm_ms));
     clients_over.store(true, Ordering::SeqCst);
     let waited = Instant::now();
-    while clients.iter().any(|client| !client.is_finished()) && waited.elapsed() < LINGER {
-        std::thread::sleep(WATCH_EVERY);
+    while clients.iter().any(|client| !client.is_finished()) && waited.elapsed() < LAST_ANSWERS_TIMEOUT {
+        std::thread::sleep(POLL_INTERVAL);
     }
     clients.retain(|client| !client.is_finished());
     nodes.end();
     finished.store(true, Ordering::SeqCst);
-    wake(plan, network, &executors, &stage.executor_list);
+    wake_listeners(plan, network, &executors, &injector.executor_list);
     let locations = crate::lock(&executors.locations).clone();
     Ok(RunRecord { history: recorder.history(), capacities: executors.capacities(), locations })
 }
@@ -232,12 +233,12 @@
     (0..plan.clients).map(client).collect()
 }
 
-/// Wakes the listeners, which then see that the run is over and close.
-fn wake(plan: &Plan, network: Network, executors: &Executors, executor_list: &ExecutorList) {
-    let knock = |address| drop(std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)));
+/// Wakes all listeners, which then see that the run is over and close their sockets.
+fn wake_listeners(plan: &Plan, network: Network, executors: &Executors, executor_list: &ExecutorList) {
+    let wake = |address| drop(std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)));
     for node in 0..plan.nodes {
-        (0..DISCOVERIES).for_each(|number| knock(network.discovery(node, number)));
+        (0..DISCOVERY_SERVERS).for_each(|number| wake(network.discovery(node, number)));
     }
     let count = crate::lock(&executors.all).len();
-    (0..count).filter_map(|index| executor_list.entry(index)).for_each(|entry| knock(entry.address));
+    (0..count).filter_map(|index| executor_list.entry(index)).for_each(|entry| wake(entry.address));
 }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge finds each rule broken in a history that breaks it, and nothing in one that does not.
+//! The judge reports each rule as violated for a history that violates it, and reports nothing for a correct history.
 
 use linestack_soak::history::{Entry, Event, Misbehavior, MissingAnswer, NodeEvent, Status};
 use linestack_soak::judge::{Case, Rule, judge};
@@ -9,7 +9,7 @@
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
 const DEADLINE_MS: u64 = 1_000;
-/// When requests of the histories below are sent.
+/// When the requests of the histories below are sent.
 const SENT: u64 = 20 * S;
 
 fn settings() -> RunSettings {
@@ -27,22 +27,22 @@
     }
 }
 
-/// A history that grows by what is said of it.
+/// Builds a history event by event.
 #[derive(Default)]
-struct Story {
+struct HistoryBuilder {
     entries: Vec<Entry>,
-    /// Lists are pushed.
+    /// Whether discovery pushes lists.
     pushed: bool,
 }
 
-impl Story {
-    /// One node runs, knows the list and has been ready for long.
+impl HistoryBuilder {
+    /// Creates a history in which one node runs, knows the list and has been ready for a long time.
     fn new() -> Self {
-        let mut story = Self::default();
-        story.node(S, NodeEvent::Started { shim: String::new() });
-        story.node(2 * S, NodeEvent::Ready);
-        story.at(2 * S, Event::ListSent { node: 0, life: 1, version: 1 });
-        story
+        let mut history = Self::default();
+        history.node(S, NodeEvent::Started { shim: String::new() });
+        history.node(2 * S, NodeEvent::Ready);
+        history.at(2 * S, Event::ListSent { node: 0, life: 1, version: 1 });
+        history
     }
 
     fn at(&mut self, at: u64, event: Event) -> &mut Self {
@@ -54,11 +54,11 @@
         self.at(at, Event::Node { node: 0, life: 1, node_event })
     }
 
-    fn asked(&mut self, class: Class) -> &mut Self {
-        self.asked_at(SENT, class)
+    fn sent(&mut self, class: Class) -> &mut Self {
+        self.sent_at(SENT, class)
     }
 
-    fn asked_at(&mut self, at: u64, class: Class) -> &mut Self {
+    fn sent_at(&mut self, at: u64, class: Class) -> &mut Self {
         self.at(
             at,
             Event::RequestSent {
@@ -76,21 +76,26 @@
 
     fn received(&mut self, at: u64, executor: usize) -> &mut Self {
         let deadline_header_ms = Some(((SENT + DEADLINE_MS * MS).saturating_sub(at)) / MS);
-        self.told(at, executor, deadline_header_ms)
+        self.received_with_deadline(at, executor, deadline_header_ms)
     }
 
-    fn told(&mut self, at: u64, executor: usize, deadline_header_ms: Option<u64>) -> &mut Self {
+    fn received_with_deadline(
+        &mut self,
+        at: u64,
+        executor: usize,
+        deadline_header_ms: Option<u64>,
+    ) -> &mut Self {
         let (id, connection) = ("a".into(), at);
         self.at(at, Event::Received { id, executor, connection, first_byte: at, deadline_header_ms })
     }
 
-    fn finished(&mut self, received: u64, at: u64) -> &mut Self {
+    fn execution_ended(&mut self, received: u64, at: u64) -> &mut Self {
         self.at(at, Event::ExecutionEnded { id: "a".into(), connection: received })
     }
 
     fn declined(&mut self, received: u64, at: u64) -> &mut Self {
         self.at(at, Event::Declined { id: "a".into(), connection: received });
-        self.finished(received, at)
+        self.execution_ended(received, at)
     }
 
     fn answered(&mut self, at: u64, status: u16) -> &mut Self {
@@ -105,8 +110,8 @@
         self.at(at, Event::Listed { version, executor, status, started: 0 })
     }
 
-    /// The rules that are broken in it.
-    fn broken(&mut self) -> Vec<Rule> {
+    /// Returns the violated rules, in the order of the violations.
+    fn violated_rules(&mut self) -> Vec<Rule> {
         self.entries.sort_by_key(|entry| entry.at);
         let settings = RunSettings { pushed: self.pushed, ..settings() };
         // Executors 0 and 2 share a group, and executor 1 is in the other zone.
@@ -121,10 +126,14 @@
     }
 }
 
-/// A request that was served as it should be.
-fn served(story: &mut Story, class: Class) -> &mut Story {
+/// Adds a request that is served correctly.
+fn served(history: &mut HistoryBuilder, class: Class) -> &mut HistoryBuilder {
     let received = SENT + 10 * MS;
-    story.asked(class).received(received, 0).finished(received, SENT + 30 * MS).answered(SENT + 31 * MS, 200)
+    history
+        .sent(class)
+        .received(received, 0)
+        .execution_ended(received, SENT + 30 * MS)
+        .answered(SENT + 31 * MS, 200)
 }
 
 #[rstest]
@@ -132,37 +141,43 @@
 #[case(Class::TopUp)]
 #[case(Class::Look)]
 #[case(Class::Local)]
-fn nothing_is_broken_by_what_is_as_it_should_be(#[case] class: Class) {
-    assert_eq!(served(&mut Story::new(), class).broken(), []);
+fn a_correct_history_violates_no_rule(#[case] class: Class) {
+    assert_eq!(served(&mut HistoryBuilder::new(), class).violated_rules(), []);
 }
 
 #[test]
 fn answers() {
-    let mut story = Story::new();
-    assert_eq!(story.asked(Class::Look).unanswered(SENT + 300 * MS).broken(), [Rule::Answer]);
-    let mut story = Story::new();
-    assert_eq!(story.asked(Class::Look).answered(SENT + 1_650 * MS, 502).broken(), [Rule::Answer]);
-    let mut story = Story::new();
-    assert_eq!(story.asked(Class::Look).answered(SENT + 1_450 * MS, 502).broken(), []);
-    let mut story = Story::new();
-    served(&mut story, Class::Look);
-    assert_eq!(story.answered(SENT + 40 * MS, 200).broken(), [Rule::Answer]);
-    // Another's.
-    let mut story = Story::new();
+    let mut history = HistoryBuilder::new();
+    assert_eq!(history.sent(Class::Look).unanswered(SENT + 300 * MS).violated_rules(), [Rule::Answer]);
+    let mut history = HistoryBuilder::new();
+    assert_eq!(history.sent(Class::Look).answered(SENT + 1_650 * MS, 502).violated_rules(), [Rule::Answer]);
+    let mut history = HistoryBuilder::new();
+    assert_eq!(history.sent(Class::Look).answered(SENT + 1_450 * MS, 502).violated_rules(), []);
+    let mut history = HistoryBuilder::new();
+    served(&mut history, Class::Look);
+    assert_eq!(history.answered(SENT + 40 * MS, 200).violated_rules(), [Rule::Answer]);
+    // The result of another request.
+    let mut history = HistoryBuilder::new();
     let other = Event::Answered { id: "a".into(), status: 200, result: "r-b".into() };
-    assert_eq!(story.asked(Class::Look).at(SENT + MS, other).broken(), [Rule::OwnAnswer]);
-    let mut story = Story::new();
-    assert_eq!(story.at(SENT, Event::UnexpectedBytes { client_connection: 1 }).broken(), [Rule::Unasked]);
+    assert_eq!(history.sent(Class::Look).at(SENT + MS, other).violated_rules(), [Rule::OwnAnswer]);
+    let mut history = HistoryBuilder::new();
+    assert_eq!(
+        history.at(SENT, Event::UnexpectedBytes { client_connection: 1 }).violated_rules(),
+        [Rule::Unasked]
+    );
 }
 
 #[test]
-fn a_process_that_was_killed_owes_nothing_and_one_that_was_told_to_end_does() {
+fn a_killed_process_owes_no_answers_and_one_that_got_sigterm_does() {
     let (killed, seen) = (SENT + 100 * MS, SENT + 110 * MS);
-    let mut story = Story::new();
-    assert_eq!(story.asked(Class::Look).node(killed, NodeEvent::Killed).unanswered(seen).broken(), []);
-    let mut story = Story::new();
-    story.asked(Class::Look).node(SENT + MS, NodeEvent::Stopped).unanswered(seen);
-    assert_eq!(story.node(killed, NodeEvent::Ended { code: Some(0) }).broken(), [Rule::Answer]);
+    let mut history = HistoryBuilder::new();
+    assert_eq!(
+        history.sent(Class::Look).node(killed, NodeEvent::Killed).unanswered(seen).violated_rules(),
+        []
+    );
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Look).node(SENT + MS, NodeEvent::Stopped).unanswered(seen);
+    assert_eq!(history.node(killed, NodeEvent::Ended { code: Some(0) }).violated_rules(), [Rule::Answer]);
 }
 
 #[rstest]
@@ -173,81 +188,96 @@
 #[case::pure(Class::Look, 1, 100, &[])]
 fn repeats(#[case] class: Class, #[case] second: usize, #[case] after_ms: u64, #[case] wanted: &[Rule]) {
     let (first, again) = (SENT + 10 * MS, SENT + (10 + after_ms) * MS);
-    let mut story = Story::new();
-    story.asked(class).received(first, 0).finished(first, first + 20 * MS);
-    story.told(again, second, None).finished(again, again + 10 * MS).answered(SENT + 1_000 * MS, 502);
-    assert_eq!(story.broken(), wanted);
+    let mut history = HistoryBuilder::new();
+    history.sent(class).received(first, 0).execution_ended(first, first + 20 * MS);
+    history
+        .received_with_deadline(again, second, None)
+        .execution_ended(again, again + 10 * MS)
+        .answered(SENT + 1_000 * MS, 502);
+    assert_eq!(history.violated_rules(), wanted);
 }
 
 #[test]
-fn what_was_declined_may_be_sent_again_and_refused() {
+fn a_declined_request_may_be_sent_again_or_refused() {
     let (first, again) = (SENT + 10 * MS, SENT + 200 * MS);
-    let mut story = Story::new();
-    story.asked(Class::Pay).received(first, 0).declined(first, first + MS).received(again, 1);
-    assert_eq!(story.finished(again, again + MS).answered(again + 2 * MS, 200).broken(), []);
-    let mut story = Story::new();
-    story.asked(Class::Pay).received(first, 0).declined(first, first + MS);
-    assert_eq!(story.answered(again, 503).broken(), []);
-    let mut story = Story::new();
-    story.asked(Class::Pay).received(first, 0).finished(first, first + MS);
-    assert_eq!(story.answered(again, 503).broken(), [Rule::RefusedAndRun]);
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Pay).received(first, 0).declined(first, first + MS).received(again, 1);
+    assert_eq!(history.execution_ended(again, again + MS).answered(again + 2 * MS, 200).violated_rules(), []);
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Pay).received(first, 0).declined(first, first + MS);
+    assert_eq!(history.answered(again, 503).violated_rules(), []);
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Pay).received(first, 0).execution_ended(first, first + MS);
+    assert_eq!(history.answered(again, 503).violated_rules(), [Rule::RefusedAndRun]);
 }
 
 #[test]
-fn copies() {
+fn parallel_and_excess_executions() {
     let (first, again) = (SENT + 10 * MS, SENT + 200 * MS);
-    let mut story = Story::new();
-    story.asked(Class::Look).received(first, 0).received(again, 1).finished(first, again + 300 * MS);
-    assert_eq!(story.finished(again, again + MS).answered(again + 2 * MS, 200).broken(), [Rule::TwoOut]);
-    let mut story = Story::new();
-    story.asked(Class::Look);
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Look).received(first, 0).received(again, 1).execution_ended(first, again + 300 * MS);
+    assert_eq!(
+        history.execution_ended(again, again + MS).answered(again + 2 * MS, 200).violated_rules(),
+        [Rule::TwoOut]
+    );
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Look);
     for at in [100, 200, 300, 400] {
         let at = SENT + at * MS;
-        story.received(at, 0).finished(at, at + MS);
+        history.received(at, 0).execution_ended(at, at + MS);
     }
-    assert_eq!(story.answered(SENT + 500 * MS, 502).broken(), [Rule::TooMany]);
+    assert_eq!(history.answered(SENT + 500 * MS, 502).violated_rules(), [Rule::TooMany]);
 }
 
 #[rstest]
 #[case::within_the_grace(10_000, 500, &[])]
 #[case::after_it(10_000, 700, &[Rule::Drained])]
-// Never written to it: 6 s after discovery had it.
+// The change was never sent to the node: it counts as known 6 s after discovery had it.
 #[case::never_written(14_500, 6_300, &[])]
 #[case::never_written_and_far_too_late(13_000, 6_900, &[Rule::Drained])]
-fn drains(#[case] listed_ms: u64, #[case] after_ms: u64, #[case] wanted: &[Rule]) {
-    let mut story = Story::new();
-    let listed = listed_ms * MS;
-    story.listed(S, 1, 0, Status::Active).listed(listed, 2, 0, Status::Leaving);
+fn drains(#[case] listed_at_ms: u64, #[case] after_ms: u64, #[case] wanted: &[Rule]) {
+    let mut history = HistoryBuilder::new();
+    let listed = listed_at_ms * MS;
+    history.listed(S, 1, 0, Status::Active).listed(listed, 2, 0, Status::Leaving);
     if after_ms < 6_000 {
-        story.at(listed, Event::ListSent { node: 0, life: 1, version: 2 });
+        history.at(listed, Event::ListSent { node: 0, life: 1, version: 2 });
     }
     let received = listed + after_ms * MS;
-    story.asked_at(received - MS, Class::Look).told(received, 0, None).finished(received, received + MS);
-    assert_eq!(story.answered(received + 2 * MS, 200).broken(), wanted);
+    history
+        .sent_at(received - MS, Class::Look)
+        .received_with_deadline(received, 0, None)
+        .execution_ended(received, received + MS);
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
 }
 
-// What discovery had 6 s before a process began counts as told from its first moment; younger changes don't.
+// A change that discovery had 6 s before a process started counts as known from its start; a more recent one doesn't.
 #[rstest]
 #[case::old(10_000, &[Rule::Drained])]
 #[case::young(16_500, &[])]
-fn drains_of_before_a_start(#[case] listed_ms: u64, #[case] wanted: &[Rule]) {
-    let mut story = Story::default();
-    story.listed(S, 1, 0, Status::Active).listed(listed_ms * MS, 2, 0, Status::Leaving);
-    story.node(18 * S, NodeEvent::Started { shim: String::new() }).node(18_100 * MS, NodeEvent::Ready);
+fn drains_before_a_start(#[case] listed_at_ms: u64, #[case] wanted: &[Rule]) {
+    let mut history = HistoryBuilder::default();
+    history.listed(S, 1, 0, Status::Active).listed(listed_at_ms * MS, 2, 0, Status::Leaving);
+    history.node(18 * S, NodeEvent::Started { shim: String::new() }).node(18_100 * MS, NodeEvent::Ready);
     let received = 20 * S;
-    story.asked_at(received - MS, Class::Look).told(received, 0, None).finished(received, received + MS);
-    assert_eq!(story.answered(received + 2 * MS, 200).broken(), wanted);
+    history
+        .sent_at(received - MS, Class::Look)
+        .received_with_deadline(received, 0, None)
+        .execution_ended(received, received + MS);
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
 }
 
 #[test]
-fn a_drain_that_discovery_could_not_tell_is_not_counted() {
-    let mut story = Story::new();
-    story.listed(S, 1, 0, Status::Active);
-    story.at(9 * S, Event::Discovery { reachable: false }).listed(10 * S, 2, 0, Status::Leaving);
-    story.at(18 * S, Event::Discovery { reachable: true });
+fn a_drain_that_discovery_could_not_report_is_not_judged() {
+    let mut history = HistoryBuilder::new();
+    history.listed(S, 1, 0, Status::Active);
+    history.at(9 * S, Event::Discovery { reachable: false }).listed(10 * S, 2, 0, Status::Leaving);
+    history.at(18 * S, Event::Discovery { reachable: true });
     let received = 20 * S;
-    story.asked_at(received - MS, Class::Look).told(received, 0, None).finished(received, received + MS);
-    assert_eq!(story.answered(received + 2 * MS, 200).broken(), []);
+    history
+        .sent_at(received - MS, Class::Look)
+        .received_with_deadline(received, 0, None)
+        .execution_ended(received, received + MS);
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), []);
 }
 
 #[test]
@@ -255,42 +285,49 @@
     let left = SENT + 100 * MS;
     for (after_ms, wanted) in [(150, [].as_slice()), (300, &[Rule::ForNobody])] {
         let received = left + after_ms * MS;
-        let mut story = Story::new();
-        story.asked(Class::Look).at(left, Event::ClientLeft { id: "a".into() });
-        assert_eq!(story.received(received, 0).finished(received, received + MS).broken(), wanted);
+        let mut history = HistoryBuilder::new();
+        history.sent(Class::Look).at(left, Event::ClientLeft { id: "a".into() });
+        assert_eq!(
+            history.received(received, 0).execution_ended(received, received + MS).violated_rules(),
+            wanted
+        );
     }
 }
 
 #[test]
 fn deadlines_and_places() {
     let received = SENT + 400 * MS;
-    for (told, wanted) in [(800, [].as_slice()), (900, &[Rule::Deadline])] {
-        let mut story = Story::new();
-        story.asked(Class::Look).told(received, 0, Some(told)).finished(received, received + MS);
-        assert_eq!(story.answered(received + 2 * MS, 200).broken(), wanted);
+    for (sent_ms, wanted) in [(800, [].as_slice()), (900, &[Rule::Deadline])] {
+        let mut history = HistoryBuilder::new();
+        history
+            .sent(Class::Look)
+            .received_with_deadline(received, 0, Some(sent_ms))
+            .execution_ended(received, received + MS);
+        assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
     }
-    let mut story = Story::new();
-    story.asked(Class::Local).received(received, 1).finished(received, received + MS);
-    assert_eq!(story.answered(received + 2 * MS, 200).broken(), [Rule::Placement]);
-    let mut story = Story::new();
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Local).received(received, 1).execution_ended(received, received + MS);
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), [Rule::Placement]);
+    let mut history = HistoryBuilder::new();
     let malformed = Event::Malformed { executor: 0, why: "no id".into() };
-    assert_eq!(story.at(SENT, malformed).broken(), [Rule::Malformed]);
+    assert_eq!(history.at(SENT, malformed).violated_rules(), [Rule::Malformed]);
 }
 
 #[test]
 fn cold_executors() {
-    // 2.5 x 0.3 x 4 slots x 1 s / 20 ms: 150 requests, and 2 x root of that + 2.
+    // The limit is 2.5 x 0.3 x 4 slots x 1 s / 20 ms = 150 requests, plus an allowance of 2 x sqrt(150) + 2.
     for (count, wanted) in [(160_u64, [].as_slice()), (200, &[Rule::Cold])] {
-        let mut story = Story::new();
+        let mut history = HistoryBuilder::new();
         let started = 10 * S;
-        story.at(started, Event::Listed { version: 2, executor: 0, status: Status::Active, started });
-        story.asked_at(started, Class::Look);
+        history.at(started, Event::Listed { version: 2, executor: 0, status: Status::Active, started });
+        history.sent_at(started, Class::Look);
         for number in 0..count {
             let at = started + number * MS;
-            story.told(at, 0, None).finished(at, at + 1);
+            history.received_with_deadline(at, 0, None).execution_ended(at, at + 1);
         }
-        let broken: Vec<Rule> = story.broken().into_iter().filter(|rule| *rule == Rule::Cold).collect();
-        assert_eq!(broken, wanted, "{count}");
+        let violated_rules: Vec<Rule> =
+            history.violated_rules().into_iter().filter(|rule| *rule == Rule::Cold).collect();
+        assert_eq!(violated_rules, wanted, "{count}");
     }
 }
 
@@ -298,96 +335,99 @@
 fn bad_clients() {
     let misbehaved = Event::Misbehaved { client_connection: 7, node: 0, life: 1, how: Misbehavior::Half };
     for (after_ms, wanted) in [(2_900, [].as_slice()), (3_500, &[Rule::BadClient])] {
-        let mut story = Story::new();
-        story
+        let mut history = HistoryBuilder::new();
+        history
             .at(SENT, misbehaved.clone())
             .at(SENT + after_ms * MS, Event::MisbehaviorAnswered { client_connection: 7 });
-        assert_eq!(story.broken(), wanted);
+        assert_eq!(history.violated_rules(), wanted);
     }
 }
 
 #[test]
 fn processes() {
     let ended = |code| NodeEvent::Ended { code };
-    assert_eq!(Story::new().node(SENT, ended(Some(0))).broken(), [Rule::Crash]);
+    assert_eq!(HistoryBuilder::new().node(SENT, ended(Some(0))).violated_rules(), [Rule::Crash]);
     let line = NodeEvent::ErrorLogged { line: "panicked".into() };
-    assert_eq!(Story::new().node(SENT, line).broken(), [Rule::Crash]);
+    assert_eq!(HistoryBuilder::new().node(SENT, line).violated_rules(), [Rule::Crash]);
     let stopped = || {
-        let mut story = Story::new();
-        story.node(SENT, NodeEvent::Stopped);
-        story
+        let mut history = HistoryBuilder::new();
+        history.node(SENT, NodeEvent::Stopped);
+        history
     };
-    assert_eq!(stopped().node(SENT + S, ended(Some(0))).broken(), []);
-    assert_eq!(stopped().node(SENT + S, ended(Some(1))).broken(), [Rule::Exit]);
-    assert_eq!(stopped().node(SENT + 1_700 * MS, NodeEvent::Killed).broken(), [Rule::Exit]);
+    assert_eq!(stopped().node(SENT + S, ended(Some(0))).violated_rules(), []);
+    assert_eq!(stopped().node(SENT + S, ended(Some(1))).violated_rules(), [Rule::Exit]);
+    assert_eq!(stopped().node(SENT + 1_700 * MS, NodeEvent::Killed).violated_rules(), [Rule::Exit]);
     let mut paused = stopped();
     paused.node(SENT + MS, NodeEvent::Paused);
-    assert_eq!(paused.node(SENT + 1_700 * MS, NodeEvent::Killed).broken(), []);
-    let mut late = Story::default();
+    assert_eq!(paused.node(SENT + 1_700 * MS, NodeEvent::Killed).violated_rules(), []);
+    let mut late = HistoryBuilder::default();
     late.node(S, NodeEvent::Started { shim: String::new() }).node(13 * S, NodeEvent::Ready);
-    assert_eq!(late.broken(), [Rule::Ready]);
+    assert_eq!(late.violated_rules(), [Rule::Ready]);
 }
 
-// Signals in series: a configuration that is read must neither end a process nor keep it from ending, whenever it comes.
+// Signals in sequence: a reload at any time must neither end a process nor keep it from exiting.
 #[rstest]
 #[case::a_reload_ends_it(&[NodeEvent::Reloaded, NodeEvent::Ended { code: None }], &[Rule::Crash])]
 #[case::a_reload_at_the_start_ends_it(&[NodeEvent::Started { shim: String::new() }, NodeEvent::Reloaded, NodeEvent::Ended { code: Some(1) }], &[Rule::Crash])]
 #[case::reloads_keep_it_from_ending(&[NodeEvent::Reloaded, NodeEvent::Reloaded, NodeEvent::Stopped, NodeEvent::Killed], &[Rule::Exit])]
-#[case::stopped_while_it_stood_still(&[NodeEvent::Paused, NodeEvent::Stopped, NodeEvent::Resumed, NodeEvent::Ended { code: Some(1) }], &[Rule::Exit])]
-#[case::as_it_should_be(&[NodeEvent::Reloaded, NodeEvent::Reloaded, NodeEvent::Stopped, NodeEvent::Ended { code: Some(0) }], &[])]
-fn signals_in_series(#[case] events: &[NodeEvent], #[case] wanted: &[Rule]) {
-    let mut story = Story::new();
+#[case::stopped_while_paused(&[NodeEvent::Paused, NodeEvent::Stopped, NodeEvent::Resumed, NodeEvent::Ended { code: Some(1) }], &[Rule::Exit])]
+#[case::correct(&[NodeEvent::Reloaded, NodeEvent::Reloaded, NodeEvent::Stopped, NodeEvent::Ended { code: Some(0) }], &[])]
+fn signals_in_sequence(#[case] events: &[NodeEvent], #[case] wanted: &[Rule]) {
+    let mut history = HistoryBuilder::new();
     for (number, node_event) in (0..).zip(events) {
         let killed = if *node_event == NodeEvent::Killed { 2 * S } else { 0 };
-        story.node(SENT + number * 100 * MS + killed, node_event.clone());
+        history.node(SENT + number * 100 * MS + killed, node_event.clone());
     }
-    assert_eq!(story.broken(), wanted);
+    assert_eq!(history.violated_rules(), wanted);
 }
 
-// An outright kill that crosses a SIGTERM leaves a process no time to answer; one that comes later does.
+// SIGKILL soon after SIGTERM leaves a process no time to answer; a later SIGKILL does.
 #[rstest]
 #[case::at_once(100, &[])]
 #[case::later(800, &[Rule::Answer])]
-fn a_kill_after_a_signal_to_end(#[case] after_ms: u64, #[case] wanted: &[Rule]) {
-    let mut story = Story::new();
-    story.asked(Class::Look).node(SENT + MS, NodeEvent::Stopped);
+fn a_kill_after_sigterm(#[case] after_ms: u64, #[case] wanted: &[Rule]) {
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Look).node(SENT + MS, NodeEvent::Stopped);
     let killed = SENT + (1 + after_ms) * MS;
-    story.node(killed, NodeEvent::Killed).unanswered(killed + MS);
-    assert_eq!(story.broken(), wanted);
+    history.node(killed, NodeEvent::Killed).unanswered(killed + MS);
+    assert_eq!(history.violated_rules(), wanted);
 }
 
-// A crowd holds all room: who waited to be let in is answered too late, or a half request is never told.
+// A crowd occupies all connections of a node: a waiting client is answered too late, or a half request gets no reaction.
 #[test]
 fn a_crowd() {
-    let mut story = Story::new();
+    let mut history = HistoryBuilder::new();
     let held = Event::Misbehaved { client_connection: 9, node: 0, life: 1, how: Misbehavior::Half };
-    story.at(SENT - 500 * MS, held).at(SENT + 7 * S, Event::Calm);
-    story.asked(Class::Look).answered(SENT + 1_900 * MS, 503);
-    assert_eq!(story.broken(), [Rule::BadClient, Rule::Answer]);
+    history.at(SENT - 500 * MS, held).at(SENT + 7 * S, Event::Calm);
+    history.sent(Class::Look).answered(SENT + 1_900 * MS, 503);
+    assert_eq!(history.violated_rules(), [Rule::BadClient, Rule::Answer]);
 }
 
-// A long outage in which a process starts: where lists are pushed, all that discovery had counts from its first moment.
+// A process starts in a long outage: if lists are pushed, each change that discovery had counts as known from its start.
 #[rstest]
 #[case::pushed(true, &[Rule::Drained])]
 #[case::asked_for(false, &[])]
 fn a_start_in_an_outage(#[case] pushed: bool, #[case] wanted: &[Rule]) {
-    let mut story = Story { pushed, ..Story::default() };
-    story.listed(S, 1, 0, Status::Active).listed(15 * S, 2, 0, Status::Leaving);
-    story.at(16 * S, Event::Discovery { reachable: false });
-    story.node(18 * S, NodeEvent::Started { shim: String::new() }).node(18_100 * MS, NodeEvent::Ready);
+    let mut history = HistoryBuilder { pushed, ..HistoryBuilder::default() };
+    history.listed(S, 1, 0, Status::Active).listed(15 * S, 2, 0, Status::Leaving);
+    history.at(16 * S, Event::Discovery { reachable: false });
+    history.node(18 * S, NodeEvent::Started { shim: String::new() }).node(18_100 * MS, NodeEvent::Ready);
     let received = 20 * S;
-    story.asked_at(received - MS, Class::Look).told(received, 0, None).finished(received, received + MS);
-    story.at(28 * S, Event::Discovery { reachable: true });
-    assert_eq!(story.answered(received + 2 * MS, 200).broken(), wanted);
+    history
+        .sent_at(received - MS, Class::Look)
+        .received_with_deadline(received, 0, None)
+        .execution_ended(received, received + MS);
+    history.at(28 * S, Event::Discovery { reachable: true });
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
 }
 
 #[test]
-fn calm() {
-    let mut story = Story::new();
-    story.at(10 * S, Event::Calm);
+fn requests_are_served_after_all_faults() {
+    let mut history = HistoryBuilder::new();
+    history.at(10 * S, Event::Calm);
     for number in 0..60 {
         let id = format!("b{number}");
-        let asked = Event::RequestSent {
+        let sent = Event::RequestSent {
             id: id.clone(),
             node: 0,
             life: 1,
@@ -398,16 +438,16 @@
             behind: 0,
         };
         let status = if number < 50 { 200 } else { 503 };
-        story.at(11 * S, asked);
-        story.at(11 * S + MS, Event::Answered { id: id.clone(), status, result: format!("r-{id}") });
+        history.at(11 * S, sent);
+        history.at(11 * S + MS, Event::Answered { id: id.clone(), status, result: format!("r-{id}") });
     }
-    assert_eq!(story.broken(), [Rule::Recovered]);
+    assert_eq!(history.violated_rules(), [Rule::Recovered]);
 }
 
-// What was seen while the machine had no time is not counted.
+// Violations observed while the machine was delayed are not counted.
 #[test]
-fn doubt() {
-    let mut story = Story::new();
-    story.asked(Class::Look).unanswered(SENT + 300 * MS);
-    assert_eq!(story.at(SENT + 500 * MS, Event::DriverDelayed { by: 100 * MS }).broken(), []);
+fn violations_during_a_delay_are_not_counted() {
+    let mut history = HistoryBuilder::new();
+    history.sent(Class::Look).unanswered(SENT + 300 * MS);
+    assert_eq!(history.at(SENT + 500 * MS, Event::DriverDelayed { by: 100 * MS }).violated_rules(), []);
 }
