--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use linestack_history::What;
+use linestack_history::HistoryEvent;
 use linestack_rig::plan::Plan;
 use linestack_rig::run::{Outcome, run};
 use linestack_rig::stand::Fleet;
@@ -29,7 +29,7 @@
 fn no_job_runs_twice_over_twenty_kills() {
     let with = run_plan(&kill_plan(true));
     assert!(with.sound(), "{:?} {:?}", with.findings, with.faults);
-    let unknown = with.lines.iter().filter(|l| matches!(l.what, What::Unknown { .. })).count();
+    let unknown = with.lines.iter().filter(|l| matches!(l.what, HistoryEvent::Unknown { .. })).count();
     assert!(unknown > 10 && with.doubled == 0, "{unknown} unknown, {} doubled", with.doubled);
     // The repeated request for a completed job gets its stored result; one that may have run is aborted.
     assert!(with.seconds.iter().map(|s| s.aborted).sum::<u64>() > 0);
