--- a/crates/soak/src/bad_client.rs
+++ b/crates/soak/src/bad_client.rs
@@ -32,9 +32,9 @@
         let how = KINDS[rng.random_range(0..KINDS.len())];
         let Ok(socket) = connect(address) else { continue };
         let client_connection = next_client_connection();
-        context.recorder.now(Event::Misbehaved { client_connection, node, life, how });
+        context.recorder.record(Event::Misbehaved { client_connection, node, life, how });
         if misbehave(&socket, how).unwrap_or(true) {
-            context.recorder.now(Event::MisbehaviorAnswered { client_connection });
+            context.recorder.record(Event::MisbehaviorAnswered { client_connection });
         }
     }
 }
@@ -74,10 +74,10 @@
 }
 
 fn drip(mut socket: &TcpStream, text: &[u8]) -> io::Result<bool> {
-    let begun = Instant::now();
+    let start = Instant::now();
     socket.set_read_timeout(Some(DRIP_INTERVAL))?;
     for byte in text.iter().cycle() {
-        if begun.elapsed() > REACTION_TIMEOUT {
+        if start.elapsed() > REACTION_TIMEOUT {
             return Ok(false);
         }
         socket.write_all(&[*byte])?;
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -124,7 +124,9 @@
             self.open = None;
         }
         if let Some(open) = self.open.as_ref().filter(|open| open.used && has_bytes(open.reader.get_ref())) {
-            self.context.recorder.now(Event::UnexpectedBytes { client_connection: open.client_connection });
+            self.context
+                .recorder
+                .record(Event::UnexpectedBytes { client_connection: open.client_connection });
             self.open = None;
         }
         // Now and then a client moves to another node.
@@ -149,7 +151,7 @@
     }
 
     fn record_sent(&self, request: &Request, open: &Open, behind: usize) {
-        self.context.recorder.now(Event::RequestSent {
+        self.context.recorder.record(Event::RequestSent {
             id: request.id.clone(),
             node: open.node,
             life: open.life,
@@ -200,7 +202,7 @@
     fn leave(&mut self, request: &Request, open: &Open) {
         let deadline = Duration::from_millis(self.context.settings.deadline_ms);
         std::thread::sleep(deadline.mul_f64(self.rng.random_range(0.0..0.5)));
-        self.context.recorder.now(Event::ClientLeft { id: request.id.clone() });
+        self.context.recorder.record(Event::ClientLeft { id: request.id.clone() });
         if self.rng.random_bool(0.5) {
             reset(open.reader.get_ref());
         }
@@ -217,7 +219,7 @@
             Answer::Silence => Event::Unanswered { id, how: MissingAnswer::Silence },
             Answer::Garbled => Event::Unanswered { id, how: MissingAnswer::Garbled },
         };
-        self.context.recorder.now(event);
+        self.context.recorder.record(event);
         matches!(answer, Answer::Complete { closes: false, .. })
     }
 
--- a/crates/soak/src/crowd.rs
+++ b/crates/soak/src/crowd.rs
@@ -108,15 +108,15 @@
         }
         let client_connection = next_client_connection();
         let (node, life, how) = (self.node, self.life, Misbehavior::Half);
-        self.recorder.now(Event::Misbehaved { client_connection, node, life, how });
-        let begun = Instant::now();
+        self.recorder.record(Event::Misbehaved { client_connection, node, life, how });
+        let start = Instant::now();
         let _ = client.get_ref().set_read_timeout(Some(REACTION_TIMEOUT));
         let reaction = client.read(&mut [0; 64]);
         let timed_out =
             |e: &io::Error| matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut);
         if !reaction.is_err_and(|e| timed_out(&e)) {
-            self.recorder.now(Event::MisbehaviorAnswered { client_connection });
+            self.recorder.record(Event::MisbehaviorAnswered { client_connection });
         }
-        std::thread::sleep(span.saturating_sub(begun.elapsed()));
+        std::thread::sleep(span.saturating_sub(start.elapsed()));
     }
 }
--- a/crates/soak/src/delay_monitor.rs
+++ b/crates/soak/src/delay_monitor.rs
@@ -37,12 +37,12 @@
     let (recorder, finished) = (Arc::clone(recorder), Arc::clone(finished));
     std::thread::spawn(move || {
         while !finished.load(Ordering::Relaxed) {
-            let begun = Instant::now();
+            let start = Instant::now();
             std::thread::sleep(CHECK_INTERVAL);
             let answered = round_trip(address);
-            let took = begun.elapsed().saturating_sub(CHECK_INTERVAL);
+            let took = start.elapsed().saturating_sub(CHECK_INTERVAL);
             if answered.is_err() || took > DELAY_LIMIT {
-                recorder.now(Event::DriverDelayed { by: took.as_nanos() as u64 });
+                recorder.record(Event::DriverDelayed { by: took.as_nanos() as u64 });
             }
         }
         let _ = TcpStream::connect_timeout(&address, CHECK_INTERVAL);
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -145,7 +145,7 @@
                 return Ok(());
             }
             if discovery_faults.silencings.load(Ordering::SeqCst) != silencings {
-                self.recorder.now(Event::WatchSilenced { node: self.node, life });
+                self.recorder.record(Event::WatchSilenced { node: self.node, life });
                 return self.stay_silent(socket);
             }
             let (newer, list) = self.executor_list.since(Some(version));
@@ -178,7 +178,7 @@
         } else {
             writer.write_all(chunk.as_bytes())?;
         }
-        self.recorder.now(Event::ListSent { node: self.node, life, version });
+        self.recorder.record(Event::ListSent { node: self.node, life, version });
         Ok(())
     }
 
--- a/crates/soak/src/executor.rs
+++ b/crates/soak/src/executor.rs
@@ -180,7 +180,7 @@
             let request = match read(&head, body) {
                 Ok(request) => request,
                 Err(why) => {
-                    self.recorder.now(Event::Malformed { executor: self.index, why });
+                    self.recorder.record(Event::Malformed { executor: self.index, why });
                     return Ok(());
                 }
             };
@@ -188,7 +188,7 @@
                 self.answer_probe(socket, path)?;
                 continue;
             }
-            self.recorder.now(Event::Received {
+            self.recorder.record(Event::Received {
                 id: request.id.clone(),
                 executor: self.index,
                 connection,
@@ -203,7 +203,7 @@
 
     /// Waits for the next request and returns when its first byte arrived; none if the connection ends before.
     fn first_byte(&self, reader: &mut BufReader<TcpStream>, number: u64) -> io::Result<Option<u64>> {
-        let begun = Instant::now();
+        let start = Instant::now();
         let forgets = self.draws_fault(ExecutorFault::Forgets);
         let idle = if forgets { self.idle.min(Duration::from_millis(30)) } else { self.idle };
         reader.get_ref().set_read_timeout(Some(Duration::from_millis(50)))?;
@@ -217,7 +217,7 @@
             if self.is_over(number) {
                 return Ok(None);
             }
-            if begun.elapsed() >= idle {
+            if start.elapsed() >= idle {
                 if forgets && lock(&self.rng).random_bool(0.5) {
                     reset(reader.get_ref());
                 }
@@ -251,10 +251,10 @@
         let outcome = self.outcome(socket, number);
         let id = request.id.clone();
         if outcome == JobOutcome::Declined {
-            self.recorder.now(Event::Declined { id: id.clone(), connection });
+            self.recorder.record(Event::Declined { id: id.clone(), connection });
         }
         // Recorded before the answer is sent, since the next request may follow it at once.
-        self.recorder.now(Event::ExecutionEnded { id, connection });
+        self.recorder.record(Event::ExecutionEnded { id, connection });
         match outcome {
             JobOutcome::Gone => return Ok(false),
             JobOutcome::Reset => {
--- a/crates/soak/src/executor_list.rs
+++ b/crates/soak/src/executor_list.rs
@@ -68,7 +68,7 @@
             entry.since_ms = unix_ms();
         }
         let (status, started) = (entry.status, started.unwrap_or(0));
-        self.recorder.now(Event::Listed { version, executor, status, started });
+        self.recorder.record(Event::Listed { version, executor, status, started });
         drop(list);
         self.changed.notify_all();
     }
@@ -99,7 +99,7 @@
 
     /// Replaces the executor `old` by `new`, at another address but under the same name.
     pub fn replaced(&self, old: usize, new: usize, address: SocketAddr, started: Nanos) {
-        self.recorder.now(Event::Listed { version: 0, executor: old, status: Status::Left, started: 0 });
+        self.recorder.record(Event::Listed { version: 0, executor: old, status: Status::Left, started: 0 });
         self.edit(new, Some(started), |entries| {
             let place = entries.iter().position(|entry| entry.executor == old)?;
             let entry = &mut entries[place];
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -43,17 +43,17 @@
 impl FaultInjector {
     /// Begins each fault at its time, counted from now, and returns when all are over.
     pub fn run(self: &Arc<Self>, faults: &[Fault]) {
-        let begun = Instant::now();
+        let start = Instant::now();
         let mut ordered: Vec<&Fault> = faults.iter().collect();
         ordered.sort_by_key(|fault| fault.at_ms());
         let mut running = Vec::new();
         for fault in ordered {
             let at = Duration::from_millis(fault.at_ms());
-            std::thread::sleep(at.saturating_sub(begun.elapsed()));
+            std::thread::sleep(at.saturating_sub(start.elapsed()));
             if self.finished.load(Ordering::Relaxed) {
                 break;
             }
-            self.recorder.now(Event::DriverAction { action: format!("{fault:?}") });
+            self.recorder.record(Event::DriverAction { action: format!("{fault:?}") });
             let (injector, fault) = (Arc::clone(self), fault.clone());
             running.push(std::thread::spawn(move || injector.inject(&fault)));
         }
@@ -84,7 +84,7 @@
             }
         };
         if let Err(reason) = done {
-            self.recorder.now(Event::DriverAction { action: format!("failed: {fault:?}: {reason}") });
+            self.recorder.record(Event::DriverAction { action: format!("failed: {fault:?}: {reason}") });
         }
     }
 
@@ -151,25 +151,25 @@
                 affected.set_fault_rate(*how, 0.0);
             }
             Fault::DiscoveryDown { for_ms, .. } => {
-                self.recorder.now(Event::Discovery { reachable: false });
+                self.recorder.record(Event::Discovery { reachable: false });
                 self.discovery_faults.begin_outage();
                 sleep(for_ms);
                 self.discovery_faults.end_outage();
-                self.recorder.now(Event::Discovery { reachable: true });
+                self.recorder.record(Event::Discovery { reachable: true });
             }
             Fault::DiscoverySlow { for_ms, each_ms, .. } => {
-                self.recorder.now(Event::Discovery { reachable: false });
+                self.recorder.record(Event::Discovery { reachable: false });
                 self.discovery_faults.begin_slowdown(*each_ms);
                 sleep(for_ms);
                 self.discovery_faults.end_slowdown(*each_ms);
                 // A call that was made just before the end is still answered late.
                 sleep(each_ms);
-                self.recorder.now(Event::Discovery { reachable: true });
+                self.recorder.record(Event::Discovery { reachable: true });
             }
             Fault::WatchesMute { .. } => self.discovery_faults.silence_watches(),
             Fault::WatchesReset { .. } => self.discovery_faults.reset_watches(),
             Fault::IdleFlood { node, connections, for_ms, .. } => {
-                let address = self.network.node(*node);
+                let address = self.network.node_address(*node);
                 let connect = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200));
                 let idle: Vec<_> = (0..*connections).map_while(|_| connect().ok()).collect();
                 sleep(for_ms);
@@ -179,7 +179,7 @@
                 let runner = CrowdRunner {
                     node: *node,
                     life: self.nodes.life(*node).load(Ordering::SeqCst),
-                    address: self.network.node(*node),
+                    address: self.network.node_address(*node),
                     deadline_ms: self.deadline_ms,
                     recorder: Arc::clone(&self.recorder),
                 };
@@ -205,7 +205,7 @@
         }
         let new = self.executors.add(Location { zone: old.zone, group: old.group });
         let index = new.index;
-        let address = self.network.executor(executor, u16::try_from(index % 1_000).unwrap_or(0));
+        let address = self.network.executor_address(executor, u16::try_from(index % 1_000).unwrap_or(0));
         if new.listen(address).is_err() {
             return;
         }
@@ -226,8 +226,8 @@
         own.end(entry.address);
         std::thread::sleep(Duration::from_millis(down_ms));
         // The previous listener may still be closing.
-        let begun = Instant::now();
-        while own.listen(entry.address).is_err() && begun.elapsed() < EXIT_DELAY {
+        let start = Instant::now();
+        while own.listen(entry.address).is_err() && start.elapsed() < EXIT_DELAY {
             std::thread::sleep(Duration::from_millis(10));
         }
         if entry.status == Status::Active {
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -43,7 +43,7 @@
 }
 
 #[allow(missing_docs, reason = "the fields are described with their variant")]
-/// An event of a run.
+/// An event of a run. The field `life` is the number of a node's process, which counts the node's starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum Event {
@@ -193,12 +193,12 @@
 
 impl Recorder {
     /// Records an event at the current time.
-    pub fn now(&self, event: Event) {
-        self.at(linestack_rig::monotonic(), event);
+    pub fn record(&self, event: Event) {
+        self.record_at(linestack_rig::monotonic(), event);
     }
 
     /// Records an event at the given time.
-    pub fn at(&self, at: Nanos, event: Event) {
+    pub fn record_at(&self, at: Nanos, event: Event) {
         crate::lock(&self.entries).push(Entry { at, event });
     }
 
--- a/crates/soak/src/judge/answers.rs
+++ b/crates/soak/src/judge/answers.rs
@@ -38,7 +38,7 @@
                     add(Rule::Answer, *at, format!("answered {status} {} ms after its deadline", ms(late)));
                 }
             }
-            Event::Unanswered { how, .. } if !is_excused(facts.life(request), request, *how, *at) => {
+            Event::Unanswered { how, .. } if !is_excused(facts.process(request), request, *how, *at) => {
                 add(Rule::Answer, *at, describe_missing_answer(request, *how, *at));
             }
             _ => {}
@@ -59,28 +59,29 @@
     if request.behind > 0 {
         return None;
     }
-    let paused = facts.life(request).map_or(0, |life| life.paused(request.asked, at));
+    let paused = facts.process(request).map_or(0, |process| process.paused(request.asked, at));
     let late = at.checked_sub(request.deadline + LATE_ANSWER_LIMIT + paused + OBSERVATION_SLACK)?;
     Some(late + LATE_ANSWER_LIMIT)
 }
 
 /// Returns whether a missing answer violates no rule. A request cannot be answered if the shim broke its connection. A process
 /// that got SIGKILL owes no answers, unless it had got SIGTERM long enough before and was not paused since.
-fn is_excused(life: Option<&NodeProcess>, request: &Request, how: MissingAnswer, at: Nanos) -> bool {
-    let Some(life) = life else { return true };
-    let killed = life.when(|node_event| *node_event == NodeEvent::Killed).filter(|killed| *killed <= at);
-    let stopped = life.when(|node_event| *node_event == NodeEvent::Stopped).filter(|stopped| *stopped <= at);
+fn is_excused(process: Option<&NodeProcess>, request: &Request, how: MissingAnswer, at: Nanos) -> bool {
+    let Some(process) = process else { return true };
+    let killed = process.when(|node_event| *node_event == NodeEvent::Killed).filter(|killed| *killed <= at);
+    let stopped =
+        process.when(|node_event| *node_event == NodeEvent::Stopped).filter(|stopped| *stopped <= at);
     let no_time = |stopped: Nanos, killed: Nanos| {
-        killed <= stopped + KILL_EXCUSED_WITHIN || life.paused(stopped, at) > 0
+        killed <= stopped + KILL_EXCUSED_WITHIN || process.paused(stopped, at) > 0
     };
     if killed.is_some_and(|killed| stopped.is_none_or(|stopped| no_time(stopped, killed))) {
         return true;
     }
-    if life.shim().contains(BREAKS) && how == MissingAnswer::Closed {
+    if process.shim().contains(BREAKS) && how == MissingAnswer::Closed {
         return true;
     }
     // Whether a pipelined request was read before a close can't be observed from outside.
-    let partly_read = !life.shim().is_empty() || stopped.is_some();
+    let partly_read = !process.shim().is_empty() || stopped.is_some();
     request.behind > 0 && how == MissingAnswer::Closed && partly_read
 }
 
@@ -103,10 +104,10 @@
         let answer = Event::MisbehaviorAnswered { client_connection: *client_connection };
         let answered = facts.case.history.iter().find(|later| later.event == answer).map(|later| later.at);
         let process = facts.processes.get(&(*node, *life));
-        let paused = process.map_or(0, |l| l.paused(entry.at, answered.unwrap_or(last)));
+        let paused = process.map_or(0, |process| process.paused(entry.at, answered.unwrap_or(last)));
         let due = entry.at + MISBEHAVIOR_ANSWER_LIMIT + paused + OBSERVATION_SLACK + millis(100);
-        let gone = process.and_then(|l| {
-            l.when(|node_event| matches!(node_event, NodeEvent::Killed | NodeEvent::Ended { .. }))
+        let gone = process.and_then(|process| {
+            process.when(|node_event| matches!(node_event, NodeEvent::Killed | NodeEvent::Ended { .. }))
         });
         if gone.is_some_and(|gone| gone <= due) || answered.is_none() && last <= due {
             continue;
--- a/crates/soak/src/judge/drains.rs
+++ b/crates/soak/src/judge/drains.rs
@@ -4,7 +4,7 @@
 use crate::history::{Event, Nanos, NodeEvent, Status};
 use crate::millis;
 
-/// Whatever failed, a node is expected to know a change this long after discovery had it and could be reached.
+/// Whatever else failed, a node must know a change once discovery has had it, and has been reachable, for this long.
 const KNOWN_WITHIN: Nanos = 6_000_000_000;
 /// Tolerance added to time limits that are observed on sockets.
 const SOCKET_SLACK: Nanos = 50_000_000;
@@ -20,12 +20,12 @@
 pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     let leavings = leavings(facts);
     for (id, request) in &facts.requests {
-        let Some(life) = facts.life(request) else { continue };
+        let Some(process) = facts.process(request) else { continue };
         for execution in &request.executions {
             let here = leavings.iter().filter(|leaving| leaving.executor == execution.executor);
             for leaving in here.filter(|leaving| (leaving.at..leaving.until).contains(&execution.first_byte))
             {
-                let Some(known_from) = known_from(facts, life, leaving) else { continue };
+                let Some(known_from) = known_from(facts, process, leaving) else { continue };
                 let last = known_from
                     + millis(facts.case.settings.drain_grace_ms)
                     + SOCKET_SLACK
@@ -63,17 +63,18 @@
 }
 
 /// Returns when a process is expected to know a change.
-fn known_from(facts: &Facts<'_>, life: &NodeProcess, leaving: &LeavingSpan) -> Option<Nanos> {
+fn known_from(facts: &Facts<'_>, process: &NodeProcess, leaving: &LeavingSpan) -> Option<Nanos> {
     let version = if leaving.version == 0 { version_after(facts, leaving.at)? } else { leaving.version };
-    let sent = life.lists_sent.iter().find(|(_, listed)| *listed >= version).map(|(at, _)| *at);
-    let started = life.when(|node_event| matches!(node_event, NodeEvent::Started { .. }))?;
+    let sent = process.lists_sent.iter().find(|(_, listed)| *listed >= version).map(|(at, _)| *at);
+    let started = process.when(|node_event| matches!(node_event, NodeEvent::Started { .. }))?;
     // A change that discovery had for this long before the process started counts from the start of the process.
     let at_latest = reachable_from(facts, leaving.at).map(|from| (from + KNOWN_WITHIN).max(started));
     let pushed = (facts.case.settings.pushed && leaving.at < started).then_some(started);
     // A change that a silent watch missed counts from when the watch fell silent, if discovery stayed reachable for another.
     let unbroken = |silenced: &Nanos| reachable_from(facts, *silenced) == Some(*silenced);
     let missed = |silenced: &Nanos| (*silenced..*silenced + KNOWN_WITHIN).contains(&leaving.at);
-    let silent = life.watch_silenced.filter(missed).filter(unbroken).map(|silenced| silenced + KNOWN_WITHIN);
+    let silent =
+        process.watch_silenced.filter(missed).filter(unbroken).map(|silenced| silenced + KNOWN_WITHIN);
     [sent, at_latest, pushed, silent].into_iter().flatten().min()
 }
 
--- a/crates/soak/src/judge/executions.rs
+++ b/crates/soak/src/judge/executions.rs
@@ -124,7 +124,8 @@
 ) {
     let Some(sent_ms) = execution.deadline_header_ms else { return };
     let left = request.deadline.saturating_sub(execution.first_byte);
-    let paused = facts.life(request).map_or(0, |life| life.paused(request.asked, execution.first_byte));
+    let paused =
+        facts.process(request).map_or(0, |process| process.paused(request.asked, execution.first_byte));
     // A process that was paused while a request arrived can't know how long the request had waited.
     if paused > 0 {
         return;
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -184,14 +184,14 @@
         for (at, node_event) in &self.events {
             match (node_event, since) {
                 (NodeEvent::Paused, _) => since = Some(*at),
-                (NodeEvent::Resumed | NodeEvent::Killed | NodeEvent::Ended { .. }, Some(begun)) => {
-                    paused += (*at).min(until).saturating_sub(begun.max(from));
+                (NodeEvent::Resumed | NodeEvent::Killed | NodeEvent::Ended { .. }, Some(start)) => {
+                    paused += (*at).min(until).saturating_sub(start.max(from));
                     since = None;
                 }
                 _ => {}
             }
         }
-        paused + since.map_or(0, |begun| until.saturating_sub(begun.max(from)))
+        paused + since.map_or(0, |start| until.saturating_sub(start.max(from)))
     }
 }
 
@@ -310,7 +310,7 @@
         executions.iter_mut().rev().find(|execution| execution.connection == connection)
     }
 
-    pub(crate) fn life(&self, request: &Request) -> Option<&NodeProcess> {
+    pub(crate) fn process(&self, request: &Request) -> Option<&NodeProcess> {
         self.processes.get(&(request.node, request.life))
     }
 
@@ -328,7 +328,8 @@
             }
         }
         let started = |(_, node_event): &&(Nanos, NodeEvent)| matches!(node_event, NodeEvent::Started { .. });
-        counts.starts = self.processes.values().flat_map(|life| life.events.iter().filter(started)).count();
+        counts.starts =
+            self.processes.values().flat_map(|process| process.events.iter().filter(started)).count();
         counts
     }
 }
--- a/crates/soak/src/network.rs
+++ b/crates/soak/src/network.rs
@@ -42,19 +42,19 @@
 
     /// Returns the address on which a node listens for clients.
     #[must_use]
-    pub fn node(self, index: usize) -> SocketAddr {
+    pub fn node_address(self, index: usize) -> SocketAddr {
         self.address(NODES, index, CLIENT_PORT)
     }
 
     /// Returns the address on which an executor listens; `number` tells apart executors that replace one another.
     #[must_use]
-    pub fn executor(self, index: usize, number: u16) -> SocketAddr {
+    pub fn executor_address(self, index: usize, number: u16) -> SocketAddr {
         self.address(EXECUTORS, index, EXECUTOR_PORT + number)
     }
 
     /// Returns the address on which one of the discovery servers listens for a node.
     #[must_use]
-    pub fn discovery(self, node: usize, number: u16) -> SocketAddr {
+    pub fn discovery_address(self, node: usize, number: u16) -> SocketAddr {
         self.address(DISCOVERIES, node, DISCOVERY_PORT + number)
     }
 }
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -128,7 +128,7 @@
     #[must_use]
     pub fn new(setup: NodeSetup, count: usize) -> Self {
         let state = |node: usize| NodeState {
-            address: setup.network.node(node),
+            address: setup.network.node_address(node),
             open: AtomicBool::new(false),
             dead: AtomicBool::new(true),
             breaks: AtomicBool::new(false),
@@ -159,14 +159,14 @@
 
     fn record(&self, node: usize, node_event: NodeEvent) {
         let life = self.directory.states[node].life.load(Ordering::SeqCst);
-        self.setup.recorder.now(Event::Node { node, life, node_event });
+        self.setup.recorder.record(Event::Node { node, life, node_event });
     }
 
     fn configuration(&self, node: usize, discovery: u16) -> Value {
         json!({
             "name": format!("n{node}"),
             "listen": self.directory.states[node].address.to_string(),
-            "discovery": self.setup.network.discovery(node, discovery).to_string(),
+            "discovery": self.setup.network.discovery_address(node, discovery).to_string(),
             "seed": format!("{:x}", node + 1),
             "limits": {"sockets": 256, "memory_mb": 64},
             "known": self.setup.known,
@@ -222,8 +222,8 @@
 
     fn wait_until_ready(&self, node: usize, life: u64) {
         let state = &self.directory.states[node];
-        let begun = Instant::now();
-        while begun.elapsed() < READY_TIMEOUT && !self.ending.load(Ordering::Relaxed) {
+        let start = Instant::now();
+        while start.elapsed() < READY_TIMEOUT && !self.ending.load(Ordering::Relaxed) {
             if state.life.load(Ordering::SeqCst) != life {
                 return;
             }
@@ -291,7 +291,7 @@
             self.record(node, NodeEvent::Stopped);
             own.process.signal(Signal::TERM)?;
         }
-        let begun = Instant::now();
+        let start = Instant::now();
         std::thread::sleep(paused);
         {
             let mut own = lock(&self.nodes[node]);
@@ -300,14 +300,14 @@
                 own.process.pause(false)?;
             }
         }
-        self.wait_for_exit(node, begun, Some(back_after), "")
+        self.wait_for_exit(node, start, Some(back_after), "")
     }
 
     /// Waits for the process with number `life` to start and has it reload its configuration `after` later.
     pub fn reload_at_start(&self, node: usize, life: u64, after: Duration) {
-        let begun = Instant::now();
+        let start = Instant::now();
         while self.directory.states[node].life.load(Ordering::SeqCst) < life {
-            if begun.elapsed() > READY_TIMEOUT || self.ending.load(Ordering::Relaxed) {
+            if start.elapsed() > READY_TIMEOUT || self.ending.load(Ordering::Relaxed) {
                 return;
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -320,13 +320,13 @@
     fn wait_for_exit(
         &self,
         node: usize,
-        begun: Instant,
+        start: Instant,
         back_after: Option<Duration>,
         plan: &str,
     ) -> io::Result<()> {
         let limit = self.setup.deadline + KILL_AFTER;
-        while begun.elapsed() < limit {
-            if begun.elapsed() > STOP_NOTICED {
+        while start.elapsed() < limit {
+            if start.elapsed() > STOP_NOTICED {
                 self.directory.states[node].open.store(false, Ordering::SeqCst);
             }
             self.check_exit_and_log(node);
@@ -417,8 +417,8 @@
     /// Waits until all nodes accept clients, and returns whether they do within the time limit.
     #[must_use]
     pub fn wait_until_all_ready(&self, timeout: Duration) -> bool {
-        let begun = Instant::now();
-        while begun.elapsed() < timeout {
+        let start = Instant::now();
+        while start.elapsed() < timeout {
             if self.directory.open() == self.nodes.len() {
                 return true;
             }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -133,7 +133,7 @@
     });
     for index in 0..plan.executors {
         let location = Location { zone: index % ZONES.len(), group: index / CELL_SIZE };
-        let (executor, address) = (executors.add(location), network.executor(index, 0));
+        let (executor, address) = (executors.add(location), network.executor_address(index, 0));
         executor.listen(address).map_err(system("executor"))?;
         executor_list
             .add(Entry::new(index, format!("e{index}"), address, location.zone, location.group), None);
@@ -158,10 +158,10 @@
                 recorder: Arc::clone(&recorder),
                 finished: Arc::clone(&finished),
             };
-            discovery.start(network.discovery(node, number)).map_err(system("discovery"))?;
+            discovery.start(network.discovery_address(node, number)).map_err(system("discovery"))?;
         }
     }
-    delay_monitor::start(&recorder, &finished).map_err(system("canary"))?;
+    delay_monitor::start(&recorder, &finished).map_err(system("delay monitor"))?;
     start_all(plan, &nodes);
     if !nodes.wait_until_all_ready(START_TIMEOUT) {
         let ready = nodes.directory().open();
@@ -170,12 +170,12 @@
         return Err(RunError::Start { ready, all: plan.nodes });
     }
     let calm = Arc::new(AtomicBool::new(false));
-    let clients_over = Arc::new(AtomicBool::new(false));
+    let clients_finished = Arc::new(AtomicBool::new(false));
     let context = Arc::new(ClientContext {
         directory: nodes.directory(),
         recorder: Arc::clone(&recorder),
         settings: plan.settings.clone(),
-        finished: Arc::clone(&clients_over),
+        finished: Arc::clone(&clients_finished),
         calm: Arc::clone(&calm),
     });
     let mut clients = start_clients(plan, &context);
@@ -189,16 +189,16 @@
         recorder: Arc::clone(&recorder),
         finished: Arc::clone(&finished),
     });
-    let begun = Instant::now();
+    let start = Instant::now();
     injector.run(&plan.faults);
-    std::thread::sleep(Duration::from_millis(plan.span_ms).saturating_sub(begun.elapsed()));
+    std::thread::sleep(Duration::from_millis(plan.span_ms).saturating_sub(start.elapsed()));
     calm.store(true, Ordering::SeqCst);
     let _ = nodes.wait_until_all_ready(RESTART_TIMEOUT);
     std::thread::sleep(SETTLE_TIME);
     (0..nodes.count()).for_each(|node| nodes.check_exit_and_log(node));
-    recorder.now(Event::Calm);
+    recorder.record(Event::Calm);
     std::thread::sleep(Duration::from_millis(plan.calm_ms));
-    clients_over.store(true, Ordering::SeqCst);
+    clients_finished.store(true, Ordering::SeqCst);
     let waited = Instant::now();
     while clients.iter().any(|client| !client.is_finished()) && waited.elapsed() < LAST_ANSWERS_TIMEOUT {
         std::thread::sleep(POLL_INTERVAL);
@@ -220,7 +220,7 @@
 }
 
 fn start_clients(plan: &Plan, context: &Arc<ClientContext>) -> Vec<std::thread::JoinHandle<()>> {
-    let gap = Duration::from_secs_f64(plan.clients as f64 / plan.rate.max(1.0));
+    let interval = Duration::from_secs_f64(plan.clients as f64 / plan.rate.max(1.0));
     let seed = plan.seed;
     for number in 0..plan.bad_clients {
         let context = Arc::clone(context);
@@ -228,7 +228,7 @@
     }
     let client = |number: usize| {
         let client = Client::new(number, seed, Arc::clone(context));
-        std::thread::spawn(move || client.run(gap))
+        std::thread::spawn(move || client.run(interval))
     };
     (0..plan.clients).map(client).collect()
 }
@@ -237,7 +237,7 @@
 fn wake_listeners(plan: &Plan, network: Network, executors: &Executors, executor_list: &ExecutorList) {
     let wake = |address| drop(std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)));
     for node in 0..plan.nodes {
-        (0..DISCOVERY_SERVERS).for_each(|number| wake(network.discovery(node, number)));
+        (0..DISCOVERY_SERVERS).for_each(|number| wake(network.discovery_address(node, number)));
     }
     let count = crate::lock(&executors.all).len();
     (0..count).filter_map(|index| executor_list.entry(index)).for_each(|entry| wake(entry.address));
