--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -30,7 +30,7 @@
     pub health: Health,
     /// When the executor started last, on the node's clock; 0 for long ago.
     pub started: Nanos,
-    /// Its size, or what of it is free where weights are live; 0 if the list gives none.
+    /// The executor's size, or the free part of it where weights are live; 0 if the list gives none.
     pub weight: f32,
 }
 
@@ -81,7 +81,7 @@
     pub request_written: bool,
     /// Part of a response had arrived.
     pub response_started: bool,
-    /// The fault is on this machine, which had no file descriptor left.
+    /// The failure is local: this machine had no file descriptor left.
     pub local_fault: bool,
     /// Data arrived that was not a response to any request.
     pub unexpected_data: bool,
@@ -90,15 +90,15 @@
 /// An input of the reducer.
 #[derive(Debug)]
 pub enum Input {
-    /// Other settings are in force from now on; [`Settings::key_needing_restart`] has found that no restart is needed. Submissions
-    /// accepted before keep the version under which they were accepted.
+    /// Other settings are in force from now on; the caller has checked with [`Settings::key_needing_restart`] that no restart
+    /// is needed. Submissions accepted before keep the version under which they were accepted.
     SettingsChanged { settings: Box<Settings>, version: u64 },
     /// Submissions may be accepted until this time, unless the lease is renewed. A node that never gets this input may accept
     /// them for ever.
     Lease { until: Nanos },
     /// The record of an [`Effect::Persist`] is durable, or could not be made so.
     Persisted { ticket: PersistTicket, durable: bool },
-    /// The clocks by which the times in the next list were read.
+    /// The state of the clocks by which the start times in the next list are interpreted.
     ListClocks(ListClocks),
     /// Records can be made durable again after a failure.
     StoreRecovered,
@@ -226,15 +226,16 @@
     pub left: u64,
     /// Submissions dismissed without being accepted, because the node had no lease.
     pub fenced: u64,
-    /// Submissions answered from a stored outcome, or dismissed because their outcome could not be stored.
+    /// Submissions of one-shots answered from a stored outcome, rejected because a one-shot with the same key is open, or
+    /// dismissed because their outcome could not be stored.
     pub remembered: u64,
-    /// Requests rejected as invalid or for a duplicate id.
+    /// Requests rejected as invalid or for a duplicate request id.
     pub turned_down: u64,
     /// Client connections closed to make room.
     pub evicted: u64,
     /// Submissions dismissed because a start may not accept them yet.
     pub held_back: u64,
-    /// Executions started.
+    /// Executions that the dispatcher started, including those that were refused or not sent.
     pub executions: u64,
     /// Executions refused by the check before they begin.
     pub refused: Refusals,
@@ -252,7 +253,7 @@
     pub not_sent: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Probes without an answer.
+    /// Probes that did not succeed: without an answer, answered with an error, turned away by the executor, or not sent.
     pub probes_failed: u64,
     /// Connections to executors opened.
     pub links_opened: u64,
@@ -262,12 +263,12 @@
     pub list_failures: u64,
     /// Violated invariants.
     pub broken: u64,
-    /// Client connections at present.
+    /// Client connections that are open now.
     pub clients: usize,
-    /// Connections to executors at present.
+    /// Connections to executors that are open now.
     pub links: usize,
     /// Indices of executors in use, including those of executors that have left and are remembered, and free ones.
     pub workers: usize,
-    /// Submissions accepted and not forgotten yet, at present.
+    /// Submissions accepted and not forgotten yet, now.
     pub open: usize,
 }
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -47,7 +47,7 @@
     pub(crate) submission: Submission,
     pub(crate) execution: Execution,
     pub(crate) sent_at: Nanos,
-    /// The time of its last message, or of sending it.
+    /// When the worker last sent a message about it; until then, when it was sent.
     pub(crate) last_progress: Nanos,
     pub(crate) slots: f64,
     pub(crate) memory: f64,
@@ -79,18 +79,18 @@
     pub(crate) recent_answers: DecayingSum,
     /// The sum of the recent answers' times, each as a multiple of the mean at that time.
     pub(crate) recent_ratios: DecayingSum,
-    /// Since when a connection to it has been idle.
+    /// The time since which a connection to the worker has been idle.
     pub(crate) idle_since: Option<Nanos>,
     /// When the outstanding probe was sent.
     pub(crate) probe_sent_at: Option<Nanos>,
-    /// It is in the fleet's list of tracked workers.
+    /// The worker is in [`Fleet::tracked`].
     pub(crate) tracked: bool,
-    /// The answered probes that are still needed before it gets work again. It is ejected while this is not
-    /// 0.
+    /// The answered probes that are still needed before the worker gets work again. The worker is ejected
+    /// while this is not 0.
     pub(crate) probes_to_return: u32,
-    /// How often it was ejected lately; each ejection doubles the probes needed.
+    /// How often the worker was ejected recently; each ejection doubles the probes needed.
     pub(crate) recent_ejections: u32,
-    /// Probes in a row that it did not answer.
+    /// The consecutive probes that the worker did not answer.
     pub(crate) unanswered_probes: u32,
     /// The earliest time of the next probe while it is ejected.
     pub(crate) next_probe_at: Nanos,
@@ -113,15 +113,15 @@
         self.in_flight.push(execution);
     }
 
-    /// Returns whether it is ejected and due for a probe. A draining worker gets no work even if it answers,
-    /// so it is not probed.
+    /// Returns whether the worker is ejected and due for a probe. A draining worker gets no work even if it
+    /// answers, so it is not probed.
     pub(crate) fn is_due_for_probe(&self, now: Nanos) -> bool {
         self.probes_to_return > 0 && self.entry.health == Health::Ready && now >= self.next_probe_at
     }
 
-    /// Returns its recent answer times as a multiple of the mean; four answers at the mean are assumed to
-    /// begin with. An execution that already takes longer than the mean counts with its time so far, because
-    /// the answers of a worker that slows down come too late to show it.
+    /// Returns the worker's recent answer times as a multiple of the mean. Four answers at the mean are
+    /// assumed to begin with. An execution that already takes longer than the mean counts with its
+    /// time so far, because the answers of a worker that slows down come too late to show it.
     pub(crate) fn answer_time_ratio(&self, now: Nanos, time_constant: Nanos) -> f64 {
         let time_constant = time_constant as f64;
         let overdue = self
@@ -139,8 +139,8 @@
         self.recent_answers.add(now, time_constant as f64, 1.0);
     }
 
-    /// Stores a report. If the report counts fewer jobs than this node has in flight there, it was taken
-    /// before the newest of them arrived; returns the minimum age of the report that follows from this.
+    /// Stores a report. If the report counts fewer jobs than this node has in flight at the worker, it was
+    /// taken before the newest of these jobs arrived. Returns the minimum age of the report that follows.
     pub(crate) fn apply_report(&mut self, mut report: Report, now: Nanos) -> Option<Nanos> {
         let free = report.free_slots.map_or(0.0, rounded);
         // If reports have no count of active jobs, the size is estimated by the largest figure of free slots
@@ -174,23 +174,23 @@
         self.idle_since.is_some_and(|l| ((now - l) as f64) < lifetime)
     }
 
-    /// Drops what was true of the process before the restart.
+    /// Resets what applied only to the worker's process before its restart.
     pub(crate) fn reset_after_restart(&mut self) {
         self.idle_since = None;
         (self.reported_at, self.loss_suspected, self.process_lost) = (None, false, false);
         (self.unanswered_probes, self.next_probe_at) = (0, 0);
     }
 
-    /// Returns whether it lost its process before it came back, and clears the marks. Without probes, a
-    /// suspected loss counts as one.
+    /// Returns whether the worker lost its process before it was available again, and clears the marks.
+    /// Without probes, a suspected loss counts as one.
     pub(crate) fn take_process_loss(&mut self, without_probes: bool) -> bool {
         let lost = self.loss_suspected && (self.process_lost || without_probes);
         (self.loss_suspected, self.process_lost) = (false, false);
         lost
     }
 
-    /// Returns the memory left there, on the assumption that the jobs of other nodes need as much as this
-    /// node's.
+    /// Returns the memory left at the worker, on the assumption that the jobs of other nodes need as much as
+    /// this node's.
     pub(crate) fn memory_left(&self, report_delay: Nanos, memory_per_slot: f64) -> f64 {
         let free = self.report.free_slots.map_or(0.0, rounded);
         let others = (self.known_slots - free - self.own_slots).max(0.0) * memory_per_slot;
@@ -349,7 +349,7 @@
 pub(crate) struct AnswerTime {
     pub(crate) samples: f64,
     pub(crate) mean: f64,
-    /// The lowest mean; it drifts slowly towards the present one.
+    /// The lowest mean; it drifts slowly towards the current mean.
     pub(crate) shortest: f64,
 }
 
@@ -468,7 +468,7 @@
         });
     }
 
-    /// Returns the executions of a submission that have not ended, of the workers that it was sent to.
+    /// Returns the executions of a submission that have not ended, at the workers that it was sent to.
     pub(crate) fn in_flight(
         &self,
         submission: Submission,
@@ -549,8 +549,8 @@
         let age = state.apply_report(report, now);
         let (kind, after) = (usize::from(state.entry.kind), state.known_slots);
         if let Some(Some(kind)) = self.kinds.get_mut(kind) {
-            // The threshold moves by as much as its initial value does. What overloaded workers have taken
-            // off it stays off.
+            // The threshold changes by as much as its initial value does. Reductions because of overloaded
+            // workers are kept.
             let initial = kind.initial_threshold();
             kind.slots += after - before;
             kind.workers += f64::from(u8::from(before == 0.0 && after > 0.0));
@@ -589,7 +589,7 @@
     f64::from(figure).round()
 }
 
-/// Returns the weighted median of the values of the indices of `weights`.
+/// Returns the weighted median of `value(i)` over the indices of `weights`.
 pub(crate) fn weighted_median(weights: &[f64], value: impl Fn(usize) -> f64) -> f64 {
     let half = weights.iter().sum::<f64>() / 2.0;
     let up_to =
@@ -653,7 +653,7 @@
 #[derive(Debug)]
 pub(crate) struct TrafficStats {
     pub(crate) arrivals: Rate,
-    /// The arrivals of the last fraction of a second.
+    /// The recent arrivals, with the time constant [`TrafficStats::RECENT_NS`].
     pub(crate) recent_arrivals: DecayingSum,
     /// The slots of all executions in flight.
     pub(crate) slots_in_flight: f64,
@@ -666,7 +666,7 @@
     pub(crate) slots_by_product: Vec<f64>,
     /// The number of submissions in that average, up to its limit.
     pub(crate) averaged: f64,
-    /// The time for which an idle connection has proved to stay usable, at most `idle_timeout`.
+    /// How long idle connections were found to stay usable, at most `idle_timeout`.
     pub(crate) idle_lifetime: f64,
     pub(crate) idle_timeout: f64,
     /// The part of the executions that started at once.
@@ -687,6 +687,7 @@
         }
     }
 
+    /// The time constant of `recent_arrivals`.
     const RECENT_NS: f64 = 0.25e9;
     /// The number of submissions over which the needed slots are averaged.
     const AVERAGE_OVER: f64 = 64.0;
@@ -714,7 +715,7 @@
         self.probe_budget = ((self.probe_budget.0 + rate * (now - self.probe_budget.1) as f64).min(max), now);
     }
 
-    /// Returns the slot time that a submission takes on average, without waiting. It uses the present answer
+    /// Returns the slot time that a submission takes on average, without waiting. It uses the current answer
     /// times: at a low rate, most of the averaged submissions came before the first answer.
     pub(crate) fn mean_work(&self, answer_times: &[AnswerTime]) -> f64 {
         self.slots_by_product.iter().zip(answer_times).map(|(slots, answer)| slots * answer.shortest).sum()
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -15,9 +15,11 @@
 use super::Node;
 use crate::io_failure::IoFailure;
 
+/// The first pause between two attempts to connect, of which half is random.
 const MIN_PAUSE: Duration = Duration::from_millis(1);
+/// The longest pause between two attempts to connect.
 const MAX_PAUSE: Duration = Duration::from_millis(50);
-/// may treats a timeout of less than a millisecond as none at all.
+/// `may` treats a timeout of less than a millisecond as none at all.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Why no connection was opened. No byte was sent.
@@ -55,7 +57,7 @@
     }
 }
 
-/// Connects within `timeout`. After a local failure, or if the remote host is unreachable, the attempt is repeated for
+/// Connects within `timeout`. After a local failure, or if the remote host is unreachable, attempts are repeated for
 /// three quarters of that time, so that the caller learns of the failure before its own limit ends the wait. Without
 /// the retries, a loss of the network for milliseconds would look like the failure of every executor and put them all
 /// out of service. `seed` is for the backoff's random part; `wanted` is asked before each further attempt.
