--- a/crates/soak/src/executor.rs
+++ b/crates/soak/src/executor.rs
@@ -1,4 +1,4 @@
-//! Stand-in executors: they do the work that they are sent, note each execution, and misbehave as a plan says.
+//! Simulated executors: they execute the requests that they receive, record each execution, and misbehave as the plan says.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead as _, BufReader, Write};
@@ -12,81 +12,81 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::history::{Connection, Event, Recorder};
+use crate::history::{Event, ExecutorConnectionId, Recorder};
 use crate::lock;
 use crate::network::{is_closed, reset};
-use crate::plan::Ailment;
+use crate::plan::ExecutorFault;
 
-/// How soon a stand-in at work sees that its client has gone, or that it is to end.
-const LOOK: Duration = Duration::from_millis(4);
-/// How long the rest of a request may take, once its first byte has come.
-const REQUEST_PATIENCE: Duration = Duration::from_secs(8);
-/// When a second answer follows the first.
-const SECOND_AFTER: Duration = Duration::from_millis(8);
-const PIECE: usize = 7;
+/// The interval at which a working executor checks whether its client has disconnected or its process has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// How long the rest of a request may take once its first byte has arrived.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
+/// The delay of a repeated answer after the first.
+const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(8);
+const CHUNK_BYTES: usize = 7;
 
-/// What an executor does beside its work.
+/// The faults of an executor that are active, with the share of requests that each affects.
 #[derive(Debug, Default)]
-struct Mood {
-    ailments: HashMap<u8, f64>,
+struct ActiveFaults {
+    rates: HashMap<u8, f64>,
 }
 
-impl Mood {
-    fn rate(&self, how: Ailment) -> f64 {
-        self.ailments.get(&(how as u8)).copied().unwrap_or(0.0)
+impl ActiveFaults {
+    fn rate(&self, how: ExecutorFault) -> f64 {
+        self.rates.get(&(how as u8)).copied().unwrap_or(0.0)
     }
 }
 
-/// One executor.
+/// A simulated executor.
 pub struct Executor {
-    /// Its place among all of the run.
+    /// Its index among all executors of the run.
     pub index: usize,
-    /// Jobs that it does at once.
+    /// The number of jobs that it executes at once.
     pub slots: usize,
-    /// What a job takes on average, in milliseconds.
+    /// The average duration of a job, in milliseconds.
     pub work_ms: f64,
-    /// After how long it closes a connection that rests.
+    /// The time after which it closes an idle connection.
     pub idle: Duration,
-    mood: Mutex<Mood>,
+    faults: Mutex<ActiveFaults>,
     rng: Mutex<Pcg64Mcg>,
     busy: Mutex<usize>,
-    sockets: Mutex<HashMap<Connection, TcpStream>>,
+    sockets: Mutex<HashMap<ExecutorConnectionId, TcpStream>>,
     next: AtomicU64,
-    /// Its process is there. A later process has a later number.
+    /// The number of its current process; incremented when the process starts and when it ends.
     process: AtomicU64,
     recorder: Arc<Recorder>,
-    over: Arc<AtomicBool>,
+    finished: Arc<AtomicBool>,
 }
 
-/// A request that has come whole.
+/// A request that was received completely.
 struct Request {
     id: String,
-    told_ms: Option<u64>,
+    deadline_header_ms: Option<u64>,
     body: Vec<u8>,
     probe: Option<String>,
 }
 
-/// What becomes of a request.
+/// How the execution of a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum JobOutcome {
     Done,
     Declined,
     Failed,
     Reset,
     Garbled,
-    /// It ended unanswered: its client went, or this process did.
+    /// It ended without an answer: its client disconnected, or this process ended.
     Gone,
 }
 
 impl Executor {
-    /// One that does not listen yet.
+    /// Creates an executor that does not listen yet.
     #[must_use]
     pub fn new(
         index: usize,
         seed: u64,
         idle: Duration,
         recorder: Arc<Recorder>,
-        over: Arc<AtomicBool>,
+        finished: Arc<AtomicBool>,
     ) -> Arc<Self> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ (index as u64).wrapping_mul(0x9E37_79B9));
         let (slots, work_ms) = (rng.random_range(4..=12), rng.random_range(10.0..40.0));
@@ -95,22 +95,22 @@
             slots,
             work_ms,
             idle,
-            mood: Mutex::default(),
+            faults: Mutex::default(),
             rng: Mutex::new(rng),
             busy: Mutex::new(0),
             sockets: Mutex::default(),
             next: AtomicU64::new((index as u64) << 32),
             process: AtomicU64::new(0),
             recorder,
-            over,
+            finished,
         })
     }
 
-    /// Its process begins at this address.
+    /// Starts its process at this address.
     ///
     /// # Errors
     ///
-    /// The address is taken.
+    /// The address is in use.
     pub fn listen(self: &Arc<Self>, address: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(address)?;
         let number = self.process.fetch_add(1, Ordering::SeqCst) + 1;
@@ -122,41 +122,41 @@
                 }
                 let Ok(socket) = socket else { continue };
                 let executor = Arc::clone(&executor);
-                std::thread::spawn(move || executor.converse(&socket, number));
+                std::thread::spawn(move || executor.handle_connection(&socket, number));
             }
         });
         Ok(())
     }
 
-    /// Its process ends: its connections break, and new ones are refused.
+    /// Ends its process: its connections are reset, and new ones are refused.
     pub fn end(&self, address: SocketAddr) {
         self.process.fetch_add(1, Ordering::SeqCst);
         for (_, socket) in lock(&self.sockets).drain() {
             reset(&socket);
         }
-        // Wakes the listener, which then closes.
+        // Wakes the listener, which then closes its socket.
         let _ = TcpStream::connect_timeout(&address, Duration::from_millis(200));
     }
 
-    /// It misbehaves from now on for this part of what it gets; 0 ends it.
-    pub fn ail(&self, how: Ailment, rate: f64) {
-        lock(&self.mood).ailments.insert(how as u8, rate);
+    /// Sets the share of requests that a fault affects from now on; 0 ends the fault.
+    pub fn set_fault_rate(&self, how: ExecutorFault, rate: f64) {
+        lock(&self.faults).rates.insert(how as u8, rate);
     }
 
-    fn ails(&self, how: Ailment) -> bool {
-        let rate = lock(&self.mood).rate(how);
+    fn draws_fault(&self, how: ExecutorFault) -> bool {
+        let rate = lock(&self.faults).rate(how);
         rate > 0.0 && lock(&self.rng).random_bool(rate.min(1.0))
     }
 
     fn hangs(&self) -> bool {
-        lock(&self.mood).rate(Ailment::Hangs) > 0.0
+        lock(&self.faults).rate(ExecutorFault::Hangs) > 0.0
     }
 
     fn is_over(&self, number: u64) -> bool {
-        self.over.load(Ordering::Relaxed) || self.process.load(Ordering::SeqCst) != number
+        self.finished.load(Ordering::Relaxed) || self.process.load(Ordering::SeqCst) != number
     }
 
-    fn converse(&self, socket: &TcpStream, number: u64) {
+    fn handle_connection(&self, socket: &TcpStream, number: u64) {
         let connection = self.next.fetch_add(1, Ordering::Relaxed);
         let Ok(own) = socket.try_clone() else { return };
         lock(&self.sockets).insert(connection, own);
@@ -165,22 +165,22 @@
         let _ = socket.shutdown(std::net::Shutdown::Both);
     }
 
-    fn serve(&self, socket: &TcpStream, connection: Connection, number: u64) -> io::Result<()> {
+    fn serve(&self, socket: &TcpStream, connection: ExecutorConnectionId, number: u64) -> io::Result<()> {
         socket.set_nodelay(true)?;
-        socket.set_write_timeout(Some(REQUEST_PATIENCE))?;
+        socket.set_write_timeout(Some(REQUEST_TIMEOUT))?;
         let mut reader = BufReader::new(socket.try_clone()?);
         loop {
             let Some(first_byte) = self.first_byte(&mut reader, number)? else { return Ok(()) };
-            socket.set_read_timeout(Some(REQUEST_PATIENCE))?;
+            socket.set_read_timeout(Some(REQUEST_TIMEOUT))?;
             let Some((head, body)) = read_message(&mut reader)? else { return Ok(()) };
             if !head.ends_with("\r\n\r\n") {
-                // Its connection ended in the middle of it.
+                // The connection was closed in the middle of the request.
                 return Ok(());
             }
             let request = match read(&head, body) {
                 Ok(request) => request,
                 Err(why) => {
-                    self.recorder.now(Event::Malformed { executor: self.index, why });
+                    self.recorder.record(Event::Malformed { executor: self.index, why });
                     return Ok(());
                 }
             };
@@ -188,12 +188,12 @@
                 self.answer_probe(socket, path)?;
                 continue;
             }
-            self.recorder.now(Event::Received {
+            self.recorder.record(Event::Received {
                 id: request.id.clone(),
                 executor: self.index,
                 connection,
                 first_byte,
-                told_ms: request.told_ms,
+                deadline_header_ms: request.deadline_header_ms,
             });
             if !self.execute(socket, connection, &request, number)? {
                 return Ok(());
@@ -201,10 +201,10 @@
         }
     }
 
-    /// When the first byte of the next request comes; none if the connection is over before that.
+    /// Waits for the next request and returns when its first byte arrived; none if the connection ends before.
     fn first_byte(&self, reader: &mut BufReader<TcpStream>, number: u64) -> io::Result<Option<u64>> {
-        let begun = Instant::now();
-        let forgets = self.ails(Ailment::Forgets);
+        let start = Instant::now();
+        let forgets = self.draws_fault(ExecutorFault::Forgets);
         let idle = if forgets { self.idle.min(Duration::from_millis(30)) } else { self.idle };
         reader.get_ref().set_read_timeout(Some(Duration::from_millis(50)))?;
         loop {
@@ -217,7 +217,7 @@
             if self.is_over(number) {
                 return Ok(None);
             }
-            if begun.elapsed() >= idle {
+            if start.elapsed() >= idle {
                 if forgets && lock(&self.rng).random_bool(0.5) {
                     reset(reader.get_ref());
                 }
@@ -240,58 +240,58 @@
         format!("{{\"x0\":{},\"queue\":0,\"inflight\":{busy}}}", self.slots.saturating_sub(busy))
     }
 
-    /// Does one job. False if the connection is to be closed behind it.
+    /// Executes one request. Returns false if the connection must be closed afterwards.
     fn execute(
         &self,
         socket: &TcpStream,
-        connection: Connection,
+        connection: ExecutorConnectionId,
         request: &Request,
         number: u64,
     ) -> io::Result<bool> {
-        let fate = self.fate(socket, number);
+        let outcome = self.outcome(socket, number);
         let id = request.id.clone();
-        if fate == Fate::Declined {
-            self.recorder.now(Event::Declined { id: id.clone(), connection });
+        if outcome == JobOutcome::Declined {
+            self.recorder.record(Event::Declined { id: id.clone(), connection });
         }
-        // Noted before the answer goes out: with it another may come at once.
-        self.recorder.now(Event::Over { id, connection });
-        match fate {
-            Fate::Gone => return Ok(false),
-            Fate::Reset => {
+        // Recorded before the answer is sent, since the next request may follow it at once.
+        self.recorder.record(Event::ExecutionEnded { id, connection });
+        match outcome {
+            JobOutcome::Gone => return Ok(false),
+            JobOutcome::Reset => {
                 reset(socket);
                 return Ok(false);
             }
-            Fate::Garbled => {
+            JobOutcome::Garbled => {
                 self.write(socket, self.garbage().as_bytes())?;
                 return Ok(false);
             }
-            Fate::Done | Fate::Declined | Fate::Failed => {}
+            JobOutcome::Done | JobOutcome::Declined | JobOutcome::Failed => {}
         }
-        let answer = self.answer(&request.id, &request.body, fate);
+        let answer = self.answer(&request.id, &request.body, outcome);
         self.write(socket, answer.as_bytes())?;
-        if fate == Fate::Done && self.ails(Ailment::Repeats) {
-            std::thread::sleep(SECOND_AFTER);
+        if outcome == JobOutcome::Done && self.draws_fault(ExecutorFault::Repeats) {
+            std::thread::sleep(SECOND_ANSWER_DELAY);
             self.write(socket, answer.as_bytes())?;
         }
         Ok(true)
     }
 
-    fn fate(&self, socket: &TcpStream, number: u64) -> Fate {
-        if self.ails(Ailment::Declines) || !self.take_slot() {
-            return Fate::Declined;
+    fn outcome(&self, socket: &TcpStream, number: u64) -> JobOutcome {
+        if self.draws_fault(ExecutorFault::Declines) || !self.take_slot() {
+            return JobOutcome::Declined;
         }
-        let fate = if self.ails(Ailment::Resets) {
-            Fate::Reset
-        } else if self.ails(Ailment::Garbles) {
-            Fate::Garbled
-        } else if self.ails(Ailment::Fails) {
-            Fate::Failed
+        let outcome = if self.draws_fault(ExecutorFault::Resets) {
+            JobOutcome::Reset
+        } else if self.draws_fault(ExecutorFault::Garbles) {
+            JobOutcome::Garbled
+        } else if self.draws_fault(ExecutorFault::Fails) {
+            JobOutcome::Failed
         } else {
-            Fate::Done
+            JobOutcome::Done
         };
-        let stayed = self.work(socket, number);
+        let completed = self.work(socket, number);
         *lock(&self.busy) -= 1;
-        if stayed { fate } else { Fate::Gone }
+        if completed { outcome } else { JobOutcome::Gone }
     }
 
     fn take_slot(&self) -> bool {
@@ -301,35 +301,39 @@
         free
     }
 
-    /// Works for as long as a job takes, and longer while it hangs. False if its client has gone.
+    /// Works for the duration of a job, or longer while the executor hangs. Returns false if the client has disconnected or
+    /// the process has ended.
     fn work(&self, socket: &TcpStream, number: u64) -> bool {
-        let part: f64 = lock(&self.rng).random_range(0.3..2.0);
-        let until = Instant::now() + Duration::from_secs_f64(self.work_ms * part / 1e3);
+        let factor: f64 = lock(&self.rng).random_range(0.3..2.0);
+        let until = Instant::now() + Duration::from_secs_f64(self.work_ms * factor / 1e3);
         while Instant::now() < until || self.hangs() {
             if self.is_over(number) || is_closed(socket) {
                 return false;
             }
-            std::thread::sleep(LOOK.min(until.saturating_duration_since(Instant::now()).max(LOOK / 4)));
+            std::thread::sleep(
+                POLL_INTERVAL.min(until.saturating_duration_since(Instant::now()).max(POLL_INTERVAL / 4)),
+            );
         }
         !is_closed(socket)
     }
 
-    fn answer(&self, id: &str, body: &[u8], fate: Fate) -> String {
-        if fate == Fate::Declined && lock(&self.rng).random_bool(0.5) {
+    fn answer(&self, id: &str, body: &[u8], outcome: JobOutcome) -> String {
+        if outcome == JobOutcome::Declined && lock(&self.rng).random_bool(0.5) {
             return "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_owned();
         }
-        let state = match fate {
-            Fate::Declined => "returned",
-            Fate::Failed => "failed",
+        let state = match outcome {
+            JobOutcome::Declined => "returned",
+            JobOutcome::Failed => "failed",
             _ => "done",
         };
         let result = String::from_utf8_lossy(body);
-        let result = if fate == Fate::Done { format!(",\"result\":\"{result}\"") } else { String::new() };
+        let result =
+            if outcome == JobOutcome::Done { format!(",\"result\":\"{result}\"") } else { String::new() };
         let load = self.load();
         let line =
             format!("{{\"id\":\"{id}\",\"from\":\"e\",\"state\":\"{state}\"{result},\"load\":{load}}}\n");
         let started = format!("{{\"id\":\"{id}\",\"from\":\"e\",\"state\":\"started\"}}\n");
-        let lines = if fate == Fate::Done { format!("{started}{line}") } else { line };
+        let lines = if outcome == JobOutcome::Done { format!("{started}{line}") } else { line };
         let length = lines.len();
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{lines}\r\n0\r\n\r\n")
     }
@@ -342,15 +346,15 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
             "",
         ];
-        let place = lock(&self.rng).random_range(0..forms.len());
-        forms[place].to_owned()
+        let index = lock(&self.rng).random_range(0..forms.len());
+        forms[index].to_owned()
     }
 
     fn write(&self, mut socket: &TcpStream, bytes: &[u8]) -> io::Result<()> {
-        if !self.ails(Ailment::Drips) {
+        if !self.draws_fault(ExecutorFault::Drips) {
             return socket.write_all(bytes);
         }
-        for piece in bytes.chunks(PIECE) {
+        for piece in bytes.chunks(CHUNK_BYTES) {
             socket.write_all(piece)?;
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -361,9 +365,9 @@
 fn read(head: &str, body: Vec<u8>) -> Result<Request, String> {
     if let Some(path) = head.strip_prefix("GET ") {
         let path = path.split(' ').next().unwrap_or("").to_owned();
-        return Ok(Request { id: String::new(), told_ms: None, body, probe: Some(path) });
+        return Ok(Request { id: String::new(), deadline_header_ms: None, body, probe: Some(path) });
     }
     let id = header(head, "req-id").ok_or_else(|| format!("no id: {}", head.lines().next().unwrap_or("")))?;
-    let told_ms = header(head, "req-deadline-ms").and_then(|told| told.parse().ok());
-    Ok(Request { id: id.to_owned(), told_ms, body, probe: None })
+    let deadline_header_ms = header(head, "req-deadline-ms").and_then(|value| value.parse().ok());
+    Ok(Request { id: id.to_owned(), deadline_header_ms, body, probe: None })
 }
