--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,4 +1,4 @@
-//! `linestack-lab soak`: many real processes under overlapping troubles, judged by the invariants.
+//! `linestack-lab soak`: runs of many real processes under overlapping faults, checked against the invariants.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,73 +12,76 @@
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
-/// Violations that are printed of one run.
-const PRINTED: usize = 20;
+/// The violations that are printed for each run.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-/// Play many real processes under overlapping troubles, drawn from seeds, and judge them by the invariants. Exits with 1 if
-/// one was broken; the plan is kept then.
+/// Run many real processes under overlapping faults, drawn from seeds, and check them against the invariants. Exits
+/// with 1 if one was violated; the plan is written to a file in that case.
 #[derive(clap::Args)]
 pub struct Arguments {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, one after the other.
+    /// The number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Seconds in all; a run that has begun is played to its end.
+    /// Seconds after which no further run begins.
     #[arg(long, default_value_t = 600.0)]
     time_limit: f64,
-    /// Play these plans, as they are, and no seeds.
+    /// Run these plan files instead of plans drawn from seeds.
     #[arg(long)]
     plan: Vec<PathBuf>,
-    /// Processes of the program.
+    /// The number of node processes.
     #[arg(long, default_value_t = Size::default().nodes)]
     nodes: usize,
+    /// The number of executors.
     #[arg(long, default_value_t = Size::default().executors)]
     executors: usize,
+    /// The number of clients.
     #[arg(long, default_value_t = Size::default().clients)]
     clients: usize,
-    /// Seconds in which troubles may happen, in each run.
+    /// Seconds of each run in which faults may occur.
     #[arg(long, default_value_t = 15.0)]
     span: f64,
-    /// Where plans that fail are kept.
+    /// The folder for the plans of failed runs.
     #[arg(long, default_value = "scenarios/soak")]
     out: PathBuf,
-    /// Keep logs and histories here.
+    /// The folder for logs and histories; they are deleted by default.
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// Another build of the program.
+    /// The path of the program; by default the one in the folder of this tool.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Plays them.
+/// Runs the plans one after the other, and writes those that violate an invariant to files.
 ///
 /// # Errors
 ///
-/// A plan makes no sense, or could not be played.
+/// A plan is invalid or could not be run.
 pub fn soak(arguments: &Arguments) -> Fallible<ExitCode> {
     let program = arguments.program.clone().map_or_else(NodeProcess::program, Ok)?;
     let limit = Duration::try_from_secs_f64(arguments.time_limit)?;
-    let begun = Instant::now();
-    let (mut played, mut broken) = (0, 0);
-    for (name, plan) in plans(arguments)? {
-        if begun.elapsed() >= limit {
-            println!("the time is over: {played} runs were played");
+    let started = Instant::now();
+    let (mut runs, mut failed) = (0, 0);
+    for (name, plan) in named_plans(arguments)? {
+        if started.elapsed() >= limit {
+            println!("time limit of {} s reached after {runs} runs", arguments.time_limit);
             break;
         }
-        played += 1;
-        let verdict = play(&name, &plan, &program, arguments.keep.as_deref())?;
+        runs += 1;
+        let verdict = run_and_judge(&name, &plan, &program, arguments.keep.as_deref())?;
         if !verdict.violations.is_empty() {
-            broken += 1;
-            keep_plan(&name, &plan, &arguments.out)?;
+            failed += 1;
+            write_failed_plan(&name, &plan, &arguments.out)?;
         }
     }
-    println!("{played} runs, {broken} with a rule broken, {:.0} s", begun.elapsed().as_secs_f64());
-    Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{runs} runs, {failed} with a violation, {:.0} s", started.elapsed().as_secs_f64());
+    Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn plans(arguments: &Arguments) -> Fallible<Vec<(String, Plan)>> {
+/// Returns the plans to run, and a name for each.
+fn named_plans(arguments: &Arguments) -> Fallible<Vec<(String, Plan)>> {
     if !arguments.plan.is_empty() {
         let read = |path: &PathBuf| -> Fallible<(String, Plan)> {
             let name = path.file_stem().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
@@ -97,24 +100,27 @@
     Ok(seeds.map(|seed| (format!("seed-{seed}"), generate(seed, size))).collect())
 }
 
-fn play(name: &str, plan: &Plan, program: &Path, keep: Option<&Path>) -> Fallible<Verdict> {
+/// Runs a plan, prints its verdict and returns it. `keep` is the parent of the folder that stays.
+fn run_and_judge(name: &str, plan: &Plan, program: &Path, keep: Option<&Path>) -> Fallible<Verdict> {
     let scratch = tempfile::tempdir()?;
     let folder = keep.map_or_else(|| scratch.path().to_owned(), |keep| keep.join(name));
     if keep.is_some() && folder.exists() {
-        return Err(format!("{}: is there already", folder.display()).into());
+        return Err(
+            format!("{}: exists already; expected a new folder for this run", folder.display()).into()
+        );
     }
-    let begun = Instant::now();
-    let played = run(plan, program, &folder)?;
+    let started = Instant::now();
+    let record = run(plan, program, &folder)?;
     if keep.is_some() {
-        write_history(&played, &folder)?;
+        write_history(&record, &folder)?;
         std::fs::write(folder.join("plan.toml"), plan.write()?)?;
     }
-    let verdict = judge(&Case::of(plan, &played));
-    print(name, &played, &verdict, begun.elapsed());
+    let verdict = judge(&Case::of(plan, &record));
+    print_verdict(name, &record, &verdict, started.elapsed());
     Ok(verdict)
 }
 
-fn print(name: &str, played: &RunRecord, verdict: &Verdict, took: Duration) {
+fn print_verdict(name: &str, record: &RunRecord, verdict: &Verdict, took: Duration) {
     let c = &verdict.counts;
     println!(
         "{name}: asked {} served {} refused {} failed {} left {} executions {} starts {}; {} broken, {} doubtful, {:.0} s",
@@ -129,20 +135,20 @@
         verdict.doubtful.len(),
         took.as_secs_f64()
     );
-    let begun = played.history.first().map_or(0, |entry| entry.at);
-    for violation in verdict.violations.iter().take(PRINTED) {
-        let at = violation.at.saturating_sub(begun) / 1_000_000;
+    let began_at = record.history.first().map_or(0, |entry| entry.at);
+    for violation in verdict.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        let at = violation.at.saturating_sub(began_at) / 1_000_000;
         println!("  {:?} at {at} ms: {}", violation.rule, violation.description);
     }
-    let more = verdict.violations.len().saturating_sub(PRINTED);
+    let more = verdict.violations.len().saturating_sub(MAX_PRINTED_VIOLATIONS);
     if more > 0 {
         println!("  and {more} more");
     }
 }
 
-fn write_history(played: &RunRecord, folder: &Path) -> Fallible<()> {
+fn write_history(record: &RunRecord, folder: &Path) -> Fallible<()> {
     let mut text = String::new();
-    for entry in &played.history {
+    for entry in &record.history {
         text.push_str(&serde_json::to_string(entry)?);
         text.push('\n');
     }
@@ -150,10 +156,10 @@
     Ok(())
 }
 
-fn keep_plan(name: &str, plan: &Plan, out: &Path) -> Fallible<()> {
+fn write_failed_plan(name: &str, plan: &Plan, out: &Path) -> Fallible<()> {
     std::fs::create_dir_all(out)?;
     let file = out.join(format!("{name}.toml"));
     std::fs::write(&file, plan.write()?)?;
-    println!("  kept as {}", file.display());
+    println!("  plan written to {}", file.display());
     Ok(())
 }
