--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,7 +10,9 @@
 use linestack_lab::fleet;
 use linestack_lab::hunt::{Prey, search, shrink, to_file};
 use linestack_lab::keep;
-use linestack_lab::loads::{HEAD, demo, large, plan, row, seed_now};
+use linestack_lab::loads::{
+    LOAD_TABLE_HEAD, large_executors, load_plan, load_row, run_demo, seed_from_clock,
+};
 use linestack_lab::play::{play_all, seeds};
 use linestack_lab::policies::Policy;
 use linestack_lab::report;
@@ -262,8 +264,8 @@
             let of_plan = toml::from_str::<toml::Table>(&text)
                 .is_ok_and(|t| t.get("nodes").is_some_and(|n| n.is_integer()));
             let page = if of_plan {
-                let plan = fleet::read(scenario)?;
-                report::fleet(&plan, &fleet::play(&plan, &NodeProcess::program()?, None)?)?
+                let plan = fleet::read_plan(scenario)?;
+                report::fleet(&plan, &fleet::run_plan(&plan, &NodeProcess::program()?, None)?)?
             } else {
                 let s = file::read(scenario)?;
                 report::page(&s.name, &play_all(&seeds(&s, *count), policies, arguments.quiet))?
@@ -285,20 +287,24 @@
         }
         Command::Load { scenario, to, clients, rate, span, ramp } => {
             let s = file::read(scenario)?;
-            let plan = plan(*clients, *rate, *span, *ramp)?;
-            let loaded = load::load(&s, to, &plan, seed_now())?;
-            println!("{HEAD}\n{}", row("load", &loaded));
+            let plan = load_plan(*clients, *rate, *span, *ramp)?;
+            let loaded = load::load(&s, to, &plan, seed_from_clock())?;
+            println!("{LOAD_TABLE_HEAD}\n{}", load_row("load", &loaded));
             Ok(ExitCode::SUCCESS)
         }
         Command::Fill { workers, slots, clients, work_ms, span, ramp } => {
-            let s = large(*workers, *slots, *work_ms);
+            let s = large_executors(*workers, *slots, *work_ms);
             s.check()?;
-            let plan = plan(*clients, None, *span, *ramp)?;
+            let plan = load_plan(*clients, None, *span, *ramp)?;
             let fleet = StandInFleet::start(&s)?;
             let node = NodeProcess::start(&NodeProcess::program()?, &fleet.configuration("n0", 1))?;
-            let direct = load::load(&s, &fleet.executors, &plan, seed_now())?;
-            let through = load::load(&s, &[node.address], &plan, seed_now())?;
-            println!("{HEAD}\n{}\n{}", row("direct", &direct), row("through a node", &through));
+            let direct = load::load(&s, &fleet.executors, &plan, seed_from_clock())?;
+            let through = load::load(&s, &[node.address], &plan, seed_from_clock())?;
+            println!(
+                "{LOAD_TABLE_HEAD}\n{}\n{}",
+                load_row("direct", &direct),
+                load_row("through a node", &through)
+            );
             println!("{:.3} of the direct rate", through.rate() / direct.rate());
             Ok(ExitCode::SUCCESS)
         }
@@ -314,7 +320,7 @@
             let program = program.clone().map_or_else(NodeProcess::program, Ok)?;
             many_starts(&program, &plan)
         }
-        Command::Demo => demo(),
+        Command::Demo => run_demo(),
         Command::Soak(arguments) => soak::soak(arguments),
         Command::Store { folder, records, span } => {
             let span = Duration::try_from_secs_f64(*span).map_err(|_| "a span of time is over 0")?;
@@ -357,7 +363,7 @@
         }
         Command::Scale(told) => scale::go(told, arguments.json, arguments.quiet),
         Command::ScaleNode(told) => scale::go_node(told),
-        Command::Fleet { command } => fleet::go(command, arguments.json),
+        Command::Fleet { command } => fleet::run_command(command, arguments.json),
         Command::Replay { scenarios } => {
             let all = scenarios.iter().map(|p| file::read(p)).collect::<Result<Vec<_>, _>>()?;
             let played = play_all(&all, &[Policy::Linestack], arguments.quiet);
