--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,88 +1,114 @@
-//! Searches worlds for a broken rule, or for the largest loss against another policy, and cuts what it finds
-//! down to the smallest scenario that still shows it.
+//! Searches random scenarios for violated rules and for large losses against another policy, and shrinks what it
+//! finds to a smaller scenario that still shows it.
 
 use linestack_world::{Executors, FaultSpec, Product, Rule, Scenario, Step, Tenant};
 use rayon::prelude::*;
 use toml::{Table, Value};
 
-use crate::draw::small;
-use crate::play::{bar, play};
+use crate::generator::small_scenario;
 use crate::policies::Policy;
+use crate::runs::{progress_bar, run_scenario};
 
-/// What makes a world worth keeping.
+/// A smaller loss of score against another policy is not a finding.
+const MIN_LOSS: f64 = 0.05;
+/// The part of the original loss that a shrunk scenario must still show.
+const SHRUNK_LOSS_SHARE: f64 = 0.8;
+
+/// The property of a scenario for which it is reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Prey {
-    Broken(Rule),
-    /// At least so much less score than the other policy.
-    Loss(Policy, f64),
+pub enum Criterion {
+    /// The production policy violates the rule.
+    Violation(Rule),
+    /// The production policy scores at least `min_loss` less than the policy `against`.
+    Loss { against: Policy, min_loss: f64 },
 }
 
-impl Prey {
-    /// Whether the world shows it.
+impl Criterion {
+    /// Runs the scenario and returns whether it meets the criterion. An invalid scenario does not.
     #[must_use]
-    pub fn shown(self, s: &Scenario) -> bool {
-        if s.check().is_err() {
+    pub fn is_met_by(self, scenario: &Scenario) -> bool {
+        if scenario.check().is_err() {
             return false;
         }
         match self {
-            Self::Broken(rule) => play(s, Policy::Linestack).outcome.rules().contains(&rule),
-            Self::Loss(other, least) => {
-                let ours = play(s, Policy::Linestack);
-                let theirs = play(s, other);
-                // What breaks rules is no yardstick.
-                theirs.outcome.broken == 0 && theirs.score - ours.score >= least
+            Self::Violation(rule) => {
+                run_scenario(scenario, Policy::Linestack).outcome.rules().contains(&rule)
+            }
+            Self::Loss { against, min_loss } => {
+                let ours = run_scenario(scenario, Policy::Linestack);
+                let theirs = run_scenario(scenario, against);
+                // A score that was reached by violating rules is no reference.
+                theirs.outcome.broken == 0 && theirs.score - ours.score >= min_loss
             }
         }
     }
 }
 
+/// A scenario and the criterion that it meets.
 #[derive(Debug)]
-pub struct Found {
+pub struct Finding {
     pub scenario: Scenario,
-    pub prey: Prey,
+    pub criterion: Criterion,
+}
+
+/// The result of a search.
+#[derive(Debug)]
+pub struct SearchResult {
+    /// The number of scenarios in which the production policy violated a rule.
+    pub violating: u64,
+    pub findings: Vec<Finding>,
+}
+
+/// One scenario of a search.
+struct Candidate {
+    seed: u64,
+    violated: Vec<Rule>,
+    /// The score of the other policy minus that of the production policy.
+    loss: f64,
 }
 
-/// Plays the worlds of these seeds. Every broken rule is a find, the first world of each rule; against another
-/// policy, the `most` largest losses over 0.05 too.
+/// Runs the generated scenarios of `count` seeds from `from` on. The findings are, for each violated rule, the first
+/// scenario that violates it, and the `most` largest losses against the other policy, if one is given.
 #[must_use]
-pub fn search(from: u64, count: u64, against: Option<Policy>, most: usize, quiet: bool) -> (u64, Vec<Found>) {
-    let bar = bar(count, quiet);
-    let played: Vec<(u64, Vec<Rule>, f64)> = (from..from + count)
+pub fn search(from: u64, count: u64, against: Option<Policy>, most: usize, quiet: bool) -> SearchResult {
+    let bar = progress_bar(count, quiet);
+    let candidates: Vec<Candidate> = (from..from + count)
         .into_par_iter()
         .map(|seed| {
-            let s = small(seed);
-            let ours = play(&s, Policy::Linestack);
+            let scenario = small_scenario(seed);
+            let ours = run_scenario(&scenario, Policy::Linestack);
             let loss = against.map_or(0.0, |other| {
-                let theirs = play(&s, other);
+                let theirs = run_scenario(&scenario, other);
                 if theirs.outcome.broken > 0 { 0.0 } else { theirs.score - ours.score }
             });
             bar.inc(1);
-            (seed, ours.outcome.rules(), loss)
+            Candidate { seed, violated: ours.outcome.rules(), loss }
         })
         .collect();
     bar.finish_and_clear();
-    let broken = played.iter().filter(|(_, rules, _)| !rules.is_empty()).count() as u64;
-    let mut found: Vec<Found> = Vec::new();
-    for (seed, rules, _) in &played {
-        for rule in rules {
-            let prey = Prey::Broken(*rule);
-            if !found.iter().any(|f| f.prey == prey) {
-                found.push(Found { scenario: small(*seed), prey });
+    let violating = candidates.iter().filter(|c| !c.violated.is_empty()).count() as u64;
+    let mut findings: Vec<Finding> = Vec::new();
+    for candidate in &candidates {
+        for rule in &candidate.violated {
+            let criterion = Criterion::Violation(*rule);
+            if !findings.iter().any(|f| f.criterion == criterion) {
+                findings.push(Finding { scenario: small_scenario(candidate.seed), criterion });
             }
         }
     }
-    if let Some(other) = against {
-        let mut losses: Vec<&(u64, Vec<Rule>, f64)> = played.iter().filter(|p| p.2 > 0.05).collect();
-        losses.sort_by(|a, b| b.2.total_cmp(&a.2));
-        for (seed, _, loss) in losses.into_iter().take(most) {
-            found.push(Found { scenario: small(*seed), prey: Prey::Loss(other, loss * 0.8) });
+    if let Some(against) = against {
+        let mut losses: Vec<&Candidate> = candidates.iter().filter(|c| c.loss > MIN_LOSS).collect();
+        losses.sort_by(|a, b| b.loss.total_cmp(&a.loss));
+        for Candidate { seed, loss, .. } in losses.into_iter().take(most) {
+            let criterion = Criterion::Loss { against, min_loss: loss * SHRUNK_LOSS_SHARE };
+            findings.push(Finding { scenario: small_scenario(*seed), criterion });
         }
     }
-    (broken, found)
+    SearchResult { violating, findings }
 }
 
-/// Ways to make a scenario smaller or plainer, the boldest first.
-fn simpler(s: &Scenario) -> Vec<Scenario> {
+/// Returns variants of the scenario that are smaller or have fewer settings, roughly the largest reductions first.
+fn simplifications(s: &Scenario) -> Vec<Scenario> {
     let mut all = Vec::new();
     let mut add = |change: &dyn Fn(&mut Scenario)| {
         let mut t = s.clone();
@@ -91,7 +117,7 @@
             all.push(t);
         }
     };
-    let plain = Scenario::default();
+    let default = Scenario::default();
     for i in 0..s.faults.len() {
         add(&|t| {
             t.faults.remove(i);
@@ -134,16 +160,16 @@
     add(&|t| t.tenants.iter_mut().for_each(|t| t.usage = 1.0));
     add(&|t| t.zones = 1);
     add(&|t| t.zones = (t.zones - 1).max(1));
-    add(&|t| t.reports = plain.reports.clone());
-    add(&|t| t.network = plain.network.clone());
-    add(&|t| t.discovery = plain.discovery.clone());
-    add(&|t| t.clients = plain.clients.clone());
+    add(&|t| t.reports = default.reports.clone());
+    add(&|t| t.network = default.network.clone());
+    add(&|t| t.discovery = default.discovery.clone());
+    add(&|t| t.clients = default.clients.clone());
     add(&|t| t.clients.retries = 0);
-    add(&|t| t.limits = plain.limits.clone());
-    add(&|t| t.load.shape = plain.load.shape);
-    add(&|t| t.nodes = linestack_world::Nodes { count: t.nodes.count, ..plain.nodes.clone() });
+    add(&|t| t.limits = default.limits.clone());
+    add(&|t| t.load.shape = default.load.shape);
+    add(&|t| t.nodes = linestack_world::Nodes { count: t.nodes.count, ..default.nodes.clone() });
     add(&|t| t.reports_start = false);
-    add(&|t| t.progress_s = plain.progress_s);
+    add(&|t| t.progress_s = default.progress_s);
     for i in 0..s.faults.len() {
         add(&|t| t.faults[i].for_s = (t.faults[i].for_s / 2.0).max(0.1));
         add(&|t| t.faults[i].at_s = t.faults[i].at_s.floor());
@@ -151,65 +177,66 @@
     all
 }
 
-/// The smallest scenario reached by steps of which each still shows the prey; `tries` bounds the plays.
+/// Shrinks the scenario step by step, as long as each step still meets the criterion. Tries at most `tries`
+/// variants.
 #[must_use]
-pub fn shrink(found: &Found, tries: usize) -> Scenario {
-    let (mut present, mut left) = (found.scenario.clone(), tries);
+pub fn shrink(finding: &Finding, tries: usize) -> Scenario {
+    let (mut current, mut tries_left) = (finding.scenario.clone(), tries);
     loop {
-        let steps = simpler(&present);
-        let steps = &steps[..steps.len().min(left)];
-        left -= steps.len();
-        // All at once, and the first of them counts: the same outcome on any number of cores.
-        match steps.par_iter().find_first(|s| found.prey.shown(s)) {
-            Some(smaller) => present = smaller.clone(),
-            None => return present,
+        let variants = simplifications(&current);
+        let variants = &variants[..variants.len().min(tries_left)];
+        tries_left -= variants.len();
+        // In parallel, but the first match in order is taken: the result does not depend on the number of cores.
+        match variants.par_iter().find_first(|s| finding.criterion.is_met_by(s)) {
+            Some(smaller) => current = smaller.clone(),
+            None => return current,
         }
-        if left == 0 {
-            return present;
+        if tries_left == 0 {
+            return current;
         }
     }
 }
 
-/// The scenario as a file, with only what differs from the defaults.
+/// Returns the scenario as the text of a TOML file, without the keys that have their default value.
 #[must_use]
-pub fn to_file(s: &Scenario) -> String {
-    let Ok(Value::Table(mut table)) = Value::try_from(s) else { return String::new() };
-    let plain = |v: Result<Value, toml::ser::Error>| match v {
+pub fn to_toml(scenario: &Scenario) -> String {
+    let Ok(Value::Table(mut table)) = Value::try_from(scenario) else { return String::new() };
+    let as_table = |v: Result<Value, toml::ser::Error>| match v {
         Ok(Value::Table(t)) => t,
         _ => Table::new(),
     };
-    // Never all of it: a table that names nothing would not be there at all.
-    let keep = |t: &mut Table, name: &str, rows: Table| {
-        if let Some(Value::Array(all)) = t.get_mut(name) {
-            for row in all {
-                if let Value::Table(row) = row {
-                    without(row, &rows);
+    // The entries of an array stay even if nothing is left in them: without them the array would be shorter.
+    let strip_entries = |t: &mut Table, name: &str, defaults: Table| {
+        if let Some(Value::Array(entries)) = t.get_mut(name) {
+            for entry in entries {
+                if let Value::Table(entry) = entry {
+                    remove_defaults(entry, &defaults);
                 }
             }
         }
     };
-    keep(&mut table, "executors", plain(Value::try_from(Executors::default())));
-    keep(&mut table, "products", plain(Value::try_from(Product::default())));
-    keep(&mut table, "tenants", plain(Value::try_from(Tenant::default())));
-    keep(&mut table, "troubles", plain(Value::try_from(FaultSpec::default())));
+    strip_entries(&mut table, "executors", as_table(Value::try_from(Executors::default())));
+    strip_entries(&mut table, "products", as_table(Value::try_from(Product::default())));
+    strip_entries(&mut table, "tenants", as_table(Value::try_from(Tenant::default())));
+    strip_entries(&mut table, "troubles", as_table(Value::try_from(FaultSpec::default())));
     if let Some(Value::Table(load)) = table.get_mut("load") {
-        keep(load, "steps", plain(Value::try_from(Step::default())));
+        strip_entries(load, "steps", as_table(Value::try_from(Step::default())));
     }
-    without(&mut table, &plain(Value::try_from(Scenario::default())));
+    remove_defaults(&mut table, &as_table(Value::try_from(Scenario::default())));
     toml::to_string(&table).unwrap_or_default()
 }
 
-/// Takes out what is the same in `plain`.
-fn without(table: &mut Table, plain: &Table) {
+/// Removes the keys whose values are the same in `defaults`, and tables that are empty afterwards.
+fn remove_defaults(table: &mut Table, defaults: &Table) {
     let keys: Vec<String> = table.keys().cloned().collect();
     for key in keys {
-        let Some(usual) = plain.get(&key) else { continue };
-        if let (Some(Value::Table(inner)), Value::Table(usual)) = (table.get_mut(&key), usual) {
-            without(inner, usual);
+        let Some(default) = defaults.get(&key) else { continue };
+        if let (Some(Value::Table(inner)), Value::Table(default)) = (table.get_mut(&key), default) {
+            remove_defaults(inner, default);
             if inner.is_empty() {
                 table.remove(&key);
             }
-        } else if table.get(&key) == Some(usual) {
+        } else if table.get(&key) == Some(default) {
             table.remove(&key);
         }
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,16 +1,17 @@
-//! The lab: worlds played and compared, and real nodes loaded on loopback.
+//! Experiments with linestack: simulations of whole nodes, their comparison and search for violated rules, and
+//! measurements of real processes on loopback. The program `linestack-lab` is built on this library.
 
 pub mod agree;
-pub mod draw;
-pub mod file;
 pub mod fleet;
+pub mod generator;
 pub mod hunt;
 pub mod keep;
 pub mod loads;
-pub mod play;
 pub mod policies;
 pub mod report;
+pub mod runs;
 pub mod scale;
+pub mod scenario_file;
 pub mod soak;
 pub mod starts;
 pub mod sweep;
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -1,5 +1,5 @@
-//! What linestack is compared with: plain policies behind the interface of its decisions, each in the whole
-//! node. They keep the rules on repeats; of cold executors they know nothing.
+//! Simple dispatch policies that the production policy is compared with. Each runs inside a whole node, in place of
+//! the production policy. They obey the rules on repeated executions, and ignore that some executors are cold.
 
 use std::sync::{Arc, Mutex};
 
@@ -14,129 +14,181 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
+/// A dispatch policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The decisions that are served.
+    /// The production policy.
     Linestack,
+    /// A random worker.
     Random,
+    /// Each worker in turn.
     RoundRobin,
-    /// The fewest jobs of this node's own.
+    /// The worker with the fewest jobs from this node.
     LeastInFlight,
-    /// The one of two drawn that holds fewer jobs of this node's own.
+    /// Of two random workers the one with fewer jobs from this node.
     TwoChoices,
-    /// The shortest queue by the last report, less what was sent since.
+    /// The worker with the shortest queue by its last report, plus the jobs sent since.
     LeastReported,
-    /// Sees the true state of all executors, which no real one can.
+    /// The least loaded worker by the true state of all executors, which no real policy can see.
     TrueState,
 }
 
 impl Policy {
+    /// Returns the name of the policy on the command line.
     #[must_use]
     pub fn name(self) -> String {
         self.to_possible_value().map(|v| v.get_name().to_owned()).unwrap_or_default()
     }
 
-    /// Makes a whole node that decides by this policy.
+    /// Builds a whole node that dispatches by this policy.
     #[must_use]
-    pub fn make(self, seat: NodeSetup) -> Box<dyn SimulatedNode> {
+    pub fn build_node(self, setup: NodeSetup) -> Box<dyn SimulatedNode> {
         if self == Self::Linestack {
-            return production_node(seat);
+            return production_node(setup);
         }
-        let plain = Plain::new(self, seat.settings.dispatch.clone(), seat.node, Arc::clone(&seat.truth));
-        seat.build_with(Box::new(plain))
+        let dispatcher = ReferenceDispatcher::new(
+            self,
+            setup.settings.dispatch.clone(),
+            setup.node,
+            Arc::clone(&setup.truth),
+        );
+        setup.build_with(Box::new(dispatcher))
     }
 }
 
+/// The most free slots of a report that count in [`Policy::LeastReported`].
+const MAX_COUNTED_FREE_SLOTS: f64 = 4.0;
+/// Replaces a capacity of 0 in divisions.
+const MIN_CAPACITY: f64 = 1e-6;
+/// The part of the longest Retry-After that dismissed clients get, as a divisor.
+const RETRY_AFTER_DIVISOR: Nanos = 8;
+/// The part of the list refresh limit after which a failed list request is repeated, as a divisor.
+const LIST_RETRY_DIVISOR: Nanos = 10;
+/// The timer for the repetition of a failed list request.
+const LIST_RETRY_TIMER: u64 = 1;
+
+/// A worker as the dispatcher knows it.
 #[derive(Clone, Default)]
-struct Desk {
-    listing: WorkerEntry,
-    own: f64,
+struct KnownWorker {
+    entry: WorkerEntry,
+    /// The slots of this node's executions that have not ended.
+    own_slots: f64,
     report: Option<Report>,
-    since: f64,
+    /// The slots of the executions sent since the last report.
+    slots_since_report: f64,
 }
 
+/// An execution of a submission.
+#[derive(Clone)]
+struct Attempt {
+    worker: Worker,
+    running: bool,
+}
+
+/// The first execution of a submission, unless all executions so far certainly did not run.
+#[derive(Clone, Copy)]
+struct FirstAttempt {
+    worker: Worker,
+    sent: Nanos,
+}
+
+/// A submission that the node has not forgotten.
 #[derive(Clone, Default)]
-struct Held {
+struct TrackedSubmission {
     job: Job,
+    /// It still needs an answer.
     open: bool,
+    /// The node still knows its index: [`Action::Forget`] has not been returned.
     known: bool,
-    out: u32,
+    /// The number of executions that have not ended.
+    running: u32,
     executions: u16,
-    anchor: Option<(Worker, Nanos)>,
-    perhaps_ran: bool,
-    tried: Vec<(Worker, bool)>,
+    first: Option<FirstAttempt>,
+    may_have_run: bool,
+    attempts: Vec<Attempt>,
 }
 
-struct Plain {
+/// A dispatcher that chooses a worker by one of the reference policies.
+struct ReferenceDispatcher {
     policy: Policy,
-    terms: DispatchConfig,
+    config: DispatchConfig,
+    /// The index of the node, for the ground truth.
     node: usize,
     truth: Arc<Mutex<GroundTruth>>,
     rng: Pcg64Mcg,
     now: Nanos,
-    desks: Vec<Desk>,
-    held: Vec<Held>,
+    /// By worker index.
+    workers: Vec<KnownWorker>,
+    /// By submission index.
+    submissions: Vec<TrackedSubmission>,
+    /// The counter of [`Policy::RoundRobin`].
     turn: usize,
-    orders: Vec<Action>,
+    /// The actions of the current event.
+    actions: Vec<Action>,
 }
 
-impl Plain {
-    fn new(policy: Policy, terms: DispatchConfig, node: usize, truth: Arc<Mutex<GroundTruth>>) -> Self {
-        let rng = Pcg64Mcg::seed_from_u64(terms.seed);
-        let (desks, held, orders) = (Vec::new(), Vec::new(), Vec::new());
-        Self { policy, terms, node, truth, rng, now: 0, desks, held, turn: 0, orders }
+impl ReferenceDispatcher {
+    fn new(policy: Policy, config: DispatchConfig, node: usize, truth: Arc<Mutex<GroundTruth>>) -> Self {
+        let rng = Pcg64Mcg::seed_from_u64(config.seed);
+        let (workers, submissions, actions) = (Vec::new(), Vec::new(), Vec::new());
+        Self { policy, config, node, truth, rng, now: 0, workers, submissions, turn: 0, actions }
     }
 
-    fn allowed(&self, held: &Held, worker: Worker) -> bool {
-        let desk = &self.desks[worker as usize];
-        let product = &self.terms.products[usize::from(held.job.product)];
-        let late = self.now + self.terms.deadline_margin >= held.job.deadline;
-        if desk.listing.health != Health::Ready || late || held.executions >= self.terms.max_executions {
+    /// Returns whether the submission may be executed by the worker now.
+    fn may_execute(&self, tracked: &TrackedSubmission, worker: Worker) -> bool {
+        let known = &self.workers[worker as usize];
+        let product = &self.config.products[usize::from(tracked.job.product)];
+        let too_late = self.now + self.config.deadline_margin >= tracked.job.deadline;
+        if known.entry.health != Health::Ready || too_late || tracked.executions >= self.config.max_executions
+        {
             return false;
         }
-        match (held.anchor, product.repeat_policy) {
-            (None, _) | (_, RepeatPolicy::Idempotent) => !held.tried.iter().any(|(w, _)| *w == worker),
+        match (tracked.first, product.repeat_policy) {
+            (None, _) | (_, RepeatPolicy::Idempotent) => !tracked.attempts.iter().any(|a| a.worker == worker),
             (Some(_), RepeatPolicy::OneShot) => false,
-            (Some((first, sent)), RepeatPolicy::Stamped { scope: group, dedup_window: memory }) => {
-                let joined = group.covers(&self.desks[first as usize].listing, &desk.listing);
-                joined && self.now + self.terms.connect_timeout < sent + memory
+            (Some(first), RepeatPolicy::Stamped { scope, dedup_window }) => {
+                let covered = scope.covers(&self.workers[first.worker as usize].entry, &known.entry);
+                covered && self.now + self.config.connect_timeout < first.sent + dedup_window
             }
         }
     }
 
-    fn pick(&mut self, held: &Held) -> Option<Worker> {
-        let fits: Vec<Worker> = (0..self.desks.len() as Worker).filter(|w| self.allowed(held, *w)).collect();
-        if fits.is_empty() {
+    /// Chooses a worker by the policy, if there is one that may execute the submission.
+    fn choose_worker(&mut self, tracked: &TrackedSubmission) -> Option<Worker> {
+        let allowed: Vec<Worker> =
+            (0..self.workers.len() as Worker).filter(|w| self.may_execute(tracked, *w)).collect();
+        if allowed.is_empty() {
             return None;
         }
-        let draw = |rng: &mut Pcg64Mcg| fits[rng.random_range(0..fits.len())];
-        let own = |w: &Worker| self.desks[*w as usize].own;
+        let random = |rng: &mut Pcg64Mcg| allowed[rng.random_range(0..allowed.len())];
+        let own_slots = |w: &Worker| self.workers[*w as usize].own_slots;
+        // One of the least loaded workers at random.
         let least = |load: &dyn Fn(Worker) -> f64, rng: &mut Pcg64Mcg| {
-            let best = fits.iter().map(|w| load(*w)).fold(f64::INFINITY, f64::min);
-            let alike: Vec<Worker> = fits.iter().copied().filter(|w| load(*w) <= best).collect();
-            alike[rng.random_range(0..alike.len())]
+            let min = allowed.iter().map(|w| load(*w)).fold(f64::INFINITY, f64::min);
+            let ties: Vec<Worker> = allowed.iter().copied().filter(|w| load(*w) <= min).collect();
+            ties[rng.random_range(0..ties.len())]
         };
         let mut rng = self.rng.clone();
-        let pick = match self.policy {
-            Policy::Random | Policy::Linestack => draw(&mut rng),
+        let chosen = match self.policy {
+            Policy::Random | Policy::Linestack => random(&mut rng),
             Policy::RoundRobin => {
                 self.turn = self.turn.wrapping_add(1);
-                fits[self.turn % fits.len()]
+                allowed[self.turn % allowed.len()]
             }
-            Policy::LeastInFlight => least(&|w| own(&w), &mut rng),
+            Policy::LeastInFlight => least(&|w| own_slots(&w), &mut rng),
             Policy::TwoChoices => {
-                let (a, b) = (draw(&mut rng), draw(&mut rng));
-                if own(&b) < own(&a) { b } else { a }
+                let (a, b) = (random(&mut rng), random(&mut rng));
+                if own_slots(&b) < own_slots(&a) { b } else { a }
             }
             Policy::LeastReported => {
                 let load = |w: Worker| {
-                    let desk = &self.desks[w as usize];
-                    let told = desk.report.map_or(0.0, |r| {
+                    let known = &self.workers[w as usize];
+                    let reported = known.report.map_or(0.0, |r| {
                         f64::from(r.queued_jobs.unwrap_or(0.0))
-                            - f64::from(r.free_slots.unwrap_or(0.0)).min(4.0)
+                            - f64::from(r.free_slots.unwrap_or(0.0)).min(MAX_COUNTED_FREE_SLOTS)
                     });
-                    told + desk.since
+                    reported + known.slots_since_report
                 };
                 least(&load, &mut rng)
             }
@@ -146,10 +198,10 @@
                 let load = |w: Worker| {
                     let executor = executor_of_worker.get(w as usize).copied().flatten();
                     let state = executor.and_then(|e| truth.executors.get(e));
-                    // Free slots count down from nothing; one that is down comes last.
+                    // Free slots count as negative load. Executors that are down come last.
                     state.map_or(f64::MAX, |(up, free, capacity)| {
                         if *up {
-                            (self.desks[w as usize].since - free) / capacity.max(1e-6)
+                            (self.workers[w as usize].slots_since_report - free) / capacity.max(MIN_CAPACITY)
                         } else {
                             f64::MAX
                         }
@@ -159,139 +211,151 @@
             }
         };
         self.rng = rng;
-        Some(pick)
+        Some(chosen)
     }
 
-    fn go_on(&mut self, submission: Submission) {
-        let held = self.held[submission as usize].clone();
-        if !held.open || held.out > 0 {
+    /// Starts the next execution, or gives up if no worker may execute the submission. Does nothing while an
+    /// execution is running.
+    fn execute_next(&mut self, submission: Submission) {
+        let tracked = self.submissions[submission as usize].clone();
+        if !tracked.open || tracked.running > 0 {
             return;
         }
-        let Some(worker) = self.pick(&held) else { return self.finish(submission) };
-        let (now, slack) = (self.now, self.terms.deadline_margin / 2);
-        let held = &mut self.held[submission as usize];
-        held.executions += 1;
-        held.out += 1;
-        held.tried.push((worker, true));
-        held.anchor.get_or_insert((worker, now));
-        let desk = &mut self.desks[worker as usize];
-        desk.own += held.job.slots;
-        desk.since += held.job.slots;
-        let timeout = held.job.deadline - now - slack;
-        self.orders.push(Action::Execute { submission, worker, timeout });
+        let Some(worker) = self.choose_worker(&tracked) else { return self.give_up(submission) };
+        let (now, slack) = (self.now, self.config.deadline_margin / 2);
+        let tracked = &mut self.submissions[submission as usize];
+        tracked.executions += 1;
+        tracked.running += 1;
+        tracked.attempts.push(Attempt { worker, running: true });
+        tracked.first.get_or_insert(FirstAttempt { worker, sent: now });
+        let known = &mut self.workers[worker as usize];
+        known.own_slots += tracked.job.slots;
+        known.slots_since_report += tracked.job.slots;
+        let timeout = tracked.job.deadline - now - slack;
+        self.actions.push(Action::Execute { submission, worker, timeout });
     }
 
-    fn finish(&mut self, submission: Submission) {
-        let held = &self.held[submission as usize];
-        let repeats = self.terms.products.get(usize::from(held.job.product)).map(|p| p.repeat_policy);
-        let free = matches!(
-            repeats,
+    /// Answers the client without a result: dismisses the submission if a retry is harmless, and aborts it if not.
+    fn give_up(&mut self, submission: Submission) {
+        let tracked = &self.submissions[submission as usize];
+        let repeat_policy =
+            self.config.products.get(usize::from(tracked.job.product)).map(|p| p.repeat_policy);
+        let may_repeat = matches!(
+            repeat_policy,
             Some(RepeatPolicy::Idempotent | RepeatPolicy::Stamped { scope: DedupScope::All, .. })
         );
-        let order = if free || held.anchor.is_none() {
-            Action::Dismiss { submission, retry_after: self.terms.retry_after.map(|most| most / 8) }
+        let action = if may_repeat || tracked.first.is_none() {
+            let retry_after = self.config.retry_after.map(|longest| longest / RETRY_AFTER_DIVISOR);
+            Action::Dismiss { submission, retry_after }
         } else {
             Action::Abort { submission }
         };
-        self.orders.push(order);
+        self.actions.push(action);
         self.close(submission);
     }
 
+    /// The submission needs no answer any more: cancels its running executions.
     fn close(&mut self, submission: Submission) {
-        let Some(held) = self.held.get_mut(submission as usize) else { return };
-        held.open = false;
-        if self.terms.may_cancel {
-            for (execution, _) in held.tried.iter().enumerate().filter(|(_, (_, out))| *out) {
-                self.orders.push(Action::Cancel { submission, execution: execution as u16 });
+        let Some(tracked) = self.submissions.get_mut(submission as usize) else { return };
+        tracked.open = false;
+        if self.config.may_cancel {
+            for (execution, _) in tracked.attempts.iter().enumerate().filter(|(_, a)| a.running) {
+                self.actions.push(Action::Cancel { submission, execution: execution as u16 });
             }
         }
-        self.forget(submission);
+        self.forget_if_over(submission);
     }
 
-    fn forget(&mut self, submission: Submission) {
-        let held = &mut self.held[submission as usize];
-        if !held.open && held.out == 0 && std::mem::take(&mut held.known) {
-            self.orders.push(Action::Forget { submission });
+    /// Forgets a submission that is closed and has no running execution.
+    fn forget_if_over(&mut self, submission: Submission) {
+        let tracked = &mut self.submissions[submission as usize];
+        if !tracked.open && tracked.running == 0 && std::mem::take(&mut tracked.known) {
+            self.actions.push(Action::Forget { submission });
         }
     }
 
-    fn ended(&mut self, e: &Ending) {
-        let Some(held) = self.held.get_mut(e.submission as usize) else { return };
-        let Some(tried) = held.tried.get_mut(usize::from(e.execution)).filter(|t| t.1) else { return };
-        tried.1 = false;
-        held.out -= 1;
-        held.perhaps_ran |= !e.outcome.never_ran();
-        if held.out == 0 && !held.perhaps_ran {
-            held.anchor = None;
+    fn execution_ended(&mut self, ending: &Ending) {
+        let Some(tracked) = self.submissions.get_mut(ending.submission as usize) else { return };
+        let Some(attempt) = tracked.attempts.get_mut(usize::from(ending.execution)).filter(|a| a.running)
+        else {
+            return;
+        };
+        attempt.running = false;
+        tracked.running -= 1;
+        tracked.may_have_run |= !ending.outcome.never_ran();
+        if tracked.running == 0 && !tracked.may_have_run {
+            tracked.first = None;
         }
-        let slots = held.job.slots;
-        self.desks[e.worker as usize].own -= slots;
-        self.report(e.worker, e.report);
-        if e.closed || e.outcome == Outcome::Completed {
-            self.close(e.submission);
-        } else if self.held[e.submission as usize].open {
-            self.go_on(e.submission);
+        let slots = tracked.job.slots;
+        self.workers[ending.worker as usize].own_slots -= slots;
+        self.record_report(ending.worker, ending.report);
+        if ending.closed || ending.outcome == Outcome::Completed {
+            self.close(ending.submission);
+        } else if self.submissions[ending.submission as usize].open {
+            self.execute_next(ending.submission);
         }
-        self.forget(e.submission);
+        self.forget_if_over(ending.submission);
     }
 
-    fn report(&mut self, worker: Worker, report: Option<Report>) {
-        if let (Some(desk), Some(report)) = (self.desks.get_mut(worker as usize), report) {
-            (desk.report, desk.since) = (Some(report), 0.0);
+    fn record_report(&mut self, worker: Worker, report: Option<Report>) {
+        if let (Some(known), Some(report)) = (self.workers.get_mut(worker as usize), report) {
+            (known.report, known.slots_since_report) = (Some(report), 0.0);
         }
     }
 }
 
-impl Decide for Plain {
-    fn reconfigure(&mut self, terms: DispatchConfig) {
-        self.terms = terms;
+impl Decide for ReferenceDispatcher {
+    fn reconfigure(&mut self, config: DispatchConfig) {
+        self.config = config;
     }
 
     fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Action] {
-        self.orders.clear();
+        self.actions.clear();
         self.now = now;
         match event {
             Event::ListReceived { kind, entries } => {
                 if matches!(kind, ListKind::Whole | ListKind::Cached) {
-                    self.desks.iter_mut().for_each(|d| d.listing.health = Health::Gone);
+                    self.workers.iter_mut().for_each(|w| w.entry.health = Health::Gone);
                 }
-                for listing in entries {
-                    let place = listing.worker as usize;
-                    if self.desks.len() <= place {
-                        self.desks.resize(place + 1, Desk::default());
+                for entry in entries {
+                    let index = entry.worker as usize;
+                    if self.workers.len() <= index {
+                        self.workers.resize(index + 1, KnownWorker::default());
                     }
-                    self.desks[place].listing = *listing;
+                    self.workers[index].entry = *entry;
                 }
-                if let Some(within) = self.terms.list_refresh_limit {
+                if let Some(limit) = self.config.list_refresh_limit {
                     match kind {
-                        ListKind::Cached => self.orders.push(Action::Subscribe),
-                        ListKind::Failed => {
-                            self.orders.push(Action::SetTimer { at: now + within / 10, timer_id: 1 })
-                        }
+                        ListKind::Cached => self.actions.push(Action::Subscribe),
+                        ListKind::Failed => self.actions.push(Action::SetTimer {
+                            at: now + limit / LIST_RETRY_DIVISOR,
+                            timer_id: LIST_RETRY_TIMER,
+                        }),
                         _ => {}
                     }
                 }
             }
             Event::Submitted { submission, job } => {
-                let place = submission as usize;
-                if self.held.len() <= place {
-                    self.held.resize(place + 1, Held::default());
+                let index = submission as usize;
+                if self.submissions.len() <= index {
+                    self.submissions.resize(index + 1, TrackedSubmission::default());
                 }
-                self.held[place] = Held { job, open: true, known: true, ..Held::default() };
-                self.go_on(submission);
+                self.submissions[index] =
+                    TrackedSubmission { job, open: true, known: true, ..TrackedSubmission::default() };
+                self.execute_next(submission);
             }
             Event::ClientLeft { submission } => self.close(submission),
-            Event::Ended(ending) => self.ended(&ending),
-            Event::Probed { worker, report, .. } => self.report(worker, report),
-            Event::TimerFired { timer_id: 1 } => self.orders.push(Action::Subscribe),
+            Event::Ended(ending) => self.execution_ended(&ending),
+            Event::Probed { worker, report, .. } => self.record_report(worker, report),
+            Event::TimerFired { timer_id: LIST_RETRY_TIMER } => self.actions.push(Action::Subscribe),
             Event::Retired { worker } => {
-                self.desks.get_mut(worker as usize).into_iter().for_each(|d| *d = Desk::default());
+                self.workers.get_mut(worker as usize).into_iter().for_each(|w| *w = KnownWorker::default());
             }
             Event::TimerFired { .. }
             | Event::Streaming { .. }
             | Event::Progressed { .. }
             | Event::ProcessLost { .. } => {}
         }
-        &self.orders
+        &self.actions
     }
 }
