--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -14,6 +14,21 @@
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
+/// The most plans that `hunt` runs in parallel.
+const MAX_HUNT_JOBS: usize = 32;
+/// The most plans that `back` runs in parallel.
+const MAX_BACK_JOBS: usize = 16;
+/// The one-way network latency that `size` simulates.
+const SIMULATED_LATENCY_NS: u64 = 500_000;
+/// The time to write a record to disk that `size` simulates.
+const SIMULATED_SYNC_NS: u64 = 2_000_000;
+/// The most members that `size` simulates.
+const MAX_SIMULATED_MEMBERS: usize = 2048;
+/// The largest policy that `size` simulates.
+const MAX_POLICY_BYTES: usize = 100_000;
+/// The shortest lease that `size` simulates.
+const MIN_LEASE_MS: u64 = 100;
+
 /// The subcommands of `linestack-lab fleet`.
 #[derive(Subcommand)]
 pub enum Command {
@@ -234,7 +249,8 @@
         }
         Command::Hunt { seeds, from, program: given, jobs, tries, out } => {
             let program = program(given)?;
-            let pool = rayon::ThreadPoolBuilder::new().num_threads((*jobs).clamp(1, 32)).build()?;
+            let pool =
+                rayon::ThreadPoolBuilder::new().num_threads((*jobs).clamp(1, MAX_HUNT_JOBS)).build()?;
             let bar = indicatif::ProgressBar::new(*seeds);
             let failed: Vec<(Plan, Result<Outcome, String>)> = pool.install(|| {
                 let run_seed = |seed| {
@@ -272,7 +288,8 @@
             Ok(ExitCode::from(u8::from(failures > 0)))
         }
         Command::Back { plans, seeds, jobs, program: given, against } => {
-            let pool = rayon::ThreadPoolBuilder::new().num_threads((*jobs).clamp(1, 16)).build()?;
+            let pool =
+                rayon::ThreadPoolBuilder::new().num_threads((*jobs).clamp(1, MAX_BACK_JOBS)).build()?;
             let mut programs = vec![("this", program(given)?)];
             programs.extend(against.clone().map(|p| ("other", p)));
             if !json {
@@ -357,13 +374,16 @@
             Ok(ExitCode::from(u8::from(!outcome.passed())))
         }
         Command::Size { members, coordinators, bad, lease_ms, seeds, policy } => {
-            let valid = (1..=2048).contains(members) && [1, 3, 5].contains(coordinators);
-            if !valid || *lease_ms < 100 || *policy > 100_000 || bad.iter().any(|b| !(0.0..=1.0).contains(b))
+            let valid = (1..=MAX_SIMULATED_MEMBERS).contains(members) && [1, 3, 5].contains(coordinators);
+            if !valid
+                || *lease_ms < MIN_LEASE_MS
+                || *policy > MAX_POLICY_BYTES
+                || bad.iter().any(|b| !(0.0..=1.0).contains(b))
             {
                 return Err(
                     format!(
-                        "expected members from 1 to 2,048, coordinators 1, 3 or 5, lease-ms at least 100, policy at most \
-                         100,000 and bad from 0 to 1; found members {members}, coordinators {coordinators}, lease-ms \
+                        "expected members from 1 to {MAX_SIMULATED_MEMBERS}, coordinators 1, 3 or 5, lease-ms at least \
+                         {MIN_LEASE_MS}, policy at most {MAX_POLICY_BYTES} and bad from 0 to 1; found members {members}, coordinators {coordinators}, lease-ms \
                          {lease_ms}, policy {policy}, bad {bad:?}"
                     )
                     .into(),
@@ -375,6 +395,7 @@
                 );
             }
             for bad in bad {
+                // In nanoseconds; the vote hold of the coordinators is a quarter of the lease.
                 let (lease, hold) = (lease_ms * 1_000_000, lease_ms * 250_000);
                 let size = Size {
                     members: *members,
@@ -382,8 +403,8 @@
                     bad: *bad,
                     lease,
                     hold,
-                    latency: 500_000,
-                    sync: 2_000_000,
+                    latency: SIMULATED_LATENCY_NS,
+                    sync: SIMULATED_SYNC_NS,
                     policy: *policy,
                 };
                 let held: Vec<Option<Held>> =
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -26,6 +26,9 @@
 use linestack_rig::stand_ins::StandInFleet;
 use linestack_world::{Product, Scenario};
 
+/// The longest span of `serve`: a day.
+const MAX_SERVE_S: f64 = 86_400.0;
+
 /// Simulates whole nodes, and sends load to real nodes on loopback.
 #[derive(Parser)]
 #[command(version, about, propagate_version = true)]
@@ -319,7 +322,7 @@
             fleet.play_troubles();
             println!("discovery {}", fleet.discovery);
             fleet.executors.iter().for_each(|e| println!("executor {e}"));
-            std::thread::sleep(Duration::from_secs_f64(span.clamp(0.0, 86_400.0)));
+            std::thread::sleep(Duration::from_secs_f64(span.clamp(0.0, MAX_SERVE_S)));
             Ok(ExitCode::SUCCESS)
         }
         Command::Load { scenario, to, clients, rate, span, ramp } => {
