--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -405,8 +405,8 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        Command::Scale(told) => scale::go(told, arguments.json, arguments.quiet),
-        Command::ScaleNode(told) => scale::go_node(told),
+        Command::Scale(scale_arguments) => scale::go(scale_arguments, arguments.json, arguments.quiet),
+        Command::ScaleNode(node_arguments) => scale::go_node(node_arguments),
         Command::Fleet { command } => fleet::run_command(command, arguments.json),
         Command::Replay { scenarios } => {
             let all = scenarios.iter().map(|p| scenario_file::read(p)).collect::<Result<Vec<_>, _>>()?;
