--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -10,7 +10,7 @@
 use linestack_rig::run::{Endpoints, Outcome, run, run_with_endpoints};
 use rayon::prelude::*;
 
-use crate::agree::{self, Held, Size};
+use crate::consensus_sim::{self, Held, Size};
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
@@ -359,7 +359,7 @@
                     policy: *policy,
                 };
                 let held: Vec<Option<Held>> =
-                    (1..=*seeds).into_par_iter().map(|s| agree::play(&size, s)).collect();
+                    (1..=*seeds).into_par_iter().map(|s| consensus_sim::play(&size, s)).collect();
                 let held = held
                     .into_iter()
                     .collect::<Option<Vec<_>>>()
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,11 +1,10 @@
 //! The lab: worlds played and compared, and real nodes loaded on loopback.
 
-pub mod agree;
+pub mod consensus_sim;
 pub mod draw;
 pub mod file;
 pub mod fleet;
 pub mod hunt;
-pub mod keep;
 pub mod loads;
 pub mod play;
 pub mod policies;
@@ -13,5 +12,6 @@
 pub mod scale;
 pub mod soak;
 pub mod starts;
+pub mod store_benchmark;
 pub mod sweep;
 pub mod tables;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -9,7 +9,6 @@
 use linestack_lab::file;
 use linestack_lab::fleet;
 use linestack_lab::hunt::{Prey, search, shrink, to_file};
-use linestack_lab::keep;
 use linestack_lab::loads::{HEAD, demo, large, plan, row, seed_now};
 use linestack_lab::play::{play_all, seeds};
 use linestack_lab::policies::Policy;
@@ -17,6 +16,7 @@
 use linestack_lab::scale;
 use linestack_lab::soak;
 use linestack_lab::starts;
+use linestack_lab::store_benchmark;
 use linestack_lab::sweep::{Axis, grid};
 use linestack_lab::tables::{comparison, lines, table, verdict};
 use linestack_rig::load;
@@ -324,7 +324,7 @@
             for sync in [true, false] {
                 for batch in [1, 8, 64, 512] {
                     let place = tempfile::tempdir_in(folder)?;
-                    let c = keep::commits(place.path(), sync, batch, span)?;
+                    let c = store_benchmark::commits(place.path(), sync, batch, span)?;
                     if arguments.json {
                         println!("{}", serde_json::to_string(&c)?);
                     } else {
@@ -340,7 +340,7 @@
             }
             for records in records {
                 let place = tempfile::tempdir_in(folder)?;
-                let b = keep::back(place.path(), *records)?;
+                let b = store_benchmark::back(place.path(), *records)?;
                 if arguments.json {
                     println!("{}", serde_json::to_string(&b)?);
                 } else {
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -15,7 +15,7 @@
 use super::operator::propose;
 use super::policy;
 use super::stop::Stop;
-use crate::agree::{self, Held, Size};
+use crate::consensus_sim::{self, Held, Size};
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
@@ -253,5 +253,5 @@
         sync: SYNC,
         policy: policy::text(1, members.policy_bytes).len(),
     };
-    agree::play(&size, 1)
+    consensus_sim::play(&size, 1)
 }
