--- a/crates/lab/src/consensus_sim.rs
+++ b/crates/lab/src/consensus_sim.rs
@@ -17,31 +17,32 @@
 const MS: Nanos = 1_000_000;
 
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct SimulationConfig {
     pub members: usize,
     pub coordinators: u8,
     /// Part of the members that say nothing any more when the change is proposed.
-    pub bad: f64,
+    pub silent_share: f64,
     pub lease: Nanos,
     pub hold: Nanos,
     /// One way, half as much again by chance.
     pub latency: Nanos,
     /// To keep a record.
-    pub sync: Nanos,
+    pub sync_latency: Nanos,
     /// Bytes of the policy.
-    pub policy: usize,
+    pub policy_bytes: usize,
 }
 
 /// What came of one change.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Held {
+pub struct ChangeCost {
     /// From the proposal to the decision, and to the moment from which no member may serve under the version before.
     pub decided_ms: f64,
     pub everywhere_ms: f64,
     /// In that time, of all; and of the speaker alone, sent and taken.
     pub messages: u64,
     pub bytes: u64,
-    pub speaker_bytes: u64,
+    #[serde(rename = "speaker_bytes")]
+    pub leader_bytes: u64,
     /// Of all, in a second in which nothing changes.
     pub idle_messages: u64,
     pub idle_bytes: u64,
@@ -72,7 +73,7 @@
 }
 
 struct World<'a> {
-    size: &'a Size,
+    size: &'a SimulationConfig,
     now: Nanos,
     rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
@@ -96,9 +97,9 @@
 }
 
 impl<'a> World<'a> {
-    fn new(size: &'a Size, seed: u64) -> Self {
+    fn new(size: &'a SimulationConfig, seed: u64) -> Self {
         let count = usize::from(size.coordinators);
-        let record = Record { state: State::initial("x".repeat(size.policy)), ..Record::default() };
+        let record = Record { state: State::initial("x".repeat(size.policy_bytes)), ..Record::default() };
         let config = |id| ConsensusConfig {
             id,
             coordinators: size.coordinators,
@@ -168,7 +169,7 @@
     fn coordinator(&mut self, c: usize, input: Input) {
         let mut kept = Kept(false);
         let Ok(outs) = self.coordinators[c].handle(self.now, input).finish(&mut kept);
-        let after = if kept.0 { self.now + self.size.sync } else { self.now };
+        let after = if kept.0 { self.now + self.size.sync_latency } else { self.now };
         self.busy[c] = after;
         for out in outs {
             match out {
@@ -202,12 +203,12 @@
                     self.send(here, self.asks[m], Message::Request(guest, Request::Renew(renew)), after);
                 }
                 Does::Stage(policy) => {
-                    after += self.size.sync;
+                    after += self.size.sync_latency;
                     let done = member::Input::Staged { version: policy.version, result: Ok(()) };
                     self.members[m].handle(self.now, done, &mut outs);
                 }
                 Does::Activate(policy) => {
-                    after += self.size.sync;
+                    after += self.size.sync_latency;
                     let done = member::Input::Activated { version: policy.version, result: Ok(()) };
                     self.members[m].handle(self.now, done, &mut outs);
                 }
@@ -266,19 +267,19 @@
 
 /// One change in a fleet that is settled; none if nobody speaks or nothing was decided in a minute.
 #[must_use]
-pub fn play(size: &Size, seed: u64) -> Option<Held> {
+pub fn simulate_change(size: &SimulationConfig, seed: u64) -> Option<ChangeCost> {
     let mut world = World::new(size, seed);
     world.until(4 * size.lease + 10_000 * MS);
     let speaker = world.speaker()?;
     let idle = (world.messages, world.bytes);
     world.until(world.now + 1000 * MS);
     let idle = (world.messages - idle.0, world.bytes - idle.1);
-    let bad = (size.bad * size.members as f64).round() as usize;
+    let bad = (size.silent_share * size.members as f64).round() as usize;
     for m in rand::seq::index::sample(&mut world.rng, size.members, bad) {
         world.silent[m] = true;
     }
     let (begin, messages, bytes, by) = (world.now, world.messages, world.bytes, world.by[speaker]);
-    let text = "y".repeat(size.policy);
+    let text = "y".repeat(size.policy_bytes);
     let ask = OperatorRequest::Propose {
         request: "r".into(),
         base_version: 1,
@@ -301,12 +302,12 @@
     }
     let decided = world.decided.iter().find(|(v, _)| *v == 2)?.1;
     let ms = |t: Nanos| (t - begin) as f64 / MS as f64;
-    Some(Held {
+    Some(ChangeCost {
         decided_ms: ms(decided),
         everywhere_ms: ms(world.now),
         messages: world.messages - messages,
         bytes: world.bytes - bytes,
-        speaker_bytes: world.by[speaker] - by,
+        leader_bytes: world.by[speaker] - by,
         idle_messages: idle.0,
         idle_bytes: idle.1,
     })
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -10,7 +10,7 @@
 use linestack_rig::run::{Endpoints, Outcome, run, run_with_endpoints};
 use rayon::prelude::*;
 
-use crate::consensus_sim::{self, Held, Size};
+use crate::consensus_sim::{self, ChangeCost, SimulationConfig};
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
@@ -348,18 +348,18 @@
             }
             for bad in bad {
                 let (lease, hold) = (lease_ms * 1_000_000, lease_ms * 250_000);
-                let size = Size {
+                let size = SimulationConfig {
                     members: *members,
                     coordinators: *coordinators,
-                    bad: *bad,
+                    silent_share: *bad,
                     lease,
                     hold,
                     latency: 500_000,
-                    sync: 2_000_000,
-                    policy: *policy,
+                    sync_latency: 2_000_000,
+                    policy_bytes: *policy,
                 };
-                let held: Vec<Option<Held>> =
-                    (1..=*seeds).into_par_iter().map(|s| consensus_sim::play(&size, s)).collect();
+                let held: Vec<Option<ChangeCost>> =
+                    (1..=*seeds).into_par_iter().map(|s| consensus_sim::simulate_change(&size, s)).collect();
                 let held = held
                     .into_iter()
                     .collect::<Option<Vec<_>>>()
@@ -370,7 +370,7 @@
                     }
                     continue;
                 }
-                let at = |f: &dyn Fn(&Held) -> f64, q: f64| {
+                let at = |f: &dyn Fn(&ChangeCost) -> f64, q: f64| {
                     let mut all: Vec<f64> = held.iter().map(f).collect();
                     all.sort_by(f64::total_cmp);
                     all[((all.len() - 1) as f64 * q).round() as usize]
@@ -383,7 +383,7 @@
                     at(&|h| h.everywhere_ms, 0.99),
                     at(&|h| h.messages as f64, 0.5),
                     at(&|h| h.bytes as f64, 0.5),
-                    at(&|h| h.speaker_bytes as f64, 0.5),
+                    at(&|h| h.leader_bytes as f64, 0.5),
                     at(&|h| h.idle_messages as f64, 0.5),
                     at(&|h| h.idle_bytes as f64, 0.5),
                 );
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -324,7 +324,7 @@
             for sync in [true, false] {
                 for batch in [1, 8, 64, 512] {
                     let place = tempfile::tempdir_in(folder)?;
-                    let c = store_benchmark::commits(place.path(), sync, batch, span)?;
+                    let c = store_benchmark::measure_commits(place.path(), sync, batch, span)?;
                     if arguments.json {
                         println!("{}", serde_json::to_string(&c)?);
                     } else {
@@ -340,7 +340,7 @@
             }
             for records in records {
                 let place = tempfile::tempdir_in(folder)?;
-                let b = store_benchmark::back(place.path(), *records)?;
+                let b = store_benchmark::measure_reopen(place.path(), *records)?;
                 if arguments.json {
                     println!("{}", serde_json::to_string(&b)?);
                 } else {
@@ -355,8 +355,8 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        Command::Scale(told) => scale::go(told, arguments.json, arguments.quiet),
-        Command::ScaleNode(told) => scale::go_node(told),
+        Command::Scale(told) => scale::execute(told, arguments.json, arguments.quiet),
+        Command::ScaleNode(told) => scale::execute_node(told),
         Command::Fleet { command } => fleet::go(command, arguments.json),
         Command::Replay { scenarios } => {
             let all = scenarios.iter().map(|p| file::read(p)).collect::<Result<Vec<_>, _>>()?;
@@ -406,7 +406,7 @@
     let product = Product { latency_target_ms: 50.0, deadline_ms: 100.0, ..Product::default() };
     let fleet = StandInFleet::start(&Scenario { products: vec![product], ..Scenario::default() })?;
     let begin = Instant::now();
-    let c = starts::starts(program, &fleet, plan)?;
+    let c = starts::run_starts(program, &fleet, plan)?;
     println!(
         "{} starts, {} at once, {:.0} s: {} ready within {:.1} s, {} late, {} hung, {} refused; {} stopped badly; \
          longest {:.2} s",
@@ -422,5 +422,5 @@
         c.longest.as_secs_f64()
     );
     c.notes.iter().for_each(|note| println!("  {note}"));
-    Ok(ExitCode::from(u8::from(!c.sound())))
+    Ok(ExitCode::from(u8::from(!c.is_clean())))
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -15,7 +15,7 @@
 use super::operator::propose;
 use super::policy;
 use super::stop::Stop;
-use crate::consensus_sim::{self, Held, Size};
+use crate::consensus_sim::{self, ChangeCost, SimulationConfig};
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
@@ -80,7 +80,7 @@
     pub real_nodes: Vec<RealNode>,
     pub changes: Vec<Change>,
     /// The same state machines in simulated time, coordinators' messages among each other counted as well.
-    pub simulated: Option<Held>,
+    pub simulated: Option<ChangeCost>,
 }
 
 impl FleetCost {
@@ -242,16 +242,16 @@
     })
 }
 
-fn simulated(members: &Members, count: usize) -> Option<Held> {
-    let size = Size {
+fn simulated(members: &Members, count: usize) -> Option<ChangeCost> {
+    let size = SimulationConfig {
         members: count,
         coordinators: members.voters,
-        bad: 0.0,
+        silent_share: 0.0,
         lease: members.lease_ms * 1_000_000,
         hold: members.hold_ms * 1_000_000,
         latency: LATENCY,
-        sync: SYNC,
-        policy: policy::text(1, members.policy_bytes).len(),
+        sync_latency: SYNC,
+        policy_bytes: policy::text(1, members.policy_bytes).len(),
     };
-    consensus_sim::play(&size, 1)
+    consensus_sim::simulate_change(&size, 1)
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -85,7 +85,7 @@
 /// # Errors
 ///
 /// The file makes no sense or does not fit, or something did not work.
-pub fn go(arguments: &Arguments, json: bool, quiet: bool) -> Fallible<ExitCode> {
+pub fn execute(arguments: &Arguments, json: bool, quiet: bool) -> Fallible<ExitCode> {
     let machine = Machine::read()?;
     let scale = file::read(&arguments.file, &machine)?;
     let program = match (&arguments.program, &scale.members) {
@@ -121,7 +121,7 @@
 /// # Errors
 ///
 /// It can't be measured.
-pub fn go_node(arguments: &NodeArguments) -> Fallible<ExitCode> {
+pub fn execute_node(arguments: &NodeArguments) -> Fallible<ExitCode> {
     let NodeArguments { workers, in_hand, submissions, lists } = *arguments;
     let cost = dispatch::measure(workers, in_hand, submissions, lists)?;
     println!("{}", serde_json::to_string(&cost)?);
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -23,7 +23,7 @@
 
 /// A count that the file limits.
 #[derive(Clone, Debug, Serialize)]
-pub struct Judged {
+pub struct LimitCheck {
     pub limit: &'static str,
     pub at_most: f64,
     pub found: f64,
@@ -37,7 +37,8 @@
     pub fleets: Vec<FleetCost>,
     pub nodes: Vec<NodeCost>,
     pub slopes: Vec<Slope>,
-    pub judged: Vec<Judged>,
+    #[serde(rename = "judged")]
+    pub limit_checks: Vec<LimitCheck>,
 }
 
 type OfFleet = (&'static str, fn(&FleetCost) -> Option<f64>);
@@ -59,7 +60,7 @@
     ("ms to in force, last, calm", |f| f.median(Case::Calm, |c| c.passed.last_ms)),
     ("ms to in force, last, some dead", |f| f.median(Case::Dead, |c| c.passed.last_ms)),
     ("ms to in force, last, a zone lost", |f| f.median(Case::ZoneLost, |c| c.passed.last_ms)),
-    ("simulated: leader's bytes a change", |f| f.simulated.map(|s| s.speaker_bytes as f64)),
+    ("simulated: leader's bytes a change", |f| f.simulated.map(|s| s.leader_bytes as f64)),
 ];
 
 /// What is fitted over the number of workers, for each number of jobs in hand.
@@ -94,7 +95,7 @@
     found
 }
 
-fn judged(limits: &Limits, fleets: &[FleetCost], slopes: &[Slope]) -> Vec<Judged> {
+fn check_limits(limits: &Limits, fleets: &[FleetCost], slopes: &[Slope]) -> Vec<LimitCheck> {
     let largest = |of: &dyn Fn(&FleetCost) -> f64| fleets.iter().map(of).fold(f64::NAN, f64::max);
     let a_change = |f: &FleetCost| f.median(Case::Calm, |c| c.passed.messages_a_member).unwrap_or(f64::NAN);
     let slope_of = |start: &str| {
@@ -109,7 +110,7 @@
     ];
     // What was not measured does not hold.
     let judge = |(limit, at_most, found): (&'static str, Option<f64>, f64)| {
-        at_most.map(|at_most| Judged { limit, at_most, found, holds: found <= at_most })
+        at_most.map(|at_most| LimitCheck { limit, at_most, found, holds: found <= at_most })
     };
     found.into_iter().filter_map(judge).collect()
 }
@@ -124,14 +125,14 @@
         nodes: Vec<NodeCost>,
     ) -> Self {
         let slopes = slopes(&fleets, &nodes);
-        let judged = judged(limits, &fleets, &slopes);
-        Self { name, machine, fleets, nodes, slopes, judged }
+        let limit_checks = check_limits(limits, &fleets, &slopes);
+        Self { name, machine, fleets, nodes, slopes, limit_checks }
     }
 
     /// All of the file's limits hold.
     #[must_use]
     pub fn holds(&self) -> bool {
-        self.judged.iter().all(|j| j.holds)
+        self.limit_checks.iter().all(|j| j.holds)
     }
 
     /// For people.
@@ -141,7 +142,7 @@
         for part in [self.fleets_text(), self.changes_text(), self.nodes_text(), self.slopes_text()] {
             out.push_str(&part);
         }
-        for Judged { limit, at_most, found, holds } in &self.judged {
+        for LimitCheck { limit, at_most, found, holds } in &self.limit_checks {
             let word = if *holds { "holds" } else { "BROKEN" };
             let _ = writeln!(out, "limit {limit}: {found:.1}, {at_most} at most: {word}");
         }
--- a/crates/lab/src/starts.rs
+++ b/crates/lab/src/starts.rs
@@ -12,12 +12,12 @@
 use linestack_rig::stand_ins::StandInFleet;
 
 /// The most nodes that are alive at a time.
-pub const MOST_AT_ONCE: usize = 1024;
+pub const MAX_CONCURRENT_STARTS: usize = 1024;
 
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub count: u64,
-    /// Alive at a time, [`MOST_AT_ONCE`] at most.
+    /// Alive at a time, [`MAX_CONCURRENT_STARTS`] at most.
     pub at_once: usize,
     /// From the start of the process to a 200 of `/healthz`; what takes longer is late.
     pub ready_within: Duration,
@@ -29,7 +29,7 @@
 
 /// What came of the starts. Each is counted in one of the first four.
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct StartCounts {
     pub ready: u64,
     pub late: u64,
     pub hung: u64,
@@ -42,10 +42,10 @@
     pub notes: Vec<String>,
 }
 
-impl Counted {
+impl StartCounts {
     /// All served in time and ended well.
     #[must_use]
-    pub fn sound(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.late + self.hung + self.refused + self.stopped_badly == 0
     }
 }
@@ -75,11 +75,13 @@
 /// # Errors
 ///
 /// Nothing to start, too many at once, or the fleet's stand-ins could not be reached by name.
-pub fn starts(program: &Path, fleet: &StandInFleet, plan: &Plan) -> io::Result<Counted> {
-    if plan.count == 0 || plan.at_once == 0 || plan.at_once > MOST_AT_ONCE {
-        return Err(io::Error::other(format!("one start at least, from 1 to {MOST_AT_ONCE} at once")));
+pub fn run_starts(program: &Path, fleet: &StandInFleet, plan: &Plan) -> io::Result<StartCounts> {
+    if plan.count == 0 || plan.at_once == 0 || plan.at_once > MAX_CONCURRENT_STARTS {
+        return Err(io::Error::other(format!(
+            "one start at least, from 1 to {MAX_CONCURRENT_STARTS} at once"
+        )));
     }
-    let (next, counted) = (AtomicU64::new(0), Mutex::new(Counted::default()));
+    let (next, counted) = (AtomicU64::new(0), Mutex::new(StartCounts::default()));
     std::thread::scope(|scope| {
         for _ in 0..plan.at_once {
             scope.spawn(|| {
@@ -97,7 +99,7 @@
     Ok(counted.into_inner().unwrap_or_else(PoisonError::into_inner))
 }
 
-fn note(all: &mut Counted, plan: &Plan, end: io::Result<End>) {
+fn note(all: &mut StartCounts, plan: &Plan, end: io::Result<End>) {
     let mut keep = |what: String| {
         if all.notes.len() < 16 {
             all.notes.push(what);
--- a/crates/lab/src/store_benchmark.rs
+++ b/crates/lab/src/store_benchmark.rs
@@ -6,9 +6,9 @@
 use linestack_store::{Folder, Limits, Op, Store, StoreError};
 use serde::Serialize;
 
-/// Commits of one size.
+/// CommitCost of one size.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Commits {
+pub struct CommitCost {
     pub sync: bool,
     pub batch: usize,
     pub records_per_s: f64,
@@ -20,7 +20,7 @@
 
 /// Coming back to so many records.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Back {
+pub struct ReopenCost {
     pub records: usize,
     pub bytes: u64,
     pub from_checkpoint_s: f64,
@@ -42,12 +42,17 @@
     Store::open(Folder::open(folder)?, limits, new, 1)
 }
 
-/// Commits for `span`, each of `batch` records.
+/// CommitCost for `span`, each of `batch` records.
 ///
 /// # Errors
 ///
 /// The disk's.
-pub fn commits(folder: &Path, sync: bool, batch: usize, span: Duration) -> Result<Commits, StoreError> {
+pub fn measure_commits(
+    folder: &Path,
+    sync: bool,
+    batch: usize,
+    span: Duration,
+) -> Result<CommitCost, StoreError> {
     let mut store = open(folder, limits(sync, 8), true)?;
     let (begin, mut number, mut times) = (Instant::now(), 0, Vec::new());
     while begin.elapsed() < span {
@@ -61,7 +66,7 @@
     times.sort_by(f64::total_cmp);
     let at = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
     let stats = store.stats();
-    Ok(Commits {
+    Ok(CommitCost {
         sync,
         batch,
         records_per_s: number as f64 / took,
@@ -82,7 +87,7 @@
 /// # Errors
 ///
 /// The disk's.
-pub fn back(folder: &Path, records: usize) -> Result<Back, StoreError> {
+pub fn measure_reopen(folder: &Path, records: usize) -> Result<ReopenCost, StoreError> {
     let mut store = open(folder, limits(false, usize::MAX - 1), true)?;
     let mut number = 0;
     while number < records as u64 {
@@ -102,5 +107,5 @@
     drop(store);
     let (from_checkpoint_s, store, _) = timed()?;
     assert_eq!(store.stats().records, records);
-    Ok(Back { records, bytes, from_checkpoint_s, without_s, index_bytes })
+    Ok(ReopenCost { records, bytes, from_checkpoint_s, without_s, index_bytes })
 }
--- a/crates/node/tests/scale.rs
+++ b/crates/node/tests/scale.rs
@@ -41,7 +41,7 @@
     let _guard = ONE_AT_A_TIME.lock();
     let scale = read(SHORT_PLAN);
     let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
-    assert_eq!(report.judged.len(), 3, "{:?}", report.judged);
+    assert_eq!(report.limit_checks.len(), 3, "{:?}", report.limit_checks);
     assert!(report.holds(), "{}", report.text());
     assert_eq!(children(), Vec::<String>::new());
 }
@@ -55,8 +55,8 @@
         .fold(SHORT_PLAN.replace("[50, 100]", "[10, 20]"), |text, (from, to)| text.replace(from, to));
     let scale = read(&text);
     let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
-    let kept: Vec<&str> = report.judged.iter().filter(|j| j.holds).map(|j| j.limit).collect();
-    assert_eq!((report.judged.len(), kept), (3, Vec::new()), "{}", report.text());
+    let kept: Vec<&str> = report.limit_checks.iter().filter(|j| j.holds).map(|j| j.limit).collect();
+    assert_eq!((report.limit_checks.len(), kept), (3, Vec::new()), "{}", report.text());
 }
 
 #[test]
--- a/crates/node/tests/starts.rs
+++ b/crates/node/tests/starts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linestack_lab::starts::{Plan, starts};
+use linestack_lab::starts::{Plan, run_starts};
 use linestack_rig::load;
 use linestack_rig::stand_ins::StandInFleet;
 use linestack_world::{Product, Scenario};
@@ -25,8 +25,8 @@
         let plan = load::LoadPlan { clients: 32, rate: None, duration: span, ramp: Duration::ZERO };
         load::load(&scenario, &executors, &plan, 1)
     });
-    let counted = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan).unwrap();
-    assert!(counted.sound(), "{counted:?}");
+    let counted = run_starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan).unwrap();
+    assert!(counted.is_clean(), "{counted:?}");
     assert_eq!(counted.ready, plan.count);
     assert!(load.join().unwrap().unwrap().satisfied > 0, "there was no load");
 }
@@ -38,6 +38,6 @@
     let fleet = StandInFleet::start(&Scenario::default()).unwrap();
     let within = Duration::from_secs(60);
     let plan = Plan { count: 1, at_once, ready_within: within, hung_after: within, via: Vec::new() };
-    let counted = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan);
+    let counted = run_starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan);
     assert_eq!(counted.is_ok(), accepted, "{counted:?}");
 }
