--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -348,7 +348,7 @@
                         "{records:<10}  {:<11}  {:>19.3}  {:>9.3}  {:.0}",
                         b.bytes,
                         b.from_checkpoint_s,
-                        b.without_s,
+                        b.without_checkpoint_s,
                         b.index_bytes as f64 / *records as f64
                     );
                 }
