--- a/crates/lab/src/starts.rs
+++ b/crates/lab/src/starts.rs
@@ -1,4 +1,5 @@
-//! Many starts and stops of the real program, side by side: how many came up in time, late, never, or were refused.
+//! Starts and stops many processes of the real program concurrently, and counts how many became ready in time, became
+//! ready late, hung, or exited before they served.
 
 use std::io::{self, BufRead as _, BufReader, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -11,58 +12,80 @@
 
 use linestack_rig::stand_ins::StandInFleet;
 
-/// The most nodes that are alive at a time.
+/// Maximum number of node processes that run at the same time.
 pub const MAX_CONCURRENT_STARTS: usize = 1024;
+/// Maximum number of notes that are kept about processes that failed.
+const MAX_NOTES: usize = 16;
+/// Interval between health checks of a process that starts. Polling every 2 ms, each time over a new connection, left
+/// 400 nodes too little processor time to start.
+const HEALTH_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks whether a process has exited after SIGTERM.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
+/// How many processes are started, and the time limits that they are held to.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Total number of starts.
     pub count: u64,
-    /// Alive at a time, [`MAX_CONCURRENT_STARTS`] at most.
+    /// Processes that run at the same time, from 1 to [`MAX_CONCURRENT_STARTS`].
     pub at_once: usize,
-    /// From the start of the process to a 200 of `/healthz`; what takes longer is late.
+    /// Time limit from the start of a process to a 200 from `/healthz`. A process that takes longer counts as late.
     pub ready_within: Duration,
-    /// What takes longer than this hangs, at the start and at the stop.
+    /// A start or a stop that takes longer than this counts as hung.
     pub hung_after: Duration,
-    /// Words that go before the program, such as `taskset -c 0`.
+    /// Command prefix under which the program is run, such as `taskset -c 0`.
     pub via: Vec<String>,
 }
 
-/// What came of the starts. Each is counted in one of the first four.
+/// Counts of the results. Each start is counted in exactly one of `ready`, `late`, `hung` and `refused`.
 #[derive(Clone, Debug, Default)]
 pub struct StartCounts {
+    /// Served within [`Plan::ready_within`].
     pub ready: u64,
+    /// Served later than that.
     pub late: u64,
+    /// Did not serve within [`Plan::hung_after`].
     pub hung: u64,
-    /// The process ended before it served.
+    /// Exited before they served, or could not be run.
     pub refused: u64,
-    /// Served, and then did not end with 0 in time after SIGTERM.
+    /// Served, and then did not exit with status 0 in time after SIGTERM.
     pub stopped_badly: u64,
+    /// Longest time until a process served.
     pub longest: Duration,
-    /// What the threads of those that hung were doing, and the last words of those that were refused.
+    /// The state of the threads of processes that hung, and the last log line or error of those that were refused.
     pub notes: Vec<String>,
 }
 
 impl StartCounts {
-    /// All served in time and ended well.
+    /// Returns whether all processes served in time and stopped cleanly.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.late + self.hung + self.refused + self.stopped_badly == 0
     }
 }
 
-enum End {
-    Served(Duration, Option<String>),
+/// Result of one start.
+enum StartResult {
+    /// The process served.
+    Served {
+        /// Time from the start of the process until it served.
+        elapsed: Duration,
+        /// Why the stop failed, if it did.
+        stop_failure: Option<String>,
+    },
+    /// The process did not serve in time. Holds the state of its threads.
     Hung(String),
+    /// The process exited before it served. Holds its last log line.
     Refused(String),
 }
 
-/// A node that is killed when it is let go, and its file.
-struct Run {
+/// A node process and its configuration file. Dropping it kills the process and removes the file.
+struct RunningNode {
     process: Child,
     file: PathBuf,
 }
 
-impl Drop for Run {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -70,18 +93,19 @@
     }
 }
 
-/// Starts and stops the program as often as planned.
+/// Starts and stops the program `plan.count` times, up to `plan.at_once` processes at a time.
 ///
 /// # Errors
 ///
-/// Nothing to start, too many at once, or the fleet's stand-ins could not be reached by name.
+/// Returns an error if the counts of the plan are out of range. A process that cannot be run counts as refused.
 pub fn run_starts(program: &Path, fleet: &StandInFleet, plan: &Plan) -> io::Result<StartCounts> {
     if plan.count == 0 || plan.at_once == 0 || plan.at_once > MAX_CONCURRENT_STARTS {
         return Err(io::Error::other(format!(
-            "one start at least, from 1 to {MAX_CONCURRENT_STARTS} at once"
+            "expected at least 1 start and from 1 to {MAX_CONCURRENT_STARTS} at once, got {} starts and {} at once",
+            plan.count, plan.at_once
         )));
     }
-    let (next, counted) = (AtomicU64::new(0), Mutex::new(StartCounts::default()));
+    let (next, counts) = (AtomicU64::new(0), Mutex::new(StartCounts::default()));
     std::thread::scope(|scope| {
         for _ in 0..plan.at_once {
             scope.spawn(|| {
@@ -90,128 +114,134 @@
                     if number >= plan.count {
                         return;
                     }
-                    let end = once(program, fleet, plan, number);
-                    note(&mut counted.lock().unwrap_or_else(PoisonError::into_inner), plan, end);
+                    let result = start_and_stop(program, fleet, plan, number);
+                    record(&mut counts.lock().unwrap_or_else(PoisonError::into_inner), plan, result);
                 }
             });
         }
     });
-    Ok(counted.into_inner().unwrap_or_else(PoisonError::into_inner))
+    Ok(counts.into_inner().unwrap_or_else(PoisonError::into_inner))
 }
 
-fn note(all: &mut StartCounts, plan: &Plan, end: io::Result<End>) {
-    let mut keep = |what: String| {
-        if all.notes.len() < 16 {
-            all.notes.push(what);
+fn record(counts: &mut StartCounts, plan: &Plan, result: io::Result<StartResult>) {
+    let mut add_note = |note: String| {
+        if counts.notes.len() < MAX_NOTES {
+            counts.notes.push(note);
         }
     };
-    match end {
-        Ok(End::Served(took, stop)) => {
-            all.longest = all.longest.max(took);
-            *(if took <= plan.ready_within { &mut all.ready } else { &mut all.late }) += 1;
-            all.stopped_badly += u64::from(stop.is_some());
-            stop.into_iter().for_each(&mut keep);
+    match result {
+        Ok(StartResult::Served { elapsed, stop_failure }) => {
+            counts.longest = counts.longest.max(elapsed);
+            *(if elapsed <= plan.ready_within { &mut counts.ready } else { &mut counts.late }) += 1;
+            counts.stopped_badly += u64::from(stop_failure.is_some());
+            stop_failure.into_iter().for_each(&mut add_note);
         }
-        Ok(End::Hung(what)) => {
-            all.hung += 1;
-            keep(what);
+        Ok(StartResult::Hung(threads)) => {
+            counts.hung += 1;
+            add_note(threads);
         }
-        Ok(End::Refused(what)) => {
-            all.refused += 1;
-            keep(what);
+        Ok(StartResult::Refused(last_line)) => {
+            counts.refused += 1;
+            add_note(last_line);
         }
-        Err(why) => {
-            all.refused += 1;
-            keep(why.to_string());
+        Err(error) => {
+            counts.refused += 1;
+            add_note(error.to_string());
         }
     }
 }
 
-fn once(program: &Path, fleet: &StandInFleet, plan: &Plan, number: u64) -> io::Result<End> {
+/// Starts one process, waits until it serves, and stops it with SIGTERM.
+fn start_and_stop(program: &Path, fleet: &StandInFleet, plan: &Plan, number: u64) -> io::Result<StartResult> {
     let file = std::env::temp_dir().join(format!("linestack-starts-{}-{number}.json", std::process::id()));
     std::fs::write(&file, fleet.configuration(&format!("n{number}"), number).to_string())?;
-    let mut words = plan.via.iter().map(PathBuf::from).chain([program.to_path_buf()]);
-    let first = words.next().unwrap_or_default();
-    let mut command = Command::new(first);
-    command.args(words).env("PROXY_CONFIG", &file).stdin(Stdio::null()).stderr(Stdio::piped());
+    let mut command_line = plan.via.iter().map(PathBuf::from).chain([program.to_path_buf()]);
+    let executable = command_line.next().unwrap_or_default();
+    let mut command = Command::new(executable);
+    command.args(command_line).env("PROXY_CONFIG", &file).stdin(Stdio::null()).stderr(Stdio::piped());
     for key in ["PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_NAME", "PROXY_LOG"] {
         command.env_remove(key);
     }
     let begin = Instant::now();
     let process = command.spawn();
-    let mut run = match process {
-        Ok(process) => Run { process, file },
-        Err(why) => {
+    let mut node = match process {
+        Ok(process) => RunningNode { process, file },
+        Err(error) => {
             let _ = std::fs::remove_file(&file);
-            return Err(why);
+            return Err(error);
         }
     };
-    // Lines come by a thread of their own: one that never comes must not keep us.
-    let (lines, heard) = channel();
-    if let Some(log) = run.process.stderr.take() {
+    // The log is read on a thread of its own, so that the wait for a line has a time limit.
+    let (sender, lines) = channel();
+    if let Some(log) = node.process.stderr.take() {
         std::thread::spawn(move || {
-            BufReader::new(log).lines().map_while(Result::ok).for_each(|line| drop(lines.send(line)));
+            BufReader::new(log).lines().map_while(Result::ok).for_each(|line| drop(sender.send(line)));
         });
     }
-    let (mut address, mut last) = (None, String::new());
+    let (mut address, mut last_line) = (None, String::new());
     while address.is_none() {
-        match heard.recv_timeout(plan.hung_after.saturating_sub(begin.elapsed())) {
+        match lines.recv_timeout(plan.hung_after.saturating_sub(begin.elapsed())) {
             Ok(line) => {
-                address = listens(&line);
-                last = line;
+                address = listen_address(&line);
+                last_line = line;
             }
-            Err(RecvTimeoutError::Timeout) => return Ok(End::Hung(threads(&run, "not listening"))),
-            Err(RecvTimeoutError::Disconnected) => return Ok(End::Refused(last)),
+            Err(RecvTimeoutError::Timeout) => {
+                return Ok(StartResult::Hung(describe_threads(&node, "not listening")));
+            }
+            Err(RecvTimeoutError::Disconnected) => return Ok(StartResult::Refused(last_line)),
         }
     }
-    let Some(address) = address else { return Ok(End::Refused(last)) };
-    while !healthy(address, plan.hung_after.saturating_sub(begin.elapsed())) {
+    let Some(address) = address else { return Ok(StartResult::Refused(last_line)) };
+    while !is_healthy(address, plan.hung_after.saturating_sub(begin.elapsed())) {
         if begin.elapsed() >= plan.hung_after {
-            return Ok(End::Hung(threads(&run, "not serving")));
+            return Ok(StartResult::Hung(describe_threads(&node, "not serving")));
         }
-        // Asked every 2 ms over new connections, four hundred nodes had no time left to start.
-        std::thread::sleep(Duration::from_millis(50));
+        std::thread::sleep(HEALTH_POLL_INTERVAL);
     }
-    let took = begin.elapsed();
-    Command::new("kill").args(["-TERM", &run.process.id().to_string()]).status()?;
-    let stopping = Instant::now();
-    while stopping.elapsed() < plan.hung_after {
-        if let Some(status) = run.process.try_wait()? {
-            let bad = (!status.success()).then(|| format!("after SIGTERM: {status}"));
-            return Ok(End::Served(took, bad));
+    let elapsed = begin.elapsed();
+    Command::new("kill").args(["-TERM", &node.process.id().to_string()]).status()?;
+    let stop_begin = Instant::now();
+    while stop_begin.elapsed() < plan.hung_after {
+        if let Some(status) = node.process.try_wait()? {
+            let stop_failure = (!status.success()).then(|| format!("after SIGTERM: {status}"));
+            return Ok(StartResult::Served { elapsed, stop_failure });
         }
-        std::thread::sleep(Duration::from_millis(5));
+        std::thread::sleep(EXIT_POLL_INTERVAL);
     }
-    Ok(End::Served(took, Some(threads(&run, "not ended after SIGTERM"))))
+    let stop_failure = Some(describe_threads(&node, "still running after SIGTERM"));
+    Ok(StartResult::Served { elapsed, stop_failure })
 }
 
-fn listens(line: &str) -> Option<SocketAddr> {
+/// Returns the address that a log line gives as `listen=ADDRESS`, if it does.
+fn listen_address(line: &str) -> Option<SocketAddr> {
     line.split_once("listen=")?.1.split(' ').next()?.parse().ok()
 }
 
-/// Whether the node says that it serves.
-fn healthy(address: SocketAddr, within: Duration) -> bool {
+/// Returns whether `/healthz` answers 200 within the time limit.
+fn is_healthy(address: SocketAddr, within: Duration) -> bool {
+    // The socket functions reject a time-out of 0.
     let within = within.max(Duration::from_millis(1));
-    let asked = TcpStream::connect_timeout(&address, within).and_then(|mut socket| {
+    let response = TcpStream::connect_timeout(&address, within).and_then(|mut socket| {
         socket.set_read_timeout(Some(within))?;
         socket.write_all(b"GET /healthz HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n")?;
-        let mut answer = [0; 12];
-        socket.read_exact(&mut answer)?;
-        Ok(answer)
+        let mut status_line = [0; b"HTTP/1.1 200".len()];
+        socket.read_exact(&mut status_line)?;
+        Ok(status_line)
     });
-    asked.is_ok_and(|answer| &answer[9..] == b"200")
+    response.is_ok_and(|status_line| &status_line[9..] == b"200")
 }
 
-/// What each thread of a process of ours does: its state, the processor time that it had, and the system call.
-fn threads(run: &Run, what: &str) -> String {
-    let mut text = format!("{what}:");
-    for task in std::fs::read_dir(format!("/proc/{}/task", run.process.id())).into_iter().flatten().flatten()
+/// Describes each thread of the process: its state, the processor time that it has used, and its system call.
+fn describe_threads(node: &RunningNode, problem: &str) -> String {
+    let mut text = format!("{problem}:");
+    for task in std::fs::read_dir(format!("/proc/{}/task", node.process.id())).into_iter().flatten().flatten()
     {
         let read = |name: &str| std::fs::read_to_string(task.path().join(name)).unwrap_or_default();
         let (stat, call) = (read("stat"), read("syscall"));
-        let after: Vec<&str> =
+        // Counted from after the thread's name: 0 is the state, 11 and 12 are the user and the system time in ticks.
+        let fields: Vec<&str> =
             stat.rsplit_once(')').map_or(Vec::new(), |(_, rest)| rest.split_whitespace().collect());
-        let field = |i: usize| after.get(i).copied().unwrap_or("?");
+        let field = |i: usize| fields.get(i).copied().unwrap_or("?");
         let call = call.split(' ').next().unwrap_or("?").trim();
         text += &format!(
             " [{} {} utime {} stime {} call {call}]",
