--- a/crates/lab/src/scale/coordinators.rs
+++ b/crates/lab/src/scale/coordinators.rs
@@ -7,7 +7,7 @@
 use linestack_rig::process::Process;
 use serde_json::json;
 
-use super::file::Members;
+use super::file::MembersSection;
 use super::machine::Usage;
 use super::policy;
 
@@ -34,7 +34,7 @@
     /// # Errors
     ///
     /// One of them does not listen.
-    pub fn start(members: &Members, program: &Path, folder: &Path) -> io::Result<Self> {
+    pub fn start(members: &MembersSection, program: &Path, folder: &Path) -> io::Result<Self> {
         let mut last = None;
         for attempt in 0..TRIES {
             match Self::start_once(members, program, &folder.join(format!("start-{attempt}"))) {
@@ -45,7 +45,7 @@
         Err(last.unwrap_or_else(|| io::Error::other("not started")))
     }
 
-    fn start_once(members: &Members, program: &Path, folder: &Path) -> io::Result<Self> {
+    fn start_once(members: &MembersSection, program: &Path, folder: &Path) -> io::Result<Self> {
         let addresses = free_addresses(members.voters.into())?;
         let peers: Vec<String> = addresses.iter().map(ToString::to_string).collect();
         let mut processes = Vec::new();
--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -17,7 +17,7 @@
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-use super::file::Dispatch;
+use super::file::DispatchSection;
 use super::machine::Usage;
 use super::policy::{self, CUT_OFF_MS, STARTS_PER_S};
 use super::stop::Stop;
@@ -286,7 +286,7 @@
 ///
 /// The run is to end, or the process failed.
 pub fn measure_apart(
-    dispatch: &Dispatch,
+    dispatch: &DispatchSection,
     workers: usize,
     in_hand: usize,
     lab: &Path,
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::coordinators::Coordinators;
-use super::file::Members;
+use super::file::MembersSection;
 use super::machine::Usage;
 use super::members::{Hollow, Passed, Traffic, incarnation, name};
 use super::nodes::{self, Nodes, RealNode};
@@ -99,7 +99,7 @@
 }
 
 struct Fleet<'a> {
-    members: &'a Members,
+    members: &'a MembersSection,
     coordinators: Coordinators,
     hollow: Hollow,
     version: u64,
@@ -179,7 +179,7 @@
 /// # Errors
 ///
 /// The run is to end, or something did not work.
-pub fn measure(members: &Members, count: usize, program: &Path, stop: &Stop) -> Fallible<FleetCost> {
+pub fn measure(members: &MembersSection, count: usize, program: &Path, stop: &Stop) -> Fallible<FleetCost> {
     let folder = tempfile::tempdir()?;
     let coordinators = Coordinators::start(members, program, folder.path())?;
     // Members ask at each third of a lease; they begin evenly over it.
@@ -242,7 +242,7 @@
     })
 }
 
-fn simulated(members: &Members, count: usize) -> Option<ChangeCost> {
+fn simulated(members: &MembersSection, count: usize) -> Option<ChangeCost> {
     let size = SimulationConfig {
         members: count,
         coordinators: members.voters,
