--- a/crates/lab/src/scale/coordinators.rs
+++ b/crates/lab/src/scale/coordinators.rs
@@ -54,7 +54,7 @@
             let place = folder.join(&name);
             std::fs::create_dir_all(&place)?;
             let first_policy = place.join("policy.json");
-            std::fs::write(&first_policy, policy::text(1, members.policy_bytes))?;
+            std::fs::write(&first_policy, policy::policy_text(1, members.policy_bytes))?;
             let file = place.join("coordinator.toml");
             let file_name = file.to_string_lossy().into_owned();
             let mut process = Process::new(&name, place, program, &["coordinate", &file_name]);
--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -19,7 +19,7 @@
 
 use super::file::DispatchSection;
 use super::machine::Usage;
-use super::policy::{self, CUT_OFF_MS, STARTS_PER_S};
+use super::policy::{self, DEADLINE_MS, SUBMISSIONS_PER_S};
 use super::stop::Stop;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -89,7 +89,7 @@
     fn new(workers: usize, in_hand: usize) -> Result<Self, String> {
         let slots = (in_hand as f64 / workers as f64 * SPARE).ceil() + 1.0;
         Ok(Self {
-            core: Core::new(policy::settings(1)?, DESCRIPTORS, MEMORY),
+            core: Core::new(policy::node_settings(1)?, DESCRIPTORS, MEMORY),
             now: 1000 * SECOND,
             workers: vec![0; workers],
             slots,
@@ -183,7 +183,7 @@
         self.feed(Input::ClientConnected { client });
         let id = Bytes::from(format!("job-{client}"));
         let shipment = Arc::new(ForwardedRequest { id, ..ForwardedRequest::default() });
-        let patience = (CUT_OFF_MS * 1e6) as Nanos;
+        let patience = (DEADLINE_MS * 1e6) as Nanos;
         let tenant = (client % 26) as u16;
         let intake = NewSubmission {
             product: 0,
@@ -214,7 +214,7 @@
 
     /// One submission later: the oldest job ends where as many as wanted are in hand.
     fn step(&mut self, in_hand: usize) -> f64 {
-        self.pass((SECOND as f64 / STARTS_PER_S) as Nanos);
+        self.pass((SECOND as f64 / SUBMISSIONS_PER_S) as Nanos);
         if self.running.len() >= in_hand {
             self.finish_oldest();
         }
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -1,67 +1,68 @@
-//! A straight line through measured points by least squares, its residuals, and whether the points bend.
+//! Fits a straight line to measured points by least squares, and detects whether the points bend away from it.
 
 use serde::Serialize;
 
-/// The slopes of the upper and the lower half of the points differ by more than this factor where they bend,
+/// Points bend only if the slopes of their upper and their lower half differ by more than this factor.
 const BEND_FACTOR: f64 = 1.5;
-/// and the line misses a point by more than this part of the largest value.
-const BEND_MISS: f64 = 0.05;
-/// Points that each half of a line needs.
-const LEAST_POINTS: usize = 4;
+/// Points bend only if the largest residual exceeds this share of the largest value.
+const BEND_RESIDUAL_SHARE: f64 = 0.05;
+/// Minimum number of points for the detection of a bend.
+const MIN_BEND_POINTS: usize = 4;
 
-/// A measured quantity at one size.
+/// The measured value of a quantity at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
     pub size: f64,
     pub value: f64,
 }
 
-/// `value = base + slope * size`, and how far each point lies off it.
+/// The line `value = base + slope * size`, and the distance of each point from it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
     pub base: f64,
     pub slope: f64,
-    /// Measured less fitted, in the order of the points.
+    /// Measured minus fitted value, in the order of the points.
     pub residuals: Vec<f64>,
-    /// Slope of the upper half of the points over that of the lower half, if the points bend.
+    /// If the points bend, the slope of their upper half divided by the slope of their lower half.
     pub bend: Option<f64>,
 }
 
 impl Line {
-    /// The value at another size. Outside the sizes measured it is an extrapolation.
+    /// Returns the value of the line at a size. Outside the measured sizes this is an extrapolation.
     #[must_use]
     pub fn at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 
-    /// The largest distance of a point from the line.
+    /// Returns the largest absolute residual.
     #[must_use]
     pub fn largest_residual(&self) -> f64 {
-        self.residuals.iter().fold(0.0, |most, r| most.max(r.abs()))
+        self.residuals.iter().fold(0.0, |largest, r| largest.max(r.abs()))
     }
 }
 
-/// Base and slope by least squares; none if there are not two sizes.
+/// Returns base and slope of the least-squares line, or `None` if there are fewer than two different sizes.
 fn least_squares(points: &[Point]) -> Option<(f64, f64)> {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|p| p.size).sum::<f64>() / count;
     let mean_value = points.iter().map(|p| p.value).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
-    if points.len() < 2 || spread <= 0.0 {
+    let size_variation: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
+    if points.len() < 2 || size_variation <= 0.0 {
         return None;
     }
-    let together: f64 = points.iter().map(|p| (p.size - mean_size) * (p.value - mean_value)).sum();
-    let slope = together / spread;
+    let covariation: f64 = points.iter().map(|p| (p.size - mean_size) * (p.value - mean_value)).sum();
+    let slope = covariation / size_variation;
     Some((mean_value - slope * mean_size, slope))
 }
 
-/// How the slope of the upper half of the points stands to that of the lower half. The middle point counts in both.
-fn bend(points: &[Point], miss: f64) -> Option<f64> {
-    if points.len() < LEAST_POINTS {
+/// Returns the slope of the upper half of the points divided by that of the lower half, if the points bend. The middle
+/// point belongs to both halves.
+fn bend(points: &[Point], largest_residual: f64) -> Option<f64> {
+    if points.len() < MIN_BEND_POINTS {
         return None;
     }
-    let largest = points.iter().fold(0.0_f64, |most, p| most.max(p.value.abs()));
-    if miss <= BEND_MISS * largest {
+    let largest = points.iter().fold(0.0_f64, |largest, p| largest.max(p.value.abs()));
+    if largest_residual <= BEND_RESIDUAL_SHARE * largest {
         return None;
     }
     let middle = points.len() / 2;
@@ -72,7 +73,8 @@
     bends.then_some(ratio)
 }
 
-/// Fits a line to points in the order of their sizes; none if there are not two sizes.
+/// Fits a line to points, which must be in ascending order of size. Returns `None` if there are fewer than two different
+/// sizes.
 #[must_use]
 pub fn fit(points: &[Point]) -> Option<Line> {
     let (base, slope) = least_squares(points)?;
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -109,7 +109,7 @@
 /// Bytes of what coordinators keep of a fleet of this size.
 #[must_use]
 pub fn state_bytes(members: usize, policy_bytes: usize) -> usize {
-    let mut state = State::initial(policy::text(1, policy_bytes));
+    let mut state = State::initial(policy::policy_text(1, policy_bytes));
     state.members = (0..members).map(|number| (name(number), incarnation(number))).collect();
     let record = Record { state, ..Record::default() };
     serde_json::to_vec(&record).map_or(0, |text| text.len())
@@ -134,7 +134,7 @@
 
     fn change(&mut self, case: Case, silent: usize) -> Fallible<Change> {
         let (base, addresses) = (self.version, self.coordinators.addresses.clone());
-        let text = policy::text(base + 1, self.members.policy_bytes);
+        let text = policy::policy_text(base + 1, self.members.policy_bytes);
         let before = self.coordinators.usage()?;
         self.version += 1;
         self.hollow.expect(self.version);
@@ -146,8 +146,8 @@
         Ok(Change {
             case,
             silent,
-            pending_ms: (put.taken - put.begin) as f64 / 1e6,
-            passed: self.hollow.passed(put.begin),
+            pending_ms: (put.pending_at - put.sent_at) as f64 / 1e6,
+            passed: self.hollow.passed(put.sent_at),
             coordinators_ms: all_s * 1e3,
             leader_ms: leader_s * 1e3,
             return_ms: 0.0,
@@ -251,7 +251,7 @@
         hold: members.hold_ms * 1_000_000,
         latency: LATENCY,
         sync_latency: SYNC,
-        policy_bytes: policy::text(1, members.policy_bytes).len(),
+        policy_bytes: policy::policy_text(1, members.policy_bytes).len(),
     };
     consensus_sim::simulate_change(&size, 1)
 }
--- a/crates/lab/src/scale/nodes.rs
+++ b/crates/lab/src/scale/nodes.rs
@@ -52,7 +52,7 @@
             let (configuration, fleet) = (place.join("node.json"), place.join("fleet.toml"));
             let limits = json!({"memory_mb": MEMORY_MB, "sockets": DESCRIPTORS});
             let told = json!({"name": name, "seed": format!("{number:x}"), "listen": "127.0.0.1:0",
-                "discovery": discovery, "limits": limits, "settings": policy::node_value()});
+                "discovery": discovery, "limits": limits, "settings": policy::node_settings_json()});
             std::fs::write(&configuration, told.to_string())?;
             let mut process = Process::new(&name, place, program, &[]);
             let told = json!({"fleet": {"id": FLEET, "member": name, "coordinators": coordinators,
--- a/crates/lab/src/scale/operator.rs
+++ b/crates/lab/src/scale/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's part: puts a change before the members.
+//! The operator's part of a scale run: proposes a policy change.
 
 use std::io;
 use std::io::Write as _;
@@ -11,62 +11,74 @@
 
 use super::coordinators::FLEET;
 
-/// How long an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
-const AGAIN: Duration = Duration::from_millis(20);
+/// Time limit of one answer, and of finding a coordinator that accepts the change.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay before the next coordinator is tried while none leads.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// When a change was put, and when it was written down that it is.
+/// The times of a proposal that was accepted.
 #[derive(Clone, Copy, Debug)]
-pub struct Put {
-    pub begin: Nanos,
-    pub taken: Nanos,
+pub struct Proposal {
+    /// When the request was sent.
+    pub sent_at: Nanos,
+    /// When the answer arrived that the change is pending.
+    pub pending_at: Nanos,
 }
 
-/// Puts a change to this policy, over any coordinator that is answered by whoever leads.
+/// Proposes a change from version `base` to the policy `text`. Tries the coordinators in turn until one of them accepts it
+/// for the leader.
 ///
 /// # Errors
 ///
-/// It was turned down, or nobody answered.
-pub fn propose(coordinators: &[SocketAddr], base: u64, text: &str) -> io::Result<Put> {
-    let own = SenderInfo {
+/// Returns an error if a coordinator answers with anything but acceptance, or if no coordinator accepts it in time.
+pub fn propose(coordinators: &[SocketAddr], base: u64, text: &str) -> io::Result<Proposal> {
+    let sender = SenderInfo {
         fleet: FLEET.to_owned(),
         identity: Identity::Operator,
         incarnation: Incarnation { store_id: 1, run_number: base },
     };
     let request = format!("to-{}", base + 1);
-    let ask = OperatorRequest::Propose {
+    let proposal = OperatorRequest::Propose {
         request,
         base_version: base,
         text: text.to_owned(),
         require_all: false,
         give_up_after: None,
     };
-    let started = Instant::now();
+    let search_begin = Instant::now();
     for to in coordinators.iter().cycle() {
-        if started.elapsed() > PATIENCE {
+        if search_begin.elapsed() > ANSWER_TIMEOUT {
             break;
         }
-        let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(*to, &own) else { continue };
-        socket.set_read_timeout(Some(PATIENCE))?;
+        let Ok((mut socket, mut reader, mut encoder)) = wire::connect_session(*to, &sender) else { continue };
+        socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         let bytes =
-            encoder.encode(Body::Request(Request::Operator(ask.clone()))).map_err(io::Error::other)?;
-        let begin = boottime();
+            encoder.encode(Body::Request(Request::Operator(proposal.clone()))).map_err(io::Error::other)?;
+        let sent_at = boottime();
         socket.write_all(&bytes)?;
-        match answer(&mut socket, &mut reader)? {
-            Reply::Pending { .. } => return Ok(Put { begin, taken: boottime() }),
-            Reply::NoLeader => std::thread::sleep(AGAIN),
-            other => return Err(io::Error::other(format!("the change was not put: {other:?}"))),
+        match read_reply(&mut socket, &mut reader)? {
+            Reply::Pending { .. } => return Ok(Proposal { sent_at, pending_at: boottime() }),
+            Reply::NoLeader => std::thread::sleep(RETRY_DELAY),
+            other => {
+                return Err(io::Error::other(format!(
+                    "the coordinator did not accept the change: {other:?}"
+                )));
+            }
         }
     }
-    Err(io::Error::other("no coordinator took the change"))
+    Err(io::Error::other(format!("no coordinator accepted the change within {ANSWER_TIMEOUT:?}")))
 }
 
-fn answer(socket: &mut TcpStream, reader: &mut FrameReader) -> io::Result<Reply> {
+fn read_reply(socket: &mut TcpStream, reader: &mut FrameReader) -> io::Result<Reply> {
     loop {
         match reader.next_frame().map_err(io::Error::other)? {
             Some(frame) => match frame.body {
                 Body::Reply(reply) => return Ok(reply),
-                _ => return Err(io::Error::other("not what was due")),
+                _ => {
+                    return Err(io::Error::other(
+                        "expected a reply from the coordinator, got another kind of message",
+                    ));
+                }
             },
             None if reader.read(socket).map_err(io::Error::other)? => {}
             None => return Err(io::Error::from(io::ErrorKind::TimedOut)),
--- a/crates/lab/src/scale/stop.rs
+++ b/crates/lab/src/scale/stop.rs
@@ -1,4 +1,4 @@
-//! When a run ends before its work is done: on an interrupt, or when its time is over.
+//! Ends a run early, on SIGINT or SIGTERM or when its time limit expires.
 
 use std::io;
 use std::sync::Arc;
@@ -10,31 +10,33 @@
 /// Why a run ended early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Stopped {
-    #[error("interrupted; all that was started has been ended")]
+    /// SIGINT or SIGTERM arrived.
+    #[error("interrupted; all started processes have been ended")]
     Interrupted,
-    #[error("span-s: the time is over; all that was started has been ended")]
+    /// The time limit expired.
+    #[error("span-s: the time limit has expired; all started processes have been ended")]
     OutOfTime,
 }
 
-/// Told to everything that waits or loops during a run.
+/// Tells everything that waits or loops during a run when to end. Clones share the state of the interrupt.
 #[derive(Clone, Debug)]
 pub struct Stop {
     interrupted: Arc<AtomicBool>,
-    end: Instant,
+    deadline: Instant,
 }
 
 impl Stop {
-    /// A run that may last this long.
+    /// Creates the stop condition of a run that may take this long from now.
     #[must_use]
     pub fn after(span: Duration) -> Self {
-        Self { interrupted: Arc::default(), end: Instant::now() + span }
+        Self { interrupted: Arc::default(), deadline: Instant::now() + span }
     }
 
-    /// Takes SIGINT and SIGTERM for an interrupt from now on.
+    /// Handles SIGINT and SIGTERM as an interrupt of the run from now on.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// Returns an error if a signal handler cannot be installed.
     pub fn on_signals(&self) -> io::Result<()> {
         for signal in [SIGINT, SIGTERM] {
             signal_hook::flag::register(signal, Arc::clone(&self.interrupted))?;
@@ -42,14 +44,16 @@
         Ok(())
     }
 
+    /// Checks whether the run may continue.
+    ///
     /// # Errors
     ///
-    /// The run is to end now.
+    /// Returns the reason if the run must end now.
     pub fn check(&self) -> Result<(), Stopped> {
         if self.interrupted.load(Ordering::Relaxed) {
             return Err(Stopped::Interrupted);
         }
-        if Instant::now() >= self.end {
+        if Instant::now() >= self.deadline {
             return Err(Stopped::OutOfTime);
         }
         Ok(())
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -119,7 +119,7 @@
 // Guards against a node whose memory for each worker grows past its limit, and against a run that does not fail when a
 // limit is exceeded.
 #[test]
-fn an_exceeded_limit_of_a_node_fails_the_run() {
+fn the_memory_limit_of_a_node_is_checked() {
     let output = lab().arg("scale").arg(scenario("short-node.toml")).output().unwrap();
     let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(0), "{stdout}");
