--- a/crates/lab/src/scale/coordinators.rs
+++ b/crates/lab/src/scale/coordinators.rs
@@ -1,4 +1,4 @@
-//! Real coordinators: processes of the program on loopback, ended when they are dropped.
+//! Real coordinators: processes of the node's program, on loopback.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -11,17 +11,20 @@
 use super::machine::Usage;
 use super::policy;
 
-/// The fleet's id.
-pub const FLEET: &str = "scale";
-/// Starts after which it is not chance any more that a port was taken meanwhile.
-const TRIES: usize = 3;
+/// Id of the fleet.
+pub const FLEET_ID: &str = "scale";
+/// Maximum number of attempts to start all coordinators. A single attempt may fail because another process has taken a
+/// free port in the meantime.
+const MAX_START_ATTEMPTS: usize = 3;
 
+/// The coordinators of a fleet. Dropping them ends their processes.
 pub struct Coordinators {
     processes: Vec<Process>,
+    /// The addresses that they listen on.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Ports that nobody listens on now.
+/// Returns loopback addresses with ports that no process listens on.
 fn free_addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
     let listeners: Vec<TcpListener> =
         (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<io::Result<_>>()?;
@@ -29,20 +32,20 @@
 }
 
 impl Coordinators {
-    /// Starts a new fleet's coordinators.
+    /// Starts the coordinators of a new fleet.
     ///
     /// # Errors
     ///
-    /// One of them does not listen.
+    /// Returns the last error if no attempt makes all coordinators listen.
     pub fn start(members: &MembersSection, program: &Path, folder: &Path) -> io::Result<Self> {
-        let mut last = None;
-        for attempt in 0..TRIES {
+        let mut last_error = None;
+        for attempt in 0..MAX_START_ATTEMPTS {
             match Self::start_once(members, program, &folder.join(format!("start-{attempt}"))) {
                 Ok(coordinators) => return Ok(coordinators),
-                Err(why) => last = Some(why),
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(last.unwrap_or_else(|| io::Error::other("not started")))
+        Err(last_error.unwrap_or_else(|| io::Error::other("no attempt was made to start the coordinators")))
     }
 
     fn start_once(members: &MembersSection, program: &Path, folder: &Path) -> io::Result<Self> {
@@ -51,17 +54,17 @@
         let mut processes = Vec::new();
         for (number, address) in addresses.iter().enumerate() {
             let name = format!("c{number}");
-            let place = folder.join(&name);
-            std::fs::create_dir_all(&place)?;
-            let first_policy = place.join("policy.json");
+            let process_folder = folder.join(&name);
+            std::fs::create_dir_all(&process_folder)?;
+            let first_policy = process_folder.join("policy.json");
             std::fs::write(&first_policy, policy::policy_text(1, members.policy_bytes))?;
-            let file = place.join("coordinator.toml");
+            let file = process_folder.join("coordinator.toml");
             let file_name = file.to_string_lossy().into_owned();
-            let mut process = Process::new(&name, place, program, &["coordinate", &file_name]);
-            let told = json!({"coordinator": {"fleet": FLEET, "number": number, "listen": address.to_string(),
+            let mut process = Process::new(&name, process_folder, program, &["coordinate", &file_name]);
+            let config = json!({"coordinator": {"fleet": FLEET_ID, "number": number, "listen": address.to_string(),
                 "peers": peers, "folder": process.store(), "first-policy": first_policy,
                 "lease-ms": members.lease_ms, "hold-ms": members.hold_ms}});
-            std::fs::write(&file, toml::to_string(&told).map_err(io::Error::other)?)?;
+            std::fs::write(&file, toml::to_string(&config).map_err(io::Error::other)?)?;
             process.next_start_arguments = vec!["--first".to_owned()];
             process.start()?;
             processes.push(process);
@@ -72,16 +75,16 @@
         Ok(Self { processes, addresses })
     }
 
-    /// What each uses.
+    /// Returns the resource usage of each coordinator.
     ///
     /// # Errors
     ///
-    /// One of them has ended.
+    /// Returns an error if a coordinator has exited, or if `/proc` cannot be read.
     pub fn usage(&self) -> io::Result<Vec<Usage>> {
-        self.processes.iter().map(|p| p.id().map_or_else(|| Err(gone(&p.name)), Usage::of)).collect()
+        self.processes.iter().map(|p| p.id().map_or_else(|| Err(exited(&p.name)), Usage::of)).collect()
     }
 }
 
-fn gone(name: &str) -> io::Error {
-    io::Error::other(format!("coordinator {name} has ended"))
+fn exited(name: &str) -> io::Error {
+    io::Error::other(format!("coordinator {name} has exited"))
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of one size: real coordinators, hollow members, and what they spend while nothing changes, in a change, with
-//! members dead and with a zone lost.
+//! Measures a fleet of one size, with real coordinators and in-process members: its cost while nothing changes, and its
+//! policy changes while all members respond, while some are silent, and while a zone is lost.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,8 +10,8 @@
 use super::coordinators::Coordinators;
 use super::file::MembersSection;
 use super::machine::Usage;
-use super::members::{Hollow, Passed, Traffic, incarnation, name};
-use super::nodes::{self, Nodes, RealNode};
+use super::members::{InProcessMembers, MemberChangeStats, Traffic, incarnation, name};
+use super::nodes::{self, RealNode, RealNodes};
 use super::operator::propose;
 use super::policy;
 use super::stop::Stop;
@@ -19,94 +19,112 @@
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
-/// All members are let in, and a change takes hold, within a lease and this.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// What the simulated fleet takes for a message one way, and for a write to disk.
-const LATENCY: u64 = 500_000;
-const SYNC: u64 = 2_000_000;
+/// Time limit, in addition to one lease, until all members serve under a version.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Minimum time of a message one way in the simulated fleet.
+const SIMULATED_LATENCY_NS: u64 = 500_000;
+/// Time of a write to disk in the simulated fleet.
+const SIMULATED_SYNC_NS: u64 = 2_000_000;
 
-/// Who is there while a change is put.
+/// The members that respond during a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Case {
+    /// All members respond.
     Calm,
-    /// Some members fell silent just before.
+    /// Some members fell silent just before the change.
     Dead,
-    /// All members of a zone did.
+    /// All members of a zone fell silent just before the change.
     ZoneLost,
 }
 
-/// One change.
+/// Measurement of one policy change.
 #[derive(Clone, Debug, Serialize)]
 pub struct Change {
     pub case: Case,
+    /// Number of silent members.
     pub silent: usize,
-    /// From when it was put until it was written down that it is pending.
+    /// Time from the proposal until the answer that the change is pending.
     pub pending_ms: f64,
     #[serde(flatten)]
-    pub passed: Passed,
-    /// Processor time of all coordinators together, and of the one that spent most.
+    pub member_stats: MemberChangeStats,
+    /// Processor time of all coordinators together.
     pub coordinators_ms: f64,
+    /// Processor time of the coordinator that used the most, taken to be the leader.
     pub leader_ms: f64,
-    /// From when the silent ones were there again until all served.
+    /// Time from the return of the silent members until all members serve under the new version.
     pub return_ms: f64,
 }
 
-/// What a fleet of one size costs.
+/// Cost of a fleet of one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetCost {
+    /// Number of in-process members.
     pub members: usize,
+    /// Time from the first connection until all members serve.
     pub join_ms: f64,
-    /// A member's, in a second in which nothing changes.
+    /// Messages that a member receives per second while nothing changes.
     pub messages_in: f64,
+    /// Messages that a member sends per second while nothing changes.
     pub messages_out: f64,
+    /// Bytes that a member receives per second while nothing changes.
     pub bytes_in: f64,
+    /// Bytes that a member sends per second while nothing changes.
     pub bytes_out: f64,
-    /// Of a core, in a thousandth: a hollow member's part of this process.
+    /// Processor time of this process for each member while nothing changes, in thousandths of a core.
     pub member_core_thousandths: f64,
-    /// Of a core: the coordinator that spends most, and all together, while nothing changes.
+    /// Processor time of the coordinator that uses the most, taken to be the leader, while nothing changes, in cores.
     pub leader_core: f64,
+    /// Processor time of all coordinators while nothing changes, in cores.
     pub coordinators_core: f64,
-    /// Largest of all coordinators, at the end.
+    /// Largest resident memory of a coordinator, at the end.
     pub resident_bytes: u64,
+    /// Largest number of threads of a coordinator, at the end.
     pub threads: u64,
+    /// Largest number of open file descriptors of a coordinator, at the end.
     pub descriptors: u64,
-    /// What a coordinator keeps, as JSON.
+    /// Size of a coordinator's record as JSON.
     pub state_bytes: usize,
-    pub hollow_resident_bytes: u64,
+    /// Resident memory of this process, with all in-process members, at the end.
+    #[serde(rename = "hollow_resident_bytes")]
+    pub in_process_resident_bytes: u64,
+    /// Number of notices for the operator, such as a refusal by the coordinators.
     pub refused: u64,
+    /// Number of sessions that ended before the run.
     pub sessions_lost: u64,
-    /// Real nodes beside the hollow members, while nothing changes.
+    /// Real nodes, in addition to the in-process members, while nothing changes.
     pub real_nodes: Vec<RealNode>,
     pub changes: Vec<Change>,
-    /// The same state machines in simulated time, coordinators' messages among each other counted as well.
+    /// A change with the same state machines in simulated time. Counts the messages between coordinators as well.
     pub simulated: Option<ChangeCost>,
 }
 
 impl FleetCost {
+    /// Returns the bytes that a member sends and receives per second while nothing changes.
     #[must_use]
     pub fn bytes_a_second(&self) -> f64 {
         self.bytes_in + self.bytes_out
     }
 
-    /// A figure of the changes of one kind, in the middle.
+    /// Returns the median of a value over the changes of one case.
     #[must_use]
-    pub fn median(&self, case: Case, of: impl Fn(&Change) -> f64) -> Option<f64> {
-        let mut values: Vec<f64> = self.changes.iter().filter(|c| c.case == case).map(of).collect();
+    pub fn median(&self, case: Case, value: impl Fn(&Change) -> f64) -> Option<f64> {
+        let mut values: Vec<f64> = self.changes.iter().filter(|c| c.case == case).map(value).collect();
         values.sort_by(f64::total_cmp);
         values.get(values.len() / 2).copied()
     }
 }
 
 struct Fleet<'a> {
-    members: &'a MembersSection,
+    config: &'a MembersSection,
     coordinators: Coordinators,
-    hollow: Hollow,
+    members: InProcessMembers,
+    /// The version of the last change that was proposed.
     version: u64,
     stop: &'a Stop,
 }
 
-/// Bytes of what coordinators keep of a fleet of this size.
+/// Returns the size of a coordinator's record as JSON, for a fleet of a size.
 #[must_use]
 pub fn state_bytes(members: usize, policy_bytes: usize) -> usize {
     let mut state = State::initial(policy::policy_text(1, policy_bytes));
@@ -115,109 +133,118 @@
     serde_json::to_vec(&record).map_or(0, |text| text.len())
 }
 
-fn core_part(before: &[Usage], after: &[Usage], seconds: f64) -> (f64, f64) {
-    let spent: Vec<f64> = before.iter().zip(after).map(|(b, a)| a.processor_s - b.processor_s).collect();
-    let most = spent.iter().copied().fold(0.0, f64::max);
-    (most / seconds, spent.iter().sum::<f64>() / seconds)
+/// Returns the processor time between two readings that are `seconds` apart, in cores: of the process that used the most,
+/// and of all.
+fn cores_used(before: &[Usage], after: &[Usage], seconds: f64) -> (f64, f64) {
+    let used_s: Vec<f64> = before.iter().zip(after).map(|(b, a)| a.processor_s - b.processor_s).collect();
+    let largest_s = used_s.iter().copied().fold(0.0, f64::max);
+    (largest_s / seconds, used_s.iter().sum::<f64>() / seconds)
 }
 
 impl Fleet<'_> {
+    /// Runs until all members serve under the current version. Returns the time that this takes, in milliseconds.
     fn settle(&mut self) -> Fallible<f64> {
         let begin = Instant::now();
-        let patience = PATIENCE + Duration::from_millis(self.members.lease_ms);
-        self.hollow.drive(begin + patience, self.stop, Hollow::settled)?;
-        if !self.hollow.settled() {
-            return Err(format!("not all members serve under version {}", self.version).into());
+        let timeout = SETTLE_TIMEOUT + Duration::from_millis(self.config.lease_ms);
+        self.members.run_until(begin + timeout, self.stop, InProcessMembers::all_settled)?;
+        if !self.members.all_settled() {
+            return Err(
+                format!("not all members serve under version {} within {timeout:?}", self.version).into()
+            );
         }
         Ok(begin.elapsed().as_secs_f64() * 1e3)
     }
 
+    /// Proposes a change, and measures it until all members serve under it.
     fn change(&mut self, case: Case, silent: usize) -> Fallible<Change> {
         let (base, addresses) = (self.version, self.coordinators.addresses.clone());
-        let text = policy::policy_text(base + 1, self.members.policy_bytes);
+        let text = policy::policy_text(base + 1, self.config.policy_bytes);
         let before = self.coordinators.usage()?;
         self.version += 1;
-        self.hollow.expect(self.version);
-        let asking = std::thread::spawn(move || propose(&addresses, base, &text));
+        self.members.begin_change(self.version);
+        let operator = std::thread::spawn(move || propose(&addresses, base, &text));
         self.settle()?;
-        let put = asking.join().map_err(|_| "the operator's part failed")??;
+        let proposal = operator.join().map_err(|_| "the thread that proposed the change panicked")??;
         let after = self.coordinators.usage()?;
-        let (leader_s, all_s) = core_part(&before, &after, 1.0);
+        let (leader_s, all_s) = cores_used(&before, &after, 1.0);
         Ok(Change {
             case,
             silent,
-            pending_ms: (put.pending_at - put.sent_at) as f64 / 1e6,
-            passed: self.hollow.passed(put.sent_at),
+            pending_ms: (proposal.pending_at - proposal.sent_at) as f64 / 1e6,
+            member_stats: self.members.change_stats(proposal.sent_at),
             coordinators_ms: all_s * 1e3,
             leader_ms: leader_s * 1e3,
             return_ms: 0.0,
         })
     }
 
-    /// A change while some are silent, and then their return.
-    fn change_without(
+    /// Measures a change while some members are silent, and then the return of these.
+    fn change_with_silent(
         &mut self,
         case: Case,
         is_silent: impl Fn(usize) -> bool,
         count: usize,
     ) -> Fallible<Change> {
         let silent = (0..count).filter(|number| is_silent(*number)).count();
-        self.hollow.silence(&is_silent);
+        self.members.set_silent(&is_silent);
         let mut change = self.change(case, silent)?;
-        self.hollow.silence(|_| false);
+        self.members.set_silent(|_| false);
         change.return_ms = self.settle()?;
         Ok(change)
     }
 
-    fn calm_for(&mut self, span: Duration) -> Fallible<()> {
-        self.hollow.drive(Instant::now() + span, self.stop, |_| false)
+    /// Runs the members for the time `span`.
+    fn run_for(&mut self, span: Duration) -> Fallible<()> {
+        self.members.run_until(Instant::now() + span, self.stop, |_| false)
     }
 }
 
-/// Measures a fleet of one size.
+/// Measures a fleet of `count` in-process members.
 ///
 /// # Errors
 ///
-/// The run is to end, or something did not work.
-pub fn measure(members: &MembersSection, count: usize, program: &Path, stop: &Stop) -> Fallible<FleetCost> {
+/// Returns an error if the run must end, if a process fails, or if the members do not settle in time.
+pub fn measure(config: &MembersSection, count: usize, program: &Path, stop: &Stop) -> Fallible<FleetCost> {
     let folder = tempfile::tempdir()?;
-    let coordinators = Coordinators::start(members, program, folder.path())?;
-    // Members ask at each third of a lease; they begin evenly over it.
-    let spread = Duration::from_millis(members.lease_ms / 3);
-    let hollow = Hollow::new(count, &coordinators.addresses, spread);
-    let mut fleet = Fleet { members, coordinators, hollow, version: 1, stop };
+    let coordinators = Coordinators::start(config, program, folder.path())?;
+    // Members renew their lease after each third of it. Their first requests are spread evenly over that time.
+    let renewal_interval = Duration::from_millis(config.lease_ms / 3);
+    let members = InProcessMembers::new(count, &coordinators.addresses, renewal_interval);
+    let mut fleet = Fleet { config, coordinators, members, version: 1, stop };
     let join_ms = fleet.settle()?;
-    let real = Nodes::start(members.real_nodes, program, folder.path(), &fleet.coordinators.addresses)?;
-    // Members ask anew when they are let in; after one round each asks at its own time again.
-    fleet.calm_for(spread)?;
+    let real_nodes =
+        RealNodes::start(config.real_nodes, program, folder.path(), &fleet.coordinators.addresses)?;
+    // Members renew their lease when they join. After one interval their requests are spread evenly again.
+    fleet.run_for(renewal_interval)?;
 
-    let (traffic, usage, own) = (fleet.hollow.traffic(), fleet.coordinators.usage()?, Usage::own()?);
-    let real_usage = real.usage()?;
+    let (traffic_before, usage_before, own_before) =
+        (fleet.members.traffic(), fleet.coordinators.usage()?, Usage::own()?);
+    let real_before = real_nodes.usage()?;
     let begin = Instant::now();
-    fleet.calm_for(members.idle)?;
+    fleet.run_for(config.idle)?;
     let seconds = begin.elapsed().as_secs_f64();
-    let traffic: Traffic = fleet.hollow.traffic().since(traffic);
-    let (leader_core, coordinators_core) = core_part(&usage, &fleet.coordinators.usage()?, seconds);
-    let real_nodes = nodes::spent(&real_usage, &real.usage()?, seconds);
-    let own_core = (Usage::own()?.processor_s - own.processor_s) / seconds;
+    let traffic: Traffic = fleet.members.traffic().since(traffic_before);
+    let (leader_core, coordinators_core) = cores_used(&usage_before, &fleet.coordinators.usage()?, seconds);
+    let real_node_usage = nodes::usage_between(&real_before, &real_nodes.usage()?, seconds);
+    let own_core = (Usage::own()?.processor_s - own_before.processor_s) / seconds;
 
     let mut changes = Vec::new();
-    for _ in 0..members.changes {
+    for _ in 0..config.changes {
         changes.push(fleet.change(Case::Calm, 0)?);
-        fleet.calm_for(Duration::from_millis(members.lease_ms / 3))?;
+        fleet.run_for(renewal_interval)?;
     }
-    // The dead are spread over all coordinators and places.
-    if let Some(step) = count.checked_div(members.dead) {
-        let is_dead = |number: usize| number.is_multiple_of(step) && number / step < members.dead;
-        changes.push(fleet.change_without(Case::Dead, is_dead, count)?);
+    // The dead members are spread evenly over all member numbers.
+    if let Some(step) = count.checked_div(config.dead) {
+        let is_dead = |number: usize| number.is_multiple_of(step) && number / step < config.dead;
+        changes.push(fleet.change_with_silent(Case::Dead, is_dead, count)?);
     }
-    if members.zones > 0 {
-        let in_zone = |number: usize| number.is_multiple_of(members.zones);
-        changes.push(fleet.change_without(Case::ZoneLost, in_zone, count)?);
+    if config.zones > 0 {
+        let in_zone = |number: usize| number.is_multiple_of(config.zones);
+        changes.push(fleet.change_with_silent(Case::ZoneLost, in_zone, count)?);
     }
 
-    let last = fleet.coordinators.usage()?;
-    let largest = |of: &dyn Fn(&Usage) -> u64| last.iter().map(of).max().unwrap_or(0);
+    let usage_at_end = fleet.coordinators.usage()?;
+    let largest = |value: &dyn Fn(&Usage) -> u64| usage_at_end.iter().map(value).max().unwrap_or(0);
     let per_member = |total: u64| total as f64 / seconds / count as f64;
     Ok(FleetCost {
         members: count,
@@ -232,26 +259,27 @@
         resident_bytes: largest(&|u| u.resident_bytes),
         threads: largest(&|u| u.threads),
         descriptors: largest(&|u| u.descriptors),
-        state_bytes: state_bytes(count, members.policy_bytes),
-        hollow_resident_bytes: Usage::own()?.resident_bytes,
-        refused: fleet.hollow.refused,
-        sessions_lost: fleet.hollow.sessions_lost,
-        real_nodes,
+        state_bytes: state_bytes(count, config.policy_bytes),
+        in_process_resident_bytes: Usage::own()?.resident_bytes,
+        refused: fleet.members.refused,
+        sessions_lost: fleet.members.sessions_lost,
+        real_nodes: real_node_usage,
         changes,
-        simulated: simulated(members, count),
+        simulated: simulate(config, count),
     })
 }
 
-fn simulated(members: &MembersSection, count: usize) -> Option<ChangeCost> {
-    let size = SimulationConfig {
+/// Simulates a change in a fleet of the same size.
+fn simulate(config: &MembersSection, count: usize) -> Option<ChangeCost> {
+    let simulation_config = SimulationConfig {
         members: count,
-        coordinators: members.voters,
+        coordinators: config.voters,
         silent_share: 0.0,
-        lease: members.lease_ms * 1_000_000,
-        hold: members.hold_ms * 1_000_000,
-        latency: LATENCY,
-        sync_latency: SYNC,
-        policy_bytes: policy::policy_text(1, members.policy_bytes).len(),
+        lease: config.lease_ms * 1_000_000,
+        hold: config.hold_ms * 1_000_000,
+        latency: SIMULATED_LATENCY_NS,
+        sync_latency: SIMULATED_SYNC_NS,
+        policy_bytes: policy::policy_text(1, config.policy_bytes).len(),
     };
-    consensus_sim::simulate_change(&size, 1)
+    consensus_sim::simulate_change(&simulation_config, 1)
 }
--- a/crates/lab/src/scale/members.rs
+++ b/crates/lab/src/scale/members.rs
@@ -1,5 +1,5 @@
-//! Hollow members: the members' own state machines and real sessions over loopback, many in one process and without a
-//! thread or a store each.
+//! In-process members: the state machines of members with real sessions over loopback. Many of them run in one process,
+//! without a thread or a store for each.
 
 use std::io::{self, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -12,20 +12,22 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use serde::Serialize;
 
-use super::coordinators::FLEET;
+use super::coordinators::FLEET_ID;
 use super::stop::Stop;
 
-/// As in a node's session: by how many thousandths clocks may differ, how long a lease is taken to last before the
-/// first, and the wait after a coordinator that does not answer.
-const DRIFT: u64 = 10;
-const SPAN: Nanos = 1_500_000_000;
-const RETRY: Nanos = 20_000_000;
-/// The longest wait for bytes before timers and the stop are looked at.
-const LOOK: Duration = Duration::from_millis(5);
-/// A connection is waited for, and the others must be heard meanwhile: so many between two looks at all sockets.
-const CONNECTS_A_PASS: usize = 4;
-
-/// What was sent and taken, in whole frames.
+/// Maximum difference between the rates of two clocks, in thousandths. As in a node's session.
+const DRIFT_THOUSANDTHS: u64 = 10;
+/// Assumed duration of a lease until the first one arrives. As in a node's session.
+const INITIAL_LEASE_NS: Nanos = 1_500_000_000;
+/// Delay before the next coordinator is tried. As in a node's session.
+const RETRY_DELAY_NS: Nanos = 20_000_000;
+/// Maximum wait for sockets, after which timers and the stop condition are checked again.
+const POLL_TIMEOUT: Duration = Duration::from_millis(5);
+/// Maximum number of connections opened between two polls of the sockets. Opening one blocks, and the sessions of the other
+/// members must be read in the meantime.
+const MAX_CONNECTS_PER_POLL: usize = 4;
+
+/// Whole frames sent and received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
     pub messages_in: u64,
@@ -35,6 +37,7 @@
 }
 
 impl Traffic {
+    /// Returns the traffic since an earlier count.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -45,6 +48,7 @@
         }
     }
 
+    /// Returns the sum of two counts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -55,11 +59,13 @@
         }
     }
 
+    /// Returns the number of messages in both directions.
     #[must_use]
     pub fn messages(self) -> u64 {
         self.messages_in + self.messages_out
     }
 
+    /// Returns the number of bytes in both directions.
     #[must_use]
     pub fn bytes(self) -> u64 {
         self.bytes_in + self.bytes_out
@@ -72,67 +78,80 @@
     encoder: FrameEncoder,
 }
 
-/// One member's way through one change.
+/// One member's progress through one change.
 #[derive(Clone, Copy, Debug, Default)]
-struct Passage {
-    /// When it had kept the change, and when it went by it.
+struct ChangeProgress {
+    /// When the member staged the change.
     staged_at: Option<Nanos>,
+    /// When the member began to serve under the new version.
     in_force_at: Option<Nanos>,
-    /// Traffic when the change was put, and once a coordinator had answered that the member goes by it.
-    before: Traffic,
-    after: Option<Traffic>,
+    /// The member's traffic before the change.
+    traffic_before: Traffic,
+    /// The member's traffic when a coordinator answered its report that the new version is active.
+    traffic_after: Option<Traffic>,
 }
 
-struct HollowMember {
-    own: SenderInfo,
+struct InProcessMember {
+    sender: SenderInfo,
     member: Member,
     session: Option<Session>,
+    /// Index of the coordinator of the current or the next session.
     coordinator: usize,
+    /// When the next session may be opened.
     connect_at: Nanos,
+    /// Whether the member neither sends nor reads anything.
     silent: bool,
-    /// The version that it said last that it goes by.
-    told: u64,
-    /// The version that it serves under, and until when.
-    serves: (u64, Nanos),
+    /// The active version in the last request.
+    reported_version: u64,
+    /// Until when the member may serve under its current version.
+    serving_until: Nanos,
     traffic: Traffic,
-    passage: Passage,
+    progress: ChangeProgress,
 }
 
-/// What members did in a change, in milliseconds from when it was put.
+/// Times and traffic of the members in one change. Times are in milliseconds from the proposal.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Passed {
-    /// The last member had kept it; the first one went by it.
+pub struct MemberChangeStats {
+    /// When the last member staged the change.
     pub all_staged_ms: f64,
+    /// When the first member began to serve under the new version.
     pub first_in_force_ms: f64,
+    /// Median of the times at which members began to serve under the new version.
     pub p50_ms: f64,
+    /// 99th percentile of these times.
     pub p99_ms: f64,
+    /// When the last member began to serve under the new version.
     pub last_ms: f64,
-    /// When the last silent member's lease under the version before was over, by its own clock.
+    /// When the last lease of a silent member under the previous version ended, by the member's clock.
     pub silent_fenced_ms: f64,
+    /// Messages of the change for each member that is not silent.
     pub messages_a_member: f64,
+    /// Bytes of these messages for each member.
     pub bytes_a_member: f64,
 }
 
-/// All hollow members of a fleet.
-pub struct Hollow {
-    members: Vec<HollowMember>,
+/// All in-process members of a fleet.
+pub struct InProcessMembers {
+    members: Vec<InProcessMember>,
     coordinators: Vec<SocketAddr>,
-    /// The version that a change leads to.
+    /// The version that the members are to serve under.
     target: u64,
+    /// Number of notices for the operator, such as a refusal by the coordinators.
     pub refused: u64,
+    /// Number of sessions that ended before the run.
     pub sessions_lost: u64,
 }
 
-/// The names that members go by.
+/// Returns the name of a member.
 #[must_use]
 pub fn name(number: usize) -> String {
     format!("member-{number:04}")
 }
 
-/// The run of the member with this number.
+/// Returns the incarnation of a member.
 #[must_use]
 pub fn incarnation(number: usize) -> Incarnation {
-    // As large as numbers that are drawn.
+    // Large, so that its JSON is about as long as that of a random store id.
     Incarnation { store_id: u64::MAX / 2 + number as u64, run_number: 1 }
 }
 
@@ -141,73 +160,76 @@
 }
 
 impl Session {
-    fn open(to: SocketAddr, own: &SenderInfo) -> Result<Self, wire::WireError> {
-        let (socket, reader, encoder) = wire::connect_session(to, own)?;
+    fn open(to: SocketAddr, sender: &SenderInfo) -> Result<Self, wire::WireError> {
+        let (socket, reader, encoder) = wire::connect_session(to, sender)?;
         socket.set_nonblocking(true)?;
         Ok(Self { socket, reader, encoder })
     }
 }
 
-impl HollowMember {
+impl InProcessMember {
     fn new(number: usize, coordinators: usize, connect_at: Nanos) -> Self {
         let incarnation = incarnation(number);
         Self {
-            own: SenderInfo {
-                fleet: FLEET.to_owned(),
+            sender: SenderInfo {
+                fleet: FLEET_ID.to_owned(),
                 identity: Identity::Member(name(number)),
                 incarnation,
             },
-            member: Member::new(incarnation, DRIFT, SPAN, 0, None),
+            member: Member::new(incarnation, DRIFT_THOUSANDTHS, INITIAL_LEASE_NS, 0, None),
             session: None,
             coordinator: number % coordinators,
             connect_at,
             silent: false,
-            told: 0,
-            serves: (0, 0),
+            reported_version: 0,
+            serving_until: 0,
             traffic: Traffic::default(),
-            passage: Passage::default(),
+            progress: ChangeProgress::default(),
         }
     }
 
     fn connect(&mut self, coordinators: &[SocketAddr], target: u64) {
-        match Session::open(coordinators[self.coordinator], &self.own) {
+        match Session::open(coordinators[self.coordinator], &self.sender) {
             Ok(session) => {
                 self.session = Some(session);
-                self.take(Input::SessionOpened, target);
+                self.handle(Input::SessionOpened, target);
             }
-            Err(_) => self.move_on(coordinators.len()),
+            Err(_) => self.try_next_coordinator(coordinators.len()),
         }
     }
 
-    fn move_on(&mut self, coordinators: usize) {
+    /// Closes the session, and prepares one with the next coordinator.
+    fn try_next_coordinator(&mut self, coordinators: usize) {
         self.session = None;
         self.member.handle(boottime(), Input::SessionClosed, &mut Vec::new());
         self.coordinator = (self.coordinator + 1) % coordinators;
-        self.connect_at = boottime() + RETRY;
+        self.connect_at = boottime() + RETRY_DELAY_NS;
     }
 
-    /// Gives an input to the state machine and does what follows. Without a session afterwards it is to move on.
-    fn take(&mut self, input: Input, target: u64) -> u64 {
-        let (mut outs, mut refused) = (Vec::new(), 0);
-        self.member.handle(boottime(), input, &mut outs);
-        let mut at = 0;
-        while let Some(out) = outs.get(at).cloned() {
-            at += 1;
-            match out {
+    /// Passes an input to the state machine and carries out its outputs. Returns the number of notices for the operator. If
+    /// there is no session afterwards, the caller must try the next coordinator.
+    fn handle(&mut self, input: Input, target: u64) -> u64 {
+        let (mut outputs, mut refused) = (Vec::new(), 0);
+        self.member.handle(boottime(), input, &mut outputs);
+        let mut next = 0;
+        // Handling an output may append further outputs.
+        while let Some(output) = outputs.get(next).cloned() {
+            next += 1;
+            match output {
                 Output::Send(renew) => self.send(renew),
                 Output::Stage(policy) => {
-                    self.passage.staged_at = Some(boottime());
-                    let done = Input::Staged { version: policy.version, result: Ok(()) };
-                    self.member.handle(boottime(), done, &mut outs);
+                    self.progress.staged_at = Some(boottime());
+                    let staged = Input::Staged { version: policy.version, result: Ok(()) };
+                    self.member.handle(boottime(), staged, &mut outputs);
                 }
                 Output::Activate(policy) => {
-                    let done = Input::Activated { version: policy.version, result: Ok(()) };
-                    self.member.handle(boottime(), done, &mut outs);
+                    let activated = Input::Activated { version: policy.version, result: Ok(()) };
+                    self.member.handle(boottime(), activated, &mut outputs);
                 }
                 Output::Serve { version, until } => {
-                    self.serves = (version, until);
-                    if version >= target && self.passage.in_force_at.is_none() {
-                        self.passage.in_force_at = Some(boottime());
+                    self.serving_until = until;
+                    if version >= target && self.progress.in_force_at.is_none() {
+                        self.progress.in_force_at = Some(boottime());
                     }
                 }
                 Output::TryAnotherCoordinator => self.session = None,
@@ -219,7 +241,7 @@
 
     fn send(&mut self, renew: linestack_accord::Renew) {
         let Some(session) = &mut self.session else { return };
-        self.told = renew.active;
+        self.reported_version = renew.active;
         let bytes = session.encoder.encode(Body::Request(Request::Renew(renew)));
         let sent = bytes.is_ok_and(|bytes| {
             self.traffic.messages_out += 1;
@@ -231,13 +253,13 @@
         }
     }
 
-    /// Reads what has come, and takes it.
-    fn hear(&mut self, target: u64) -> u64 {
+    /// Reads and handles the frames that have arrived. Returns the number of notices for the operator.
+    fn read_frames(&mut self, target: u64) -> u64 {
         let mut refused = 0;
         loop {
             let Some(session) = &mut self.session else { return refused };
             match session.reader.next_frame() {
-                Ok(Some(frame)) => refused += self.heard(frame, target),
+                Ok(Some(frame)) => refused += self.handle_frame(frame, target),
                 Ok(None) => match session.reader.read(&mut session.socket) {
                     Ok(true) => {}
                     Ok(false) => return refused,
@@ -248,8 +270,8 @@
         }
     }
 
-    fn heard(&mut self, frame: wire::Frame, target: u64) -> u64 {
-        // A frame is written anew to count it: its form is the same on both ends.
+    fn handle_frame(&mut self, frame: wire::Frame, target: u64) -> u64 {
+        // The frame is serialized again to count its bytes. Both ends serialize it in the same way.
         let body = serde_json::to_vec(&frame).map_or(0, |body| body.len());
         self.traffic.messages_in += 1;
         self.traffic.bytes_in += (linestack_frames::HEADER_LENGTH + body) as u64;
@@ -257,94 +279,96 @@
             self.session = None;
             return 0;
         };
-        let settles = self.told >= target && matches!(&reply, Reply::Grant(grant) if grant.version >= target);
-        let refused = self.take(Input::Reply(reply), target);
-        if settles && self.passage.after.is_none() {
-            self.passage.after = Some(self.traffic);
+        let settled = self.reported_version >= target
+            && matches!(&reply, Reply::Grant(grant) if grant.version >= target);
+        let refused = self.handle(Input::Reply(reply), target);
+        if settled && self.progress.traffic_after.is_none() {
+            self.progress.traffic_after = Some(self.traffic);
         }
         refused
     }
 }
 
-impl Hollow {
-    /// Members that connect one after the other over this time, so that they do not ask at once.
+impl InProcessMembers {
+    /// Creates members that connect one after the other, evenly over the time `spread`, so that their requests do not
+    /// coincide.
     #[must_use]
     pub fn new(count: usize, coordinators: &[SocketAddr], spread: Duration) -> Self {
         let now = boottime();
         let step = spread.as_nanos() as u64 / count.max(1) as u64;
-        let member = |number| HollowMember::new(number, coordinators.len(), now + step * number as u64);
+        let member = |number| InProcessMember::new(number, coordinators.len(), now + step * number as u64);
         let members = (0..count).map(member).collect();
         Self { members, coordinators: coordinators.to_vec(), target: 1, refused: 0, sessions_lost: 0 }
     }
 
-    /// Sent and taken by all.
+    /// Returns the traffic of all members.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
         self.members.iter().fold(Traffic::default(), |sum, m| sum.plus(m.traffic))
     }
 
-    /// All that are not silent serve under the target's version, and were answered so.
+    /// Returns whether every member that is not silent has reported that the target version is active, and was answered.
     #[must_use]
-    pub fn settled(&self) -> bool {
-        self.members.iter().all(|m| m.silent || m.passage.after.is_some())
+    pub fn all_settled(&self) -> bool {
+        self.members.iter().all(|m| m.silent || m.progress.traffic_after.is_some())
     }
 
-    /// A change to this version is about to be put.
-    pub fn expect(&mut self, target: u64) {
+    /// Prepares the members' records for a change to the version `target`, which is about to be proposed.
+    pub fn begin_change(&mut self, target: u64) {
         self.target = target;
         for member in &mut self.members {
-            member.passage = Passage { before: member.traffic, ..Passage::default() };
+            member.progress = ChangeProgress { traffic_before: member.traffic, ..ChangeProgress::default() };
         }
     }
 
-    /// Members that the condition names say and hear nothing from now on; the others are there.
-    pub fn silence(&mut self, is_silent: impl Fn(usize) -> bool) {
+    /// Makes the members for which the condition holds silent, and all others responsive.
+    pub fn set_silent(&mut self, is_silent: impl Fn(usize) -> bool) {
         let coordinators = self.coordinators.len();
         for (number, member) in self.members.iter_mut().enumerate() {
             let silent = is_silent(number);
             if member.silent && !silent {
-                // It comes back with a session of its own.
-                member.move_on(coordinators);
+                // The session has missed messages while the member was silent, so it opens another one.
+                member.try_next_coordinator(coordinators);
             }
             member.silent = silent;
         }
     }
 
-    /// What came of the change that was put at this time.
+    /// Returns the times and the traffic of the change that was proposed at the time `begin`.
     #[must_use]
-    pub fn passed(&self, begin: Nanos) -> Passed {
-        let there: Vec<&HollowMember> = self.members.iter().filter(|m| !m.silent).collect();
+    pub fn change_stats(&self, begin: Nanos) -> MemberChangeStats {
+        let responsive: Vec<&InProcessMember> = self.members.iter().filter(|m| !m.silent).collect();
         let mut in_force: Vec<f64> =
-            there.iter().filter_map(|m| Some(milliseconds(begin, m.passage.in_force_at?))).collect();
+            responsive.iter().filter_map(|m| Some(milliseconds(begin, m.progress.in_force_at?))).collect();
         in_force.sort_by(f64::total_cmp);
-        let quantile = |part: f64| {
+        let quantile = |q: f64| {
             let last = in_force.len().saturating_sub(1);
-            in_force.get((last as f64 * part).round() as usize).copied().unwrap_or(f64::NAN)
+            in_force.get((last as f64 * q).round() as usize).copied().unwrap_or(f64::NAN)
         };
-        let staged = there.iter().filter_map(|m| m.passage.staged_at);
-        let silent = self.members.iter().filter(|m| m.silent).map(|m| m.serves.1);
-        let total = there.iter().fold(Traffic::default(), |sum, m| {
-            sum.plus(m.passage.after.unwrap_or(m.traffic).since(m.passage.before))
+        let staged_at = responsive.iter().filter_map(|m| m.progress.staged_at);
+        let silent_until = self.members.iter().filter(|m| m.silent).map(|m| m.serving_until);
+        let total = responsive.iter().fold(Traffic::default(), |sum, m| {
+            sum.plus(m.progress.traffic_after.unwrap_or(m.traffic).since(m.progress.traffic_before))
         });
-        let count = there.len().max(1) as f64;
-        Passed {
-            all_staged_ms: milliseconds(begin, staged.max().unwrap_or(begin)),
+        let count = responsive.len().max(1) as f64;
+        MemberChangeStats {
+            all_staged_ms: milliseconds(begin, staged_at.max().unwrap_or(begin)),
             first_in_force_ms: quantile(0.0),
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
             last_ms: quantile(1.0),
-            silent_fenced_ms: milliseconds(begin, silent.max().unwrap_or(begin)),
+            silent_fenced_ms: milliseconds(begin, silent_until.max().unwrap_or(begin)),
             messages_a_member: total.messages() as f64 / count,
             bytes_a_member: total.bytes() as f64 / count,
         }
     }
 
-    /// Runs all members until then, or until `done`.
+    /// Runs all members until the time `until`, or until the condition `done` holds.
     ///
     /// # Errors
     ///
-    /// The run is to end, or the system can't wait for sockets.
-    pub fn drive(
+    /// Returns an error if the run must end, or if polling the sockets fails.
+    pub fn run_until(
         &mut self,
         until: Instant,
         stop: &Stop,
@@ -353,60 +377,62 @@
         while Instant::now() < until && !done(self) {
             stop.check()?;
             self.tick();
-            self.wait_and_hear()?;
+            self.poll_sockets()?;
         }
         Ok(())
     }
 
+    /// Opens sessions that are due, and handles the timers of members that have expired.
     fn tick(&mut self) {
         let (coordinators, target) = (&self.coordinators, self.target);
-        let mut connects = CONNECTS_A_PASS;
+        let mut connects_left = MAX_CONNECTS_PER_POLL;
         for member in self.members.iter_mut().filter(|m| !m.silent) {
             let now = boottime();
             if member.session.is_none() {
-                if now >= member.connect_at && connects > 0 {
-                    connects -= 1;
+                if now >= member.connect_at && connects_left > 0 {
+                    connects_left -= 1;
                     member.connect(coordinators, target);
                 }
             } else if member.member.next_due() <= now {
-                // As in a node's session: what has come is taken before the time is looked at.
-                self.refused += member.hear(target);
-                self.refused += member.take(Input::Tick, target);
+                // As in a node's session, frames that have arrived are handled before the timer.
+                self.refused += member.read_frames(target);
+                self.refused += member.handle(Input::Tick, target);
                 if member.session.is_none() {
                     self.sessions_lost += 1;
-                    member.move_on(coordinators.len());
+                    member.try_next_coordinator(coordinators.len());
                 }
             }
         }
     }
 
-    fn wait_and_hear(&mut self) -> Result<(), io::Error> {
-        let (mut waiting, mut places) = (Vec::new(), Vec::new());
-        for (place, member) in self.members.iter().enumerate() {
+    /// Waits until sessions can be read, and reads them.
+    fn poll_sockets(&mut self) -> Result<(), io::Error> {
+        let (mut poll_fds, mut polled) = (Vec::new(), Vec::new());
+        for (index, member) in self.members.iter().enumerate() {
             if let Some(session) = member.session.as_ref().filter(|_| !member.silent) {
-                waiting.push(PollFd::new(&session.socket, PollFlags::IN));
-                places.push(place);
+                poll_fds.push(PollFd::new(&session.socket, PollFlags::IN));
+                polled.push(index);
             }
         }
-        let look = Timespec { tv_sec: 0, tv_nsec: LOOK.as_nanos() as i64 };
-        match poll(&mut waiting, Some(&look)) {
+        let timeout = Timespec { tv_sec: 0, tv_nsec: POLL_TIMEOUT.as_nanos() as i64 };
+        match poll(&mut poll_fds, Some(&timeout)) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
-            Err(why) => return Err(why.into()),
+            Err(error) => return Err(error.into()),
         }
-        let ready: Vec<usize> = waiting
+        let ready: Vec<usize> = poll_fds
             .iter()
-            .zip(&places)
+            .zip(&polled)
             .filter(|(fd, _)| !fd.revents().is_empty())
-            .map(|(_, place)| *place)
+            .map(|(_, index)| *index)
             .collect();
-        drop(waiting);
+        drop(poll_fds);
         let (coordinators, target) = (self.coordinators.len(), self.target);
-        for place in ready {
-            let member = &mut self.members[place];
-            self.refused += member.hear(target);
+        for index in ready {
+            let member = &mut self.members[index];
+            self.refused += member.read_frames(target);
             if member.session.is_none() {
                 self.sessions_lost += 1;
-                member.move_on(coordinators);
+                member.try_next_coordinator(coordinators);
             }
         }
         Ok(())
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! `linestack-lab scale`: hollow members beside real coordinators, and a dispatching node, at the sizes that a file
-//! names; lines through what was measured, and limits on counts.
+//! `linestack-lab scale`: measures fleets of in-process members with real coordinators, and a dispatching node, at the sizes
+//! that a scale file lists. Fits lines over the sizes, and checks limits on counts.
 
 pub mod coordinators;
 pub mod dispatch;
@@ -27,20 +27,20 @@
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
-/// The run ended before its work was done.
-const STOPPED: u8 = 3;
+/// Exit code of a run that was interrupted or reached its time limit.
+const EXIT_STOPPED: u8 = 3;
 
-/// What `scale` is told.
+/// Arguments of `linestack-lab scale`.
 #[derive(Args)]
 pub struct Arguments {
-    /// What to measure: a file as in `scenarios/scale`.
+    /// The scale file that lists what to measure; see `scenarios/scale`.
     file: PathBuf,
-    /// Another build of the program.
+    /// Path of another build of the node's program.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// What `scale-node` is told.
+/// Arguments of `linestack-lab scale-node`.
 #[derive(Args)]
 pub struct NodeArguments {
     workers: usize,
@@ -49,42 +49,43 @@
     lists: usize,
 }
 
-/// Measures what the file names. `program` is a node's, and `lab` this one.
+/// Measures what the scale file lists, and calls `on_progress` before each measurement. `program` is the path of the node's
+/// program, `lab` that of this one.
 ///
 /// # Errors
 ///
-/// The run is to end, or something did not work. Nothing that was started runs any longer.
+/// Returns an error if the run must end, or if a measurement fails. All processes that were started have been ended then.
 pub fn run(
     scale: &Scale,
     machine: Machine,
     program: &Path,
     lab: &Path,
     stop: &Stop,
-    told: &dyn Fn(&str),
+    on_progress: &dyn Fn(&str),
 ) -> Fallible<Report> {
     let (mut fleets, mut nodes) = (Vec::new(), Vec::new());
     if let Some(members) = &scale.members {
         for count in &members.sizes {
-            told(&format!("{count} members"));
+            on_progress(&format!("{count} members"));
             fleets.push(fleet::measure(members, *count, program, stop)?);
         }
     }
     if let Some(dispatch) = &scale.dispatch {
         for in_hand in &dispatch.in_hand {
             for workers in &dispatch.workers {
-                told(&format!("a node with {workers} workers and {in_hand} jobs in hand"));
-                nodes.push(dispatch::measure_apart(dispatch, *workers, *in_hand, lab, stop)?);
+                on_progress(&format!("a node with {workers} workers and {in_hand} jobs in hand"));
+                nodes.push(dispatch::measure_in_child(dispatch, *workers, *in_hand, lab, stop)?);
             }
         }
     }
     Ok(Report::new(scale.name.clone(), machine, &scale.limits, fleets, nodes))
 }
 
-/// Carries out `scale`. 0 where all limits hold, 1 where one does not, 3 where it ended early.
+/// Runs `scale`. Returns exit code 0 if all limits hold, 1 if a limit is exceeded, and 3 if the run ended early.
 ///
 /// # Errors
 ///
-/// The file makes no sense or does not fit, or something did not work.
+/// Returns an error if the scale file is invalid, if this machine cannot run it, or if a measurement fails.
 pub fn execute(arguments: &Arguments, json: bool, quiet: bool) -> Fallible<ExitCode> {
     let machine = Machine::read()?;
     let scale = file::read(&arguments.file, &machine)?;
@@ -95,18 +96,18 @@
     };
     let stop = Stop::after(scale.span);
     stop.on_signals()?;
-    let told = |what: &str| {
+    let print_progress = |message: &str| {
         if !quiet {
-            eprintln!("{what}");
+            eprintln!("{message}");
         }
     };
-    let report = match run(&scale, machine, &program, &std::env::current_exe()?, &stop, &told) {
+    let report = match run(&scale, machine, &program, &std::env::current_exe()?, &stop, &print_progress) {
         Ok(report) => report,
-        Err(why) if why.is::<Stopped>() => {
-            eprintln!("linestack-lab: {why}");
-            return Ok(ExitCode::from(STOPPED));
+        Err(error) if error.is::<Stopped>() => {
+            eprintln!("linestack-lab: {error}");
+            return Ok(ExitCode::from(EXIT_STOPPED));
         }
-        Err(why) => return Err(why),
+        Err(error) => return Err(error),
     };
     if json {
         println!("{}", serde_json::to_string(&report)?);
@@ -116,11 +117,11 @@
     Ok(ExitCode::from(u8::from(!report.holds())))
 }
 
-/// Carries out `scale-node`: measures one dispatching node in this process.
+/// Runs `scale-node`: measures one dispatching node in this process, and prints its cost as JSON.
 ///
 /// # Errors
 ///
-/// It can't be measured.
+/// Returns an error if the measurement fails.
 pub fn execute_node(arguments: &NodeArguments) -> Fallible<ExitCode> {
     let NodeArguments { workers, in_hand, submissions, lists } = *arguments;
     let cost = dispatch::measure(workers, in_hand, submissions, lists)?;
--- a/crates/lab/src/scale/nodes.rs
+++ b/crates/lab/src/scale/nodes.rs
@@ -1,4 +1,5 @@
-//! Real nodes as members beside the hollow ones: what a session costs the real program.
+//! Real nodes as members of the fleet, in addition to the in-process members: measures what membership costs the real
+//! program.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -8,86 +9,90 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::coordinators::FLEET;
+use super::coordinators::FLEET_ID;
 use super::machine::Usage;
 use super::policy;
 
-/// What a node may take for control, in MiB, and its descriptors.
-const MEMORY_MB: u64 = 128;
-const DESCRIPTORS: u64 = 1024;
+/// Memory limit of a node.
+const MEMORY_LIMIT_MIB: u64 = 128;
+/// File descriptor limit of a node.
+const DESCRIPTOR_LIMIT: u64 = 1024;
 
-/// What one real node spent while nothing changed.
+/// Resource usage of one real node while nothing changed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct RealNode {
+    /// Processor time, in thousandths of a core.
     pub core_thousandths: f64,
     pub resident_bytes: u64,
     pub threads: u64,
 }
 
-pub struct Nodes {
+/// Real nodes. Dropping them ends their processes.
+pub struct RealNodes {
     processes: Vec<Process>,
-    /// Takes connections and tells nothing: the nodes know no executors.
+    /// A discovery service that accepts connections and sends no list, so that the nodes know no executors.
     _discovery: TcpListener,
 }
 
-impl Nodes {
-    /// Starts so many nodes as members of the fleet.
+impl RealNodes {
+    /// Starts `count` nodes as members of the fleet.
     ///
     /// # Errors
     ///
-    /// One of them does not listen.
+    /// Returns an error if a node does not start to listen.
     pub fn start(
         count: usize,
         program: &Path,
         folder: &Path,
         coordinators: &[SocketAddr],
     ) -> io::Result<Self> {
-        let silent = TcpListener::bind("127.0.0.1:0")?;
-        let discovery = silent.local_addr()?.to_string();
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let discovery = listener.local_addr()?.to_string();
         let mut processes = Vec::new();
         for number in 0..count {
             let name = format!("node-{number:03}");
-            let place = folder.join(&name);
-            std::fs::create_dir_all(&place)?;
-            let (configuration, fleet) = (place.join("node.json"), place.join("fleet.toml"));
-            let limits = json!({"memory_mb": MEMORY_MB, "sockets": DESCRIPTORS});
-            let told = json!({"name": name, "seed": format!("{number:x}"), "listen": "127.0.0.1:0",
+            let process_folder = folder.join(&name);
+            std::fs::create_dir_all(&process_folder)?;
+            let (node_file, fleet_file) =
+                (process_folder.join("node.json"), process_folder.join("fleet.toml"));
+            let limits = json!({"memory_mb": MEMORY_LIMIT_MIB, "sockets": DESCRIPTOR_LIMIT});
+            let node_config = json!({"name": name, "seed": format!("{number:x}"), "listen": "127.0.0.1:0",
                 "discovery": discovery, "limits": limits, "settings": policy::node_settings_json()});
-            std::fs::write(&configuration, told.to_string())?;
-            let mut process = Process::new(&name, place, program, &[]);
-            let told = json!({"fleet": {"id": FLEET, "member": name, "coordinators": coordinators,
+            std::fs::write(&node_file, node_config.to_string())?;
+            let mut process = Process::new(&name, process_folder, program, &[]);
+            let fleet_config = json!({"fleet": {"id": FLEET_ID, "member": name, "coordinators": coordinators,
                 "folder": process.store()}});
-            std::fs::write(&fleet, toml::to_string(&told).map_err(io::Error::other)?)?;
+            std::fs::write(&fleet_file, toml::to_string(&fleet_config).map_err(io::Error::other)?)?;
             let variable = |key: &str, path: &Path| (key.to_owned(), path.to_string_lossy().into_owned());
             process.variables =
-                vec![variable("PROXY_CONFIG", &configuration), variable("PROXY_FLEET", &fleet)];
+                vec![variable("PROXY_CONFIG", &node_file), variable("PROXY_FLEET", &fleet_file)];
             process.start()?;
             processes.push(process);
         }
         for process in &mut processes {
             process.wait_until_listening(0)?;
         }
-        Ok(Self { processes, _discovery: silent })
+        Ok(Self { processes, _discovery: listener })
     }
 
-    /// What each uses.
+    /// Returns the resource usage of each node.
     ///
     /// # Errors
     ///
-    /// One of them has ended.
+    /// Returns an error if a node has exited, or if `/proc` cannot be read.
     pub fn usage(&self) -> io::Result<Vec<Usage>> {
-        let gone = |process: &Process| io::Error::other(format!("{} has ended", process.name));
-        self.processes.iter().map(|p| Usage::of(p.id().ok_or_else(|| gone(p))?)).collect()
+        let exited = |process: &Process| io::Error::other(format!("node {} has exited", process.name));
+        self.processes.iter().map(|p| Usage::of(p.id().ok_or_else(|| exited(p))?)).collect()
     }
 }
 
-/// What nodes spent between two looks.
+/// Returns the resource usage of each node between two readings that are `seconds` apart.
 #[must_use]
-pub fn spent(before: &[Usage], after: &[Usage], seconds: f64) -> Vec<RealNode> {
-    let spent = |(before, after): (&Usage, &Usage)| RealNode {
+pub fn usage_between(before: &[Usage], after: &[Usage], seconds: f64) -> Vec<RealNode> {
+    let difference = |(before, after): (&Usage, &Usage)| RealNode {
         core_thousandths: (after.processor_s - before.processor_s) / seconds * 1e3,
         resident_bytes: after.resident_bytes,
         threads: after.threads,
     };
-    before.iter().zip(after).map(spent).collect()
+    before.iter().zip(after).map(difference).collect()
 }
--- a/crates/lab/src/scale/operator.rs
+++ b/crates/lab/src/scale/operator.rs
@@ -9,7 +9,7 @@
 use linestack::fleet::wire::{self, Body, FrameReader, Identity, SenderInfo};
 use linestack_accord::{Incarnation, Nanos, OperatorRequest, Reply, Request};
 
-use super::coordinators::FLEET;
+use super::coordinators::FLEET_ID;
 
 /// Time limit of one answer, and of finding a coordinator that accepts the change.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -33,7 +33,7 @@
 /// Returns an error if a coordinator answers with anything but acceptance, or if no coordinator accepts it in time.
 pub fn propose(coordinators: &[SocketAddr], base: u64, text: &str) -> io::Result<Proposal> {
     let sender = SenderInfo {
-        fleet: FLEET.to_owned(),
+        fleet: FLEET_ID.to_owned(),
         identity: Identity::Operator,
         incarnation: Incarnation { store_id: 1, run_number: base },
     };
--- a/crates/lab/src/scale/policy.rs
+++ b/crates/lab/src/scale/policy.rs
@@ -2,8 +2,10 @@
 
 use serde_json::{Value, json};
 
-const TEAMS: usize = 26;
-const ZONES: usize = 7;
+/// Number of tenants.
+pub const TEAMS: usize = 26;
+/// Number of zones of the workers.
+pub const ZONES: usize = 7;
 /// Submissions per second at peak load, over all teams.
 pub const SUBMISSIONS_PER_S: f64 = 46.0;
 /// Latency target of a job.
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a run found: rows by size, lines through them, and whether the file's limits hold.
+//! The report of a run: measurements by size, lines fitted over the sizes, and whether the limits of the scale file hold.
 
 use std::fmt::Write as _;
 
@@ -10,28 +10,32 @@
 use super::fleet::{Case, FleetCost};
 use super::machine::Machine;
 
-/// One quantity over the sizes measured.
+/// A line fitted to one quantity over the measured sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
     pub quantity: String,
-    /// What the size counts.
+    /// What the size counts: members or workers.
     pub over: &'static str,
     pub points: Vec<Point>,
     #[serde(flatten)]
     pub line: Line,
 }
 
-/// A count that the file limits.
+/// A count for which the scale file sets a limit.
 #[derive(Clone, Debug, Serialize)]
 pub struct LimitCheck {
+    /// Key of the limit in the scale file.
     pub limit: &'static str,
     pub at_most: f64,
+    /// The measured count, or NaN if it was not measured.
     pub found: f64,
     pub holds: bool,
 }
 
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
+    /// Name of the scale file's run.
     pub name: String,
     pub machine: Machine,
     pub fleets: Vec<FleetCost>,
@@ -41,30 +45,32 @@
     pub limit_checks: Vec<LimitCheck>,
 }
 
-type OfFleet = (&'static str, fn(&FleetCost) -> Option<f64>);
-type OfNode = (&'static str, fn(&NodeCost) -> f64);
+/// The name of a quantity, and its value for a fleet, if it was measured.
+type FleetQuantity = (&'static str, fn(&FleetCost) -> Option<f64>);
+/// The name of a quantity, and its value for a node.
+type NodeQuantity = (&'static str, fn(&NodeCost) -> f64);
 
-/// What is fitted over the number of members.
-const OF_FLEETS: [OfFleet; 15] = [
+/// Quantities that are fitted over the number of members.
+const FLEET_QUANTITIES: [FleetQuantity; 15] = [
     ("messages a member and second, idle", |f| Some(f.messages_in + f.messages_out)),
     ("bytes a member and second, idle", |f| Some(f.bytes_a_second())),
-    ("messages a change and member", |f| f.median(Case::Calm, |c| c.passed.messages_a_member)),
-    ("bytes a change and member", |f| f.median(Case::Calm, |c| c.passed.bytes_a_member)),
+    ("messages a change and member", |f| f.median(Case::Calm, |c| c.member_stats.messages_a_member)),
+    ("bytes a change and member", |f| f.median(Case::Calm, |c| c.member_stats.bytes_a_member)),
     ("leader, part of a core, idle", |f| Some(f.leader_core)),
     ("all coordinators, part of a core, idle", |f| Some(f.coordinators_core)),
     ("leader, ms of processor a change", |f| f.median(Case::Calm, |c| c.leader_ms)),
     ("coordinator, resident bytes", |f| Some(f.resident_bytes as f64)),
     ("coordinator, state bytes", |f| Some(f.state_bytes as f64)),
-    ("ms to in force, p50, calm", |f| f.median(Case::Calm, |c| c.passed.p50_ms)),
-    ("ms to in force, p99, calm", |f| f.median(Case::Calm, |c| c.passed.p99_ms)),
-    ("ms to in force, last, calm", |f| f.median(Case::Calm, |c| c.passed.last_ms)),
-    ("ms to in force, last, some dead", |f| f.median(Case::Dead, |c| c.passed.last_ms)),
-    ("ms to in force, last, a zone lost", |f| f.median(Case::ZoneLost, |c| c.passed.last_ms)),
+    ("ms to in force, p50, calm", |f| f.median(Case::Calm, |c| c.member_stats.p50_ms)),
+    ("ms to in force, p99, calm", |f| f.median(Case::Calm, |c| c.member_stats.p99_ms)),
+    ("ms to in force, last, calm", |f| f.median(Case::Calm, |c| c.member_stats.last_ms)),
+    ("ms to in force, last, some dead", |f| f.median(Case::Dead, |c| c.member_stats.last_ms)),
+    ("ms to in force, last, a zone lost", |f| f.median(Case::ZoneLost, |c| c.member_stats.last_ms)),
     ("simulated: leader's bytes a change", |f| f.simulated.map(|s| s.leader_bytes as f64)),
 ];
 
-/// What is fitted over the number of workers, for each number of jobs in hand.
-const OF_NODES: [OfNode; 5] = [
+/// Quantities that are fitted over the number of workers, for each number of jobs in hand.
+const NODE_QUANTITIES: [NodeQuantity; 5] = [
     ("us of processor a submission", |n| n.submission_us),
     ("us of processor a decision", |n| n.decision_us),
     ("us of processor a whole list", |n| n.list_us),
@@ -72,13 +78,14 @@
     ("resident bytes with jobs in hand", |n| n.in_hand_bytes as f64),
 ];
 
+/// Fits a line to a quantity. Returns `None` if it was measured at fewer than two sizes.
 fn slope(quantity: String, over: &'static str, points: Vec<Point>) -> Option<Slope> {
     fit(&points).map(|line| Slope { quantity, over, points, line })
 }
 
 fn slopes(fleets: &[FleetCost], nodes: &[NodeCost]) -> Vec<Slope> {
     let mut found = Vec::new();
-    for (quantity, value) in OF_FLEETS {
+    for (quantity, value) in FLEET_QUANTITIES {
         let point = |f: &FleetCost| Some(Point { size: f.members as f64, value: value(f)? });
         found.extend(slope(quantity.to_owned(), "members", fleets.iter().filter_map(point).collect()));
     }
@@ -86,9 +93,9 @@
     in_hand.sort_unstable();
     in_hand.dedup();
     for jobs in in_hand {
-        for (quantity, value) in OF_NODES {
-            let of_jobs = nodes.iter().filter(|n| n.wanted_in_hand == jobs);
-            let points = of_jobs.map(|n| Point { size: n.workers as f64, value: value(n) }).collect();
+        for (quantity, value) in NODE_QUANTITIES {
+            let matching = nodes.iter().filter(|n| n.wanted_in_hand == jobs);
+            let points = matching.map(|n| Point { size: n.workers as f64, value: value(n) }).collect();
             found.extend(slope(format!("{quantity}, {jobs} in hand"), "workers", points));
         }
     }
@@ -96,26 +103,28 @@
 }
 
 fn check_limits(limits: &Limits, fleets: &[FleetCost], slopes: &[Slope]) -> Vec<LimitCheck> {
-    let largest = |of: &dyn Fn(&FleetCost) -> f64| fleets.iter().map(of).fold(f64::NAN, f64::max);
-    let a_change = |f: &FleetCost| f.median(Case::Calm, |c| c.passed.messages_a_member).unwrap_or(f64::NAN);
-    let slope_of = |start: &str| {
-        let of = slopes.iter().find(|s| s.quantity.starts_with(start));
-        of.map_or(f64::NAN, |s| s.line.slope)
+    let largest = |value: &dyn Fn(&FleetCost) -> f64| fleets.iter().map(value).fold(f64::NAN, f64::max);
+    let messages_a_change =
+        |f: &FleetCost| f.median(Case::Calm, |c| c.member_stats.messages_a_member).unwrap_or(f64::NAN);
+    let slope_of = |prefix: &str| {
+        let first = slopes.iter().find(|s| s.quantity.starts_with(prefix));
+        first.map_or(f64::NAN, |s| s.line.slope)
     };
-    let found = [
-        ("messages-a-change-and-member", limits.messages_a_change_and_member, largest(&a_change)),
+    let counts = [
+        ("messages-a-change-and-member", limits.messages_a_change_and_member, largest(&messages_a_change)),
         ("bytes-a-member-and-second", limits.bytes_a_member_and_second, largest(&FleetCost::bytes_a_second)),
         ("state-bytes-a-member", limits.state_bytes_a_member, slope_of("coordinator, state bytes")),
         ("state-bytes-a-worker", limits.state_bytes_a_worker, slope_of("resident bytes after the list")),
     ];
-    // What was not measured does not hold.
-    let judge = |(limit, at_most, found): (&'static str, Option<f64>, f64)| {
+    // A count that was not measured is NaN, so that its limit does not hold.
+    let check = |(limit, at_most, found): (&'static str, Option<f64>, f64)| {
         at_most.map(|at_most| LimitCheck { limit, at_most, found, holds: found <= at_most })
     };
-    found.into_iter().filter_map(judge).collect()
+    counts.into_iter().filter_map(check).collect()
 }
 
 impl Report {
+    /// Fits lines to the measurements, and checks the limits.
     #[must_use]
     pub fn new(
         name: String,
@@ -129,13 +138,13 @@
         Self { name, machine, fleets, nodes, slopes, limit_checks }
     }
 
-    /// All of the file's limits hold.
+    /// Returns whether all limits of the scale file hold.
     #[must_use]
     pub fn holds(&self) -> bool {
         self.limit_checks.iter().all(|j| j.holds)
     }
 
-    /// For people.
+    /// Returns the report as text for people.
     #[must_use]
     pub fn text(&self) -> String {
         let mut out = String::new();
@@ -143,8 +152,8 @@
             out.push_str(&part);
         }
         for LimitCheck { limit, at_most, found, holds } in &self.limit_checks {
-            let word = if *holds { "holds" } else { "BROKEN" };
-            let _ = writeln!(out, "limit {limit}: {found:.1}, {at_most} at most: {word}");
+            let verdict = if *holds { "holds" } else { "BROKEN" };
+            let _ = writeln!(out, "limit {limit}: {found:.1}, {at_most} at most: {verdict}");
         }
         out
     }
@@ -198,7 +207,7 @@
         }
         for f in &self.fleets {
             for c in &f.changes {
-                let p = &c.passed;
+                let p = &c.member_stats;
                 let _ = writeln!(
                     out,
                     "{:>7}  {:<8}  {:>6}  {:>11.1}  {:>6.1}  {:>7.1}  {:>7.1}  {:>7.1}  {:>7.1}  {:>6.0}  {:>7.1}  {:>11.2}  {:>12.0}  {:>13.0}  {:>10.0}",
@@ -263,9 +272,9 @@
                 line.slope,
                 line.largest_residual()
             );
-            let each = points.iter().zip(&line.residuals);
-            let each = each.map(|(p, r)| format!("{}: {:.4} ({r:+.4})", p.size, p.value));
-            let _ = writeln!(out, "    {}", each.collect::<Vec<_>>().join("  "));
+            let with_residuals = points.iter().zip(&line.residuals);
+            let values = with_residuals.map(|(p, r)| format!("{}: {:.4} ({r:+.4})", p.size, p.value));
+            let _ = writeln!(out, "    {}", values.collect::<Vec<_>>().join("  "));
         }
         out
     }
