--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -1,5 +1,5 @@
-//! Measures the cost of a dispatching node of one size. Its reducer is driven directly, without sockets, and in a separate
-//! process, so that the memory of the process is that of the node.
+//! Measures the cost of a dispatching node of one size. Its reducer is driven directly, without sockets, and in a
+//! separate process, so that the memory of the process is that of the node.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::Read as _;
@@ -26,10 +26,11 @@
 const SECOND: Nanos = 1_000_000_000;
 /// Interval between checks whether the measuring process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// File descriptor limit of the node. Higher than any size needs, so that the node never rejects a submission for lack of
-/// descriptors.
+/// File descriptor limit of the node. Higher than any size needs, so that the node never rejects a submission for lack
+/// of descriptors.
 const DESCRIPTOR_LIMIT: usize = 1 << 24;
-/// Memory limit of the node. Higher than any size needs, so that the node never rejects a submission for lack of memory.
+/// Memory limit of the node. Higher than any size needs, so that the node never rejects a submission for lack of
+/// memory.
 const MEMORY_LIMIT_BYTES: usize = 1 << 40;
 /// Slots of a worker, relative to its even share of the jobs in hand.
 const SLOT_FACTOR: f64 = 1.5;
@@ -59,7 +60,8 @@
     pub listed_bytes: u64,
     /// Resident memory with the jobs in hand, beyond that of a node without workers.
     pub in_hand_bytes: u64,
-    /// File descriptors that a node with sockets needs for these jobs: a client's and an executor's connection for each.
+    /// File descriptors that a node with sockets needs for these jobs: a client's and an executor's connection for
+    /// each.
     pub descriptors: usize,
 }
 
--- a/crates/lab/src/scale/file.rs
+++ b/crates/lab/src/scale/file.rs
@@ -39,10 +39,10 @@
 
 /// The content of a scale file: what a run measures.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Scale {
+pub struct ScaleFile {
     pub name: String,
     /// Time limit of the run. When it expires, the run ends all processes that it has started, and exits.
-    pub span: Duration,
+    pub time_limit: Duration,
     pub members: Option<MembersSection>,
     pub dispatch: Option<DispatchSection>,
     pub limits: Limits,
@@ -182,7 +182,7 @@
 /// # Errors
 ///
 /// Returns an error if the file cannot be read, and otherwise all errors in it.
-pub fn read(path: &Path, machine: &Machine) -> Result<Scale, ScaleFileErrors> {
+pub fn read(path: &Path, machine: &Machine) -> Result<ScaleFile, ScaleFileErrors> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| ScaleFileErrors(vec![format!("{}: {error}", path.display())]))?;
     let with_path = |errors: ScaleFileErrors| {
@@ -196,7 +196,7 @@
 /// # Errors
 ///
 /// Returns all errors in the text.
-pub fn parse(text: &str, machine: &Machine) -> Result<Scale, ScaleFileErrors> {
+pub fn parse(text: &str, machine: &Machine) -> Result<ScaleFile, ScaleFileErrors> {
     let table: Table = text.parse().map_err(|error: toml::de::Error| {
         ScaleFileErrors(vec![error.to_string().trim().replace('\n', "; ")])
     })?;
@@ -217,7 +217,7 @@
     let members = members.map(|table| read_members(table, control_machines, &mut errors));
     let dispatch = dispatch.map(|table| read_dispatch(table, &mut errors));
     let limits = read_limits(limits, &mut errors);
-    let scale = Scale { name, span: Duration::from_secs(span_s), members, dispatch, limits };
+    let scale = ScaleFile { name, time_limit: Duration::from_secs(span_s), members, dispatch, limits };
     errors.extend(check_machine(&scale, machine));
     if errors.is_empty() { Ok(scale) } else { Err(ScaleFileErrors(errors)) }
 }
@@ -285,7 +285,7 @@
 }
 
 /// Returns an error for each limit of this machine that the run may exceed.
-fn check_machine(scale: &Scale, machine: &Machine) -> Vec<String> {
+fn check_machine(scale: &ScaleFile, machine: &Machine) -> Vec<String> {
     let mut errors = Vec::new();
     let largest = |sizes: &[usize]| sizes.iter().max().copied().unwrap_or(0) as u64;
     let half = machine.memory_bytes / 2;
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -73,8 +73,8 @@
     bends.then_some(ratio)
 }
 
-/// Fits a line to points, which must be in ascending order of size. Returns `None` if there are fewer than two different
-/// sizes.
+/// Fits a line to points, which must be in ascending order of size. Returns `None` if there are fewer than two
+/// different sizes.
 #[must_use]
 pub fn fit(points: &[Point]) -> Option<Line> {
     let (base, slope) = least_squares(points)?;
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -10,7 +10,7 @@
 use super::coordinators::Coordinators;
 use super::file::MembersSection;
 use super::machine::Usage;
-use super::members::{InProcessMembers, MemberChangeStats, Traffic, incarnation, name};
+use super::members::{InProcessMembers, MemberChangeStats, Traffic, incarnation, member_name};
 use super::nodes::{self, RealNode, RealNodes};
 use super::operator::propose;
 use super::policy;
@@ -90,7 +90,7 @@
     pub in_process_resident_bytes: u64,
     /// Number of notices for the operator, such as a refusal by the coordinators.
     pub refused: u64,
-    /// Number of sessions that ended before the run.
+    /// Number of sessions that were lost during the run.
     pub sessions_lost: u64,
     /// Real nodes, in addition to the in-process members, while nothing changes.
     pub real_nodes: Vec<RealNode>,
@@ -128,13 +128,13 @@
 #[must_use]
 pub fn state_bytes(members: usize, policy_bytes: usize) -> usize {
     let mut state = State::initial(policy::policy_text(1, policy_bytes));
-    state.members = (0..members).map(|number| (name(number), incarnation(number))).collect();
+    state.members = (0..members).map(|number| (member_name(number), incarnation(number))).collect();
     let record = Record { state, ..Record::default() };
     serde_json::to_vec(&record).map_or(0, |text| text.len())
 }
 
-/// Returns the processor time between two readings that are `seconds` apart, in cores: of the process that used the most,
-/// and of all.
+/// Returns the processor time between two readings that are `seconds` apart, in cores: of the process that used the
+/// most, and of all.
 fn cores_used(before: &[Usage], after: &[Usage], seconds: f64) -> (f64, f64) {
     let used_s: Vec<f64> = before.iter().zip(after).map(|(b, a)| a.processor_s - b.processor_s).collect();
     let largest_s = used_s.iter().copied().fold(0.0, f64::max);
@@ -156,7 +156,7 @@
     }
 
     /// Proposes a change, and measures it until all members serve under it.
-    fn change(&mut self, case: Case, silent: usize) -> Fallible<Change> {
+    fn measure_change(&mut self, case: Case, silent: usize) -> Fallible<Change> {
         let (base, addresses) = (self.version, self.coordinators.addresses.clone());
         let text = policy::policy_text(base + 1, self.config.policy_bytes);
         let before = self.coordinators.usage()?;
@@ -179,7 +179,7 @@
     }
 
     /// Measures a change while some members are silent, and then the return of these.
-    fn change_with_silent(
+    fn measure_change_with_silent(
         &mut self,
         case: Case,
         is_silent: impl Fn(usize) -> bool,
@@ -187,7 +187,7 @@
     ) -> Fallible<Change> {
         let silent = (0..count).filter(|number| is_silent(*number)).count();
         self.members.set_silent(&is_silent);
-        let mut change = self.change(case, silent)?;
+        let mut change = self.measure_change(case, silent)?;
         self.members.set_silent(|_| false);
         change.return_ms = self.settle()?;
         Ok(change)
@@ -230,17 +230,17 @@
 
     let mut changes = Vec::new();
     for _ in 0..config.changes {
-        changes.push(fleet.change(Case::Calm, 0)?);
+        changes.push(fleet.measure_change(Case::Calm, 0)?);
         fleet.run_for(renewal_interval)?;
     }
     // The dead members are spread evenly over all member numbers.
     if let Some(step) = count.checked_div(config.dead) {
         let is_dead = |number: usize| number.is_multiple_of(step) && number / step < config.dead;
-        changes.push(fleet.change_with_silent(Case::Dead, is_dead, count)?);
+        changes.push(fleet.measure_change_with_silent(Case::Dead, is_dead, count)?);
     }
     if config.zones > 0 {
         let in_zone = |number: usize| number.is_multiple_of(config.zones);
-        changes.push(fleet.change_with_silent(Case::ZoneLost, in_zone, count)?);
+        changes.push(fleet.measure_change_with_silent(Case::ZoneLost, in_zone, count)?);
     }
 
     let usage_at_end = fleet.coordinators.usage()?;
--- a/crates/lab/src/scale/members.rs
+++ b/crates/lab/src/scale/members.rs
@@ -23,8 +23,8 @@
 const RETRY_DELAY_NS: Nanos = 20_000_000;
 /// Maximum wait for sockets, after which timers and the stop condition are checked again.
 const POLL_TIMEOUT: Duration = Duration::from_millis(5);
-/// Maximum number of connections opened between two polls of the sockets. Opening one blocks, and the sessions of the other
-/// members must be read in the meantime.
+/// Maximum number of connections opened between two polls of the sockets. Opening one blocks, and the sessions of the
+/// other members must be read in the meantime.
 const MAX_CONNECTS_PER_POLL: usize = 4;
 
 /// Whole frames sent and received.
@@ -138,13 +138,13 @@
     target: u64,
     /// Number of notices for the operator, such as a refusal by the coordinators.
     pub refused: u64,
-    /// Number of sessions that ended before the run.
+    /// Number of sessions that were lost during the run.
     pub sessions_lost: u64,
 }
 
 /// Returns the name of a member.
 #[must_use]
-pub fn name(number: usize) -> String {
+pub fn member_name(number: usize) -> String {
     format!("member-{number:04}")
 }
 
@@ -173,7 +173,7 @@
         Self {
             sender: SenderInfo {
                 fleet: FLEET_ID.to_owned(),
-                identity: Identity::Member(name(number)),
+                identity: Identity::Member(member_name(number)),
                 incarnation,
             },
             member: Member::new(incarnation, DRIFT_THOUSANDTHS, INITIAL_LEASE_NS, 0, None),
@@ -206,8 +206,8 @@
         self.connect_at = boottime() + RETRY_DELAY_NS;
     }
 
-    /// Passes an input to the state machine and carries out its outputs. Returns the number of notices for the operator. If
-    /// there is no session afterwards, the caller must try the next coordinator.
+    /// Passes an input to the state machine and carries out its outputs. Returns the number of notices for the
+    /// operator. If there is no session afterwards, the caller must try the next coordinator.
     fn handle(&mut self, input: Input, target: u64) -> u64 {
         let (mut outputs, mut refused) = (Vec::new(), 0);
         self.member.handle(boottime(), input, &mut outputs);
@@ -307,7 +307,8 @@
         self.members.iter().fold(Traffic::default(), |sum, m| sum.plus(m.traffic))
     }
 
-    /// Returns whether every member that is not silent has reported that the target version is active, and was answered.
+    /// Returns whether every member that is not silent has reported that the target version is active, and was
+    /// answered.
     #[must_use]
     pub fn all_settled(&self) -> bool {
         self.members.iter().all(|m| m.silent || m.progress.traffic_after.is_some())
@@ -327,7 +328,7 @@
         for (number, member) in self.members.iter_mut().enumerate() {
             let silent = is_silent(number);
             if member.silent && !silent {
-                // The session has missed messages while the member was silent, so it opens another one.
+                // A member that responds again opens another session.
                 member.try_next_coordinator(coordinators);
             }
             member.silent = silent;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! `linestack-lab scale`: measures fleets of in-process members with real coordinators, and a dispatching node, at the sizes
-//! that a scale file lists. Fits lines over the sizes, and checks limits on counts.
+//! `linestack-lab scale`: measures fleets of in-process members with real coordinators, and a dispatching node, at the
+//! sizes that a scale file lists. Fits lines over the sizes, and checks limits on counts.
 
 pub mod coordinators;
 pub mod dispatch;
@@ -19,7 +19,7 @@
 
 use clap::Args;
 
-use file::Scale;
+use file::ScaleFile;
 use linestack_rig::node_process::NodeProcess;
 use machine::Machine;
 use report::Report;
@@ -49,14 +49,15 @@
     lists: usize,
 }
 
-/// Measures what the scale file lists, and calls `on_progress` before each measurement. `program` is the path of the node's
-/// program, `lab` that of this one.
+/// Measures what the scale file lists, and calls `on_progress` before each measurement. `program` is the path of the
+/// node's program, `lab` that of this one.
 ///
 /// # Errors
 ///
-/// Returns an error if the run must end, or if a measurement fails. All processes that were started have been ended then.
+/// Returns an error if the run must end, or if a measurement fails. All processes that were started have been ended
+/// then.
 pub fn run(
-    scale: &Scale,
+    scale: &ScaleFile,
     machine: Machine,
     program: &Path,
     lab: &Path,
@@ -94,7 +95,7 @@
         (None, Some(_)) => NodeProcess::program()?,
         (None, None) => PathBuf::new(),
     };
-    let stop = Stop::after(scale.span);
+    let stop = Stop::after(scale.time_limit);
     stop.on_signals()?;
     let print_progress = |message: &str| {
         if !quiet {
--- a/crates/lab/src/scale/nodes.rs
+++ b/crates/lab/src/scale/nodes.rs
@@ -13,7 +13,7 @@
 use super::machine::Usage;
 use super::policy;
 
-/// Memory limit of a node.
+/// Memory limit of a node, which handles only control traffic here.
 const MEMORY_LIMIT_MIB: u64 = 128;
 /// File descriptor limit of a node.
 const DESCRIPTOR_LIMIT: u64 = 1024;
--- a/crates/lab/src/scale/operator.rs
+++ b/crates/lab/src/scale/operator.rs
@@ -25,8 +25,8 @@
     pub pending_at: Nanos,
 }
 
-/// Proposes a change from version `base` to the policy `text`. Tries the coordinators in turn until one of them accepts it
-/// for the leader.
+/// Proposes a change from version `base` to the policy `text`. Tries the coordinators in turn until one of them accepts
+/// it for the leader.
 ///
 /// # Errors
 ///
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,4 +1,5 @@
-//! The report of a run: measurements by size, lines fitted over the sizes, and whether the limits of the scale file hold.
+//! The report of a run: measurements by size, lines fitted over the sizes, and whether the limits of the scale file
+//! hold.
 
 use std::fmt::Write as _;
 
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Tests of `linestack-lab scale`: its files, its line fits, and that it ends the processes that it started. Tests that need
-//! the program of the node are in that crate.
+//! Tests of `linestack-lab scale`: its files, its line fits, and that it ends the processes that it started. Tests that
+//! need the program of the node are in that crate.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
--- a/crates/node/tests/scale.rs
+++ b/crates/node/tests/scale.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use linestack_lab::scale::file::{Scale, parse};
+use linestack_lab::scale::file::{ScaleFile, parse};
 use linestack_lab::scale::machine::Machine;
 use linestack_lab::scale::report::Report;
 use linestack_lab::scale::run;
@@ -15,11 +15,11 @@
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 const SHORT_PLAN: &str = include_str!("../../../scenarios/scale/short.toml");
 
-fn read(text: &str) -> Scale {
+fn read(text: &str) -> ScaleFile {
     parse(text, &Machine::read().unwrap()).unwrap()
 }
 
-fn run_scale(scale: &Scale, stop: &Stop) -> Result<Report, Box<dyn std::error::Error>> {
+fn run_scale(scale: &ScaleFile, stop: &Stop) -> Result<Report, Box<dyn std::error::Error>> {
     let program = Path::new(env!("CARGO_BIN_EXE_linestack"));
     run(scale, Machine::read().unwrap(), program, Path::new("no-lab"), stop, &|_| {})
 }
@@ -40,7 +40,7 @@
 fn counts_stay_within_their_limits() {
     let _guard = ONE_AT_A_TIME.lock();
     let scale = read(SHORT_PLAN);
-    let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
+    let report = run_scale(&scale, &Stop::after(scale.time_limit)).unwrap();
     assert_eq!(report.limit_checks.len(), 3, "{:?}", report.limit_checks);
     assert!(report.holds(), "{}", report.text());
     assert_eq!(children(), Vec::<String>::new());
@@ -54,7 +54,7 @@
         .iter()
         .fold(SHORT_PLAN.replace("[50, 100]", "[10, 20]"), |text, (from, to)| text.replace(from, to));
     let scale = read(&text);
-    let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
+    let report = run_scale(&scale, &Stop::after(scale.time_limit)).unwrap();
     let kept: Vec<&str> = report.limit_checks.iter().filter(|j| j.holds).map(|j| j.limit).collect();
     assert_eq!((report.limit_checks.len(), kept), (3, Vec::new()), "{}", report.text());
 }
@@ -63,7 +63,7 @@
 fn an_interrupt_ends_all_started_processes() {
     let _guard = ONE_AT_A_TIME.lock();
     let scale = read(&SHORT_PLAN.replace("idle-s = 4", "idle-s = 50"));
-    let stop = Stop::after(scale.span);
+    let stop = Stop::after(scale.time_limit);
     stop.on_signals().unwrap();
     let interrupts = std::thread::spawn(|| {
         while children().len() < 5 {
