--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -10,7 +10,7 @@
 use linestack_rig::run::{Endpoints, Outcome, Recovery, run, run_with_endpoints};
 use rayon::prelude::*;
 
-use crate::agree::{self, Held, Size};
+use crate::consensus_sim::{self, ChangeCost, SimulationConfig};
 
 type Fallible<T> = Result<T, Box<dyn std::error::Error>>;
 
@@ -397,18 +397,18 @@
             for bad in bad {
                 // In nanoseconds; the vote hold of the coordinators is a quarter of the lease.
                 let (lease, hold) = (lease_ms * 1_000_000, lease_ms * 250_000);
-                let size = Size {
+                let size = SimulationConfig {
                     members: *members,
                     coordinators: *coordinators,
-                    bad: *bad,
+                    silent_share: *bad,
                     lease,
                     hold,
                     latency: SIMULATED_LATENCY_NS,
-                    sync: SIMULATED_SYNC_NS,
-                    policy: *policy,
+                    sync_latency: SIMULATED_SYNC_NS,
+                    policy_bytes: *policy,
                 };
-                let held: Vec<Option<Held>> =
-                    (1..=*seeds).into_par_iter().map(|s| agree::play(&size, s)).collect();
+                let held: Vec<Option<ChangeCost>> =
+                    (1..=*seeds).into_par_iter().map(|s| consensus_sim::simulate_change(&size, s)).collect();
                 let held = held
                     .into_iter()
                     .collect::<Option<Vec<_>>>()
@@ -419,7 +419,7 @@
                     }
                     continue;
                 }
-                let quantile = |value: &dyn Fn(&Held) -> f64, q: f64| {
+                let quantile = |value: &dyn Fn(&ChangeCost) -> f64, q: f64| {
                     let mut all: Vec<f64> = held.iter().map(value).collect();
                     all.sort_by(f64::total_cmp);
                     all[((all.len() - 1) as f64 * q).round() as usize]
@@ -432,7 +432,7 @@
                     quantile(&|h| h.everywhere_ms, 0.99),
                     quantile(&|h| h.messages as f64, 0.5),
                     quantile(&|h| h.bytes as f64, 0.5),
-                    quantile(&|h| h.speaker_bytes as f64, 0.5),
+                    quantile(&|h| h.leader_bytes as f64, 0.5),
                     quantile(&|h| h.idle_messages as f64, 0.5),
                     quantile(&|h| h.idle_bytes as f64, 0.5),
                 );
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -8,7 +8,6 @@
 use clap::{Parser, Subcommand};
 use linestack_lab::fleet;
 use linestack_lab::hunt::{Criterion, SearchResult, search, shrink, to_toml};
-use linestack_lab::keep;
 use linestack_lab::loads::{
     LOAD_TABLE_HEAD, large_executors, load_plan, load_row, run_demo, seed_from_clock,
 };
@@ -19,6 +18,7 @@
 use linestack_lab::scenario_file;
 use linestack_lab::soak;
 use linestack_lab::starts;
+use linestack_lab::store_benchmark;
 use linestack_lab::sweep::{Axis, grid};
 use linestack_lab::tables::{comparison_table, exit_code, result_table, write_json_lines};
 use linestack_rig::load;
@@ -374,7 +374,7 @@
             for sync in [true, false] {
                 for batch in [1, 8, 64, 512] {
                     let store_folder = tempfile::tempdir_in(folder)?;
-                    let c = keep::commits(store_folder.path(), sync, batch, span)?;
+                    let c = store_benchmark::measure_commits(store_folder.path(), sync, batch, span)?;
                     if arguments.json {
                         println!("{}", serde_json::to_string(&c)?);
                     } else {
@@ -390,7 +390,7 @@
             }
             for records in records {
                 let store_folder = tempfile::tempdir_in(folder)?;
-                let b = keep::back(store_folder.path(), *records)?;
+                let b = store_benchmark::measure_reopen(store_folder.path(), *records)?;
                 if arguments.json {
                     println!("{}", serde_json::to_string(&b)?);
                 } else {
@@ -398,15 +398,15 @@
                         "{records:<10}  {:<11}  {:>19.3}  {:>9.3}  {:.0}",
                         b.bytes,
                         b.from_checkpoint_s,
-                        b.without_s,
+                        b.without_checkpoint_s,
                         b.index_bytes as f64 / *records as f64
                     );
                 }
             }
             Ok(ExitCode::SUCCESS)
         }
-        Command::Scale(scale_arguments) => scale::go(scale_arguments, arguments.json, arguments.quiet),
-        Command::ScaleNode(node_arguments) => scale::go_node(node_arguments),
+        Command::Scale(scale_arguments) => scale::execute(scale_arguments, arguments.json, arguments.quiet),
+        Command::ScaleNode(node_arguments) => scale::execute_node(node_arguments),
         Command::Fleet { command } => fleet::run_command(command, arguments.json),
         Command::Replay { scenarios } => {
             let all = scenarios.iter().map(|p| scenario_file::read(p)).collect::<Result<Vec<_>, _>>()?;
@@ -458,7 +458,7 @@
     let product = Product { latency_target_ms: 50.0, deadline_ms: 100.0, ..Product::default() };
     let fleet = StandInFleet::start(&Scenario { products: vec![product], ..Scenario::default() })?;
     let started = Instant::now();
-    let c = starts::starts(program, &fleet, plan)?;
+    let c = starts::run_starts(program, &fleet, plan)?;
     println!(
         "{} starts, {} at once, {:.0} s: {} ready within {:.1} s, {} late, {} hung, {} refused; {} stopped badly; \
          longest {:.2} s",
@@ -474,5 +474,5 @@
         c.longest.as_secs_f64()
     );
     c.notes.iter().for_each(|note| println!("  {note}"));
-    Ok(ExitCode::from(u8::from(!c.sound())))
+    Ok(ExitCode::from(u8::from(!c.is_clean())))
 }
