--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -91,7 +91,7 @@
             Exchange::Execution(submission, execution) => {
                 self.execution_ended(submission, execution, Outcome::NotSent, None, None);
             }
-            Exchange::Probe => self.probe_ended(worker, None, None),
+            Exchange::Probe => self.probe_ended(worker, ProbeOutcome::Inconclusive, None),
         }
     }
 
@@ -224,7 +224,7 @@
             };
         }
         match exchange {
-            Exchange::Probe => self.probe_ended(state.worker, Some(false), None),
+            Exchange::Probe => self.probe_ended(state.worker, ProbeOutcome::Failed, None),
             Exchange::Execution(submission, execution) => {
                 // Once the last byte is written, whether the job ran is unknown.
                 let outcome =
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -98,13 +98,15 @@
         self.pending_events.push_back(Event::Ended(ending));
     }
 
-    /// Records the end of a probe; `answered` is `None` if the probe says nothing about the worker.
-    pub(crate) fn probe_ended(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) {
-        self.stats.probes_failed += u64::from(answered != Some(true));
-        if let Some(answered) = answered {
-            self.workers[worker as usize].last_observation =
-                Some((self.now, answered, report.filter(|_| answered)));
+    /// Records the end of a probe and informs the dispatcher.
+    pub(crate) fn probe_ended(&mut self, worker: Worker, outcome: ProbeOutcome, report: Option<Report>) {
+        self.stats.probes_failed += u64::from(outcome != ProbeOutcome::Answered);
+        let last_observation = &mut self.workers[worker as usize].last_observation;
+        match outcome {
+            ProbeOutcome::Answered => *last_observation = Some((self.now, true, report)),
+            ProbeOutcome::Failed => *last_observation = Some((self.now, false, None)),
+            ProbeOutcome::Inconclusive => {}
         }
-        self.pending_events.push_back(Event::Probed { worker, answered, report });
+        self.pending_events.push_back(Event::Probed { worker, outcome, report });
     }
 }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use linestack_dispatch::types::{Health, ListKind, Nanos, Outcome, Report};
+use linestack_dispatch::types::{Health, ListKind, Nanos, Outcome, ProbeOutcome, Report};
 use linestack_peers::Observation;
 use linestack_recovery::OutcomeRecord;
 use linestack_recovery::start::Stage;
@@ -132,12 +132,7 @@
     /// An execution has ended with a response.
     Ended { connection: ConnectionId, outcome: Outcome, result: Bytes, report: Option<Report> },
     /// A probe has ended.
-    Probed {
-        connection: ConnectionId,
-        /// `None` if the executor turned the probe away.
-        answered: Option<bool>,
-        report: Option<Report>,
-    },
+    Probed { connection: ConnectionId, outcome: ProbeOutcome, report: Option<Report> },
     /// The last byte of an exchange was received, and the connection can carry another.
     ConnectionReusable {
         connection: ConnectionId,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -46,7 +46,7 @@
 use first_list::ListState;
 
 pub use io::*;
-pub use linestack_dispatch::types::{Nanos, Outcome};
+pub use linestack_dispatch::types::{Nanos, Outcome, ProbeOutcome};
 pub use outcomes::{PersistTicket, StoredOutcomes};
 pub use permission::{Occasion, Refusal, Refusals};
 pub use start_times::ListClocks;
@@ -541,10 +541,10 @@
                     self.execution_ended(submission, execution, outcome, Some(result), report);
                 }
             }
-            Input::Probed { connection, answered, report } => {
+            Input::Probed { connection, outcome, report } => {
                 let worker = self.connections.get(&connection).map(|c| c.worker);
                 if let (Some(worker), Some(Exchange::Probe)) = (worker, self.finish_exchange(connection)) {
-                    self.probe_ended(worker, answered, report);
+                    self.probe_ended(worker, outcome, report);
                 }
             }
             Input::ConnectionReusable { connection, identified } => {
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -54,8 +54,8 @@
                 queued_jobs: f.queued_jobs,
                 active_jobs: f.active_jobs,
             });
-            let answered = unresponsive.then_some(false);
-            self.pending_events.push_back(Event::Probed { worker, answered, report });
+            let outcome = if unresponsive { ProbeOutcome::Failed } else { ProbeOutcome::Inconclusive };
+            self.pending_events.push_back(Event::Probed { worker, outcome, report });
         }
     }
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -138,7 +138,7 @@
         }
         match exchange {
             None => {}
-            Some(Exchange::Probe) => self.probe_ended(worker, Some(false), None),
+            Some(Exchange::Probe) => self.probe_ended(worker, ProbeOutcome::Failed, None),
             Some(Exchange::Execution(submission, execution)) => {
                 let outcome = match phase {
                     ConnectionPhase::Opening
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -248,7 +248,7 @@
             node.handle(Input::ExecutorDisconnected { connection: probe, disconnect: NOT_STARTED });
         } else {
             node.handle(Input::ExecutorConnected { connection: probe });
-            node.handle(Input::Probed { connection: probe, answered: Some(true), report: None });
+            node.handle(Input::Probed { connection: probe, outcome: ProbeOutcome::Answered, report: None });
         }
     }
     node.now += 400 * MS;
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -19,8 +19,8 @@
 use std::borrow::Cow;
 
 use crate::types::{
-    Action, DedupScope, DispatchConfig, Ending, Event, Health, ListKind, Nanos, Outcome, RepeatPolicy,
-    Submission, Worker, WorkerEntry,
+    Action, DedupScope, DispatchConfig, Ending, Event, Health, ListKind, Nanos, Outcome, ProbeOutcome,
+    RepeatPolicy, Submission, Worker, WorkerEntry,
 };
 use crate::worker_stats::{
     AnswerTime, Choice, DEFAULT_THRESHOLD, Fleet, InFlight, RankedDraw, SubmissionState, TenantStats,
@@ -155,17 +155,17 @@
                 self.retry_or_finish(ending.submission);
                 self.forget(ending.submission);
             }
-            Event::Probed { worker, answered, report } => {
+            Event::Probed { worker, outcome, report } => {
                 if let Some(state) = self.fleet.get_mut(worker) {
                     state.probe_sent_at = None;
-                    match answered {
-                        Some(true) => self.probe_answered(worker),
-                        Some(false) => {
+                    match outcome {
+                        ProbeOutcome::Answered => self.probe_answered(worker),
+                        ProbeOutcome::Failed => {
                             (state.probes_to_return, state.process_lost) =
                                 (state.probes_to_return.max(1), state.loss_suspected);
                             state.unanswered_probes += 1;
                         }
-                        None => {}
+                        ProbeOutcome::Inconclusive => {}
                     }
                     self.traffic
                         .record_report_age(self.fleet.apply_report(worker, report, self.now), self.now);
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -209,6 +209,17 @@
     }
 }
 
+/// How a probe ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProbeOutcome {
+    Answered,
+    /// The worker did not answer, or answered with an error.
+    Failed,
+    /// The probe says nothing about the worker's health: the worker refused it because it gets too many, or it
+    /// was not sent.
+    Inconclusive,
+}
+
 /// The requirements of a submission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Job {
@@ -261,8 +272,7 @@
     Ended(Ending),
     Probed {
         worker: Worker,
-        /// `None` if the worker refused the probe because it gets too many.
-        answered: Option<bool>,
+        outcome: ProbeOutcome,
         report: Option<Report>,
     },
     /// The state of all connections to the worker shows that its process or machine was lost: the worker is
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -152,7 +152,7 @@
                 }
                 Action::Probe { worker } => {
                     let report = Some(self.report(worker));
-                    self.decide(now, node, Event::Probed { worker, answered: Some(true), report });
+                    self.decide(now, node, Event::Probed { worker, outcome: ProbeOutcome::Answered, report });
                 }
                 Action::SetTimer { at, .. } => {
                     self.schedule((at - BASE).max(now + 1), Occurrence::Timer(node))
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -71,7 +71,7 @@
         let mut node = Self { dispatcher: Dispatcher::new(config), now: 5_000_000 * MS, next_submission: 0 };
         let entries: Vec<_> = (0..workers).map(entry).collect();
         node.event(Event::ListReceived { kind: ListKind::Cached, entries: &entries });
-        (0..workers).for_each(|w| drop(node.probed(w, Some(true), report(4.0, 0.0, 0.0))));
+        (0..workers).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(4.0, 0.0, 0.0))));
         node
     }
 
@@ -104,8 +104,8 @@
         self.event(Event::Ended(ending))
     }
 
-    fn probed(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) -> Vec<Action> {
-        self.event(Event::Probed { worker, answered, report })
+    fn probed(&mut self, worker: Worker, outcome: ProbeOutcome, report: Option<Report>) -> Vec<Action> {
+        self.event(Event::Probed { worker, outcome, report })
     }
 
     /// Lets time pass in steps of 25 ms; `answering` answer probes. Returns all actions but the probes.
@@ -116,7 +116,7 @@
             for order in self.event(Event::TimerFired { timer_id: 0 }) {
                 match order {
                     Action::Probe { worker } if answering.contains(&worker) => {
-                        all.extend(self.probed(worker, Some(true), report(4.0, 0.0, 0.0)));
+                        all.extend(self.probed(worker, ProbeOutcome::Answered, report(4.0, 0.0, 0.0)));
                     }
                     Action::Probe { .. } => {}
                     other => all.push(other),
@@ -291,7 +291,7 @@
         node.list(ListKind::Changes, &[WorkerEntry { started: node.now, ..entry(0) }]);
         let while_cold = send_steps(&mut node, 300);
         node.now += 10_000 * MS;
-        (0..2).for_each(|w| drop(node.probed(w, Some(true), report(4.0, 0.0, 0.0))));
+        (0..2).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(4.0, 0.0, 0.0))));
         assert!(node.submit_and_complete(100).iter().filter(|w| **w == 0).count() > 25);
         while_cold
     };
@@ -315,7 +315,8 @@
     let mut node = Node::new(DispatchConfig { nodes, ..config(RepeatPolicy::Idempotent) }, workers);
     let worker = sent_to(&node.submit(0, 0, 0.0)).unwrap();
     let other = (worker + 1) % workers;
-    let probed = Event::Probed { worker: other, answered: Some(true), report: report(4.0, 0.0, 0.0) };
+    let probed =
+        Event::Probed { worker: other, outcome: ProbeOutcome::Answered, report: report(4.0, 0.0, 0.0) };
     for (worker, event) in [(worker, completed_on(worker)), (other, probed)] {
         let actions = node.dispatcher.decide(node.now, event);
         assert_eq!(actions.contains(&Action::CloseIdleConnections { worker }), closed);
@@ -337,7 +338,7 @@
         node.now += 50 * MS;
         probed += probes(node.event(Event::TimerFired { timer_id: 0 }));
         // The workers refuse the probes because other nodes probe, too.
-        (0..400).for_each(|w| probed += probes(node.probed(w, None, None)));
+        (0..400).for_each(|w| probed += probes(node.probed(w, ProbeOutcome::Inconclusive, None)));
     }
     assert!((10..400).contains(&probed), "{probed} probed");
 }
@@ -349,20 +350,20 @@
 #[case::no_figures(Some(Report::default()), true)]
 fn a_worker_is_below_threshold_by_its_last_report(#[case] reported: Option<Report>, #[case] below: bool) {
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 2);
-    node.probed(0, Some(true), reported);
+    node.probed(0, ProbeOutcome::Answered, reported);
     assert_eq!(node.submit_and_complete(30).contains(&0), below);
 }
 
 #[test]
 fn slots_sent_since_a_report_are_subtracted_and_a_late_report_does_not_free_them() {
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 2);
-    node.probed(1, Some(true), report(0.0, 0.0, 4.0));
+    node.probed(1, ProbeOutcome::Answered, report(0.0, 0.0, 4.0));
     for _ in 0..2 {
         assert_eq!(sent_to(&node.submit(0, 0, 0.0)), Some(0));
     }
     node.now += 20 * MS;
-    node.probed(0, Some(true), report(4.0, 0.0, 0.0));
-    node.probed(1, Some(true), report(1.0, 0.0, 3.0));
+    node.probed(0, ProbeOutcome::Answered, report(4.0, 0.0, 0.0));
+    node.probed(1, ProbeOutcome::Answered, report(1.0, 0.0, 3.0));
     let workers: Vec<_> = (0..3).map(|_| sent_to(&node.submit(0, 0, 0.0)).unwrap()).collect();
     assert!(workers.contains(&1), "{workers:?}");
 }
@@ -373,8 +374,8 @@
     node.submit_and_complete(4);
     let busy = sent_to(&node.submit(0, 0, 0.0)).unwrap();
     node.now += 1_000 * MS;
-    node.probed(busy, Some(true), report(4.0, 0.0, 0.0));
-    node.probed(1 - busy, Some(true), report(0.0, 0.0, 0.0));
+    node.probed(busy, ProbeOutcome::Answered, report(4.0, 0.0, 0.0));
+    node.probed(1 - busy, ProbeOutcome::Answered, report(0.0, 0.0, 0.0));
     assert_eq!(node.submit_and_complete(10), [1 - busy; 10]);
 }
 
@@ -384,7 +385,7 @@
 #[case::it_has_enough(true, 0.5, true)]
 fn memory_must_fit_if_counted(#[case] counts_memory: bool, #[case] memory: f64, #[case] below: bool) {
     let mut node = Node::new(DispatchConfig { counts_memory, ..config(RepeatPolicy::Idempotent) }, 2);
-    node.probed(0, Some(true), report(3.0, 0.0, 1.0));
+    node.probed(0, ProbeOutcome::Answered, report(3.0, 0.0, 1.0));
     let sends_to = |node: &mut Node| {
         let worker = sent_to(&node.submit(0, 0, memory)).unwrap();
         node.ended(worker, 0, Outcome::Completed);
@@ -437,7 +438,7 @@
     node.ended(worker, 0, outcome);
     node.ended(1 - worker, 1, Outcome::Completed);
     if !answers {
-        node.probed(worker, Some(false), None);
+        node.probed(worker, ProbeOutcome::Failed, None);
     }
     node.advance(1_000 * MS, &[0, 1]);
     let found = node.submit_and_complete(30).iter().filter(|w| **w == worker).count();
@@ -451,11 +452,11 @@
 #[case::process_lost(true, false)]
 fn a_worker_that_lost_its_process_is_not_drawn_from_the_ejected(#[case] lost: bool, #[case] drawn: bool) {
     let mut node = Node::new(DispatchConfig { may_probe: false, ..config(RepeatPolicy::Idempotent) }, 4);
-    node.probed(0, Some(true), report(0.0, 4.0, 8.0));
+    node.probed(0, ProbeOutcome::Answered, report(0.0, 4.0, 8.0));
     for worker in 1..4 {
         let event = if lost { Event::ProcessLost { worker } } else { completed_on(worker) };
         node.event(event);
-        node.probed(worker, Some(false), None);
+        node.probed(worker, ProbeOutcome::Failed, None);
     }
     let found = (0..20).filter_map(|_| sent_to(&node.submit(0, 0, 0.0))).any(|w| w > 0);
     assert_eq!(found, drawn);
@@ -491,7 +492,7 @@
     node.submit(0, 0, 0.0);
     node.ended(0, 0, Outcome::Error);
     node.list(ListKind::Changes, &[entry(1), entry(2)]);
-    (1..3).for_each(|w| drop(node.probed(w, Some(true), report(4.0, 0.0, 0.0))));
+    (1..3).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(4.0, 0.0, 0.0))));
     node.advance(200 * MS, &[0, 1, 2]);
     assert_eq!(node.submit_and_complete(40).contains(&0), back);
 }
@@ -501,7 +502,7 @@
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 3);
     node.advance(500 * MS, &[0, 1]);
     assert!(!node.submit_and_complete(30).contains(&2));
-    node.probed(2, Some(true), report(4.0, 0.0, 0.0));
+    node.probed(2, ProbeOutcome::Answered, report(4.0, 0.0, 0.0));
     assert!(node.submit_and_complete(30).contains(&2));
 }
 
@@ -555,7 +556,7 @@
     for step in 0..92 {
         node.now += 25 * MS;
         actions.extend(node.event(Event::TimerFired { timer_id: 0 }));
-        actions.extend(node.probed(worker, Some(true), report(4.0 - active, 0.0, active)));
+        actions.extend(node.probed(worker, ProbeOutcome::Answered, report(4.0 - active, 0.0, active)));
         if another && step == 70 {
             assert_eq!(sent_to(&node.submit(0, 0, 0.0)), Some(worker));
         }
@@ -591,9 +592,9 @@
         node.submit(p, 0, 0.0);
         node.ended(0, 0, Outcome::Completed);
     }
-    node.probed(0, Some(true), report(0.0, 4.0, 8.0));
+    node.probed(0, ProbeOutcome::Answered, report(0.0, 4.0, 8.0));
     assert_eq!(sent_to(&node.submit(product, 0, 0.0)), Some(0));
-    node.probed(0, Some(true), report(0.0, 9.0, 13.0));
+    node.probed(0, ProbeOutcome::Answered, report(0.0, 9.0, 13.0));
     assert!(dismissed(&node.submit(product, 0, 0.0)));
 }
 
@@ -602,7 +603,7 @@
 #[case::pays_less(1, false)]
 fn the_last_capacity_is_reserved_for_products_that_pay_more(#[case] product: u8, #[case] taken: bool) {
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 10);
-    (0..9).for_each(|w| drop(node.probed(w, Some(true), report(0.0, 1.0, 5.0))));
+    (0..9).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(0.0, 1.0, 5.0))));
     assert_eq!(sent_to(&node.submit(product, 0, 0.0)).is_some(), taken);
 }
 
@@ -611,7 +612,7 @@
     let config =
         DispatchConfig { quotas: vec![4.0, 4.0, 4.0], may_probe: false, ..config(RepeatPolicy::Idempotent) };
     let mut node = Node::new(config, 6);
-    (0..5).for_each(|w| drop(node.probed(w, Some(true), report(0.0, 0.0, 4.0))));
+    (0..5).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(0.0, 0.0, 4.0))));
     let mut refused = [0; 3];
     for i in 0..60 {
         let tenant = if i % 10 == 0 { i / 10 % 2 + 1 } else { 0 };
@@ -632,7 +633,7 @@
     let quotas = vec![66.0, 46.0, 21.0, 12.0, 10.0, 10.0];
     let config = DispatchConfig { quotas, nodes: 100, ..config(RepeatPolicy::Idempotent) };
     let mut node = Node::new(config, 10);
-    (0..9).for_each(|w| drop(node.probed(w, Some(true), report(0.0, 0.0, 4.0))));
+    (0..9).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(0.0, 0.0, 4.0))));
     assert!((0..3).all(|_| sent_to(&node.submit(0, 4, 0.0)).is_some()));
 }
 
@@ -648,12 +649,12 @@
     node.list(ListKind::Cached, &entries);
     for worker in 0..60 {
         let free = if worker < 9 { 4.0 } else { free };
-        node.probed(worker, Some(true), report(free, 0.0, 4.0 - free));
+        node.probed(worker, ProbeOutcome::Answered, report(free, 0.0, 4.0 - free));
     }
     let busy: Vec<Worker> = (0..16).filter_map(|_| sent_to(&node.submit(0, 0, 0.0))).collect();
     // After this time, only the workers that hold jobs are still known.
     node.now += 1_000 * MS;
-    busy.iter().for_each(|w| drop(node.probed(*w, Some(true), report(0.0, 0.0, 4.0))));
+    busy.iter().for_each(|w| drop(node.probed(*w, ProbeOutcome::Answered, report(0.0, 0.0, 4.0))));
     assert_eq!(sent_to(&node.submit(1, 0, 0.0)).is_some(), taken);
 }
 
@@ -667,7 +668,7 @@
 ) {
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 20);
     node.list(ListKind::Changes, &[WorkerEntry { health, ..entry(0) }]);
-    node.probed(0, Some(false), None);
+    node.probed(0, ProbeOutcome::Failed, None);
     let mut probes = 0;
     for _ in 0..400 {
         node.now += 25 * MS;
@@ -675,7 +676,12 @@
         for order in actions {
             let Action::Probe { worker } = order else { continue };
             probes += usize::from(worker == 0);
-            node.probed(worker, Some(worker > 0), report(4.0, 0.0, 0.0).filter(|_| worker > 0));
+            let (outcome, report) = if worker > 0 {
+                (ProbeOutcome::Answered, report(4.0, 0.0, 0.0))
+            } else {
+                (ProbeOutcome::Failed, None)
+            };
+            node.probed(worker, outcome, report);
         }
     }
     assert!(times.contains(&probes), "{probes} probes");
@@ -694,7 +700,7 @@
 #[rstest]
 #[case::unknown_submission(Event::ClientLeft { submission: 99 })]
 #[case::unknown_execution(Event::Progressed { submission: 0, execution: 9 })]
-#[case::unknown_worker(Event::Probed { worker: 99, answered: Some(false), report: None })]
+#[case::unknown_worker(Event::Probed { worker: 99, outcome: ProbeOutcome::Failed, report: None })]
 #[case::unknown_stream(Event::Streaming { submission: 99, execution: 0 })]
 #[case::outdated_timer(Event::TimerFired { timer_id: 12 })]
 fn events_about_unknown_indices_have_no_effect(#[case] event: Event<'static>) {
@@ -717,7 +723,7 @@
 #[rstest]
 fn workers_are_filled_up_to_their_slots(#[values(4, 8, 64, 512)] slots: u32, #[values(1, 2)] nodes: u32) {
     let mut node = Node::new(DispatchConfig { nodes, ..config(RepeatPolicy::Idempotent) }, 4);
-    (0..4).for_each(|w| drop(node.probed(w, Some(true), report(slots as f32, 0.0, 0.0))));
+    (0..4).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(slots as f32, 0.0, 0.0))));
     let mut jobs = [0; 4];
     for _ in 0..4 * slots {
         let worker = sent_to(&node.submit(0, 0, 0.0)).expect("no dismissal while a worker has room");
@@ -736,7 +742,7 @@
     node.event(Event::Retired { worker });
     node.list(ListKind::Changes, &[entry(worker)]);
     // One answered probe is enough, where the ejected worker would need two.
-    node.probed(worker, Some(true), report(4.0, 0.0, 0.0));
+    node.probed(worker, ProbeOutcome::Answered, report(4.0, 0.0, 0.0));
     assert!(node.submit_and_complete(40).contains(&worker));
 }
 
@@ -766,7 +772,7 @@
         node.event(Event::ProcessLost { worker: 0 });
         assert!(!node.submit_and_complete(20).contains(&0));
     }
-    node.probed(0, Some(true), report(4.0, 0.0, 0.0));
+    node.probed(0, ProbeOutcome::Answered, report(4.0, 0.0, 0.0));
     let drawn = node.submit_and_complete(40).iter().filter(|w| **w == 0).count();
     assert_eq!(drawn < 10, lost, "{drawn} of 40");
 }
@@ -788,12 +794,12 @@
     let mut node = Node::new(config, 0);
     let entries = [0, 1, 2].map(entry_of);
     node.list(ListKind::Whole, &entries);
-    (0..3).for_each(|w| drop(node.probed(w, Some(true), report(4.0, 0.0, 0.0))));
+    (0..3).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, report(4.0, 0.0, 0.0))));
     let all = node.submit_and_complete(40);
     assert!(all.len() >= 30 && all.iter().all(|w| *w == 1), "{all:?}");
     match listed {
         Some(health) => drop(node.list(ListKind::Changes, &[WorkerEntry { health, ..entry_of(1) }])),
-        None => drop(node.probed(1, Some(false), None)),
+        None => drop(node.probed(1, ProbeOutcome::Failed, None)),
     }
     for _ in 0..40 {
         let actions = node.submit(0, 0, 0.0);
@@ -817,7 +823,7 @@
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 0);
     node.list(ListKind::Whole, &[0, 1, 2, 3].map(entry));
     let free = |f| Some(Report { free_slots: Some(f), ..Report::default() });
-    (0..4).for_each(|w| drop(node.probed(w, Some(true), free(3.0))));
+    (0..4).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, free(3.0))));
     for i in 0..12 {
         assert!(sent_to(&node.submit(1, 0, 0.0)).is_some(), "submission {i} of 12 that fit");
     }
@@ -834,7 +840,7 @@
         node.now += 25 * MS;
         if node.event(Event::TimerFired { timer_id: 0 }).contains(&Action::Probe { worker: 0 }) {
             probes += 1;
-            node.probed(0, Some(false), None);
+            node.probed(0, ProbeOutcome::Failed, None);
         }
     }
     assert!((2..=12).contains(&probes), "{probes} probes in 4 s, with ticks of 50 ms");
@@ -860,7 +866,7 @@
         node.now += 25 * MS;
         if node.event(Event::TimerFired { timer_id: 0 }).contains(&Action::Probe { worker: 0 }) {
             probes += 1;
-            node.probed(0, Some(true), report(3.0, 0.0, 1.0));
+            node.probed(0, ProbeOutcome::Answered, report(3.0, 0.0, 1.0));
         }
     }
     assert!(affordable.contains(&probes), "{probes} probes");
@@ -875,7 +881,7 @@
         node.event(Event::TimerFired { timer_id: 0 });
         for w in 0..3 {
             let active = f32::from(u8::from(w == slow));
-            node.probed(w, Some(true), report(4.0 - active, 0.0, active));
+            node.probed(w, ProbeOutcome::Answered, report(4.0 - active, 0.0, active));
         }
     }
     let drawn = node.submit_and_complete(30);
@@ -982,10 +988,10 @@
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 0);
     node.list(ListKind::Whole, &[entry(0), entry(1)]);
     for _ in 0..3 {
-        (0..2).for_each(|w| drop(node.probed(w, Some(true), reported(1.0, 3.0))));
-        (0..2).for_each(|w| drop(node.probed(w, Some(true), reported(0.0, 20.0))));
+        (0..2).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, reported(1.0, 3.0))));
+        (0..2).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, reported(0.0, 20.0))));
     }
-    (0..2).for_each(|w| drop(node.probed(w, Some(true), reported(4.0, 0.0))));
+    (0..2).for_each(|w| drop(node.probed(w, ProbeOutcome::Answered, reported(4.0, 0.0))));
     node.now += MS;
     // Each of the two has four slots, and as many more jobs may queue there in time.
     assert_eq!((0..60).filter(|_| sent_to(&node.submit(0, 0, 0.0)).is_some()).count(), 16);
@@ -1036,7 +1042,7 @@
 #[test]
 fn a_reconfiguration_keeps_health_and_starts_and_drops_reports() {
     let mut node = Node::new(config(RepeatPolicy::OneShot), 4);
-    node.probed(1, Some(true), report(0.0, 60.0, 64.0));
+    node.probed(1, ProbeOutcome::Answered, report(0.0, 60.0, 64.0));
     node.list(ListKind::Changes, &[WorkerEntry { health: Health::Gone, ..entry(2) }]);
     node.list(ListKind::Changes, &[WorkerEntry { started: node.now, ..entry(3) }]);
     let first = sent_to(&node.submit(0, 0, 0.0)).unwrap();
--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -13,7 +13,7 @@
     Answer, ClientId, ConnectionId, Core, Effect, Endpoint, ForwardedRequest, Input, Nanos, NewSubmission,
     Outcome,
 };
-use linestack_dispatch::types::{Health, ListKind, Report};
+use linestack_dispatch::types::{Health, ListKind, ProbeOutcome, Report};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
@@ -148,7 +148,7 @@
             }
             Effect::Probe { connection: link } => {
                 let report = self.links.get(&link).map(|worker| self.report(*worker));
-                inputs.push_back(Input::Probed { connection: link, answered: Some(true), report });
+                inputs.push_back(Input::Probed { connection: link, outcome: ProbeOutcome::Answered, report });
                 inputs.push_back(Input::ConnectionReusable { connection: link, identified: true });
             }
             Effect::CloseConnection { connection: link } => {
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use linestack_dispatch::types::{Nanos, Outcome, Report};
+use linestack_dispatch::types::{Nanos, Outcome, ProbeOutcome, Report};
 use may::io::WaitIo;
 use may::net::TcpStream;
 use serde::Deserialize;
@@ -346,16 +346,16 @@
             return true;
         }
         if !std::mem::replace(&mut self.outcome_reported, true) {
-            let answered = match head.status {
-                200 => Some(true),
+            let outcome = match head.status {
+                200 => ProbeOutcome::Answered,
                 // The probe was declined because there are too many; this says nothing about the executor.
-                429 | 503 if head.declined => None,
-                _ => Some(false),
+                429 | 503 if head.declined => ProbeOutcome::Inconclusive,
+                _ => ProbeOutcome::Failed,
             };
             let body = std::str::from_utf8(&self.text).unwrap_or("");
             let report = json_report(node, body).or_else(|| text_report(node, body));
             let report = report.or_else(|| head.load.as_deref().and_then(|text| text_report(node, text)));
-            node.handle_input(Input::Probed { connection, answered, report });
+            node.handle_input(Input::Probed { connection, outcome, report });
         }
         true
     }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -133,9 +133,9 @@
                     report: self.layout.report(|index| figures.get(index)),
                 })
             }
-            Incoming::Probed { executor, answered, figures } => Event::Probed {
+            Incoming::Probed { executor, outcome, figures } => Event::Probed {
                 worker: *self.workers.get(&executor)?,
-                answered,
+                outcome,
                 report: self.layout.report(|index| figures.get(index)),
             },
             Incoming::TimerFired { timer_id } => Event::TimerFired { timer_id },
--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -6,7 +6,7 @@
 
 use std::io::{self, Read, Write};
 
-use linestack_dispatch::types::{Health, Job, ListKind, Nanos, Outcome};
+use linestack_dispatch::types::{Health, Job, ListKind, Nanos, Outcome, ProbeOutcome};
 use linestack_settings::{Settings, nanos_from_millis};
 use thiserror::Error;
 
@@ -99,8 +99,7 @@
     },
     Probed {
         executor: u32,
-        /// None if the executor rejected the probe because it gets too many.
-        answered: Option<bool>,
+        outcome: ProbeOutcome,
         figures: ReportFigures,
     },
     TimerFired {
@@ -212,10 +211,10 @@
             },
             2 => Incoming::Probed {
                 executor: f.u32(3),
-                answered: match f.u16(7) {
-                    200 => Some(true),
-                    429 => None,
-                    _ => Some(false),
+                outcome: match f.u16(7) {
+                    200 => ProbeOutcome::Answered,
+                    429 => ProbeOutcome::Inconclusive,
+                    _ => ProbeOutcome::Failed,
                 },
                 figures: f.figures(17),
             },
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use linestack_core::{Disconnect, ForwardedRequest, Input, Nanos, Outcome as ExecutionOutcome};
-use linestack_dispatch::types::{Health, Report};
+use linestack_dispatch::types::{Health, ProbeOutcome, Report};
 use rand::Rng as _;
 
 use super::discovery::Detection;
@@ -216,22 +216,22 @@
         let cost = self.scenario.executors[executor.spec].probe_ms / 1e3;
         executor.add_overhead(self.now, cost);
         self.run_executor(index);
-        let (answered, report) = (Some(true), self.load_report(index));
-        self.send_to_node(connection, Event::ProbeReplyAtNode { connection, answered, report });
+        let (outcome, report) = (ProbeOutcome::Answered, self.load_report(index));
+        self.send_to_node(connection, Event::ProbeReplyAtNode { connection, outcome, report });
     }
 
     /// The answer to a probe reaches the node. It is dropped if the node no longer waits for it.
     pub(super) fn probe_reply_at_node(
         &mut self,
         connection: ConnectionId,
-        answered: Option<bool>,
+        outcome: ProbeOutcome,
         report: Option<Report>,
     ) {
         if !self.accept_reply(connection) {
             return;
         }
         let ConnectionId { node, incarnation, number } = connection;
-        self.give_input(node, incarnation, Input::Probed { connection: number, answered, report });
+        self.give_input(node, incarnation, Input::Probed { connection: number, outcome, report });
         self.give_input(
             node,
             incarnation,
--- a/crates/world/src/world/dispatch.rs
+++ b/crates/world/src/world/dispatch.rs
@@ -31,8 +31,8 @@
             Event::ClosedAtExecutor { connection } => self.closed_at_executor(connection),
             Event::JobAtExecutor { connection, attempt } => self.job_at_executor(connection, attempt),
             Event::ProbeAtExecutor { connection } => self.probe_at_executor(connection),
-            Event::ProbeReplyAtNode { connection, answered, report } => {
-                self.probe_reply_at_node(connection, answered, report);
+            Event::ProbeReplyAtNode { connection, outcome, report } => {
+                self.probe_reply_at_node(connection, outcome, report);
             }
             Event::ReplyAtNode { connection, attempt, outcome, report } => {
                 self.reply_at_node(connection, attempt, outcome, report);
--- a/crates/world/src/world/event.rs
+++ b/crates/world/src/world/event.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use linestack_core::{Disconnect, Input, Nanos, Outcome as ExecutionOutcome, PersistTicket};
-use linestack_dispatch::types::{Health, Report};
+use linestack_dispatch::types::{Health, ProbeOutcome, Report};
 use linestack_recovery::OutcomeRecord;
 
 use crate::executor::ConnectionId;
@@ -45,7 +45,7 @@
     /// A probe reaches the executor.
     ProbeAtExecutor { connection: ConnectionId },
     /// The answer to a probe reaches the node.
-    ProbeReplyAtNode { connection: ConnectionId, answered: Option<bool>, report: Option<Report> },
+    ProbeReplyAtNode { connection: ConnectionId, outcome: ProbeOutcome, report: Option<Report> },
     /// The result of a job reaches the node.
     ReplyAtNode {
         connection: ConnectionId,
