--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -43,7 +43,7 @@
     /// The value of `Req-Id`.
     pub id: Bytes,
     /// The value of `Idempotency-Key`.
-    pub stamp: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     pub body: Bytes,
 }
 
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -19,8 +19,9 @@
     pub age: StoreTime,
     /// The time of the start on the node's clock.
     pub now: Nanos,
-    /// Whether a repeated submission is recognized by `Idempotency-Key`, which clients keep in a retry, or else by `Req-Id`.
-    pub by_stamp: bool,
+    /// Whether a repeated submission is recognized by its `Idempotency-Key`, which clients keep in a retry; otherwise by its
+    /// `Req-Id`.
+    pub by_idempotency_key: bool,
     /// An earlier store was lost. Until this time a one-shot that is not in the store may have run.
     pub incomplete_until: Nanos,
 }
@@ -30,7 +31,7 @@
     outcomes: OutcomeTable,
     age: StoreTime,
     since: Nanos,
-    by_stamp: bool,
+    by_idempotency_key: bool,
     incomplete_until: Nanos,
     /// The number of records that executions wait for.
     pending_records: usize,
@@ -52,12 +53,12 @@
 impl Core {
     /// Keeps the outcomes of one-shots over restarts from now on. Must be called before anything is accepted.
     pub fn enable_outcome_store(&mut self, stored: StoredOutcomes) {
-        let StoredOutcomes { outcomes, age, now, by_stamp, incomplete_until } = stored;
+        let StoredOutcomes { outcomes, age, now, by_idempotency_key, incomplete_until } = stored;
         self.outcome_store = Some(OutcomeStore {
             outcomes,
             age,
             since: now,
-            by_stamp,
+            by_idempotency_key,
             incomplete_until,
             pending_records: 0,
             open_keys: HashSet::new(),
@@ -86,7 +87,7 @@
     /// The key by which a repeated submission is recognized; `None` if the request carries none.
     fn outcome_key(&self, request: &ForwardedRequest) -> Option<Bytes> {
         let store = self.outcome_store.as_ref()?;
-        if store.by_stamp { request.stamp.clone() } else { Some(request.id.clone()) }
+        if store.by_idempotency_key { request.idempotency_key.clone() } else { Some(request.id.clone()) }
     }
 
     fn is_one_shot(&self, product: u8) -> bool {
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -29,7 +29,7 @@
         let worker_state = self.workers_by_name.get(name).and_then(|w| self.workers.get(*w as usize));
         worker_state.map_or(LocalKnowledge::default(), |w| LocalKnowledge {
             ready: w.health == Health::Ready,
-            seen: w.last_observation.map(|(at, ..)| at),
+            last_observed: w.last_observation.map(|(at, ..)| at),
         })
     }
 
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -25,7 +25,7 @@
     /// Its executor has another address now, according to the list.
     ExecutorMoved,
     /// Its product may not run in that zone or on that kind of executor.
-    NotOpen,
+    ProductNotAllowed,
     /// Another execution of its submission is in flight, and the settings forbid copies.
     SecondCopy,
 }
@@ -42,7 +42,7 @@
             Self::ExecutorDraining => "executor-draining",
             Self::ExecutorLeft => "executor-left",
             Self::ExecutorMoved => "executor-moved",
-            Self::NotOpen => "not-open",
+            Self::ProductNotAllowed => "not-open",
             Self::SecondCopy => "second-copy",
         }
     }
@@ -101,7 +101,7 @@
             Refusal::ExecutorDraining | Refusal::ExecutorLeft | Refusal::ExecutorMoved => {
                 &mut self.executor_leaving
             }
-            Refusal::NotOpen | Refusal::SecondCopy => &mut self.forbidden,
+            Refusal::ProductNotAllowed | Refusal::SecondCopy => &mut self.forbidden,
         };
         *count += 1;
     }
@@ -139,7 +139,7 @@
         let entry =
             WorkerEntry { kind: worker_state.kind, zone: worker_state.zone, ..WorkerEntry::default() };
         if !self.products.get(usize::from(accepted.product)).is_none_or(|product| product.allows(&entry)) {
-            return Err(Refusal::NotOpen);
+            return Err(Refusal::ProductNotAllowed);
         }
         let others = accepted.executions.iter().enumerate().filter(|(i, _)| *i != usize::from(execution));
         if !self.may_duplicate && others.clone().any(|(_, other)| other.connection.is_some()) {
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -965,7 +965,7 @@
         outcomes,
         age: 0,
         now: node.now,
-        by_stamp: false,
+        by_idempotency_key: false,
         incomplete_until: 0,
     });
     node
@@ -985,7 +985,7 @@
         outcomes: no_outcomes(),
         age: 0,
         now: node.now,
-        by_stamp: false,
+        by_idempotency_key: false,
         incomplete_until,
     });
     let client = node.submit(PAY, 5_000 * MS);
@@ -1176,15 +1176,15 @@
         outcomes: no_outcomes(),
         age: 0,
         now: node.now,
-        by_stamp: true,
+        by_idempotency_key: true,
         incomplete_until: 0,
     });
     let submit = |node: &mut Node, id: &'static str| {
         node.last_client += 1;
         let client = node.last_client;
         node.handle(Input::ClientConnected { client });
-        let (id, stamp) = (Bytes::from_static(id.as_bytes()), Some(Bytes::from_static(b"k")));
-        let request = Arc::new(ForwardedRequest { id, stamp, ..ForwardedRequest::default() });
+        let (id, idempotency_key) = (Bytes::from_static(id.as_bytes()), Some(Bytes::from_static(b"k")));
+        let request = Arc::new(ForwardedRequest { id, idempotency_key, ..ForwardedRequest::default() });
         let timeout = 1_000 * MS;
         let submission = NewSubmission { product: PAY, tenant: 0, timeout, slots: 1.0, memory: 0.0, request };
         node.handle(Input::Submitted { client, submission });
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -137,7 +137,7 @@
         path: head_text.slice(request.path.clone()),
         host: part(&request.host).unwrap_or_default(),
         id,
-        stamp,
+        idempotency_key: stamp,
         body: Bytes::new(),
     };
     Ok(NewSubmission {
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -458,9 +458,9 @@
     push(&request.host);
     push(&Bytes::from_static(b"\r\nReq-Id: "));
     push(&request.id);
-    if let Some(stamp) = &request.stamp {
+    if let Some(key) = &request.idempotency_key {
         push(&Bytes::from_static(b"\r\nIdempotency-Key: "));
-        push(stamp);
+        push(key);
     }
     let (wait_ms, length) = ((time_left / 1_000_000).max(1), request.body.len());
     push(&Bytes::from(format!("\r\nReq-Deadline-Ms: {wait_ms}\r\nContent-Length: {length}\r\n\r\n")));
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -297,7 +297,7 @@
         outcomes.restore(std::mem::take(&mut self.outcomes));
         outcomes.expire(self.time);
         tracing::info!(known = outcomes.len(), folder = %self.config.folder.display(), "store read");
-        let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
+        let by_idempotency_key = self.config.dedup_key == DedupKey::IdempotencyKey;
         // Clients of the process before this one notice at once that it is gone, and retry within their own deadlines. So
         // after the longest deadline no client retries a submission that the lost store may have known.
         let incomplete_until = if self.lost { now + longest_deadline + LOST_SLACK } else { 0 };
@@ -310,7 +310,7 @@
             outcomes,
             age: self.time,
             now,
-            by_stamp,
+            by_idempotency_key,
             incomplete_until,
         });
     }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -76,7 +76,7 @@
     /// Whether the executor is ready on the receiver's list.
     pub ready: bool,
     /// When the receiver last observed the executor itself.
-    pub seen: Option<Nanos>,
+    pub last_observed: Option<Nanos>,
 }
 
 /// An observation taken over from a snapshot.
@@ -128,7 +128,7 @@
         let age =
             observation.age_ms.saturating_mul(1_000_000).saturating_add(received.saturating_sub(requested));
         let known = local(&observation.name);
-        let local_is_newer = known.seen.is_some_and(|seen| seen.saturating_add(age) >= received);
+        let local_is_newer = known.last_observed.is_some_and(|at| at.saturating_add(age) >= received);
         if age >= max_age
             || !known.ready
             || local_is_newer
--- a/crates/peers/tests/learn.rs
+++ b/crates/peers/tests/learn.rs
@@ -22,7 +22,7 @@
 fn usable(snapshot: &PeerSnapshot) -> Result<Vec<Observation>, SnapshotError> {
     let local = |name: &str| LocalKnowledge {
         ready: name != "gone" && name != "unknown",
-        seen: (name == "met").then_some(9_900 * MS),
+        last_observed: (name == "met").then_some(9_900 * MS),
     };
     usable_observations(snapshot, "n0", (9_950 * MS, 10_000 * MS), 1000 * MS, local, 6)
 }
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -177,7 +177,7 @@
         let request = &self.requests[index];
         let product = &self.scenario.products[request.product];
         let stamped = product.repeats == RepeatPolicy::Stamped || self.scenario.nodes.store;
-        let stamp = stamped.then(|| index.to_string().into());
+        let idempotency_key = stamped.then(|| index.to_string().into());
         let id = Bytes::from(attempt.to_string());
         NewSubmission {
             product: request.product as u8,
@@ -185,7 +185,7 @@
             timeout: millis(product.deadline_ms),
             slots: product.slots,
             memory: 0.0,
-            request: Arc::new(ForwardedRequest { id, stamp, ..ForwardedRequest::default() }),
+            request: Arc::new(ForwardedRequest { id, idempotency_key, ..ForwardedRequest::default() }),
         }
     }
 
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -245,7 +245,7 @@
         let mut outcomes = OutcomeTable::new(OUTCOME_RETENTION, usize::MAX, usize::MAX);
         outcomes.restore(persisted.iter().cloned());
         let age = persisted.iter().map(|record| record.at + 1).max().unwrap_or(0);
-        StoredOutcomes { outcomes, age, now: self.now, by_stamp: true, incomplete_until: 0 }
+        StoredOutcomes { outcomes, age, now: self.now, by_idempotency_key: true, incomplete_until: 0 }
     }
 
     /// A record is on a node's disk. A record whose write was in progress when the node was killed is lost.
