--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -23,46 +23,106 @@
     RepeatPolicy, Submission, Worker, WorkerEntry,
 };
 use crate::worker_stats::{
-    AnswerTime, Choice, DEFAULT_THRESHOLD, Fleet, InFlight, RankedDraw, SubmissionState, TenantStats,
-    TrafficStats, WorkerState, entry_at, mean_answer_time, rounded, slowest_answer_time, weighted_median,
+    AnswerTime, Choice, DEFAULT_THRESHOLD_SLOTS, Fleet, InFlight, JobStart, ProvedReportDelay, RankedDraw,
+    SubmissionState, TenantStats, TrafficStats, WorkerState, entry_at, mean_answer_time, rounded,
+    slowest_answer_time, weighted_median,
 };
 
+/// Nanoseconds per second.
+const SECOND_NS: f64 = 1e9;
+
 /// The least threshold of a kind of worker, in slots.
-const MIN_THRESHOLD: f64 = 2.0;
+const MIN_THRESHOLD_SLOTS: f64 = 2.0;
 /// The completed jobs after which a kind's threshold regains a slot.
 const COMPLETIONS_PER_SLOT: u32 = 4;
+/// The completed jobs after which one of a worker's recent ejections no longer counts.
+const COMPLETIONS_PER_EJECTION: u32 = 2 * COMPLETIONS_PER_SLOT;
 /// How often repeated failures may double the probes needed or the time until the next try.
 const MAX_DOUBLINGS: u32 = 6;
+/// The answer time, as a multiple of the shortest, from which the load limit is reduced.
+const MAX_ANSWER_TIME_RATIO: f64 = 1.5;
+/// The smallest factor by which the load limit is reduced.
+const MIN_LOAD_FACTOR: f64 = 0.5;
+/// The number of answers over which the answer time ratio is averaged.
+const ANSWER_TIME_RATIO_ANSWERS: f64 = 32.0;
+/// The number of answers over which the load limit approaches the value that the answer time ratio calls for.
+const LOAD_LIMIT_ANSWERS: f64 = 16.0;
+
 /// The points per submission that the probes for refreshing reports may cost, in the unit of
 /// [`DispatchConfig::probe_cost`].
 const REFRESH_COST_LIMIT: f64 = 0.015;
+/// Where starts are reported, that limit is divided by this: a start shows at once what a report shows late.
+const REFRESH_COST_DIVISOR_WITH_STARTS: f64 = 10.0;
+/// The most probes per submission for refreshing reports, however little a probe costs.
+const MAX_REFRESH_PROBES_PER_SUBMISSION: f64 = 64.0;
+/// The number of ticks whose probes for refreshing reports may be sent together.
+const REFRESH_BURST_TICKS: Nanos = 2;
+/// Added to the number of full workers, so that reports are refreshed even if no worker is full.
+const ASSUMED_FULL_WORKERS: f64 = 0.5;
+/// The number of probes by which probing ejected workers may overdraw the probe budget.
+const MAX_PROBE_DEBT_PROBES: f64 = 8.0;
+/// An answer to a probe is overdue after the connect timeout divided by this.
+const PROBE_OVERDUE_DIVISOR: Nanos = 4;
+/// The time, in connect timeouts, after which a busy worker is probed if it has sent no report.
+const MAX_UNPROBED_CONNECT_TIMEOUTS: Nanos = 2;
+/// While something is awaited, the periodic work is done at intervals of the connect timeout divided by this.
+const TICK_DIVISOR: Nanos = 5;
+/// The longest interval of the periodic work.
+const MAX_TICK_INTERVAL_NS: f64 = 64e9;
+/// A busy worker is ejected if it has sent no message for this multiple of the progress interval and the answer
+/// time together.
+const MAX_SILENCE_FACTOR: f64 = 2.0;
+
+/// The least delay of a list request after a failed one is the list refresh limit divided by this.
+const FAILED_LIST_DELAY_DIVISOR: Nanos = 10;
+/// The list requests of all nodes are spread over the connect timeout divided by this, for each node.
+const LIST_SPREAD_DIVISOR: Nanos = 4;
+/// They are spread over at most the list refresh limit divided by this.
+const MAX_LIST_SPREAD_DIVISOR: Nanos = 2;
+
 /// The part of the workers reserved for the products that pay best.
 const RESERVED_SHARE: f64 = 0.2;
+/// The part of the workers reserved against a tenant is its excess over its share, divided by this.
+const EXCESS_RESERVE_DIVISOR: f64 = 3.0;
+/// The least number of submissions over which tenants' shares are measured.
+const SHARE_SAMPLE_SUBMISSIONS: f64 = 64.0;
+/// The least time constant with which tenants' shares are measured.
+const MIN_SHARE_TIME_CONSTANT_NS: f64 = 2.0 * SECOND_NS;
+/// A dismissed submission within its tenant's share is given the longest Retry-After divided by this.
+const RETRY_AFTER_DIVISOR: Nanos = 8;
+
 /// A worker that takes this multiple of the mean time for the same jobs is drawn after others of its zone.
 const SLOW_RATIO: f64 = 1.1;
 /// A worker that takes this multiple is drawn even after workers in other zones.
 const VERY_SLOW_RATIO: f64 = 2.0;
 /// The age, in answer times, from which a report is worthless.
-const REPORT_LIFETIME: f64 = 2.0;
+const REPORT_LIFETIME_ANSWER_TIMES: f64 = 2.0;
 /// The age, in answer times, up to which a report is fresh, where not all workers are known.
-const FRESH_REPORT_AGE: f64 = 0.25;
-/// The number of probes by which probing ejected workers may overdraw the probe budget.
-const MAX_PROBE_DEBT: f64 = 8.0;
-/// The part of the jobs that must start at once before a waiting job is moved.
-const MIN_PROMPT_SHARE: f64 = 0.25;
+const FRESH_REPORT_ANSWER_TIMES: f64 = 0.25;
 /// The probability that an unknown worker has room. Such a worker is drawn without a report, so room is found
 /// only by chance.
-const UNKNOWN_ROOM: f64 = 0.5;
-/// The share of workers with room below which any submission may be dismissed.
-const MIN_ROOM: f64 = 0.1;
+const UNKNOWN_ROOM_PROBABILITY: f64 = 0.5;
+/// Where starts are reported, a random part of all submissions is dismissed while fewer workers than this share
+/// have room.
+const OVERLOAD_ROOM_SHARE: f64 = 0.1;
 /// The number of random draws that look for an unknown worker.
 const UNKNOWN_WORKER_DRAWS: usize = 16;
-/// The least number of submissions over which tenants' shares are measured.
-const SHARE_SAMPLE: f64 = 64.0;
+/// Slow start allows for this many standard deviations of the jobs that all nodes together send at random.
+const SLOW_START_DEVIATIONS: f64 = 3.0;
+
+/// A job has started at once if it has started within the connect timeout divided by this.
+const PROMPT_START_DIVISOR: Nanos = 5;
+/// The part of the jobs that must start at once before a waiting job is moved.
+const MIN_PROMPT_SHARE: f64 = 0.25;
+/// A waiting job is moved after its product's latency target divided by this.
+const START_TIMEOUT_DIVISOR: Nanos = 2;
+/// Another worker for it is searched for at intervals of that time divided by this.
+const SEARCH_INTERVAL_DIVISOR: Nanos = 4;
+
 /// The number of nodes per slot of a worker from which idle connections burden the worker.
 const CROWDED_NODES_PER_SLOT: f64 = 4.0;
 /// The number of answer times for which a node may keep an idle connection to such a worker.
-const CROWDED_IDLE_ANSWERS: f64 = 2.0;
+const CROWDED_IDLE_ANSWER_TIMES: f64 = 2.0;
 
 /// Decides for one node; see the module's documentation.
 pub struct Dispatcher {
@@ -80,8 +140,7 @@
     /// Requests for the list that failed in a row.
     pub(crate) failed_list_requests: u32,
     best_payoff: f64,
-    /// The points per submission that the probes for refreshing reports may cost. Where starts are reported,
-    /// the limit is lower: a start shows at once what a report shows late.
+    /// The points per submission that the probes for refreshing reports may cost.
     refresh_cost_limit: f64,
     actions: Vec<Action>,
 }
@@ -103,7 +162,7 @@
             failed_list_requests: 0,
             best_payoff: config.products.iter().map(|p| p.payoff).fold(f64::MIN_POSITIVE, f64::max),
             refresh_cost_limit: if config.reports_start {
-                REFRESH_COST_LIMIT / 10.0
+                REFRESH_COST_LIMIT / REFRESH_COST_DIVISOR_WITH_STARTS
             } else {
                 REFRESH_COST_LIMIT
             },
@@ -116,9 +175,7 @@
     pub fn decide(&mut self, now: Nanos, event: Event<'_>) -> &[Action] {
         self.actions.clear();
         if self.now == 0 {
-            // Until arrivals have been seen, this node expects its part of all tenants' quotas.
-            let expected = self.config.quotas.iter().sum::<f64>() / f64::from(self.config.nodes);
-            self.traffic.assume_rate(now, expected.max(1.0) / 1e9);
+            self.assume_quota_rate(now);
             self.fleet.probe_cursor = self.rng.usize(..);
         }
         self.now = self.now.max(now);
@@ -138,10 +195,10 @@
             Event::Progressed { submission, execution } => {
                 let state = self.submissions.get(submission as usize);
                 let worker = state.and_then(|s| s.tried.get(usize::from(execution))).copied();
-                if let Some((waited, connection_idle_time)) =
+                if let Some(JobStart { waited, connection_idle_time }) =
                     worker.and_then(|w| self.fleet[w].record_progress(submission, execution, self.now))
                 {
-                    let at_once = waited <= self.config.connect_timeout / 5;
+                    let at_once = waited <= self.config.connect_timeout / PROMPT_START_DIVISOR;
                     self.traffic.record_start(at_once, connection_idle_time);
                 }
             }
@@ -186,16 +243,22 @@
         &self.actions
     }
 
+    /// Assumes, until arrivals have been seen, that this node gets its part of all tenants' quotas.
+    pub(crate) fn assume_quota_rate(&mut self, now: Nanos) {
+        let expected = self.config.quotas.iter().sum::<f64>() / f64::from(self.config.nodes);
+        self.traffic.assume_rate(now, expected.max(1.0) / SECOND_NS);
+    }
+
     /// Closes idle connections that are unlikely to be used before they close by themselves. With many nodes
     /// they would fill a worker's connection table, and each costs the worker. So with many nodes per slot, a
-    /// connection is kept only if it is likely to be used within two answer times.
+    /// connection is kept only if it is likely to be used within [`CROWDED_IDLE_ANSWER_TIMES`].
     fn close_rarely_used_connections(&mut self, worker: Worker) {
         let Some(state) = self.fleet.workers.get(worker as usize).filter(|s| s.in_flight.is_empty()) else {
             return;
         };
         let crowded = f64::from(self.config.nodes) > CROWDED_NODES_PER_SLOT * self.fleet.mean_slots(state);
         let lifetime = if crowded {
-            CROWDED_IDLE_ANSWERS * slowest_answer_time(&self.answer_times)
+            CROWDED_IDLE_ANSWER_TIMES * slowest_answer_time(&self.answer_times)
         } else {
             self.config.idle_timeout as f64
         };
@@ -213,10 +276,11 @@
             // a surge delays the changes for all nodes.
             self.failed_list_requests =
                 if kind == ListKind::Failed { (self.failed_list_requests + 1).min(MAX_DOUBLINGS) } else { 0 };
-            let per_node = (self.config.connect_timeout / 4) << self.failed_list_requests;
+            let per_node = (self.config.connect_timeout / LIST_SPREAD_DIVISOR) << self.failed_list_requests;
             let spread = per_node.saturating_mul(self.config.nodes.into());
-            let wait = if kind == ListKind::Failed { limit / 10 } else { 0 };
-            self.subscribe_at = self.now + wait + self.rng.u64(..spread.clamp(1, limit / 2 + 1));
+            let wait = if kind == ListKind::Failed { limit / FAILED_LIST_DELAY_DIVISOR } else { 0 };
+            self.subscribe_at =
+                self.now + wait + self.rng.u64(..spread.clamp(1, limit / MAX_LIST_SPREAD_DIVISOR + 1));
             self.schedule_tick(self.subscribe_at);
         } else {
             self.failed_list_requests = 0;
@@ -224,7 +288,7 @@
         if matches!(kind, ListKind::Whole | ListKind::Cached) {
             self.fleet.mark_all_gone();
         }
-        let threshold = self.fleet.mean_threshold().unwrap_or(DEFAULT_THRESHOLD);
+        let threshold = self.fleet.mean_threshold().unwrap_or(DEFAULT_THRESHOLD_SLOTS);
         for &entry in entries {
             self.fleet.add_kind(entry.kind, threshold);
             if self.fleet.apply_entry(entry, self.config.weights_are_sizes) {
@@ -244,13 +308,14 @@
         let excess = self.excess_over_share(usize::from(job.tenant));
         let choice = self.choose(submission);
         let payoff_gap = 1.0 - self.config.products[usize::from(job.product)].payoff / self.best_payoff;
-        let reserved = (excess / 3.0).max(RESERVED_SHARE * payoff_gap);
-        let (ready, allowed) = (self.fleet.ready.len().max(1) as f64, choice.allowed as f64);
+        let reserved = (excess / EXCESS_RESERVE_DIVISOR).max(RESERVED_SHARE * payoff_gap);
+        let (ready, allowed) = (self.fleet.ready.len().max(1) as f64, choice.allowed_workers as f64);
         let limit = (self.traffic.load_limit * self.fleet.capacity() / ready).max(1.0) * allowed;
         let full = choice.below_threshold == 0 && choice.mean_own_slots * allowed + job.slots > limit;
         // While hardly any job starts at once, all answers would be late, so a random part is dismissed.
-        let min_room = if self.config.reports_start { MIN_ROOM * self.rng.f64() } else { 0.0 };
-        if choice.room < reserved.max(min_room) || full {
+        let min_room_share =
+            if self.config.reports_start { OVERLOAD_ROOM_SHARE * self.rng.f64() } else { 0.0 };
+        if choice.room_share < reserved.max(min_room_share) || full {
             return self.finish(submission, excess > 0.0);
         }
         self.execute(submission, &choice);
@@ -264,14 +329,15 @@
             return 0.0;
         }
         let now = self.now;
-        let time_constant = f64::max(2e9, SHARE_SAMPLE / self.traffic.arrivals.read(now));
+        let time_constant =
+            f64::max(MIN_SHARE_TIME_CONSTANT_NS, SHARE_SAMPLE_SUBMISSIONS / self.traffic.arrivals.read(now));
         self.tenants[tenant].sent.add(now, time_constant, 1.0);
         let (quotas, tenants) = (&self.config.quotas, &self.tenants);
         let submissions_per_quota = weighted_median(quotas, |t| {
             tenants[t].sent.read(now, time_constant) / quotas[t].max(f64::MIN_POSITIVE)
         });
         let submissions_per_quota =
-            submissions_per_quota.max(time_constant / 1e9 / f64::from(self.config.nodes));
+            submissions_per_quota.max(time_constant / SECOND_NS / f64::from(self.config.nodes));
         let (share, sent) =
             (submissions_per_quota * quotas[tenant], self.tenants[tenant].sent.read(now, time_constant));
         // If a node gets few submissions of a tenant, they exceed its share now and then by chance alone.
@@ -286,13 +352,13 @@
     fn choose(&mut self, submission: Submission) -> Choice {
         let (state, fleet) = (&self.submissions[submission as usize], &self.fleet);
         let product = &self.config.products[usize::from(state.job.product)];
-        let allowed = fleet.ready_for(product);
+        let allowed = fleet.count_ready_for(product);
         let own_slots =
             if product.is_restricted() { fleet.own_slots(product) } else { self.traffic.slots_in_flight };
         let mean_own_slots = own_slots / allowed.max(1) as f64;
         // If not all workers are known, an old report shows a worker as neither free nor full.
         let sparse = fleet.tracked.len() < fleet.ready.len();
-        let max_fresh_age = FRESH_REPORT_AGE * slowest_answer_time(&self.answer_times)
+        let max_fresh_age = FRESH_REPORT_ANSWER_TIMES * slowest_answer_time(&self.answer_times)
             + self.traffic.report_delay(self.now) as f64;
         let stale = |w: &WorkerState| w.reported_at.is_none_or(|r| (self.now - r) as f64 > max_fresh_age);
         let connected = |w: &WorkerState| {
@@ -338,6 +404,7 @@
                 with_room += 1;
                 let (crosses, slow) = (u8::from(!same_zone(candidate)), u8::from(ratio > SLOW_RATIO));
                 let new_connection = u8::from(self.config.connection_cost > 0.0 && !connected(candidate));
+                // Each criterion outweighs those after it.
                 let rank = 8 * very_slow + 4 * crosses + 2 * new_connection + slow;
                 below.offer_if(!sparse || !stale(candidate) || free_try, worker, rank, &mut rng);
             }
@@ -398,15 +465,15 @@
         // The workers known now are mostly those that hold jobs of this node or refused some, so they do not
         // stand for the unknown ones, whose part with room is estimated separately.
         let more = unknown as f64;
-        let room_share = if self.config.reports_start {
-            UNKNOWN_ROOM * self.traffic.prompt_share
+        let unknown_room_share = if self.config.reports_start {
+            UNKNOWN_ROOM_PROBABILITY * self.traffic.prompt_share
         } else {
             fleet.share_with_room(self.now)
         };
-        let room = (with_room as f64 + more * room_share) / (available as f64 + more).max(1.0);
+        let room_share = (with_room as f64 + more * unknown_room_share) / (available as f64 + more).max(1.0);
         let below_threshold = below.offered + usize::from(pick.is_some() && pick != others.pick);
         self.rng = rng;
-        Choice { room, below_threshold, pick, allowed, mean_own_slots }
+        Choice { room_share, below_threshold, pick, allowed_workers: allowed, mean_own_slots }
     }
 
     fn below_threshold(
@@ -457,13 +524,14 @@
 
     /// Returns whether a worker gets work: it is ready, not ejected, and no answer to a probe is overdue.
     fn is_available(&self, worker: &WorkerState) -> bool {
-        let probe_overdue =
-            worker.probe_sent_at.is_some_and(|p| self.now - p > self.config.connect_timeout / 4);
+        let probe_overdue = worker
+            .probe_sent_at
+            .is_some_and(|p| self.now - p > self.config.connect_timeout / PROBE_OVERDUE_DIVISOR);
         worker.entry.health == Health::Ready && worker.probes_to_return == 0 && !probe_overdue
     }
 
     /// Returns whether the submission may be executed on this worker under the rules for repeats, deadlines
-    /// and restrictions. `execute`, the only place that orders executions, checks this again.
+    /// and restrictions. `execute`, the only place that starts executions, checks this again.
     fn may_execute(&self, submission: &SubmissionState, worker: Worker) -> bool {
         let state = &self.fleet[worker];
         let product = &self.config.products[usize::from(submission.job.product)];
@@ -477,10 +545,10 @@
         match (submission.first_possible_run, product.repeat_policy) {
             (None, _) | (_, RepeatPolicy::Idempotent) => true,
             (Some(_), RepeatPolicy::OneShot) => false,
-            (Some((first, sent_at)), RepeatPolicy::Stamped { scope, dedup_window }) => {
+            (Some(first), RepeatPolicy::Stamped { scope, dedup_window }) => {
                 // The repeat must arrive, connecting included, while the workers still remember the first.
-                let covered = scope.covers(&self.fleet[first].entry, &state.entry);
-                covered && self.now + self.config.connect_timeout < sent_at + dedup_window
+                let covered = scope.covers(&self.fleet[first.worker].entry, &state.entry);
+                covered && self.now + self.config.connect_timeout < first.sent_at + dedup_window
             }
         }
     }
@@ -499,13 +567,15 @@
         let window = self.config.overload_window as f64;
         let max_work = self.config.overload_factor * capacity_share * self.fleet.mean_slots(worker) * window;
         let max_jobs = max_work / self.traffic.mean_work(&self.answer_times);
-        // The mean from which three standard deviations of a random sum stay below the maximum.
-        let mean = ((max_jobs + 2.25).sqrt() - 1.5).powi(2);
+        // The standard deviation of the number of jobs sent at random is the square root of its mean. This is
+        // the mean that, with `SLOW_START_DEVIATIONS` of them added, reaches the maximum.
+        let half = SLOW_START_DEVIATIONS / 2.0;
+        let mean = ((max_jobs + half * half).sqrt() - half).powi(2);
         Some(mean / f64::from(self.config.nodes) / (self.traffic.burst_rate(self.now) * window))
     }
 
     /// Sends the submission to the chosen worker; without one, and with no execution in flight, gives the
-    /// final answer. This is the only place that orders an execution.
+    /// final answer. This is the only place that starts an execution.
     fn execute(&mut self, submission: Submission, choice: &Choice) {
         let state = &self.submissions[submission as usize];
         let forbidden_copy = state.in_flight > 0 && !self.config.may_duplicate;
@@ -527,9 +597,10 @@
             None => {}
         }
         worker_state.send(execution);
+        // If the execution times out, half of the margin is left to answer the client.
         let timeout = state.job.deadline - now - self.config.deadline_margin / 2;
         self.actions.push(Action::Execute { submission, worker, timeout });
-        self.schedule_tick(now + self.config.connect_timeout / 5);
+        self.schedule_tick(now + self.tick_period());
     }
 
     /// Gives the final answer: a dismissal if a retry is harmless, else an abort. This is the only place that
@@ -545,7 +616,8 @@
             Some(RepeatPolicy::Idempotent | RepeatPolicy::Stamped { scope: DedupScope::All, .. })
         );
         if harmless || state.first_possible_run.is_none() {
-            let retry_after = self.config.retry_after.map(|max| if over_share { max } else { max / 8 });
+            let retry_after =
+                self.config.retry_after.map(|max| if over_share { max } else { max / RETRY_AFTER_DIVISOR });
             self.actions.push(Action::Dismiss { submission, retry_after });
         } else {
             self.actions.push(Action::Abort { submission });
@@ -592,7 +664,7 @@
                     took / self.answer_times[product].mean,
                 );
                 worker.recent_ejections -= u32::from(
-                    worker.recent_ejections > 0 && worker.completed_jobs % (2 * COMPLETIONS_PER_SLOT) == 0,
+                    worker.recent_ejections > 0 && worker.completed_jobs % COMPLETIONS_PER_EJECTION == 0,
                 );
                 kind.completed_jobs += 1;
                 if kind.completed_jobs >= COMPLETIONS_PER_SLOT {
@@ -606,7 +678,7 @@
                 worker.last_progress = now;
                 if worker.entry.health == Health::Ready {
                     (kind.completed_jobs, kind.threshold) =
-                        (0, (kind.threshold - execution.slots).max(MIN_THRESHOLD));
+                        (0, (kind.threshold - execution.slots).max(MIN_THRESHOLD_SLOTS));
                 }
             }
             // A failing worker looks empty and would attract all jobs, so it is ejected. But if a retry makes
@@ -618,7 +690,7 @@
             Outcome::Reset
                 if execution.connection_idle_time > 0
                     && execution.unstarted
-                    && ending.took < self.config.connect_timeout / 5 =>
+                    && ending.took < self.config.connect_timeout / PROMPT_START_DIVISOR =>
             {
                 self.traffic.record_start(false, execution.connection_idle_time);
             }
@@ -631,12 +703,14 @@
         }
         if outcome == Outcome::Completed {
             self.answer_times[product].add(took);
-            self.traffic.answer_time_ratio +=
-                (took / self.answer_times[product].shortest - self.traffic.answer_time_ratio) / 32.0;
+            self.traffic.answer_time_ratio += (took / self.answer_times[product].shortest
+                - self.traffic.answer_time_ratio)
+                / ANSWER_TIME_RATIO_ANSWERS;
             let capacity = self.fleet.capacity();
             let limit = self.traffic.load_limit.min(1.0) * capacity;
-            let wanted = limit * (1.5 / self.traffic.answer_time_ratio).clamp(0.5, 1.0) + limit.sqrt();
-            self.traffic.load_limit = (limit + (wanted - limit) / 16.0) / capacity.max(1.0);
+            let factor = (MAX_ANSWER_TIME_RATIO / self.traffic.answer_time_ratio).clamp(MIN_LOAD_FACTOR, 1.0);
+            let wanted = limit * factor + limit.sqrt();
+            self.traffic.load_limit = (limit + (wanted - limit) / LOAD_LIMIT_ANSWERS) / capacity.max(1.0);
         }
     }
 
@@ -656,6 +730,11 @@
         }
     }
 
+    /// Returns the interval of the periodic work while something is awaited.
+    fn tick_period(&self) -> Nanos {
+        self.config.connect_timeout / TICK_DIVISOR
+    }
+
     /// Does the periodic work: requests the list, ejects silent workers, sends probes, and moves overdue
     /// jobs.
     fn tick(&mut self) {
@@ -665,16 +744,20 @@
             self.actions.push(Action::Subscribe);
         }
         let (now, period, answer_time) =
-            (self.now, self.config.connect_timeout / 5, slowest_answer_time(&self.answer_times));
-        let max_silence =
-            2.0 * (self.config.progress_interval.unwrap_or(0) as f64 + answer_time) + period as f64;
-        let report_lifetime = REPORT_LIFETIME * answer_time + self.traffic.report_delay(self.now) as f64;
+            (self.now, self.tick_period(), slowest_answer_time(&self.answer_times));
+        let max_silence = MAX_SILENCE_FACTOR
+            * (self.config.progress_interval.unwrap_or(0) as f64 + answer_time)
+            + period as f64;
+        let report_lifetime =
+            REPORT_LIFETIME_ANSWER_TIMES * answer_time + self.traffic.report_delay(self.now) as f64;
         // If probes are expensive, busy workers are probed less often: the probes for one job must not cost
         // more than refreshing reports may.
         let affordable_interval = answer_time * self.config.probe_cost / self.refresh_cost_limit;
-        let max_unprobed = (2 * self.config.connect_timeout).max(affordable_interval as Nanos);
-        let probe_debt = -self.traffic.probe_budget.0;
-        let (mut known, mut full, mut next) = (0.0, 0.5, self.subscribe_at);
+        let max_unprobed =
+            (MAX_UNPROBED_CONNECT_TIMEOUTS * self.config.connect_timeout).max(affordable_interval as Nanos);
+        let probe_debt = -self.traffic.probe_budget.probes;
+        let (mut reported_workers, mut full_workers, mut next) =
+            (0.0, ASSUMED_FULL_WORKERS, self.subscribe_at);
         for i in (0..self.fleet.tracked.len()).rev() {
             let worker = self.fleet.tracked[i];
             let state = &mut self.fleet[worker];
@@ -692,13 +775,13 @@
             } else if !self.config.may_probe {
                 self.probe_answered(worker);
             } else if state.probe_sent_at.is_none()
-                && (overdue || (state.is_due_for_probe(now) && probe_debt < MAX_PROBE_DEBT))
+                && (overdue || (state.is_due_for_probe(now) && probe_debt < MAX_PROBE_DEBT_PROBES))
             {
                 // All nodes probe a worker that is down, so the interval is random and doubles each time.
                 let wait = period << state.unanswered_probes.min(MAX_DOUBLINGS);
                 (state.probe_sent_at, state.next_probe_at) =
                     (Some(now), now + wait / 2 + self.rng.u64(..=wait));
-                self.traffic.probe_budget.0 -= f64::from(u8::from(!overdue));
+                self.traffic.probe_budget.probes -= f64::from(u8::from(!overdue));
                 self.actions.push(Action::Probe { worker });
             }
             for j in 0..self.fleet[worker].in_flight.len() {
@@ -707,8 +790,8 @@
             let state = &mut self.fleet[worker];
             let reported = state.reported_at.is_some_and(|r| ((now - r) as f64) < report_lifetime);
             let counts = f64::from(u8::from(reported && state.entry.health == Health::Ready));
-            known += counts;
-            full += counts * f64::from(state.report.free_slots.is_none_or(|f| f < 1.0));
+            reported_workers += counts;
+            full_workers += counts * f64::from(state.report.free_slots.is_none_or(|f| f < 1.0));
             if !state.in_flight.is_empty() || state.probes_to_return > 0 || state.probe_sent_at.is_some() {
                 next = next.min(now + period);
             } else if !(reported
@@ -719,26 +802,30 @@
                 self.fleet.tracked.swap_remove(i);
             }
         }
-        let wait =
-            if self.config.may_probe { self.refresh_reports(full / f64::max(known, 1.0)) } else { f64::MAX };
-        self.schedule_tick(next.min(now + wait.min(64e9) as Nanos).max(now + period));
+        let wait = if self.config.may_probe {
+            self.refresh_reports(full_workers / f64::max(reported_workers, 1.0))
+        } else {
+            f64::MAX
+        };
+        self.schedule_tick(next.min(now + wait.min(MAX_TICK_INTERVAL_NS) as Nanos).max(now + period));
     }
 
     /// Probes workers in turn, at a rate proportional to the share of workers that look full. Returns the
     /// time until the next probe is due.
     fn refresh_reports(&mut self, full_share: f64) -> f64 {
         let (now, ready) = (self.now, self.fleet.ready.len());
-        let probes_per_submission =
-            self.refresh_cost_limit / self.config.probe_cost.max(self.refresh_cost_limit / 64.0);
+        let probes_per_submission = self.refresh_cost_limit
+            / self.config.probe_cost.max(self.refresh_cost_limit / MAX_REFRESH_PROBES_PER_SUBMISSION);
         let rate = self.traffic.arrivals.read(now) * probes_per_submission * full_share;
         let max_age = (ready as f64 / rate).max(self.traffic.report_delay(self.now) as f64);
-        self.traffic.grow_probe_budget(now, rate, 1.0 + rate * (2 * self.config.connect_timeout / 5) as f64);
-        while self.traffic.probe_budget.0 >= 1.0 {
+        let burst_span = REFRESH_BURST_TICKS * self.config.connect_timeout / TICK_DIVISOR;
+        self.traffic.grow_probe_budget(now, rate, 1.0 + rate * burst_span as f64);
+        while self.traffic.probe_budget.probes >= 1.0 {
             let Some(worker) = self.fleet.next_to_probe(now, max_age) else { break };
-            self.traffic.probe_budget.0 -= 1.0;
+            self.traffic.probe_budget.probes -= 1.0;
             self.actions.push(Action::Probe { worker });
         }
-        (1.0 - self.traffic.probe_budget.0).max(0.0) / rate
+        (1.0 - self.traffic.probe_budget.probes).max(0.0) / rate
     }
 
     /// Brings an ejected worker one probe closer to its return. If its process was lost, it returns cold.
@@ -763,12 +850,12 @@
         // If a lost job stayed in flight, it would block slots that are free, and the reports, which do not
         // count it, would seem to be as old as the job.
         if self.config.may_cancel && state.has_lost(job, self.config.progress_interval, now) {
-            self.traffic.report_delay = (0, now);
+            self.traffic.proved_report_delay = ProvedReportDelay { delay: 0, proved_at: now };
             return self.actions.push(Action::Cancel { submission, execution });
         }
         let submission_state = &self.submissions[submission as usize];
         let product = &self.config.products[usize::from(submission_state.job.product)];
-        let start_timeout = product.latency_target / 2;
+        let start_timeout = product.latency_target / START_TIMEOUT_DIVISOR;
         // Some workers go on with a cancelled job, so a move may waste work. The less a product pays, the
         // more of the jobs must start at once before its jobs are moved.
         let prompt =
@@ -778,7 +865,7 @@
         if !submission_state.open
             || submission_state.in_flight != 1
             || !(stuck || copied)
-            || now - last_search < start_timeout / 4
+            || now - last_search < start_timeout / SEARCH_INTERVAL_DIVISOR
         {
             return;
         }
--- a/crates/dispatch/src/reconfigure.rs
+++ b/crates/dispatch/src/reconfigure.rs
@@ -20,8 +20,7 @@
         self.fleet = reset_measurements(old.fleet, old.now, weights_are_sizes, slow_start_duration);
         self.submissions = old.submissions;
         self.traffic.slots_in_flight = old.traffic.slots_in_flight;
-        let expected = self.config.quotas.iter().sum::<f64>() / f64::from(self.config.nodes);
-        self.traffic.assume_rate(self.now, expected.max(1.0) / 1e9);
+        self.assume_quota_rate(self.now);
         (self.next_tick, self.subscribe_at, self.failed_list_requests) =
             (old.next_tick, old.subscribe_at, old.failed_list_requests);
     }
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -7,6 +7,35 @@
 
 use crate::types::{Execution, Health, Job, Nanos, Product, Report, Submission, Worker, WorkerEntry};
 
+/// The number of answers at the mean that are assumed of each worker, so that one or two answers do not decide
+/// its rank.
+const ASSUMED_MEAN_ANSWERS: f64 = 4.0;
+/// The number of answers over which a product's mean answer time is averaged.
+const MEAN_ANSWER_SAMPLES: f64 = 128.0;
+/// The number of answers from which a product's shortest mean answer time is kept. The mean of fewer may be far
+/// too short, and the shortest one would hardly recover from it.
+const MIN_SHORTEST_SAMPLES: f64 = 32.0;
+/// The number of answers over which the shortest mean answer time drifts to the current mean.
+const SHORTEST_DRIFT_ANSWERS: f64 = 2048.0;
+/// The jobs that a worker may hold, running and queued, for each of its slots.
+const HELD_JOBS_PER_SLOT: f64 = 1.5;
+/// The time constant of [`TrafficStats::recent_arrivals`].
+const RECENT_ARRIVALS_NS: f64 = 0.25e9;
+/// The number of standard deviations by which the recent arrivals must exceed a mean to count as a burst.
+const BURST_DEVIATIONS: f64 = 2.0;
+/// The number of submissions over which the slots that they need are averaged.
+const SLOTS_AVERAGE_SUBMISSIONS: f64 = 64.0;
+/// The number of submissions over which the memory per slot is averaged.
+const MEMORY_AVERAGE_SUBMISSIONS: f64 = 16.0;
+/// The number of executions over which the share of prompt starts is averaged.
+const PROMPT_SHARE_EXECUTIONS: f64 = 16.0;
+/// The proved report delay fades by the time since then divided by this.
+const REPORT_DELAY_FADE_DIVISOR: Nanos = 8;
+/// The factor for the idle lifetime of connections after a job started at once on an idle connection.
+const IDLE_LIFETIME_GROWTH: f64 = 1.0 + 1.0 / 16.0;
+/// The factor for it after a job did not.
+const IDLE_LIFETIME_REDUCTION: f64 = 1.0 - 1.0 / 8.0;
+
 /// An exponentially decaying sum: an amount added one `time_constant` ago counts 1/e.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingSum {
@@ -29,6 +58,7 @@
 pub(crate) struct Rate(DecayingSum);
 
 impl Rate {
+    /// The time over which events are counted, also for the share of probed workers with room.
     const TIME_CONSTANT_NS: f64 = 4e9;
 
     /// Returns the events per nanosecond.
@@ -61,6 +91,15 @@
     pub(crate) unstarted: bool,
 }
 
+/// The first sign that a worker has started a job.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct JobStart {
+    /// The time since the job was sent.
+    pub(crate) waited: Nanos,
+    /// How long the job's connection had been idle before, 0 if the connection was new.
+    pub(crate) connection_idle_time: Nanos,
+}
+
 /// The state of one worker as far as it is known here.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerState {
@@ -119,9 +158,9 @@
         self.probes_to_return > 0 && self.entry.health == Health::Ready && now >= self.next_probe_at
     }
 
-    /// Returns the worker's recent answer times as a multiple of the mean. Four answers at the mean are
-    /// assumed to begin with. An execution that already takes longer than the mean counts with its
-    /// time so far, because the answers of a worker that slows down come too late to show it.
+    /// Returns the worker's recent answer times as a multiple of the mean; see [`ASSUMED_MEAN_ANSWERS`]. An
+    /// execution that already takes longer than the mean counts with its time so far, because the answers of a
+    /// worker that slows down come too late to show it.
     pub(crate) fn answer_time_ratio(&self, now: Nanos, time_constant: Nanos) -> f64 {
         let time_constant = time_constant as f64;
         let overdue = self
@@ -129,7 +168,8 @@
             .iter()
             .map(|e| (now - e.sent_at) as f64 / e.expected_duration)
             .filter(|ratio| *ratio > 1.0);
-        let (sum, n) = overdue.fold((4.0, 4.0), |(sum, n), ratio| (sum + ratio, n + 1.0));
+        let (sum, n) = overdue
+            .fold((ASSUMED_MEAN_ANSWERS, ASSUMED_MEAN_ANSWERS), |(sum, n), ratio| (sum + ratio, n + 1.0));
         (self.recent_ratios.read(now, time_constant) + sum)
             / (self.recent_answers.read(now, time_constant) + n)
     }
@@ -171,7 +211,7 @@
 
     /// Returns whether a connection to it has been idle for less than `lifetime`.
     pub(crate) fn has_idle_connection(&self, now: Nanos, lifetime: f64) -> bool {
-        self.idle_since.is_some_and(|l| ((now - l) as f64) < lifetime)
+        self.idle_since.is_some_and(|since| ((now - since) as f64) < lifetime)
     }
 
     /// Resets what applied only to the worker's process before its restart.
@@ -181,8 +221,8 @@
         (self.unanswered_probes, self.next_probe_at) = (0, 0);
     }
 
-    /// Returns whether the worker lost its process before it was available again, and clears the marks.
-    /// Without probes, a suspected loss counts as one.
+    /// Returns whether the worker lost its process before it was available again, and clears
+    /// `loss_suspected` and `process_lost`. Without probes, a suspected loss counts as one.
     pub(crate) fn take_process_loss(&mut self, without_probes: bool) -> bool {
         let lost = self.loss_suspected && (self.process_lost || without_probes);
         (self.loss_suspected, self.process_lost) = (false, false);
@@ -202,18 +242,20 @@
     }
 
     /// Records that one of this node's jobs has started or made progress. If this is the first sign of its
-    /// start, returns how long the job waited and how long its connection had been idle before.
+    /// start, returns when it started.
     pub(crate) fn record_progress(
         &mut self,
         submission: Submission,
         execution: Execution,
         now: Nanos,
-    ) -> Option<(Nanos, Nanos)> {
+    ) -> Option<JobStart> {
         let mut in_flight = self.in_flight.iter_mut();
         let found = in_flight.find(|e| e.submission == submission && e.execution == execution)?;
         (found.last_progress, self.last_progress) = (now, now);
-        std::mem::replace(&mut found.unstarted, false)
-            .then(|| (now - found.sent_at, found.connection_idle_time))
+        std::mem::replace(&mut found.unstarted, false).then(|| JobStart {
+            waited: now - found.sent_at,
+            connection_idle_time: found.connection_idle_time,
+        })
     }
 
     /// Returns whether the worker has dropped a job of this node without an answer. This holds if the job
@@ -258,11 +300,18 @@
     pub(crate) in_flight: u16,
     /// An ended execution may have run.
     pub(crate) may_have_run: bool,
-    /// The worker and the sending time of the first execution that may have run or may still run.
-    pub(crate) first_possible_run: Option<(Worker, Nanos)>,
+    pub(crate) first_possible_run: Option<PossibleRun>,
+    /// The workers of all executions so far, in their order.
     pub(crate) tried: Vec<Worker>,
 }
 
+/// An execution that may have run or may still run.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleRun {
+    pub(crate) worker: Worker,
+    pub(crate) sent_at: Nanos,
+}
+
 impl SubmissionState {
     pub(crate) fn send(
         &mut self,
@@ -273,7 +322,7 @@
         expected_duration: f64,
     ) -> InFlight {
         let (execution, Job { slots, memory, .. }) = (self.executions, self.job);
-        self.first_possible_run.get_or_insert((worker, sent_at));
+        self.first_possible_run.get_or_insert(PossibleRun { worker, sent_at });
         self.executions += 1;
         self.in_flight += 1;
         self.tried.push(worker);
@@ -308,7 +357,7 @@
 }
 
 /// The threshold in slots of a kind of which no worker has reported yet.
-pub(crate) const DEFAULT_THRESHOLD: f64 = 8.0;
+pub(crate) const DEFAULT_THRESHOLD_SLOTS: f64 = 8.0;
 
 /// Statistics of one kind of worker.
 #[derive(Clone, Copy, Debug)]
@@ -327,7 +376,7 @@
 impl KindStats {
     /// Returns the value at which the threshold starts and which it never exceeds.
     pub(crate) fn initial_threshold(&self) -> f64 {
-        self.mean_slots().max(DEFAULT_THRESHOLD)
+        self.mean_slots().max(DEFAULT_THRESHOLD_SLOTS)
     }
 
     /// Returns the mean number of slots that its workers were seen to have.
@@ -360,11 +409,10 @@
     }
 
     pub(crate) fn add(&mut self, took: f64) {
-        self.samples = (self.samples + 1.0).min(128.0);
+        self.samples = (self.samples + 1.0).min(MEAN_ANSWER_SAMPLES);
         self.mean += (took - self.mean) / self.samples;
-        // The mean of a few answers may be far too short, and the shortest one would hardly recover from it.
-        let drifted = self.shortest + (self.mean - self.shortest) / 2048.0;
-        self.shortest = if self.samples < 32.0 { self.mean } else { self.mean.min(drifted) };
+        let drifted = self.shortest + (self.mean - self.shortest) / SHORTEST_DRIFT_ANSWERS;
+        self.shortest = if self.samples < MIN_SHORTEST_SAMPLES { self.mean } else { self.mean.min(drifted) };
     }
 }
 
@@ -414,26 +462,29 @@
         if self.largest_size > 0.0 && weight > 0.0 { (weight / self.largest_size).min(1.0) } else { 1.0 }
     }
 
-    /// Returns the slots that all ready workers together may hold, estimated from the kinds that are known:
-    /// half as many jobs as a worker has slots may be queued there.
+    /// Returns the slots that the jobs of all ready workers together may take, running and queued, estimated
+    /// from the kinds that are known.
     pub(crate) fn capacity(&self) -> f64 {
         let known = self.kinds.iter().flatten();
         let (sum, workers) = known.fold((0.0, 0.0), |(sum, workers), k| {
-            (sum + (1.5 * k.mean_slots()).max(DEFAULT_THRESHOLD) * k.workers, workers + k.workers)
+            (
+                sum + (HELD_JOBS_PER_SLOT * k.mean_slots()).max(DEFAULT_THRESHOLD_SLOTS) * k.workers,
+                workers + k.workers,
+            )
         });
-        self.ready.len() as f64 * if workers > 0.0 { sum / workers } else { DEFAULT_THRESHOLD }
+        self.ready.len() as f64 * if workers > 0.0 { sum / workers } else { DEFAULT_THRESHOLD_SLOTS }
     }
 
     /// Returns the number of ready workers that a product may go to.
-    pub(crate) fn ready_for(&self, product: &Product) -> usize {
+    pub(crate) fn count_ready_for(&self, product: &Product) -> usize {
         let allowed = |w: &&Worker| product.allows(&self[**w].entry);
         if product.is_restricted() { self.ready.iter().filter(allowed).count() } else { self.ready.len() }
     }
 
     /// Returns the slots that this node has in flight at the workers that a product may go to.
     pub(crate) fn own_slots(&self, product: &Product) -> f64 {
-        let allowed = self.tracked.iter().map(|w| &self[*w]).filter(|d| product.allows(&d.entry));
-        allowed.map(|d| d.own_slots).sum()
+        let allowed = self.tracked.iter().map(|w| &self[*w]).filter(|w| product.allows(&w.entry));
+        allowed.map(|w| w.own_slots).sum()
     }
 
     /// Returns the next ready worker in turn whose report is older than `max_age`, and marks it as probed.
@@ -479,7 +530,7 @@
     }
 
     pub(crate) fn mark_all_gone(&mut self) {
-        self.workers.iter_mut().for_each(|d| d.entry.health = Health::Gone);
+        self.workers.iter_mut().for_each(|w| w.entry.health = Health::Gone);
         self.ready.clear();
     }
 
@@ -610,12 +661,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Choice {
     /// The estimated part of the workers that are below threshold.
-    pub(crate) room: f64,
+    pub(crate) room_share: f64,
     /// The number of workers found below threshold.
     pub(crate) below_threshold: usize,
     pub(crate) pick: Option<Worker>,
     /// The number of ready workers that the submission may go to.
-    pub(crate) allowed: usize,
+    pub(crate) allowed_workers: usize,
     /// The mean number of slots that this node has in flight at each of those.
     pub(crate) mean_own_slots: f64,
 }
@@ -653,7 +704,7 @@
 #[derive(Debug)]
 pub(crate) struct TrafficStats {
     pub(crate) arrivals: Rate,
-    /// The recent arrivals, with the time constant [`TrafficStats::RECENT_NS`].
+    /// The recent arrivals, with the time constant [`RECENT_ARRIVALS_NS`].
     pub(crate) recent_arrivals: DecayingSum,
     /// The slots of all executions in flight.
     pub(crate) slots_in_flight: f64,
@@ -664,17 +715,30 @@
     pub(crate) memory_per_slot: f64,
     /// By product, its contribution to the mean number of slots that a submission needs.
     pub(crate) slots_by_product: Vec<f64>,
-    /// The number of submissions in that average, up to its limit.
-    pub(crate) averaged: f64,
+    /// The number of submissions in that average, at most [`SLOTS_AVERAGE_SUBMISSIONS`].
+    pub(crate) averaged_submissions: f64,
     /// How long idle connections were found to stay usable, at most `idle_timeout`.
     pub(crate) idle_lifetime: f64,
     pub(crate) idle_timeout: f64,
     /// The part of the executions that started at once.
     pub(crate) prompt_share: f64,
-    /// The last proved delay of a report, and when it was proved.
-    pub(crate) report_delay: (Nanos, Nanos),
-    /// The probes that may be sent now to refresh reports, negative for a debt; and when this was updated.
-    pub(crate) probe_budget: (f64, Nanos),
+    pub(crate) proved_report_delay: ProvedReportDelay,
+    pub(crate) probe_budget: ProbeBudget,
+}
+
+/// How old a report was at least when it arrived.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct ProvedReportDelay {
+    pub(crate) delay: Nanos,
+    pub(crate) proved_at: Nanos,
+}
+
+/// How many probes may be sent now to refresh reports.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct ProbeBudget {
+    /// Negative for a debt.
+    pub(crate) probes: f64,
+    pub(crate) updated_at: Nanos,
 }
 
 impl TrafficStats {
@@ -687,22 +751,18 @@
         }
     }
 
-    /// The time constant of `recent_arrivals`.
-    const RECENT_NS: f64 = 0.25e9;
-    /// The number of submissions over which the needed slots are averaged.
-    const AVERAGE_OVER: f64 = 64.0;
-
     /// Returns how old reports are when they arrive: the last proved delay, which fades until it is proved
     /// again.
     pub(crate) fn report_delay(&self, now: Nanos) -> Nanos {
-        self.report_delay.0.saturating_sub((now - self.report_delay.1) / 8)
+        let ProvedReportDelay { delay, proved_at } = self.proved_report_delay;
+        delay.saturating_sub((now - proved_at) / REPORT_DELAY_FADE_DIVISOR)
     }
 
     /// Returns the submissions per nanosecond, raised as soon as more arrive than chance explains. Without
     /// this, a choice made with a probability set for the mean rate would be made too often during a burst.
     pub(crate) fn burst_rate(&self, now: Nanos) -> f64 {
-        let seen = self.recent_arrivals.read(now, Self::RECENT_NS);
-        self.arrivals.read(now).max((seen - 2.0 * seen.sqrt()) / Self::RECENT_NS)
+        let seen = self.recent_arrivals.read(now, RECENT_ARRIVALS_NS);
+        self.arrivals.read(now).max((seen - BURST_DEVIATIONS * seen.sqrt()) / RECENT_ARRIVALS_NS)
     }
 
     /// Assumes an arrival rate until arrivals have been seen.
@@ -712,7 +772,9 @@
 
     /// Adds to the probe budget for the time since the last call, up to `max`.
     pub(crate) fn grow_probe_budget(&mut self, now: Nanos, rate: f64, max: f64) {
-        self.probe_budget = ((self.probe_budget.0 + rate * (now - self.probe_budget.1) as f64).min(max), now);
+        let ProbeBudget { probes, updated_at } = self.probe_budget;
+        let probes = (probes + rate * (now - updated_at) as f64).min(max);
+        self.probe_budget = ProbeBudget { probes, updated_at: now };
     }
 
     /// Returns the slot time that a submission takes on average, without waiting. It uses the current answer
@@ -723,51 +785,49 @@
 
     pub(crate) fn record_submission(&mut self, now: Nanos, job: Job) {
         self.arrivals.add(now);
-        self.recent_arrivals.add(now, Self::RECENT_NS, 1.0);
-        self.memory_per_slot += (job.memory / job.slots - self.memory_per_slot) / 16.0;
-        self.averaged = (self.averaged + 1.0).min(Self::AVERAGE_OVER);
+        self.recent_arrivals.add(now, RECENT_ARRIVALS_NS, 1.0);
+        self.memory_per_slot += (job.memory / job.slots - self.memory_per_slot) / MEMORY_AVERAGE_SUBMISSIONS;
+        self.averaged_submissions = (self.averaged_submissions + 1.0).min(SLOTS_AVERAGE_SUBMISSIONS);
         for (product, slots) in self.slots_by_product.iter_mut().enumerate() {
             let needed = if product == usize::from(job.product) { job.slots } else { 0.0 };
-            *slots += (needed - *slots) / self.averaged;
+            *slots += (needed - *slots) / self.averaged_submissions;
         }
     }
 
     /// Records whether an execution started at once. If its connection had been idle before, a late start may
     /// mean that the other end had silently dropped the connection.
     pub(crate) fn record_start(&mut self, at_once: bool, connection_idle_time: Nanos) {
-        self.prompt_share += (f64::from(u8::from(at_once)) - self.prompt_share) / 16.0;
+        self.prompt_share += (f64::from(u8::from(at_once)) - self.prompt_share) / PROMPT_SHARE_EXECUTIONS;
         if connection_idle_time > 0 {
-            let lifetime = self.idle_lifetime * if at_once { 1.0 + 1.0 / 16.0 } else { 1.0 - 1.0 / 8.0 };
+            let lifetime =
+                self.idle_lifetime * if at_once { IDLE_LIFETIME_GROWTH } else { IDLE_LIFETIME_REDUCTION };
             self.idle_lifetime = lifetime.min(self.idle_timeout);
         }
     }
 
     pub(crate) fn record_report_age(&mut self, age: Nanos, now: Nanos) {
         if age > 0 && age >= self.report_delay(now) {
-            self.report_delay = (age, now);
+            self.proved_report_delay = ProvedReportDelay { delay: age, proved_at: now };
         }
     }
 }
 
 impl Default for TrafficStats {
     fn default() -> Self {
-        let arrivals = Rate::default();
-        let (report_delay, probe_budget) = ((0, 0), (0.0, 0));
-        let (slots_in_flight, load_limit, answer_time_ratio, memory_per_slot) = (0.0, 1.0, 1.0, 1.0);
         Self {
-            arrivals,
+            arrivals: Rate::default(),
             recent_arrivals: DecayingSum::default(),
-            slots_in_flight,
-            load_limit,
-            answer_time_ratio,
-            memory_per_slot,
+            slots_in_flight: 0.0,
+            load_limit: 1.0,
+            answer_time_ratio: 1.0,
+            memory_per_slot: 1.0,
             slots_by_product: Vec::new(),
-            averaged: 0.0,
+            averaged_submissions: 0.0,
             idle_lifetime: 0.0,
             idle_timeout: 0.0,
             prompt_share: 1.0,
-            report_delay,
-            probe_budget,
+            proved_report_delay: ProvedReportDelay::default(),
+            probe_budget: ProbeBudget::default(),
         }
     }
 }
