--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -2,17 +2,17 @@
 
 use linestack_recovery::StoredOutcome;
 
+use super::staged_start::StartRefusal;
 use super::*;
 
 impl Core {
     /// Registers a new connection of a client, and makes room for the next one if room is short.
     pub(crate) fn client_connected(&mut self, client: ClientId) {
-        let (since, newcomer_since) = (self.now, Some(self.now));
         let state = ClientState {
             submission: None,
             phase: Phase::Idle,
-            since,
-            newcomer_since,
+            since: self.now,
+            new_since: Some(self.now),
             evicted: false,
             limit: Limit::NONE,
         };
@@ -25,7 +25,7 @@
     /// because its request is probably in transit.
     pub(crate) fn close_when_idle(&mut self, client: ClientId) {
         let Some(state) = self.clients.get(&client) else { return };
-        let close_at = match (state.phase, state.newcomer_since) {
+        let close_at = match (state.phase, state.new_since) {
             (Phase::Closing, _) => state.limit.until.min(self.now + CLOSE_GRACE),
             (_, Some(since)) => since + CLOSE_GRACE,
             (_, None) => self.now,
@@ -46,7 +46,7 @@
         }
         (state.phase, state.since) = (phase, self.now);
         state.evicted &= phase != Phase::Closing;
-        let until = match (phase, state.newcomer_since) {
+        let until = match (phase, state.new_since) {
             (Phase::Idle | Phase::Reading, Some(since)) => since + REQUEST_READ_TIMEOUT,
             (Phase::Idle, None) => self.now + CLIENT_IDLE_TIMEOUT,
             (Phase::Reading | Phase::Closing, _) => self.now + REQUEST_READ_TIMEOUT,
@@ -86,21 +86,21 @@
         // accept submissions after its lease has expired and before any input has informed it of this.
         if self.now >= self.lease_until {
             self.stats.fenced += 1;
-            state.newcomer_since = None;
+            state.new_since = None;
             self.client_phase(client, Phase::Answering);
-            let answer = Answer::Dismissed(self.max_retry_after.map(|longest| longest / 8));
+            let answer = Answer::Dismissed(self.short_retry_after());
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
         }
         if let Some(answer) = stored_answer {
             self.stats.remembered += 1;
-            state.newcomer_since = None;
+            state.new_since = None;
             self.client_phase(client, Phase::Answering);
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
         }
-        if let Some(retry_after) = refused_during_start {
-            state.newcomer_since = None;
+        if let Some(StartRefusal { retry_after }) = refused_during_start {
+            state.new_since = None;
             self.client_phase(client, Phase::Answering);
             let (last, version, answer) =
                 (self.closing_clients, self.settings_version, Answer::Dismissed(retry_after));
@@ -122,7 +122,7 @@
         if submission as usize == self.accepted.len() {
             self.accepted.push(None);
         }
-        (state.submission, state.phase, state.newcomer_since) = (Some(submission), Phase::Reading, None);
+        (state.submission, state.phase, state.new_since) = (Some(submission), Phase::Reading, None);
         state.limit.until = Nanos::MAX;
         self.stats.taken += 1;
         let deadline = (self.now + new.timeout.min(self.max_client_timeout)).min(self.answer_deadline);
--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -28,8 +28,8 @@
     /// Adjusts `max_reuse_idle` after a connection that had been idle for `idle_time` was found usable or closed.
     pub(crate) fn learn_reuse_idle(&mut self, idle_time: Nanos, usable: bool) {
         if !usable {
-            self.max_reuse_idle = self.max_reuse_idle.min(idle_time / 2);
-        } else if idle_time >= self.max_reuse_idle / 2 {
+            self.max_reuse_idle = self.max_reuse_idle.min(idle_time / REUSE_REDUCTION_DIVISOR);
+        } else if idle_time >= self.max_reuse_idle / REUSE_EVIDENCE_DIVISOR {
             // The limit grows slowly, because a lost job costs far more than a new connection.
             self.max_reuse_idle =
                 (self.max_reuse_idle + self.max_reuse_idle / REUSE_GROWTH_DIVISOR + REUSE_GROWTH_STEP)
@@ -121,7 +121,7 @@
         let deadline = match exchange {
             Exchange::Probe => {
                 self.effects.push(Effect::Probe { connection });
-                now + self.connect_timeout / 2
+                now + self.connect_timeout / PROBE_TIMEOUT_DIVISOR
             }
             Exchange::Execution(submission, execution) => {
                 let Some(attempt) = self.attempt(submission, execution) else { return };
@@ -172,8 +172,7 @@
         }
         (state.phase, state.exchange, state.since) = (ConnectionPhase::Idle, None, self.now);
         worker_state.idle_connections.push(connection);
-        // Kept idle for twice as long as jobs may reuse it, so that probes can show whether the limit may be raised.
-        let idle_time = self.idle_timeout.min(MIN_IDLE_TIMEOUT.max(2 * self.max_reuse_idle));
+        let idle_time = self.idle_timeout.min(MIN_IDLE_TIMEOUT.max(KEPT_IDLE_FACTOR * self.max_reuse_idle));
         self.limit_connection(connection, self.now + idle_time);
     }
 
--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -16,6 +16,11 @@
 /// Each such check evicts one part in this many of the allowed connections.
 const EVICTION_DIVISOR: usize = 16;
 
+/// Room is short when the clients exceed this many quarters of the allowed connections.
+const SHORT_ROOM_QUARTERS: usize = 3;
+/// Beyond this many eighths, there is little room even for connections that are being closed.
+const CLOSING_ROOM_EIGHTHS: usize = 7;
+
 /// How long room for clients has been short.
 #[derive(Debug, Default)]
 pub(crate) struct ClientRoom {
@@ -30,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
     /// It has not sent a request yet. A flood of connections without requests therefore evicts its own connections first.
-    Newcomer,
+    New,
     /// It has sent requests before and is idle.
     Idle,
     /// It has sent requests before, and the next one is partly received. The client gets an error; nothing was executed.
@@ -43,9 +48,9 @@
         if self.submission.is_some() || self.evicted {
             return None;
         }
-        match (self.phase, self.newcomer_since) {
+        match (self.phase, self.new_since) {
             (Phase::Closing | Phase::Answering, _) => None,
-            (_, Some(_)) => Some(EvictionClass::Newcomer),
+            (_, Some(_)) => Some(EvictionClass::New),
             (Phase::Idle, None) => Some(EvictionClass::Idle),
             (Phase::Reading, None) => Some(EvictionClass::PartialRequest),
         }
@@ -54,7 +59,7 @@
 
 impl Core {
     fn room_is_short(&self) -> bool {
-        self.clients.len() > self.max_clients * 3 / 4
+        self.clients.len() > self.max_clients * SHORT_ROOM_QUARTERS / 4
     }
 
     /// Updates the record of how long room has been short, after a change in the number of clients.
@@ -67,10 +72,10 @@
     }
 
     /// Evicts another connection after a client has connected, if room is short.
-    pub(crate) fn make_room_after(&mut self, newcomer: ClientId) {
+    pub(crate) fn make_room_after(&mut self, connected: ClientId) {
         self.update_room();
         if self.room_is_short() {
-            self.make_room(Some(newcomer));
+            self.make_room(Some(connected));
         }
         if self.is_at_client_limit() {
             self.schedule_room_check();
@@ -109,7 +114,7 @@
     /// can be evicted, the one that has been closing for longest is dropped as well.
     fn make_room(&mut self, except: Option<ClientId>) {
         let evicted = self.first_to_evict(except);
-        let short = evicted.is_none() || self.clients.len() > self.max_clients * 7 / 8;
+        let short = evicted.is_none() || self.clients.len() > self.max_clients * CLOSING_ROOM_EIGHTHS / 8;
         let dropped = if short { self.oldest_closing(except) } else { None };
         for client in evicted.into_iter().chain(dropped) {
             self.evict(client);
@@ -121,7 +126,7 @@
         let others = self.clients.iter().filter(|(client, _)| Some(**client) != except);
         let candidates = others.filter_map(|(client, state)| {
             let class = state.eviction_class()?;
-            let since = state.newcomer_since.unwrap_or(state.since);
+            let since = state.new_since.unwrap_or(state.since);
             (class < EvictionClass::PartialRequest || may_evict_partial_requests)
                 .then_some((class, since, *client))
         });
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -70,12 +70,15 @@
         let Some(attempt) = self.attempt(submission, execution) else { return };
         attempt.connection = None;
         let (worker, duration) = (attempt.worker, now - attempt.started_at);
-        self.start_execution_ended(worker, outcome);
+        self.inform_start_of_outcome(worker, outcome);
+        let last_observation = &mut self.workers[worker as usize].last_observation;
         match outcome {
             Outcome::Completed | Outcome::Overloaded => {
-                self.workers[worker as usize].last_observation = Some((now, true, report))
+                *last_observation = Some(LastObservation { at: now, answered: true, report })
+            }
+            Outcome::TimedOut => {
+                *last_observation = Some(LastObservation { at: now, answered: false, report: None })
             }
-            Outcome::TimedOut => self.workers[worker as usize].last_observation = Some((now, false, None)),
             _ => {}
         }
         match outcome {
@@ -101,10 +104,15 @@
     /// Records the end of a probe and informs the dispatcher.
     pub(crate) fn probe_ended(&mut self, worker: Worker, outcome: ProbeOutcome, report: Option<Report>) {
         self.stats.probes_failed += u64::from(outcome != ProbeOutcome::Answered);
+        let at = self.now;
         let last_observation = &mut self.workers[worker as usize].last_observation;
         match outcome {
-            ProbeOutcome::Answered => *last_observation = Some((self.now, true, report)),
-            ProbeOutcome::Failed => *last_observation = Some((self.now, false, None)),
+            ProbeOutcome::Answered => {
+                *last_observation = Some(LastObservation { at, answered: true, report })
+            }
+            ProbeOutcome::Failed => {
+                *last_observation = Some(LastObservation { at, answered: false, report: None })
+            }
             ProbeOutcome::Inconclusive => {}
         }
         self.pending_events.push_back(Event::Probed { worker, outcome, report });
--- a/crates/core/src/first_list.rs
+++ b/crates/core/src/first_list.rs
@@ -9,11 +9,14 @@
 //! are pushed, a process counts as informed of what discovery knows from its first moment. Where lists are asked for, it counts
 //! as informed 6 s after discovery knew it and could be reached, even if a call has failed. That may be long before its start.
 
+use super::staged_start::StartRefusal;
 use super::*;
 
 /// The first calls of processes that start together are spread over at most this time. In a small fleet they are spread over
 /// less, since no process serves before its call is answered.
-const FIRST_CALL_SPREAD: Nanos = SECOND;
+const MAX_FIRST_CALL_SPREAD: Nanos = SECOND;
+/// They are spread over the connect timeout divided by this, for each node.
+const FIRST_CALL_SPREAD_DIVISOR: Nanos = 4;
 /// A process must be ready within 6 s after its start, even in an outage of discovery. From then on it admits clients, but
 /// refuses their submissions at once until discovery has answered.
 const FIRST_LIST_TIMEOUT: Nanos = SECOND * 11 / 2;
@@ -59,20 +62,19 @@
         }
     }
 
-    /// Returns the retry delay for a submission that is refused because it arrives before the first list, and `None` if it is
-    /// not refused. Nothing has been executed, so a retry is harmless. The delays are random, so that the retries don't arrive
-    /// as one wave.
-    pub(crate) fn refused_before_first_list(&mut self) -> Option<Option<Nanos>> {
+    /// Refuses a submission that arrives before the first list. Nothing has been executed, so a retry is harmless. The retry
+    /// delays are random, so that the retries don't arrive as one wave.
+    pub(crate) fn refused_before_first_list(&mut self) -> Option<StartRefusal> {
         if self.list_state != ListState::Outdated {
             return None;
         }
         self.stats.held_back += 1;
-        Some(self.random_retry_after())
+        Some(StartRefusal { retry_after: self.random_retry_after() })
     }
 }
 
 /// The time over which a fleet of this many nodes spreads its first calls.
 pub(crate) fn first_call_spread(nodes: u32, connect_timeout: Nanos) -> Nanos {
-    let each = connect_timeout / 4;
-    each.saturating_mul(nodes.into()).clamp(1, FIRST_CALL_SPREAD)
+    let per_node = connect_timeout / FIRST_CALL_SPREAD_DIVISOR;
+    per_node.saturating_mul(nodes.into()).clamp(1, MAX_FIRST_CALL_SPREAD)
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -76,6 +76,17 @@
 const KILL_MARGIN: Nanos = SECOND / 5;
 /// The lower bound of the time for which an idle connection is kept, unless the idle timeout is shorter.
 const MIN_IDLE_TIMEOUT: Nanos = SECOND / 4;
+/// A connection is kept idle for this many times as long as jobs may reuse it, so that probes can show whether jobs may reuse
+/// it for longer.
+const KEPT_IDLE_FACTOR: Nanos = 2;
+/// Executors close an idle connection after the idle timeout of the settings. The node closes it after that time divided by
+/// this, since what is written to a closed connection is lost.
+const IDLE_TIMEOUT_DIVISOR: Nanos = 2;
+/// An idle connection found closed lowers the longest idle time after which jobs may reuse one to its own idle time divided by
+/// this.
+const REUSE_REDUCTION_DIVISOR: Nanos = 2;
+/// Only a connection that was idle for at least that longest time divided by this raises it.
+const REUSE_EVIDENCE_DIVISOR: Nanos = 2;
 /// Each idle connection that proves usable raises the longest idle time after which jobs may reuse one: by this fraction of it
 /// (one part in 32) plus [`REUSE_GROWTH_STEP`].
 const REUSE_GROWTH_DIVISOR: Nanos = 32;
@@ -111,6 +122,20 @@
 const PROCESS_LOSS_WINDOW: Nanos = SECOND / 50;
 /// This many failed connection attempts in a row show that the executor's process has ended.
 const PROCESS_LOSS_CONNECT_FAILURES: u32 = 2;
+/// A probe must be answered within the connect timeout divided by this.
+const PROBE_TIMEOUT_DIVISOR: Nanos = 2;
+/// A refused submission is given the longest retry delay divided by this, unless its delay is random.
+const RETRY_AFTER_DIVISOR: Nanos = 8;
+/// Where retries must not arrive together, a random time of up to the longest retry delay divided by this is added.
+const RANDOM_RETRY_AFTER_DIVISOR: Nanos = 2;
+/// File descriptors set aside for the listener, the watch of the list, the signals and sockets that are being closed.
+const RESERVED_SOCKETS: usize = 16;
+/// Of the other descriptors, clients may use the number divided by this.
+const CLIENT_SOCKETS_DIVISOR: usize = 2;
+/// Connections to executors may use this many eighths of them.
+const EXECUTOR_SOCKETS_EIGHTHS: usize = 3;
+/// The connections of clients may use the memory divided by this, and so may those to executors.
+const CONNECTIONS_MEMORY_DIVISOR: usize = 8;
 /// Bytes of memory for one connection: the part of its stack that is touched, and its initial buffers.
 const CONNECTION_BYTES: usize = 20 * 1024;
 /// A client's timeout is capped at this many times the longest deadline; holding a submission for longer serves no purpose.
@@ -171,8 +196,8 @@
     phase: Phase,
     /// When the phase began.
     since: Nanos,
-    /// When the client connected; `None` once a submission of it was accepted or answered.
-    newcomer_since: Option<Nanos>,
+    /// When the client connected, while it is new; `None` once a submission of it was accepted or answered.
+    new_since: Option<Nanos>,
     /// The connection is being closed to make room for others.
     evicted: bool,
     limit: Limit,
@@ -263,8 +288,16 @@
     /// Its index is in [`Core::departed`].
     is_departed: bool,
     failure_signs: FailureSigns,
-    /// When it was last observed, whether it answered then, and the report that came with the answer.
-    last_observation: Option<(Nanos, bool, Option<Report>)>,
+    last_observation: Option<LastObservation>,
+}
+
+/// What was last observed of an executor.
+#[derive(Clone, Copy, Debug)]
+struct LastObservation {
+    at: Nanos,
+    answered: bool,
+    /// The report that came with the answer.
+    report: Option<Report>,
 }
 
 /// Observations of an executor's connections that show whether its process was lost.
@@ -352,16 +385,25 @@
     exit_when_empty: bool,
 }
 
-/// Returns how long a connection may be idle, how long a node may continue after [`Input::Stop`], and the longest timeout
-/// that a client may ask for.
-fn time_limits(idle: Nanos, longest_deadline: Nanos) -> (Nanos, Nanos, Nanos) {
-    // The executor closes an idle connection after the time of the settings; what is written to it after that is lost.
-    let idle_timeout = if idle > 0 { idle / 2 } else { SECOND };
+/// Time limits that follow from the settings.
+struct TimeLimits {
+    /// How long a connection to an executor may be idle.
+    idle_timeout: Nanos,
+    /// How long a node may continue after [`Input::Stop`].
+    stop_duration: Nanos,
+    /// The longest timeout that a client may ask for.
+    max_client_timeout: Nanos,
+}
+
+/// Returns the time limits for settings with this idle timeout and this longest deadline.
+fn time_limits(idle: Nanos, longest_deadline: Nanos) -> TimeLimits {
+    let idle_timeout = if idle > 0 { idle / IDLE_TIMEOUT_DIVISOR } else { SECOND };
     // Settings without a longest deadline allow any.
     let longest = Some(longest_deadline).filter(|longest| *longest > 0);
     let stop_duration =
         longest.unwrap_or(MAX_KILL_DEADLINE).min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
-    (idle_timeout, stop_duration, longest.map_or(DAY, |longest| longest * MAX_TIMEOUT_FACTOR))
+    let max_client_timeout = longest.map_or(DAY, |longest| longest * MAX_TIMEOUT_FACTOR);
+    TimeLimits { idle_timeout, stop_duration, max_client_timeout }
 }
 
 impl Core {
@@ -382,12 +424,10 @@
         memory: usize,
     ) -> Self {
         let (dispatch, names) = (settings.dispatch, settings.names);
-        let (idle_timeout, stop_duration, max_client_timeout) =
+        let TimeLimits { idle_timeout, stop_duration, max_client_timeout } =
             time_limits(dispatch.idle_timeout, settings.longest_deadline);
-        // 16 are left for the listener, the watch of the list, the signals and sockets that are being closed.
-        let available = sockets.saturating_sub(16);
-        // One eighth of the memory is for the connections of clients, another for those to executors.
-        let max_by_memory = memory / 8 / CONNECTION_BYTES;
+        let available = sockets.saturating_sub(RESERVED_SOCKETS);
+        let max_by_memory = memory / CONNECTIONS_MEMORY_DIVISOR / CONNECTION_BYTES;
         let mut core = Self {
             connect_timeout: dispatch.connect_timeout,
             idle_timeout,
@@ -404,9 +444,9 @@
             outcome_store: None,
             staged_start: None,
             answer_deadline: Nanos::MAX,
-            max_clients: max_by_memory.min(available / 2),
+            max_clients: max_by_memory.min(available / CLIENT_SOCKETS_DIVISOR),
             client_room: eviction::ClientRoom::default(),
-            max_connections: max_by_memory.min(available * 3 / 8),
+            max_connections: max_by_memory.min(available * EXECUTOR_SOCKETS_EIGHTHS / 8),
             zones: names.zones,
             kinds: names.kinds,
             rng: fastrand::Rng::with_seed(dispatch.seed),
@@ -453,8 +493,9 @@
         (self.connect_timeout, self.may_probe) = (dispatch.connect_timeout, dispatch.may_probe);
         self.may_duplicate = dispatch.may_duplicate;
         self.max_retry_after = dispatch.retry_after;
+        let limits = time_limits(dispatch.idle_timeout, settings.longest_deadline);
         (self.idle_timeout, self.stop_duration, self.max_client_timeout) =
-            time_limits(dispatch.idle_timeout, settings.longest_deadline);
+            (limits.idle_timeout, limits.stop_duration, limits.max_client_timeout);
         self.max_reuse_idle = self.max_reuse_idle.min(self.idle_timeout);
         self.products = dispatch.products;
     }
@@ -509,7 +550,7 @@
             }
             Input::Lease { until } => {
                 self.lease_until = until;
-                self.lease_received();
+                self.inform_start_of_lease();
             }
             Input::Persisted { ticket, durable } => self.persisted(ticket, durable),
             Input::StoreRecovered => self.store_recovered(),
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -9,6 +9,7 @@
     /// would be delayed by the whole time within which changes must become known.
     pub(crate) fn list_failed(&mut self, silent_for: Nanos, overloaded: bool) {
         self.failed_list_calls += 1;
+        // Leaves a range of random delays above the shortest, however long discovery was silent.
         let latest = MAX_LIST_CALL_DELAY.saturating_sub(silent_for).max(2 * MIN_LIST_CALL_DELAY);
         let delay = if !self.list_on_request {
             WATCH_RETRY_DELAY + self.rng.u64(..WATCH_RETRY_DELAY)
@@ -41,7 +42,7 @@
                 _ => self.list_state = ListState::Current,
             }
             let ready = endpoints.iter().filter(|e| e.health == Health::Ready).count();
-            self.start_list_received(kind, ready);
+            self.inform_start_of_list(kind, ready);
         }
         if matches!(kind, ListKind::Whole | ListKind::Cached) {
             self.workers.iter_mut().for_each(|w| w.health = Health::Gone);
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -16,9 +16,9 @@
     /// The outcomes by key.
     pub outcomes: OutcomeTable,
     /// The time of the store when the node starts. The times of records are times of the store.
-    pub age: StoreTime,
+    pub store_time: StoreTime,
     /// The time of the start on the node's clock.
-    pub now: Nanos,
+    pub started_at: Nanos,
     /// Whether a repeated submission is recognized by its `Idempotency-Key`, which clients keep in a retry; otherwise by its
     /// `Req-Id`.
     pub by_idempotency_key: bool,
@@ -29,8 +29,10 @@
 /// The outcomes of one-shots, and the state of their store.
 pub(crate) struct OutcomeStore {
     outcomes: OutcomeTable,
-    age: StoreTime,
-    since: Nanos,
+    /// The time of the store when the node started.
+    store_time_at_start: StoreTime,
+    /// The time of the start on the node's clock.
+    started_at: Nanos,
     by_idempotency_key: bool,
     incomplete_until: Nanos,
     /// The number of records that executions wait for.
@@ -53,11 +55,12 @@
 impl Core {
     /// Keeps the outcomes of one-shots over restarts from now on. Must be called before anything is accepted.
     pub fn enable_outcome_store(&mut self, stored: StoredOutcomes) {
-        let StoredOutcomes { outcomes, age, now, by_idempotency_key, incomplete_until } = stored;
+        let StoredOutcomes { outcomes, store_time, started_at, by_idempotency_key, incomplete_until } =
+            stored;
         self.outcome_store = Some(OutcomeStore {
             outcomes,
-            age,
-            since: now,
+            store_time_at_start: store_time,
+            started_at,
             by_idempotency_key,
             incomplete_until,
             pending_records: 0,
@@ -97,7 +100,7 @@
     /// The answer to a one-shot that is repeated or whose outcome can't be stored; `None` if it is to be accepted.
     pub(crate) fn answer_from_store(&self, new: &NewSubmission) -> Option<Answer> {
         let store = self.outcome_store.as_ref().filter(|_| self.is_one_shot(new.product))?;
-        let dismissed = Answer::Dismissed(self.max_retry_after.map(|longest| longest / 8));
+        let dismissed = Answer::Dismissed(self.short_retry_after());
         // Without a key a repeated submission could not be recognized and would run again.
         let Some(key) = self.outcome_key(&new.request) else { return Some(dismissed) };
         if store.open_keys.contains(&key) {
@@ -132,7 +135,9 @@
 
     /// The time of the store now.
     fn store_time(&self) -> StoreTime {
-        self.outcome_store.as_ref().map_or(0, |store| store.age + self.now.saturating_sub(store.since))
+        self.outcome_store
+            .as_ref()
+            .map_or(0, |store| store.store_time_at_start + self.now.saturating_sub(store.started_at))
     }
 
     /// Whether an execution must wait until the record that it may have run is durable. If so, asks for the record to be
--- a/crates/core/src/peer_observations.rs
+++ b/crates/core/src/peer_observations.rs
@@ -10,7 +10,7 @@
     pub fn peer_snapshot(&self, now: Nanos) -> Vec<ExecutorObservation> {
         let ready = self.workers.iter().filter(|w| w.health == Health::Ready);
         let observations = ready.filter_map(|w| {
-            let (at, answered, report) = w.last_observation?;
+            let LastObservation { at, answered, report } = w.last_observation?;
             let figures = report.map(|r| LoadFigures {
                 free_slots: r.free_slots,
                 free_memory: r.free_memory,
@@ -29,7 +29,7 @@
         let worker_state = self.workers_by_name.get(name).and_then(|w| self.workers.get(*w as usize));
         worker_state.map_or(LocalKnowledge::default(), |w| LocalKnowledge {
             ready: w.health == Health::Ready,
-            last_observed: w.last_observation.map(|(at, ..)| at),
+            last_observed: w.last_observation.map(|last| last.at),
         })
     }
 
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -14,6 +14,12 @@
     armed: Nanos,
 }
 
+/// A submission is refused because the node is still starting.
+pub(crate) struct StartRefusal {
+    /// The retry delay for the client; `None` if clients are given none.
+    pub(crate) retry_after: Option<Nanos>,
+}
+
 impl Core {
     /// Makes the node start in stages; `old_list` is a list of unknown age. Must be called before anything else.
     pub fn start_in_stages(&mut self, now: Nanos, start: StagedStart, old_list: Vec<Endpoint>) {
@@ -29,7 +35,7 @@
     }
 
     /// Informs the staged start of a lease.
-    pub(crate) fn lease_received(&mut self) {
+    pub(crate) fn inform_start_of_lease(&mut self) {
         let (now, lease_until) = (self.now, self.lease_until);
         if let Some(s) = self.staged_start.as_mut().filter(|_| now < lease_until) {
             s.start.confirm_settings();
@@ -61,14 +67,14 @@
     }
 
     /// Informs the staged start of a list with this many ready executors.
-    pub(crate) fn start_list_received(&mut self, kind: ListKind, ready: usize) {
+    pub(crate) fn inform_start_of_list(&mut self, kind: ListKind, ready: usize) {
         if let Some(s) = &mut self.staged_start {
             s.start.list_received(kind != ListKind::Cached, ready);
         }
     }
 
     /// Informs the staged start of the outcome of an execution.
-    pub(crate) fn start_execution_ended(&mut self, worker: Worker, outcome: Outcome) {
+    pub(crate) fn inform_start_of_outcome(&mut self, worker: Worker, outcome: Outcome) {
         let Some(StartState { start, .. }) = &mut self.staged_start else { return };
         match outcome {
             Outcome::Completed | Outcome::Error | Outcome::InvalidSubmission => {
@@ -81,20 +87,27 @@
         }
     }
 
-    /// Returns the retry delay for a submission that is refused because a staged start accepts no more yet, and `None` if it
-    /// is not refused. The delays are random, so that the retries don't arrive as one wave.
-    pub(crate) fn refused_by_start(&mut self) -> Option<Option<Nanos>> {
+    /// Refuses a submission if a staged start accepts no more yet. The retry delays are random, so that the retries don't
+    /// arrive as one wave.
+    pub(crate) fn refused_by_start(&mut self) -> Option<StartRefusal> {
         let s = self.staged_start.as_mut()?;
         if s.start.admits(self.now, self.open_ids.len()) {
             return None;
         }
         self.stats.held_back += 1;
-        Some(self.random_retry_after())
+        Some(StartRefusal { retry_after: self.random_retry_after() })
+    }
+
+    /// The short retry delay for a refused submission; `None` if clients are given none.
+    pub(crate) fn short_retry_after(&self) -> Option<Nanos> {
+        self.max_retry_after.map(|longest| longest / RETRY_AFTER_DIVISOR)
     }
 
-    /// A random delay from one eighth to five eighths of the longest retry delay.
+    /// A random retry delay, from the one of [`Core::short_retry_after`] upwards.
     pub(crate) fn random_retry_after(&mut self) -> Option<Nanos> {
-        self.max_retry_after.map(|longest| longest / 8 + self.rng.u64(..=longest / 2))
+        self.max_retry_after.map(|longest| {
+            longest / RETRY_AFTER_DIVISOR + self.rng.u64(..=longest / RANDOM_RETRY_AFTER_DIVISOR)
+        })
     }
 
     /// When the next connection may be opened.
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -467,7 +467,7 @@
 fn partial_requests_that_take_up_all_room_are_evicted_in_time() {
     let mut node = Node::configured(common::SETTINGS, 1);
     while !node.core.is_at_client_limit() {
-        // The submission is refused before the first list, but the client is no newcomer any more.
+        // The submission is refused before the first list, but the client is not new any more.
         let client = node.submit(LOOK, 5_000 * MS);
         node.handle(Input::ClientPhase { client, phase: Phase::Idle });
         node.handle(Input::ClientPhase { client, phase: Phase::Reading });
@@ -682,8 +682,8 @@
     }
 }
 
-// The time limit of a newcomer runs from its connecting, whatever it does. Only a client that has sent a submission before may
-// be silent.
+// The time limit of a new client runs from its connecting, whatever it does. Only a client that has sent a submission before
+// may be silent.
 #[rstest]
 #[case::silent(false, None, Some(2_500))]
 #[case::slow(false, Some(Phase::Reading), Some(2_500))]
@@ -691,7 +691,7 @@
 #[case::usual(true, Some(Phase::Idle), None)]
 #[case::usual_and_slow(true, Some(Phase::Reading), Some(3_500))]
 #[case::answered_for_good(false, Some(Phase::Closing), Some(3_500))]
-fn a_newcomer_has_a_time_limit(#[case] usual: bool, #[case] phase: Option<Phase>, #[case] at: Option<u64>) {
+fn a_new_client_has_a_time_limit(#[case] usual: bool, #[case] phase: Option<Phase>, #[case] at: Option<u64>) {
     let mut node = Node::new(1);
     let client = if usual {
         let (client, connection) = node.start_execution(PAY);
@@ -963,8 +963,8 @@
     let mut node = Node::new(2);
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes,
-        age: 0,
-        now: node.now,
+        store_time: 0,
+        started_at: node.now,
         by_idempotency_key: false,
         incomplete_until: 0,
     });
@@ -983,8 +983,8 @@
     let incomplete_until = node.now + 1000 * MS;
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes: no_outcomes(),
-        age: 0,
-        now: node.now,
+        store_time: 0,
+        started_at: node.now,
         by_idempotency_key: false,
         incomplete_until,
     });
@@ -1174,8 +1174,8 @@
     let mut node = Node::new(2);
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes: no_outcomes(),
-        age: 0,
-        now: node.now,
+        store_time: 0,
+        started_at: node.now,
         by_idempotency_key: true,
         incomplete_until: 0,
     });
@@ -1359,9 +1359,9 @@
     assert!(!closing.is_empty());
 }
 
-// The request of a newcomer is on its way. If the connection were closed at once, the request would get no answer.
+// The request of a new client is on its way. If the connection were closed at once, the request would get no answer.
 #[test]
-fn a_newcomer_to_a_stopping_node_has_time_to_send_its_request() {
+fn a_new_client_of_a_stopping_node_has_time_to_send_its_request() {
     let mut node = Node::new(1);
     node.handle(Input::Stop);
     node.advance(1_800 * MS);
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -308,8 +308,8 @@
         }
         core.enable_outcome_store(StoredOutcomes {
             outcomes,
-            age: self.time,
-            now,
+            store_time: self.time,
+            started_at: now,
             by_idempotency_key,
             incomplete_until,
         });
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -244,8 +244,14 @@
         let persisted = &self.nodes[node].persisted;
         let mut outcomes = OutcomeTable::new(OUTCOME_RETENTION, usize::MAX, usize::MAX);
         outcomes.restore(persisted.iter().cloned());
-        let age = persisted.iter().map(|record| record.at + 1).max().unwrap_or(0);
-        StoredOutcomes { outcomes, age, now: self.now, by_idempotency_key: true, incomplete_until: 0 }
+        let store_time = persisted.iter().map(|record| record.at + 1).max().unwrap_or(0);
+        StoredOutcomes {
+            outcomes,
+            store_time,
+            started_at: self.now,
+            by_idempotency_key: true,
+            incomplete_until: 0,
+        }
     }
 
     /// A record is on a node's disk. A record whose write was in progress when the node was killed is lost.
