--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -271,9 +271,9 @@
 
     fn list_received(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
         if let (Some(limit), ListKind::Failed | ListKind::Cached) = (self.config.list_refresh_limit, kind) {
-            // A node that does not request the list in time is treated as if it knew of drains that it never
-            // received. But requests that all nodes make together, or repeat at once, fail together, and such
-            // a surge delays the changes for all nodes.
+            // The list is requested in time, because a node counts as informed of a drain even if it made no
+            // request that could have shown it. But requests that all nodes make together, or repeat at once
+            // after a failure, overload discovery: they fail, and all nodes get the changes late.
             self.failed_list_requests =
                 if kind == ListKind::Failed { (self.failed_list_requests + 1).min(MAX_DOUBLINGS) } else { 0 };
             let per_node = (self.config.connect_timeout / LIST_SPREAD_DIVISOR) << self.failed_list_requests;
@@ -356,8 +356,8 @@
         let own_slots =
             if product.is_restricted() { fleet.own_slots(product) } else { self.traffic.slots_in_flight };
         let mean_own_slots = own_slots / allowed.max(1) as f64;
-        // If not all workers are known, an old report shows a worker as neither free nor full.
-        let sparse = fleet.tracked.len() < fleet.ready.len();
+        // If some workers are unknown, an old report shows a worker as neither free nor full.
+        let some_unknown = fleet.tracked.len() < fleet.ready.len();
         let max_fresh_age = FRESH_REPORT_ANSWER_TIMES * slowest_answer_time(&self.answer_times)
             + self.traffic.report_delay(self.now) as f64;
         let stale = |w: &WorkerState| w.reported_at.is_none_or(|r| (self.now - r) as f64 > max_fresh_age);
@@ -367,11 +367,12 @@
         let same_zone =
             |w: &WorkerState| self.config.zone_crossing_cost <= 0.0 || w.entry.zone == self.config.zone;
         let products = self.answer_times.iter().zip(&self.config.products);
-        let latency_targets = products.map(|(answer, p)| {
+        // A submission's own running time is not a part of its wait.
+        let max_waits = products.map(|(answer, p)| {
             p.latency_target as f64 + (p.latency_target_factor - 1.0).max(0.0) * answer.shortest
         });
-        let max_wait = latency_targets.fold(f64::INFINITY, f64::min) / mean_answer_time(&self.answer_times);
-        let [mut below, mut others, mut ejected]: [RankedDraw; 3] = Default::default();
+        let max_wait = max_waits.fold(f64::INFINITY, f64::min) / mean_answer_time(&self.answer_times);
+        let [mut below, mut joinable, mut ejected]: [RankedDraw; 3] = Default::default();
         let (mut available, mut with_room, mut unknown, mut rng) = (0, 0, allowed, self.rng.clone());
         for &worker in &fleet.tracked {
             let candidate = &fleet[worker];
@@ -394,7 +395,7 @@
             // Crossing to another zone costs less than an answer that is certain to be late.
             let ratio = candidate.answer_time_ratio(self.now, self.config.slow_start_duration);
             let very_slow = u8::from(ratio > VERY_SLOW_RATIO);
-            others.offer_if(
+            joinable.offer_if(
                 is_available && warm && self.answers_in_time(candidate, max_wait),
                 worker,
                 very_slow,
@@ -406,15 +407,16 @@
                 let new_connection = u8::from(self.config.connection_cost > 0.0 && !connected(candidate));
                 // Each criterion outweighs those after it.
                 let rank = 8 * very_slow + 4 * crosses + 2 * new_connection + slow;
-                below.offer_if(!sparse || !stale(candidate) || free_try, worker, rank, &mut rng);
+                below.offer_if(!some_unknown || !stale(candidate) || free_try, worker, rank, &mut rng);
             }
         }
         // If most workers are ejected, the few that are left must not collapse under the whole load.
-        let left = available + unknown;
-        if left < ejected.offered && rng.usize(..left + ejected.offered) >= left {
-            others.pick = ejected.pick;
+        let not_ejected = available + unknown;
+        if not_ejected < ejected.offered && rng.usize(..not_ejected + ejected.offered) >= not_ejected {
+            joinable.pick = ejected.pick;
         }
-        // If a retry may go to only a few workers, draws among all workers would hardly find one of them.
+        // Unknown workers are drawn from all ready ones. If a retry may go to only a few workers, draws among all
+        // would hardly find one of them.
         let restricted = state.first_possible_run.is_some() && product.repeat_policy.limits_retries();
         let permitted =
             || fleet.ready.iter().copied().filter(|w| self.may_execute(state, *w)).collect::<Vec<_>>();
@@ -440,42 +442,45 @@
                 }
             }
         }
-        let mut pick = below.pick.or(unknown_pick).or(others.pick);
+        let mut pick = below.pick.or(unknown_pick).or(joinable.pick);
         // A cold worker is drawn with its own probability and for first executions only. When all other
         // workers are full, a worker is chosen for each submission again and again, and the cold worker would
         // get all these retries.
-        let mut remaining = rng.f64();
+        let mut draw = rng.f64();
         for &worker in fleet.cold.iter().filter(|_| state.executions == 0) {
             let candidate = &fleet[worker];
             let Some(probability) = self.slow_start_probability(candidate) else { continue };
-            let empty = if stale(candidate) {
+            let has_room = if stale(candidate) {
                 candidate.in_flight.is_empty()
             } else {
                 self.below_threshold(candidate, state, mean_own_slots)
             };
-            let wanted = self.is_available(candidate) && (same_zone(candidate) || below.pick.is_none());
+            let eligible = self.is_available(candidate) && (same_zone(candidate) || below.pick.is_none());
             let warm_candidates = (below.offered + unknown).max(1) as f64;
             let share = probability.min(fleet.relative_size(candidate) / fleet.mean_size / warm_candidates);
-            remaining -= if empty && wanted && self.may_execute(state, worker) { share } else { 0.0 };
-            if remaining < 0.0 {
+            draw -= if has_room && eligible && self.may_execute(state, worker) { share } else { 0.0 };
+            if draw < 0.0 {
                 pick = Some(worker);
                 break;
             }
         }
         // The workers known now are mostly those that hold jobs of this node or refused some, so they do not
         // stand for the unknown ones, whose part with room is estimated separately.
-        let more = unknown as f64;
+        let unknown = unknown as f64;
         let unknown_room_share = if self.config.reports_start {
             UNKNOWN_ROOM_PROBABILITY * self.traffic.prompt_share
         } else {
             fleet.share_with_room(self.now)
         };
-        let room_share = (with_room as f64 + more * unknown_room_share) / (available as f64 + more).max(1.0);
-        let below_threshold = below.offered + usize::from(pick.is_some() && pick != others.pick);
+        let room_share =
+            (with_room as f64 + unknown * unknown_room_share) / (available as f64 + unknown).max(1.0);
+        let below_threshold = below.offered + usize::from(pick.is_some() && pick != joinable.pick);
         self.rng = rng;
         Choice { room_share, below_threshold, pick, allowed_workers: allowed, mean_own_slots }
     }
 
+    /// Returns whether a worker is below threshold: by what is known of it, it would start this submission at
+    /// once.
     fn below_threshold(
         &self,
         worker: &WorkerState,
@@ -714,7 +719,7 @@
         }
     }
 
-    /// Orders a further execution if one is possible, else gives the final answer.
+    /// Starts a further execution if one is possible, else gives the final answer.
     fn retry_or_finish(&mut self, submission: Submission) {
         if !self.submissions.get(submission as usize).is_some_and(|s| s.open && s.in_flight == 0) {
             return;
@@ -789,9 +794,9 @@
             }
             let state = &mut self.fleet[worker];
             let reported = state.reported_at.is_some_and(|r| ((now - r) as f64) < report_lifetime);
-            let counts = f64::from(u8::from(reported && state.entry.health == Health::Ready));
-            reported_workers += counts;
-            full_workers += counts * f64::from(state.report.free_slots.is_none_or(|f| f < 1.0));
+            let is_counted = f64::from(u8::from(reported && state.entry.health == Health::Ready));
+            reported_workers += is_counted;
+            full_workers += is_counted * f64::from(state.report.free_slots.is_none_or(|f| f < 1.0));
             if !state.in_flight.is_empty() || state.probes_to_return > 0 || state.probe_sent_at.is_some() {
                 next = next.min(now + period);
             } else if !(reported
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -28,7 +28,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
+    /// Those of the same zone.
     Zone,
+    /// Those of the same [`WorkerEntry::cell`].
     Cell,
 }
 
@@ -106,7 +108,9 @@
     pub zone_crossing_cost: f64,
     /// The points lost per submission for each new connection.
     pub connection_cost: f64,
+    /// The most executions of a submission.
     pub max_executions: u16,
+    /// Whether a submission may have several executions in flight.
     pub may_duplicate: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
@@ -152,6 +156,7 @@
     pub health: Health,
     pub kind: u16,
     pub zone: u16,
+    /// The group of workers that drop repeats of what any of them has executed.
     pub cell: u16,
     /// The time of the last start, or 0 if it was long ago.
     pub started: Nanos,
@@ -176,6 +181,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     pub free_slots: Option<f32>,
+    /// In the unit of [`Job::memory`].
     pub free_memory: Option<f32>,
     pub queued_jobs: Option<f32>,
     /// The jobs that the worker holds, the queued ones among them.
@@ -227,7 +233,9 @@
     pub tenant: u16,
     /// The time by which the client must be answered.
     pub deadline: Nanos,
+    /// The slots of a worker that it takes while it is executed.
     pub slots: f64,
+    /// The memory that it takes. A worker that reports no memory is assumed to have one unit per slot.
     pub memory: f64,
 }
 
@@ -240,6 +248,7 @@
     pub outcome: Outcome,
     /// Whether the submission is over, by this end or earlier.
     pub closed: bool,
+    /// The time since the execution was started.
     pub took: Nanos,
     pub report: Option<Report>,
 }
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -1,5 +1,5 @@
-//! A cold worker among many independent dispatchers: the jobs that all of them send it together stay within
-//! its budget of N jobs in the overload window, plus 2 * sqrt(N) + 2 for chance, and the budget is used.
+//! A cold worker among many independent dispatchers. In each overload window, all of them together may send it
+//! the N jobs that it can handle, plus 2 * sqrt(N) + 2 for chance; and they use a part of this budget.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -60,19 +60,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Occurrence {
     Submit(usize),
-    End(usize, Submission, Execution, Worker, bool),
+    End { node: usize, submission: Submission, execution: Execution, worker: Worker, refused: bool },
     Timer(usize),
     List(usize),
     Restart(usize),
 }
 
+struct Node {
+    dispatcher: Dispatcher,
+    next_submission: Submission,
+    /// The number of executions of each submission.
+    executions: Vec<Execution>,
+}
+
+impl Node {
+    fn executions_of(&mut self, submission: Submission) -> &mut Execution {
+        let at = submission as usize;
+        if self.executions.len() <= at {
+            self.executions.resize(at + 1, 0);
+        }
+        &mut self.executions[at]
+    }
+}
+
 struct Simulation {
-    /// Each node with its next submission and the number of executions of each submission. Jobs are not
-    /// separated by the restarts of their node: the end of an earlier job may go to the restarted node, which
-    /// doesn't know the job or takes it for its own.
-    nodes: Vec<(Dispatcher, Submission, Vec<Nanos>)>,
+    /// Jobs are not separated by the restarts of their node: the end of an earlier job may go to the restarted
+    /// node, which doesn't know the job or takes it for its own.
+    nodes: Vec<Node>,
     queue: BinaryHeap<Reverse<(Nanos, u64, Occurrence)>>,
     next_sequence: u64,
+    /// The jobs that each worker holds.
     active_jobs: Vec<f32>,
     /// When the cold worker was sent each of its jobs.
     sent: Vec<Nanos>,
@@ -132,23 +149,26 @@
     }
 
     fn decide(&mut self, now: Nanos, node: usize, event: Event<'_>) {
-        let actions = self.nodes[node].0.decide(BASE + now, event).to_vec();
+        let actions = self.nodes[node].dispatcher.decide(BASE + now, event).to_vec();
         for action in actions {
             match action {
                 Action::Execute { submission, worker, .. } => {
-                    let executions = self.nodes[node].2.count_mut(submission);
-                    let execution = *executions as Execution;
+                    let executions = self.nodes[node].executions_of(submission);
+                    let execution = *executions;
                     *executions += 1;
                     if worker == COLD_WORKER {
                         self.sent.push(now);
                     }
                     let crowded =
                         self.disturbance == Disturbance::Full && now > COLD_START_AT && worker % 4 != 0;
-                    let full = worker != COLD_WORKER
+                    let refused = worker != COLD_WORKER
                         && (crowded || self.active_jobs[worker as usize] >= 2.0 * SLOTS);
-                    self.active_jobs[worker as usize] += f32::from(u8::from(!full));
-                    let took = if full { 2 * MS } else { self.took };
-                    self.schedule(now + took, Occurrence::End(node, submission, execution, worker, full));
+                    self.active_jobs[worker as usize] += f32::from(u8::from(!refused));
+                    let took = if refused { 2 * MS } else { self.took };
+                    self.schedule(
+                        now + took,
+                        Occurrence::End { node, submission, execution, worker, refused },
+                    );
                 }
                 Action::Probe { worker } => {
                     let report = Some(self.report(worker));
@@ -174,37 +194,28 @@
     }
 }
 
-/// The number of executions of each submission.
-trait ExecutionCounts {
-    fn count_mut(&mut self, submission: Submission) -> &mut Nanos;
-}
-
-impl ExecutionCounts for Vec<Nanos> {
-    fn count_mut(&mut self, submission: Submission) -> &mut Nanos {
-        let at = submission as usize;
-        if self.len() <= at {
-            self.resize(at + 1, 0);
-        }
-        &mut self[at]
-    }
-}
-
-/// Returns the jobs that the cold worker bears in a window that begins at `at`.
+/// Returns the jobs that the cold worker can handle in a window that begins at `at`.
 fn permitted_jobs(at: Nanos, took: Nanos) -> f64 {
     let warmth = (at.saturating_sub(COLD_START_AT) as f64 / SLOW_START as f64).min(1.0);
     let capacity_share = COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * warmth;
     OVERLOAD_FACTOR * capacity_share * f64::from(SLOTS) * OVERLOAD_WINDOW as f64 / took as f64
 }
 
-/// Returns the largest ratio of sent to permitted jobs in any window, and the part of the budget that was
-/// used.
+struct BudgetUse {
+    /// The largest ratio of sent to permitted jobs in any window.
+    worst_window: f64,
+    /// The part of the budget that was used.
+    used: f64,
+}
+
+/// Simulates the nodes and workers, and returns what the nodes sent to the cold worker.
 fn simulate(
     seed: u64,
     nodes: usize,
     traffic: Traffic,
     disturbance: Disturbance,
     workload: Workload,
-) -> (f64, f64) {
+) -> BudgetUse {
     let mut rng = fastrand::Rng::with_seed(seed);
     let rate = workload.load * f64::from(WARM_WORKERS) * f64::from(SLOTS) * 1e9 / workload.took as f64;
     let new_node = |seed, cold| {
@@ -212,7 +223,7 @@
         let entries: Vec<_> = (0..WARM_WORKERS + u32::from(cold)).map(entry).collect();
         let now = BASE + if cold { COLD_START_AT + SECOND } else { 1 };
         let _ = dispatcher.decide(now, Event::ListReceived { kind: ListKind::Cached, entries: &entries });
-        (dispatcher, 0, Vec::new())
+        Node { dispatcher, next_submission: 0, executions: Vec::new() }
     };
     let mut simulation = Simulation {
         nodes: (0..nodes).map(|i| new_node(seed * 1_000 + i as u64, false)).collect(),
@@ -258,27 +269,27 @@
         }
         match occurrence {
             Occurrence::Submit(node) => {
-                let submission = simulation.nodes[node].1;
-                simulation.nodes[node].1 += 1;
+                let submission = simulation.nodes[node].next_submission;
+                simulation.nodes[node].next_submission += 1;
                 let job =
                     Job { product: 0, tenant: 0, deadline: BASE + now + 4 * SECOND, slots: 1.0, memory: 0.0 };
                 simulation.decide(now, node, Event::Submitted { submission, job });
             }
-            Occurrence::End(node, submission, execution, worker, full) => {
-                simulation.active_jobs[worker as usize] -= f32::from(u8::from(!full));
+            Occurrence::End { node, submission, execution, worker, refused } => {
+                simulation.active_jobs[worker as usize] -= f32::from(u8::from(!refused));
                 let report = Some(simulation.report(worker));
-                let outcome = if full { Outcome::Overloaded } else { Outcome::Completed };
+                let outcome = if refused { Outcome::Overloaded } else { Outcome::Completed };
                 let ending = Ending {
                     submission,
                     execution,
                     worker,
                     outcome,
-                    closed: !full,
+                    closed: !refused,
                     took: workload.took,
                     report,
                 };
                 // An end is dropped if the node was restarted and has no such submission since.
-                if (submission as usize) < simulation.nodes[node].2.len() {
+                if (submission as usize) < simulation.nodes[node].executions.len() {
                     simulation.decide(now, node, Event::Ended(ending));
                 }
             }
@@ -307,7 +318,7 @@
     let budget: f64 = (0..SLOW_START / OVERLOAD_WINDOW)
         .map(|w| permitted_jobs(COLD_START_AT + w * OVERLOAD_WINDOW, workload.took))
         .sum();
-    (worst, simulation.sent.len() as f64 / budget)
+    BudgetUse { worst_window: worst, used: simulation.sent.len() as f64 / budget }
 }
 
 #[rstest]
@@ -318,10 +329,10 @@
 ) {
     let results: Vec<_> =
         (1..=10).map(|seed| simulate(seed, nodes, traffic, disturbance, TYPICAL_WORKLOAD)).collect();
-    let worst = results.iter().map(|p| p.0).fold(0.0, f64::max);
-    let used = results.iter().map(|p| p.1).sum::<f64>() / results.len() as f64;
+    let worst = results.iter().map(|r| r.worst_window).fold(0.0, f64::max);
+    let used = results.iter().map(|r| r.used).sum::<f64>() / results.len() as f64;
     println!(
-        "{nodes:4} {traffic:?} {disturbance:?}: worst window {worst:.2} of what it bears, {used:.2} of the budget used"
+        "{nodes:4} {traffic:?} {disturbance:?}: worst window {worst:.2} of the permitted jobs, {used:.2} of the budget used"
     );
     assert!(worst <= 1.0, "worst window {worst:.2}");
     assert!(used >= 0.15, "used {used:.2}");
@@ -336,10 +347,10 @@
 ) {
     let results: Vec<_> =
         (1..=40).map(|seed| simulate(seed, 100, traffic, disturbance, LONG_WORKLOAD)).collect();
-    let worst = results.iter().map(|p| p.0).fold(0.0, f64::max);
-    let used = results.iter().map(|p| p.1).sum::<f64>() / results.len() as f64;
+    let worst = results.iter().map(|r| r.worst_window).fold(0.0, f64::max);
+    let used = results.iter().map(|r| r.used).sum::<f64>() / results.len() as f64;
     println!(
-        "{traffic:?} {disturbance:?}: worst window {worst:.2} of what it bears, {used:.2} of the budget used"
+        "{traffic:?} {disturbance:?}: worst window {worst:.2} of the permitted jobs, {used:.2} of the budget used"
     );
     assert!(worst <= 1.0, "worst window {worst:.2}");
     assert!(used >= 0.15, "used {used:.2}");
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -78,9 +78,9 @@
     fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let actions = self.dispatcher.decide(self.now, event).iter();
         actions
-            .filter(|o| {
+            .filter(|action| {
                 !matches!(
-                    o,
+                    action,
                     Action::SetTimer { .. } | Action::CloseIdleConnections { .. } | Action::Forget { .. }
                 )
             })
@@ -113,8 +113,8 @@
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += 25 * MS;
-            for order in self.event(Event::TimerFired { timer_id: 0 }) {
-                match order {
+            for action in self.event(Event::TimerFired { timer_id: 0 }) {
+                match action {
                     Action::Probe { worker } if answering.contains(&worker) => {
                         all.extend(self.probed(worker, ProbeOutcome::Answered, report(4.0, 0.0, 0.0)));
                     }
@@ -151,15 +151,15 @@
 }
 
 fn sent_to(actions: &[Action]) -> Option<Worker> {
-    actions.iter().find_map(|o| if let Action::Execute { worker, .. } = o { Some(*worker) } else { None })
+    actions.iter().find_map(|a| if let Action::Execute { worker, .. } = a { Some(*worker) } else { None })
 }
 
 fn dismissed(actions: &[Action]) -> bool {
-    actions.iter().any(|o| matches!(o, Action::Dismiss { .. }))
+    actions.iter().any(|a| matches!(a, Action::Dismiss { .. }))
 }
 
 fn aborted(actions: &[Action]) -> bool {
-    actions.iter().any(|o| matches!(o, Action::Abort { .. }))
+    actions.iter().any(|a| matches!(a, Action::Abort { .. }))
 }
 
 #[rstest]
@@ -217,7 +217,7 @@
 
 #[test]
 fn list_requests_are_made_in_time_but_spread_over_the_nodes() {
-    let requests = |actions: &[Action]| actions.iter().filter(|o| **o == Action::Subscribe).count();
+    let requests = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe).count();
     let requests_in_first_second = |seed| {
         let config =
             DispatchConfig { seed, nodes: 1000, list_refresh_limit: Some(10_000 * MS), ..config(STAMPED) };
@@ -296,8 +296,8 @@
         while_cold
     };
     let total: usize = (0..u64::from(nodes)).map(sent_while_cold).sum();
-    // The worker bears about 35 jobs in the three windows; the mean three standard deviations below that is
-    // 16.
+    // The worker can handle about 35 jobs in the three windows. The mean that, with three standard deviations
+    // added, reaches this maximum in each window is 16 in all.
     assert!((1..=28).contains(&total), "{total} sent");
 }
 
@@ -332,7 +332,7 @@
     };
     let entries: Vec<_> = (0..400).map(entry).collect();
     node.list(ListKind::Cached, &entries);
-    let probes = |actions: Vec<Action>| actions.iter().filter(|o| matches!(o, Action::Probe { .. })).count();
+    let probes = |actions: Vec<Action>| actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
     let mut probed = 0;
     for _ in 0..100 {
         node.now += 50 * MS;
@@ -462,7 +462,7 @@
     assert_eq!(found, drawn);
 }
 
-// Otherwise a single client that sends invalid submissions would get all workers ejected.
+// If invalid submissions ejected workers, a single client that sends some would get all workers ejected.
 #[rstest]
 fn an_invalid_submission_does_not_eject_the_worker(
     #[values(RepeatPolicy::Idempotent, STAMPED, RepeatPolicy::OneShot)] policy: RepeatPolicy,
@@ -673,8 +673,8 @@
     for _ in 0..400 {
         node.now += 25 * MS;
         let actions = node.event(Event::TimerFired { timer_id: 0 });
-        for order in actions {
-            let Action::Probe { worker } = order else { continue };
+        for action in actions {
+            let Action::Probe { worker } = action else { continue };
             probes += usize::from(worker == 0);
             let (outcome, report) = if worker > 0 {
                 (ProbeOutcome::Answered, report(4.0, 0.0, 0.0))
@@ -732,7 +732,7 @@
     assert_eq!(jobs, [slots; 4]);
 }
 
-// After that, the index stands for another worker, of which nothing is known.
+// After a worker is retired, its index stands for another worker, of which nothing is known.
 #[test]
 fn a_retired_index_starts_as_an_unknown_worker() {
     let mut node = Node::new(config(RepeatPolicy::Idempotent), 2);
@@ -830,7 +830,8 @@
     assert!(dismissed(&node.submit(1, 0, 0.0)), "more than fits, and of the product that pays less");
 }
 
-// Its jobs are in flight until their deadline, and each node that has one there would probe it at every tick.
+// The jobs of such a worker are in flight until their deadline. If it were probed at every tick while it is
+// busy, each node that has a job there would do so.
 #[test]
 fn a_busy_worker_that_answers_no_probe_is_probed_at_growing_intervals() {
     let mut node = Node::new(DispatchConfig { may_cancel: false, ..config(RepeatPolicy::OneShot) }, 1);
@@ -852,12 +853,11 @@
 #[case::expensive(0.01, 1..=5)]
 #[case::cheap(0.001, 6..=90)]
 fn busy_workers_are_probed_as_often_as_the_probe_cost_allows(
-    #[case] probe_price: f64,
+    #[case] probe_cost: f64,
     #[case] affordable: std::ops::RangeInclusive<usize>,
 ) {
     let product = |p: Product| Product { latency_target: 3_000 * MS, ..p };
-    let mut config =
-        DispatchConfig { probe_cost: probe_price, may_cancel: false, ..config(RepeatPolicy::OneShot) };
+    let mut config = DispatchConfig { probe_cost, may_cancel: false, ..config(RepeatPolicy::OneShot) };
     config.products = config.products.into_iter().map(product).collect();
     let mut node = Node::new(config, 1);
     assert_eq!(sent_to(&node.submit(0, 0, 0.0)), Some(0));
@@ -975,11 +975,11 @@
         cold
     };
     let total: usize = (0..40).map(sent_to_cold).sum();
-    assert!(total <= 8, "{total} sent in the window in which it bears about 12");
+    assert!(total <= 8, "{total} sent in the window in which it can handle about 12");
 }
 
 // If reports have no figure of queued jobs, the active jobs include the queued ones. These were once counted
-// as slots, which also raised the number of jobs that a cold worker was thought to bear.
+// as slots, which also raised the number of jobs that a cold worker was thought to handle.
 #[test]
 fn queued_jobs_are_not_counted_as_slots_where_reports_do_not_separate_them() {
     let reported = |free: f32, active: f32| {
@@ -1002,7 +1002,7 @@
 #[case::without_a_cost(0.0, 1_000, false)]
 #[case::idle_for_too_long(0.08, 6_000, false)]
 fn idle_connections_are_used_first_where_new_ones_have_a_cost(
-    #[case] connection_price: f64,
+    #[case] connection_cost: f64,
     #[case] idle_ms: u64,
     #[case] reused: bool,
 ) {
@@ -1012,8 +1012,7 @@
         idle_timeout: 5_000 * MS,
         ..config(RepeatPolicy::Idempotent)
     };
-    let mut node =
-        with_unknown_workers(400, DispatchConfig { connection_cost: connection_price, ..base }, |_| 1.0);
+    let mut node = with_unknown_workers(400, DispatchConfig { connection_cost, ..base }, |_| 1.0);
     let first = sent_to(&node.submit(0, 0, 0.0)).unwrap();
     node.event(Event::Progressed { submission: 0, execution: 0 });
     node.ended(first, 0, Outcome::Completed);
@@ -1032,7 +1031,7 @@
     node.now += idle_ms * MS;
     let job = Job { deadline: node.now + 5_000 * MS, slots: 1.0, ..Job::default() };
     let actions = node.dispatcher.decide(node.now, Event::Submitted { submission: 0, job });
-    let relevant = |o: &&Action| matches!(o, Action::CloseIdleConnections { .. } | Action::Execute { .. });
+    let relevant = |a: &&Action| matches!(a, Action::CloseIdleConnections { .. } | Action::Execute { .. });
     let first = actions.iter().find(relevant);
     assert_eq!(matches!(first, Some(Action::CloseIdleConnections { worker: 0 })), closed, "{actions:?}");
 }
