--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -27,7 +27,7 @@
     /// When the limit was reached for the first time since room became short; `None` while there is enough room.
     short_since: Option<Nanos>,
     /// The timer of the next check is set.
-    check_armed: bool,
+    check_scheduled: bool,
 }
 
 /// The classes of connections that can be evicted, in the order of eviction: those that have used the node least and lose
@@ -84,7 +84,7 @@
 
     fn schedule_room_check(&mut self) {
         let Some(since) = self.client_room.short_since else { return };
-        if !std::mem::replace(&mut self.client_room.check_armed, true) {
+        if !std::mem::replace(&mut self.client_room.check_scheduled, true) {
             let due = (since + MAX_FULL_TIME).max(self.now + CHECK_INTERVAL);
             self.set_timer(due, Timer::ClientRoom);
         }
@@ -92,7 +92,7 @@
 
     /// Evicts several connections if the limit is still reached.
     pub(crate) fn make_room_when_full(&mut self) {
-        self.client_room.check_armed = false;
+        self.client_room.check_scheduled = false;
         if !self.is_at_client_limit() {
             return;
         }
--- a/crates/core/src/first_list.rs
+++ b/crates/core/src/first_list.rs
@@ -6,8 +6,9 @@
 //! that it is gone.
 //!
 //! No failure of discovery, however long, makes the configured list evidence that an executor still accepts work. Where lists
-//! are pushed, a process counts as informed of what discovery knows from its first moment. Where lists are asked for, it counts
-//! as informed 6 s after discovery knew it and could be reached, even if a call has failed. That may be long before its start.
+//! are pushed, a process must comply with what discovery knows from its first moment. Where lists are asked for, it must do so
+//! 6 s after discovery knew it and could be reached, even if a call has failed. These 6 s may be over long before the process
+//! starts.
 
 use super::staged_start::StartRefusal;
 use super::*;
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -201,7 +201,7 @@
     /// An invariant was violated. The violation has been counted.
     InvariantBroken(&'static str),
     /// Log the statistics.
-    Report(Stats),
+    LogStats(Stats),
     /// End the process.
     Exit,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -92,16 +92,16 @@
 const REUSE_GROWTH_DIVISOR: Nanos = 32;
 /// The fixed part of each such raise.
 const REUSE_GROWTH_STEP: Nanos = SECOND / 1000;
-/// How often the statistics are reported.
-const REPORT_INTERVAL: Nanos = 10 * SECOND;
+/// How often the statistics are logged.
+const STATS_INTERVAL: Nanos = 10 * SECOND;
 /// The shortest delay before a watch that ended is opened again, where discovery pushes changes.
-const WATCH_RETRY_DELAY: Nanos = SECOND / 2;
+const MIN_WATCH_RETRY_DELAY: Nanos = SECOND / 2;
 /// The longest delay of a list call after the last moment at which nothing can have been missed, where the list is asked for:
 /// the time of a call that failed at once, of the last line of a watch that fell silent, or of the start of a call that hung
 /// (of which 3.25 s have passed by then).
 ///
-/// A node counts as informed of what discovery knows 6 s after discovery knew it and could be reached, so 1.25 s are left for
-/// the answer.
+/// A node must comply with what discovery knows 6 s after discovery knew it and could be reached, so 1.25 s are left for the
+/// answer.
 const MAX_LIST_CALL_DELAY: Nanos = SECOND * 19 / 4;
 /// The shortest delay before the list is asked for again.
 const MIN_LIST_CALL_DELAY: Nanos = SECOND / 4;
@@ -110,10 +110,10 @@
 /// Discovery can handle little more than the calls of all nodes spread evenly over the list refresh limit; it also works on
 /// calls that were abandoned, and fails those that waited. So the first calls after a failure are spread at random, and each
 /// node keeps its time slot from then on. A call that waited for this long and was turned away gets a new random
-/// time slot after [`OVERLOADED_CALL_DELAY`].
+/// time slot after [`MIN_OVERLOADED_CALL_DELAY`].
 const LONG_CALL_WAIT: Nanos = SECOND / 2;
 /// The shortest delay before the list is asked for again after discovery was overloaded.
-const OVERLOADED_CALL_DELAY: Nanos = SECOND;
+const MIN_OVERLOADED_CALL_DELAY: Nanos = SECOND;
 /// How long a connection is not reused after a response that names no submission. An executor may send a second response some
 /// milliseconds after the first; taken for the response to the next execution, it could say of a running job that it never
 /// ran.
@@ -167,8 +167,8 @@
     AnswerDeadline,
     /// A stopping node exits, before it is killed.
     Exit,
-    /// Statistics are due.
-    Report,
+    /// The statistics are to be logged.
+    Stats,
     /// A staged start may proceed because time has passed.
     StagedStart,
     /// A staged start allows this connection to be opened.
@@ -182,11 +182,11 @@
 struct Limit {
     until: Nanos,
     /// When the timer that is set fires.
-    armed: Nanos,
+    timer_at: Nanos,
 }
 
 impl Limit {
-    const NONE: Self = Self { until: Nanos::MAX, armed: Nanos::MAX };
+    const NONE: Self = Self { until: Nanos::MAX, timer_at: Nanos::MAX };
 }
 
 /// A connection of a client.
@@ -478,7 +478,7 @@
             closing_clients: false,
             exit_when_empty: false,
         };
-        core.set_timer(0, Timer::Report);
+        core.set_timer(0, Timer::Stats);
         if !core.list_on_request {
             core.schedule_list_call(0);
         }
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -12,9 +12,9 @@
         // Leaves a range of random delays above the shortest, however long discovery was silent.
         let latest = MAX_LIST_CALL_DELAY.saturating_sub(silent_for).max(2 * MIN_LIST_CALL_DELAY);
         let delay = if !self.list_on_request {
-            WATCH_RETRY_DELAY + self.rng.u64(..WATCH_RETRY_DELAY)
+            MIN_WATCH_RETRY_DELAY + self.rng.u64(..MIN_WATCH_RETRY_DELAY)
         } else if overloaded && silent_for >= LONG_CALL_WAIT {
-            OVERLOADED_CALL_DELAY + self.rng.u64(..MAX_LIST_CALL_DELAY)
+            MIN_OVERLOADED_CALL_DELAY + self.rng.u64(..MAX_LIST_CALL_DELAY)
         } else if self.failed_list_calls == 1 {
             self.rng.u64(MIN_LIST_CALL_DELAY..latest)
         } else {
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -11,7 +11,7 @@
     /// A list of unknown age, which is used if discovery does not answer.
     old_list: Vec<Endpoint>,
     /// When the timer that was set last fires.
-    armed: Nanos,
+    timer_at: Nanos,
 }
 
 /// A submission is refused because the node is still starting.
@@ -25,7 +25,7 @@
     pub fn start_in_stages(&mut self, now: Nanos, start: StagedStart, old_list: Vec<Endpoint>) {
         self.now = self.now.max(now);
         self.effects.push(Effect::Stage(start.stage()));
-        self.staged_start = Some(StartState { start, old_list, armed: 0 });
+        self.staged_start = Some(StartState { start, old_list, timer_at: 0 });
     }
 
     /// The stage that the start has reached; `None` if the node does not start in stages.
@@ -44,18 +44,18 @@
 
     /// Moves the start to the stages that it has reached, and uses the old list where the start allows it.
     pub(crate) fn advance_start(&mut self) {
-        let Some(StartState { start, old_list, armed }) = &mut self.staged_start else { return };
+        let Some(StartState { start, old_list, timer_at }) = &mut self.staged_start else { return };
         while let Some(stage) = start.advance(self.now) {
             self.effects.push(Effect::Stage(stage));
         }
         let due = start.next_due();
-        let rearm = due < Nanos::MAX && (*armed <= self.now || due < *armed);
-        if rearm {
-            *armed = due.max(self.now + 1);
+        let set_timer = due < Nanos::MAX && (*timer_at <= self.now || due < *timer_at);
+        if set_timer {
+            *timer_at = due.max(self.now + 1);
         }
-        let fires_at = *armed;
+        let fires_at = *timer_at;
         let old_list = if start.should_use_old_list() { std::mem::take(old_list) } else { Vec::new() };
-        if rearm {
+        if set_timer {
             self.set_timer(fires_at, Timer::StagedStart);
         }
         if !old_list.is_empty() {
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -9,9 +9,9 @@
 
 /// A start up to this far in the future counts as one that has just happened, since clocks always differ a little.
 const MAX_CLOCK_SKEW: Nanos = 60 * SECOND;
-/// How long after a start discovery may first report it: a node counts as informed 6 s after discovery knew, at the latest, and
-/// the last message before that is up to 3 s old. A start that is reported later still was read from another clock.
-const MAX_REPORT_DELAY: Nanos = 10 * SECOND;
+/// How long after a start discovery may first report it: a node must comply with it 6 s after discovery knew, at the latest,
+/// and the last message before that is up to 3 s old. A start that is reported later still was read from another clock.
+const MAX_START_REPORT_DELAY: Nanos = 10 * SECOND;
 
 /// What is known about the clocks from which the times of a list were read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -53,5 +53,5 @@
     let by_current_wall_clock = listed.saturating_add_signed(clocks.wall_clock_shift.saturating_neg());
     let possible = [listed, by_current_wall_clock].into_iter().filter(|start| *start <= now + MAX_CLOCK_SKEW);
     let start = possible.max().unwrap_or(now).min(now);
-    if start + MAX_REPORT_DELAY < clocks.known_until { clocks.known_until } else { start }
+    if start + MAX_START_REPORT_DELAY < clocks.known_until { clocks.known_until } else { start }
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -13,8 +13,8 @@
     pub(crate) fn limit_connection(&mut self, connection: ConnectionId, until: Nanos) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.limit.until = until;
-        if until < state.limit.armed {
-            state.limit.armed = until;
+        if until < state.limit.timer_at {
+            state.limit.timer_at = until;
             self.set_timer(until, Timer::Connection(connection));
         }
     }
@@ -23,8 +23,8 @@
     pub(crate) fn limit_client(&mut self, client: ClientId, until: Nanos) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         state.limit.until = until;
-        if until < state.limit.armed {
-            state.limit.armed = until;
+        if until < state.limit.timer_at {
+            state.limit.timer_at = until;
             self.set_timer(until, Timer::Client(client));
         }
     }
@@ -46,11 +46,11 @@
         match timer {
             Timer::Dispatcher(timer_id) => self.pending_events.push_back(Event::TimerFired { timer_id }),
             Timer::Connection(connection) => {
-                let Some(state) = self.connections.get_mut(&connection).filter(|c| c.limit.armed == at)
+                let Some(state) = self.connections.get_mut(&connection).filter(|c| c.limit.timer_at == at)
                 else {
                     return;
                 };
-                state.limit.armed = Nanos::MAX;
+                state.limit.timer_at = Nanos::MAX;
                 let until = state.limit.until;
                 if until > self.now {
                     self.limit_connection(connection, until);
@@ -59,12 +59,13 @@
                 }
             }
             Timer::Client(client) => {
-                let Some(state) = self.clients.get_mut(&client).filter(|c| c.limit.armed == at) else {
+                let Some(state) = self.clients.get_mut(&client).filter(|c| c.limit.timer_at == at) else {
                     return;
                 };
-                state.limit.armed = Nanos::MAX;
+                state.limit.timer_at = Nanos::MAX;
                 let (until, phase) = (state.limit.until, state.phase);
                 if until == Nanos::MAX {
+                    // The client waits for the answer to its submission.
                 } else if until > self.now {
                     self.limit_client(client, until);
                 } else if phase == Phase::Idle {
@@ -116,10 +117,10 @@
                 idle.sort_unstable();
                 idle.into_iter().for_each(|client| self.close_when_idle(client));
             }
-            Timer::Report => {
+            Timer::Stats => {
                 self.expire_outcomes();
-                self.effects.push(Effect::Report(self.stats()));
-                self.set_timer(self.now.max(at) + REPORT_INTERVAL, Timer::Report);
+                self.effects.push(Effect::LogStats(self.stats()));
+                self.set_timer(self.now.max(at) + STATS_INTERVAL, Timer::Stats);
             }
         }
     }
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -658,9 +658,9 @@
 fn a_flood_of_silent_connections_evicts_its_own() {
     let mut node = Node::new(2);
     let (busy, connection) = node.start_execution(PAY);
-    let (usual, other) = node.start_execution(PAY);
+    let (established, other) = node.start_execution(PAY);
     node.end_execution(other, Outcome::Completed);
-    node.handle(Input::ClientPhase { client: usual, phase: Phase::Idle });
+    node.handle(Input::ClientPhase { client: established, phase: Phase::Idle });
     let mut evicted = Vec::new();
     for client in 100..400 {
         node.now += MS;
@@ -670,7 +670,7 @@
         evicted.extend(closed);
         assert!(!node.core.is_at_client_limit());
     }
-    assert!(evicted.len() > 200 && evicted.iter().all(|c| ![busy, usual].contains(c)));
+    assert!(evicted.len() > 200 && evicted.iter().all(|c| ![busy, established].contains(c)));
     node.end_execution(connection, Outcome::Completed);
     assert_eq!(node.answers().len(), 1);
 }
@@ -688,12 +688,16 @@
 #[case::silent(false, None, Some(2_500))]
 #[case::slow(false, Some(Phase::Reading), Some(2_500))]
 #[case::asks_for_health(false, Some(Phase::Idle), Some(2_500))]
-#[case::usual(true, Some(Phase::Idle), None)]
-#[case::usual_and_slow(true, Some(Phase::Reading), Some(3_500))]
+#[case::established(true, Some(Phase::Idle), None)]
+#[case::established_and_slow(true, Some(Phase::Reading), Some(3_500))]
 #[case::answered_for_good(false, Some(Phase::Closing), Some(3_500))]
-fn a_new_client_has_a_time_limit(#[case] usual: bool, #[case] phase: Option<Phase>, #[case] at: Option<u64>) {
+fn a_new_client_has_a_time_limit(
+    #[case] established: bool,
+    #[case] phase: Option<Phase>,
+    #[case] at: Option<u64>,
+) {
     let mut node = Node::new(1);
-    let client = if usual {
+    let client = if established {
         let (client, connection) = node.start_execution(PAY);
         node.end_execution(connection, Outcome::Completed);
         client
@@ -729,9 +733,9 @@
 ) {
     let with_deadline = format!("\"cutOffMs\": {deadline}, \"agreedTimeMs\"");
     let mut node = Node::with(&common::SETTINGS.replace("\"agreedTimeMs\"", &with_deadline), 1);
-    let (usual, connection) = node.start_execution(PAY);
+    let (established, connection) = node.start_execution(PAY);
     node.end_execution(connection, Outcome::Completed);
-    node.handle(Input::ClientPhase { client: usual, phase: Phase::Idle });
+    node.handle(Input::ClientPhase { client: established, phase: Phase::Idle });
     node.handle(Input::Stop);
     node.advance(MS);
     let (client, _) = node.start_execution(LOOK);
@@ -741,7 +745,8 @@
         if node.answers().iter().any(|(c, _)| *c == client) {
             answered.get_or_insert(ms);
         }
-        if node.effects.iter().any(|e| matches!(e, Effect::CloseClient { client } if *client == usual)) {
+        if node.effects.iter().any(|e| matches!(e, Effect::CloseClient { client } if *client == established))
+        {
             idle_closed.get_or_insert(ms);
         }
     }
@@ -1035,7 +1040,7 @@
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), last_client: 0 };
     let within = 500 * MS;
     let (nodes, connects_per_s, lists_per_s, sessions_per_s) = (1, per_s, per_s, per_s);
-    let terms = StartLimits {
+    let limits = StartLimits {
         nodes,
         connects_per_s,
         lists_per_s,
@@ -1045,7 +1050,7 @@
         share_timeout: within,
     };
     let start = StagedStart::new(
-        terms,
+        limits,
         StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: true },
         [0.0; 2],
         node.now,
@@ -1260,7 +1265,7 @@
     assert_eq!(reported_or_panicked.unwrap_or(true), !allowed);
 }
 
-// A node counts as informed of what discovery knows 6 s after discovery knew it and could be reached. By then a call must have
+// A node must comply with what discovery knows 6 s after discovery knew it and could be reached. By then a call must have
 // begun and have had time to be answered, whatever became of the previous call.
 #[rstest]
 #[case::refused(0, false, 4_750)]
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -271,9 +271,9 @@
 
     fn list_received(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
         if let (Some(limit), ListKind::Failed | ListKind::Cached) = (self.config.list_refresh_limit, kind) {
-            // The list is requested in time, because a node counts as informed of a drain even if it made no
-            // request that could have shown it. But requests that all nodes make together, or repeat at once
-            // after a failure, overload discovery: they fail, and all nodes get the changes late.
+            // The list is requested in time, because a node must comply with a drain even if it made no request
+            // that could have shown it. But requests that all nodes make together, or repeat at once after a
+            // failure, overload discovery: they fail, and all nodes get the changes late.
             self.failed_list_requests =
                 if kind == ListKind::Failed { (self.failed_list_requests + 1).min(MAX_DOUBLINGS) } else { 0 };
             let per_node = (self.config.connect_timeout / LIST_SPREAD_DIVISOR) << self.failed_list_requests;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -504,7 +504,7 @@
                 tracing::debug!(%id, why = refusal.as_str(), when = occasion.as_str(), "execution not begun");
             }
             Effect::InvariantBroken(what) => tracing::error!(what, "invariant broken"),
-            Effect::Report(stats) => {
+            Effect::LogStats(stats) => {
                 tracing::info!(
                     taken = stats.taken,
                     satisfied = stats.satisfied,
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -34,7 +34,7 @@
             Effect::CloseConnection { connection } => self.close_connection(id(connection)),
             Effect::RequestList => self.request_list(node, incarnation),
             Effect::InvariantBroken(message) => self.judge.breach(Rule::Invariant, self.now, message.into()),
-            Effect::Report(_) | Effect::Stage(_) | Effect::Refused { .. } => {}
+            Effect::LogStats(_) | Effect::Stage(_) | Effect::Refused { .. } => {}
             Effect::Persist { record, ticket } => {
                 let sync = millis(self.scenario.nodes.sync_ms);
                 self.schedule_after(sync, Event::RecordPersisted { node, incarnation, record, ticket });
