--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -17,7 +17,7 @@
             limit: Limit::NONE,
         };
         self.clients.insert(client, state);
-        self.client_phase(client, Phase::Idle);
+        self.set_client_phase(client, Phase::Idle);
         self.make_room_after(client);
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Records which phase a client connection is in, and sets the time limit of that phase.
-    pub(crate) fn client_phase(&mut self, client: ClientId, phase: Phase) {
+    pub(crate) fn set_client_phase(&mut self, client: ClientId, phase: Phase) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         if phase == Phase::Reading && state.phase == Phase::Reading {
             // A client that sends a byte now and then gets no more time.
@@ -87,7 +87,7 @@
         if self.now >= self.lease_until {
             self.stats.fenced += 1;
             state.new_since = None;
-            self.client_phase(client, Phase::Answering);
+            self.set_client_phase(client, Phase::Answering);
             let answer = Answer::Dismissed(self.short_retry_after());
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
@@ -95,13 +95,13 @@
         if let Some(answer) = stored_answer {
             self.stats.remembered += 1;
             state.new_since = None;
-            self.client_phase(client, Phase::Answering);
+            self.set_client_phase(client, Phase::Answering);
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
         }
         if let Some(StartRefusal { retry_after }) = refused_during_start {
             state.new_since = None;
-            self.client_phase(client, Phase::Answering);
+            self.set_client_phase(client, Phase::Answering);
             let (last, version, answer) =
                 (self.closing_clients, self.settings_version, Answer::Dismissed(retry_after));
             return self.effects.push(Effect::Answer { client, answer, last, version });
@@ -110,7 +110,7 @@
         // twice for one id answers with an error, which would count as a failure of the executor.
         if !self.open_ids.insert(new.request.id.clone()) {
             self.stats.turned_down += 1;
-            self.client_phase(client, Phase::Answering);
+            self.set_client_phase(client, Phase::Answering);
             return self.effects.push(Effect::Answer {
                 client,
                 answer: Answer::DuplicateId,
@@ -171,7 +171,7 @@
         if matches!(answer, Answer::Dismissed(_)) {
             self.record_outcome(submission, StoredOutcome::NeverSent);
         }
-        self.client_phase(client, Phase::Answering);
+        self.set_client_phase(client, Phase::Answering);
         self.effects.push(Effect::Answer { client, answer, last: self.closing_clients, version });
     }
 }
--- a/crates/core/src/connections.rs
+++ b/crates/core/src/connections.rs
@@ -55,7 +55,7 @@
         let mut timeout = self.connect_timeout;
         if let Exchange::Execution(submission, execution) = exchange {
             let now = self.now;
-            if let Some(attempt) = self.attempt(submission, execution) {
+            if let Some(attempt) = self.attempt_mut(submission, execution) {
                 attempt.connection = Some(connection);
                 timeout = timeout.min(attempt.deadline.saturating_sub(now));
             }
@@ -124,7 +124,7 @@
                 now + self.connect_timeout / PROBE_TIMEOUT_DIVISOR
             }
             Exchange::Execution(submission, execution) => {
-                let Some(attempt) = self.attempt(submission, execution) else { return };
+                let Some(attempt) = self.attempt_mut(submission, execution) else { return };
                 attempt.connection = Some(connection);
                 let deadline = attempt.deadline;
                 if !self.persist_before_send(connection, submission, execution) {
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -37,14 +37,20 @@
     }
 
     /// The record of one execution of a submission.
-    pub(crate) fn attempt(&mut self, submission: Submission, execution: Execution) -> Option<&mut Attempt> {
+    pub(crate) fn attempt_mut(
+        &mut self,
+        submission: Submission,
+        execution: Execution,
+    ) -> Option<&mut Attempt> {
         let accepted = self.accepted.get_mut(submission as usize)?.as_mut()?;
         accepted.executions.get_mut(usize::from(execution))
     }
 
     /// Cancels an execution that waits for its connection or is in flight.
     pub(crate) fn cancel(&mut self, submission: Submission, execution: Execution) {
-        let Some(connection) = self.attempt(submission, execution).and_then(|a| a.connection) else { return };
+        let Some(connection) = self.attempt_mut(submission, execution).and_then(|a| a.connection) else {
+            return;
+        };
         let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.phase == ConnectionPhase::Opening {
             // Nothing was sent; the connection can carry another exchange once it is established.
@@ -67,7 +73,7 @@
         report: Option<Report>,
     ) {
         let now = self.now;
-        let Some(attempt) = self.attempt(submission, execution) else { return };
+        let Some(attempt) = self.attempt_mut(submission, execution) else { return };
         attempt.connection = None;
         let (worker, duration) = (attempt.worker, now - attempt.started_at);
         self.inform_start_of_outcome(worker, outcome);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -559,11 +559,11 @@
             Input::ListFailed { silent_for, overloaded } => self.list_failed(silent_for, overloaded),
             Input::PeerObservations { observations } => self.peer_observations(observations),
             Input::ClientConnected { client } => self.client_connected(client),
-            Input::ClientPhase { client, phase } => self.client_phase(client, phase),
+            Input::ClientPhase { client, phase } => self.set_client_phase(client, phase),
             Input::ClientDisconnected { client } => self.client_disconnected(client),
             Input::RequestRejected { client } => {
                 self.stats.turned_down += 1;
-                self.client_phase(client, Phase::Answering);
+                self.set_client_phase(client, Phase::Answering);
             }
             Input::Submitted { client, submission } => self.submitted(client, submission),
             Input::ExecutorConnected { connection } => self.connection_established(connection),
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -183,7 +183,7 @@
         };
         let (worker, address) = (state.worker, state.address);
         if durable && self.permit(Occasion::Durable, worker, address, exchange).is_ok() {
-            let deadline = self.attempt(submission, execution).map_or(0, |attempt| attempt.deadline);
+            let deadline = self.attempt_mut(submission, execution).map_or(0, |attempt| attempt.deadline);
             let timeout = deadline.saturating_sub(self.now);
             return self.effects.push(Effect::Send { connection, request, timeout, version });
         }
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -1275,7 +1275,7 @@
 #[case::down(1, true, 4_750)]
 // The call waited and was turned away, because others were ahead of it. Calling again at once would keep all nodes from the list.
 #[case::overbooked(3_000, true, 5_750)]
-// By the strictest reading what discovery knew in that time counts all the same, since it was up.
+// By the strictest reading a node must comply with what discovery knew during the wait, since discovery was up.
 #[case::overbooked_by_the_strictest_reading(3_000, true, 1_750)]
 fn the_list_is_asked_for_again_in_time(
     #[case] silent_for: u64,
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -311,7 +311,7 @@
         let reserved = (excess / EXCESS_RESERVE_DIVISOR).max(RESERVED_SHARE * payoff_gap);
         let (ready, allowed) = (self.fleet.ready.len().max(1) as f64, choice.allowed_workers as f64);
         let limit = (self.traffic.load_limit * self.fleet.capacity() / ready).max(1.0) * allowed;
-        let full = choice.below_threshold == 0 && choice.mean_own_slots * allowed + job.slots > limit;
+        let full = choice.workers_below_threshold == 0 && choice.mean_own_slots * allowed + job.slots > limit;
         // While hardly any job starts at once, all answers would be late, so a random part is dismissed.
         let min_room_share =
             if self.config.reports_start { OVERLOAD_ROOM_SHARE * self.rng.f64() } else { 0.0 };
@@ -415,8 +415,8 @@
         if not_ejected < ejected.offered && rng.usize(..not_ejected + ejected.offered) >= not_ejected {
             joinable.pick = ejected.pick;
         }
-        // Unknown workers are drawn from all ready ones. If a retry may go to only a few workers, draws among all
-        // would hardly find one of them.
+        // Unknown workers are drawn from all ready ones. If a retry may go to only a few workers, draws among
+        // all would hardly find one of them.
         let restricted = state.first_possible_run.is_some() && product.repeat_policy.limits_retries();
         let permitted =
             || fleet.ready.iter().copied().filter(|w| self.may_execute(state, *w)).collect::<Vec<_>>();
@@ -474,9 +474,9 @@
         };
         let room_share =
             (with_room as f64 + unknown * unknown_room_share) / (available as f64 + unknown).max(1.0);
-        let below_threshold = below.offered + usize::from(pick.is_some() && pick != joinable.pick);
+        let workers_below_threshold = below.offered + usize::from(pick.is_some() && pick != joinable.pick);
         self.rng = rng;
-        Choice { room_share, below_threshold, pick, allowed_workers: allowed, mean_own_slots }
+        Choice { room_share, workers_below_threshold, pick, allowed_workers: allowed, mean_own_slots }
     }
 
     /// Returns whether a worker is below threshold: by what is known of it, it would start this submission at
@@ -590,7 +590,8 @@
         let (now, state) = (self.now, &mut self.submissions[submission as usize]);
         let expected_duration = self.answer_times[usize::from(state.job.product)].mean;
         self.traffic.slots_in_flight += state.job.slots;
-        let mut execution = state.send(submission, worker, now, self.config.reports_start, expected_duration);
+        let mut execution =
+            state.begin_execution(submission, worker, now, self.config.reports_start, expected_duration);
         let worker_state = self.fleet.track(worker);
         // The other end may have silently dropped a connection that was idle for too long, and a job sent on
         // it would be lost.
@@ -601,7 +602,7 @@
             Some(_) => self.actions.push(Action::CloseIdleConnections { worker }),
             None => {}
         }
-        worker_state.send(execution);
+        worker_state.add_execution(execution);
         // If the execution times out, half of the margin is left to answer the client.
         let timeout = state.job.deadline - now - self.config.deadline_margin / 2;
         self.actions.push(Action::Execute { submission, worker, timeout });
@@ -652,7 +653,7 @@
         let (now, outcome) = (self.now, ending.outcome);
         let Some(worker) = self.fleet.workers.get_mut(ending.worker as usize) else { return };
         let Some(state) = self.submissions.get_mut(ending.submission as usize) else { return };
-        let Some(execution) = worker.end(ending.submission, ending.execution) else { return };
+        let Some(execution) = worker.remove_execution(ending.submission, ending.execution) else { return };
         state.execution_ended(!outcome.never_ran());
         self.traffic.slots_in_flight = (self.traffic.slots_in_flight - execution.slots).max(0.0);
         let (product, took) = (usize::from(state.job.product), ending.took as f64);
@@ -876,10 +877,10 @@
         }
         self.fleet[worker].in_flight[index].last_search = now;
         let choice = self.choose(submission);
-        if choice.below_threshold > 0 && stuck {
+        if choice.workers_below_threshold > 0 && stuck {
             self.traffic.record_start(false, connection_idle_time);
             self.actions.push(Action::Cancel { submission, execution });
-        } else if choice.below_threshold > 0 {
+        } else if choice.workers_below_threshold > 0 {
             self.execute(submission, &choice);
         }
     }
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -1,8 +1,8 @@
 //! The interface of the decisions: the events that go in, the actions that come out, and the configuration.
 //!
-//! Times are nanoseconds on the caller's monotonic clock. Submissions and workers are small indices that
-//! the caller assigns. A submission keeps its index until its last execution has ended, and a worker keeps
-//! its index until [`Event::Retired`].
+//! Times are nanoseconds on the caller's monotonic clock. Submissions and workers are identified by small
+//! indices that the caller assigns. A submission keeps its index until its last execution has ended, and a
+//! worker keeps its index until [`Event::Retired`].
 
 /// A time or a duration in nanoseconds.
 pub type Nanos = u64;
--- a/crates/dispatch/src/worker_stats.rs
+++ b/crates/dispatch/src/worker_stats.rs
@@ -110,7 +110,9 @@
     pub(crate) known_slots: f64,
     /// This node's executions there, the oldest first.
     pub(crate) in_flight: Vec<InFlight>,
+    /// The slots that these executions take.
     pub(crate) own_slots: f64,
+    /// The memory that they take.
     pub(crate) own_memory: f64,
     /// When one of this node's jobs there last sent a message.
     pub(crate) last_progress: Nanos,
@@ -143,7 +145,8 @@
 }
 
 impl WorkerState {
-    pub(crate) fn send(&mut self, execution: InFlight) {
+    /// Adds an execution that this node sends to the worker.
+    pub(crate) fn add_execution(&mut self, execution: InFlight) {
         if self.in_flight.is_empty() {
             self.last_progress = execution.sent_at;
         }
@@ -276,7 +279,12 @@
             && reported_at > execution.last_progress + interval
     }
 
-    pub(crate) fn end(&mut self, submission: Submission, execution: Execution) -> Option<InFlight> {
+    /// Removes an execution that has ended, and returns it.
+    pub(crate) fn remove_execution(
+        &mut self,
+        submission: Submission,
+        execution: Execution,
+    ) -> Option<InFlight> {
         let i = self.in_flight.iter().position(|e| e.submission == submission && e.execution == execution)?;
         let ended = self.in_flight.remove(i);
         // The sums are computed anew so that rounding errors do not accumulate.
@@ -313,7 +321,8 @@
 }
 
 impl SubmissionState {
-    pub(crate) fn send(
+    /// Begins the next execution, on this worker, and returns it.
+    pub(crate) fn begin_execution(
         &mut self,
         submission: Submission,
         worker: Worker,
@@ -663,7 +672,7 @@
     /// The estimated part of the workers that are below threshold.
     pub(crate) room_share: f64,
     /// The number of workers found below threshold.
-    pub(crate) below_threshold: usize,
+    pub(crate) workers_below_threshold: usize,
     pub(crate) pick: Option<Worker>,
     /// The number of ready workers that the submission may go to.
     pub(crate) allowed_workers: usize,
--- a/crates/dispatch/tests/decisions.rs
+++ b/crates/dispatch/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the decisions alone: events go in, and the actions that come out are checked.
+//! Tests of the dispatcher alone: events go in, and the actions that come out are checked.
 
 use linestack_dispatch::decide::Dispatcher;
 use linestack_dispatch::types::*;
