--- a/crates/core/src/clients.rs
+++ b/crates/core/src/clients.rs
@@ -10,14 +10,14 @@
     pub(crate) fn client_connected(&mut self, client: ClientId) {
         let state = ClientState {
             submission: None,
-            phase: Phase::Idle,
+            phase: ClientPhase::Idle,
             since: self.now,
             new_since: Some(self.now),
             evicted: false,
             limit: Limit::NONE,
         };
         self.clients.insert(client, state);
-        self.set_client_phase(client, Phase::Idle);
+        self.set_client_phase(client, ClientPhase::Idle);
         self.make_room_after(client);
     }
 
@@ -26,7 +26,7 @@
     pub(crate) fn close_when_idle(&mut self, client: ClientId) {
         let Some(state) = self.clients.get(&client) else { return };
         let close_at = match (state.phase, state.new_since) {
-            (Phase::Closing, _) => state.limit.until.min(self.now + CLOSE_GRACE),
+            (ClientPhase::Closing, _) => state.limit.until.min(self.now + CLOSE_GRACE),
             (_, Some(since)) => since + CLOSE_GRACE,
             (_, None) => self.now,
         };
@@ -38,22 +38,22 @@
     }
 
     /// Records which phase a client connection is in, and sets the time limit of that phase.
-    pub(crate) fn set_client_phase(&mut self, client: ClientId, phase: Phase) {
+    pub(crate) fn set_client_phase(&mut self, client: ClientId, phase: ClientPhase) {
         let Some(state) = self.clients.get_mut(&client) else { return };
-        if phase == Phase::Reading && state.phase == Phase::Reading {
+        if phase == ClientPhase::Reading && state.phase == ClientPhase::Reading {
             // A client that sends a byte now and then gets no more time.
             return;
         }
         (state.phase, state.since) = (phase, self.now);
-        state.evicted &= phase != Phase::Closing;
+        state.evicted &= phase != ClientPhase::Closing;
         let until = match (phase, state.new_since) {
-            (Phase::Idle | Phase::Reading, Some(since)) => since + REQUEST_READ_TIMEOUT,
-            (Phase::Idle, None) => self.now + CLIENT_IDLE_TIMEOUT,
-            (Phase::Reading | Phase::Closing, _) => self.now + REQUEST_READ_TIMEOUT,
-            (Phase::Answering, _) => self.now + RESPONSE_READ_TIMEOUT,
+            (ClientPhase::Idle | ClientPhase::Reading, Some(since)) => since + REQUEST_READ_TIMEOUT,
+            (ClientPhase::Idle, None) => self.now + CLIENT_IDLE_TIMEOUT,
+            (ClientPhase::Reading | ClientPhase::Closing, _) => self.now + REQUEST_READ_TIMEOUT,
+            (ClientPhase::Answering, _) => self.now + RESPONSE_READ_TIMEOUT,
         };
         self.limit_client(client, until);
-        if self.closing_clients && matches!(phase, Phase::Idle | Phase::Closing) {
+        if self.closing_clients && matches!(phase, ClientPhase::Idle | ClientPhase::Closing) {
             self.close_when_idle(client);
         }
     }
@@ -87,7 +87,7 @@
         if self.now >= self.lease_until {
             self.stats.fenced += 1;
             state.new_since = None;
-            self.set_client_phase(client, Phase::Answering);
+            self.set_client_phase(client, ClientPhase::Answering);
             let answer = Answer::Dismissed(self.short_retry_after());
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
@@ -95,13 +95,13 @@
         if let Some(answer) = stored_answer {
             self.stats.remembered += 1;
             state.new_since = None;
-            self.set_client_phase(client, Phase::Answering);
+            self.set_client_phase(client, ClientPhase::Answering);
             let (last, version) = (self.closing_clients, self.settings_version);
             return self.effects.push(Effect::Answer { client, answer, last, version });
         }
         if let Some(StartRefusal { retry_after }) = refused_during_start {
             state.new_since = None;
-            self.set_client_phase(client, Phase::Answering);
+            self.set_client_phase(client, ClientPhase::Answering);
             let (last, version, answer) =
                 (self.closing_clients, self.settings_version, Answer::Dismissed(retry_after));
             return self.effects.push(Effect::Answer { client, answer, last, version });
@@ -110,7 +110,7 @@
         // twice for one id answers with an error, which would count as a failure of the executor.
         if !self.open_ids.insert(new.request.id.clone()) {
             self.stats.turned_down += 1;
-            self.set_client_phase(client, Phase::Answering);
+            self.set_client_phase(client, ClientPhase::Answering);
             return self.effects.push(Effect::Answer {
                 client,
                 answer: Answer::DuplicateId,
@@ -122,7 +122,7 @@
         if submission as usize == self.accepted.len() {
             self.accepted.push(None);
         }
-        (state.submission, state.phase, state.new_since) = (Some(submission), Phase::Reading, None);
+        (state.submission, state.phase, state.new_since) = (Some(submission), ClientPhase::Reading, None);
         state.limit.until = Nanos::MAX;
         self.stats.taken += 1;
         let deadline = (self.now + new.timeout.min(self.max_client_timeout)).min(self.answer_deadline);
@@ -171,7 +171,7 @@
         if matches!(answer, Answer::Dismissed(_)) {
             self.record_outcome(submission, StoredOutcome::NeverSent);
         }
-        self.set_client_phase(client, Phase::Answering);
+        self.set_client_phase(client, ClientPhase::Answering);
         self.effects.push(Effect::Answer { client, answer, last: self.closing_clients, version });
     }
 }
--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -49,10 +49,10 @@
             return None;
         }
         match (self.phase, self.new_since) {
-            (Phase::Closing | Phase::Answering, _) => None,
+            (ClientPhase::Closing | ClientPhase::Answering, _) => None,
             (_, Some(_)) => Some(EvictionClass::New),
-            (Phase::Idle, None) => Some(EvictionClass::Idle),
-            (Phase::Reading, None) => Some(EvictionClass::PartialRequest),
+            (ClientPhase::Idle, None) => Some(EvictionClass::Idle),
+            (ClientPhase::Reading, None) => Some(EvictionClass::PartialRequest),
         }
     }
 }
@@ -136,7 +136,7 @@
     fn oldest_closing(&self, except: Option<ClientId>) -> Option<ClientId> {
         let closing = self.clients.iter().filter(|(client, state)| {
             Some(**client) != except
-                && state.phase == Phase::Closing
+                && state.phase == ClientPhase::Closing
                 && state.submission.is_none()
                 && !state.evicted
         });
@@ -146,10 +146,10 @@
     fn evict(&mut self, client: ClientId) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         state.evicted = true;
-        self.stats.evicted += u64::from(state.phase != Phase::Closing);
+        self.stats.evicted += u64::from(state.phase != ClientPhase::Closing);
         self.effects.push(match state.phase {
             // A request that has arrived in the meantime is still served.
-            Phase::Idle => Effect::CloseClient { client },
+            ClientPhase::Idle => Effect::CloseClient { client },
             _ => Effect::DropClient { client },
         });
     }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -61,7 +61,7 @@
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ClientPhase {
     /// No request is being read or answered.
     Idle,
     /// A request is being received.
@@ -116,7 +116,7 @@
     /// A client has connected.
     ClientConnected { client: ClientId },
     /// A client's connection has entered another phase.
-    ClientPhase { client: ClientId, phase: Phase },
+    ClientPhase { client: ClientId, phase: ClientPhase },
     /// A client's connection has ended.
     ClientDisconnected { client: ClientId },
     /// A client's request was invalid. The client gets an error, and its connection is then closed.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -193,7 +193,7 @@
 #[derive(Debug)]
 struct ClientState {
     submission: Option<Submission>,
-    phase: Phase,
+    phase: ClientPhase,
     /// When the phase began.
     since: Nanos,
     /// When the client connected, while it is new; `None` once a submission of it was accepted or answered.
@@ -563,7 +563,7 @@
             Input::ClientDisconnected { client } => self.client_disconnected(client),
             Input::RequestRejected { client } => {
                 self.stats.turned_down += 1;
-                self.set_client_phase(client, Phase::Answering);
+                self.set_client_phase(client, ClientPhase::Answering);
             }
             Input::Submitted { client, submission } => self.submitted(client, submission),
             Input::ExecutorConnected { connection } => self.connection_established(connection),
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -68,7 +68,7 @@
                     // The client waits for the answer to its submission.
                 } else if until > self.now {
                     self.limit_client(client, until);
-                } else if phase == Phase::Idle {
+                } else if phase == ClientPhase::Idle {
                     self.effects.push(Effect::CloseClient { client });
                 } else {
                     self.effects.push(Effect::DropClient { client });
@@ -112,7 +112,7 @@
                 self.closing_clients = true;
                 self.set_timer(self.now + CLOSE_GRACE, Timer::ExitWhenEmpty);
                 let idle = self.clients.iter().filter(|(_, c)| c.submission.is_none());
-                let idle = idle.filter(|(_, c)| matches!(c.phase, Phase::Idle | Phase::Closing));
+                let idle = idle.filter(|(_, c)| matches!(c.phase, ClientPhase::Idle | ClientPhase::Closing));
                 let mut idle: Vec<ClientId> = idle.map(|(client, _)| *client).collect();
                 idle.sort_unstable();
                 idle.into_iter().for_each(|client| self.close_when_idle(client));
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -469,8 +469,8 @@
     while !node.core.is_at_client_limit() {
         // The submission is refused before the first list, but the client is not new any more.
         let client = node.submit(LOOK, 5_000 * MS);
-        node.handle(Input::ClientPhase { client, phase: Phase::Idle });
-        node.handle(Input::ClientPhase { client, phase: Phase::Reading });
+        node.handle(Input::ClientPhase { client, phase: ClientPhase::Idle });
+        node.handle(Input::ClientPhase { client, phase: ClientPhase::Reading });
         node.advance(MS);
     }
     let dropped = |node: &Node| {
@@ -484,8 +484,8 @@
     assert!(dropped(&node).is_empty());
     node.advance(10 * MS);
     assert_eq!(dropped(&node), [1]);
-    node.handle(Input::ClientPhase { client: 1, phase: Phase::Answering });
-    node.handle(Input::ClientPhase { client: 1, phase: Phase::Closing });
+    node.handle(Input::ClientPhase { client: 1, phase: ClientPhase::Answering });
+    node.handle(Input::ClientPhase { client: 1, phase: ClientPhase::Closing });
     node.advance(20 * MS);
     assert!(dropped(&node).contains(&1), "not dropped, although others wait for the room");
     node.handle(Input::ClientDisconnected { client: 1 });
@@ -660,7 +660,7 @@
     let (busy, connection) = node.start_execution(PAY);
     let (established, other) = node.start_execution(PAY);
     node.end_execution(other, Outcome::Completed);
-    node.handle(Input::ClientPhase { client: established, phase: Phase::Idle });
+    node.handle(Input::ClientPhase { client: established, phase: ClientPhase::Idle });
     let mut evicted = Vec::new();
     for client in 100..400 {
         node.now += MS;
@@ -686,14 +686,14 @@
 // may be silent.
 #[rstest]
 #[case::silent(false, None, Some(2_500))]
-#[case::slow(false, Some(Phase::Reading), Some(2_500))]
-#[case::asks_for_health(false, Some(Phase::Idle), Some(2_500))]
-#[case::established(true, Some(Phase::Idle), None)]
-#[case::established_and_slow(true, Some(Phase::Reading), Some(3_500))]
-#[case::answered_for_good(false, Some(Phase::Closing), Some(3_500))]
+#[case::slow(false, Some(ClientPhase::Reading), Some(2_500))]
+#[case::asks_for_health(false, Some(ClientPhase::Idle), Some(2_500))]
+#[case::established(true, Some(ClientPhase::Idle), None)]
+#[case::established_and_slow(true, Some(ClientPhase::Reading), Some(3_500))]
+#[case::answered_for_good(false, Some(ClientPhase::Closing), Some(3_500))]
 fn a_new_client_has_a_time_limit(
     #[case] established: bool,
-    #[case] phase: Option<Phase>,
+    #[case] phase: Option<ClientPhase>,
     #[case] at: Option<u64>,
 ) {
     let mut node = Node::new(1);
@@ -713,7 +713,7 @@
             found = Some((node.now - start) / MS);
         }
         // A client that sends a byte now and then gets no more time.
-        if let Some(phase) = phase.filter(|p| ms == 999 || (ms == 1_999 && *p == Phase::Reading)) {
+        if let Some(phase) = phase.filter(|p| ms == 999 || (ms == 1_999 && *p == ClientPhase::Reading)) {
             node.handle(Input::ClientPhase { client, phase });
         }
     }
@@ -735,7 +735,7 @@
     let mut node = Node::with(&common::SETTINGS.replace("\"agreedTimeMs\"", &with_deadline), 1);
     let (established, connection) = node.start_execution(PAY);
     node.end_execution(connection, Outcome::Completed);
-    node.handle(Input::ClientPhase { client: established, phase: Phase::Idle });
+    node.handle(Input::ClientPhase { client: established, phase: ClientPhase::Idle });
     node.handle(Input::Stop);
     node.advance(MS);
     let (client, _) = node.start_execution(LOOK);
@@ -755,16 +755,16 @@
 }
 
 #[rstest]
-#[case::sends_too_slowly(Phase::Reading, true)]
-#[case::reads_too_slowly(Phase::Answering, true)]
-#[case::idle(Phase::Idle, false)]
-fn a_client_may_not_keep_the_node_waiting(#[case] phase: Phase, #[case] dropped: bool) {
+#[case::sends_too_slowly(ClientPhase::Reading, true)]
+#[case::reads_too_slowly(ClientPhase::Answering, true)]
+#[case::idle(ClientPhase::Idle, false)]
+fn a_client_may_not_keep_the_node_waiting(#[case] phase: ClientPhase, #[case] dropped: bool) {
     let mut node = Node::new(1);
     node.handle(Input::ClientConnected { client: 1 });
     let mut effects = Vec::new();
     for second in 0..6 {
         // A client that sends a byte now and then gets no more time.
-        if second == 0 || phase == Phase::Reading {
+        if second == 0 || phase == ClientPhase::Reading {
             node.handle(Input::ClientPhase { client: 1, phase });
         }
         node.advance(1_000 * MS);
@@ -1349,7 +1349,7 @@
         for effect in effects {
             match effect {
                 Effect::CloseClient { client } => {
-                    node.handle(Input::ClientPhase { client, phase: Phase::Closing });
+                    node.handle(Input::ClientPhase { client, phase: ClientPhase::Closing });
                     closing.push(client);
                 }
                 Effect::DropClient { client } => {
@@ -1388,7 +1388,7 @@
         node.start_execution(PAY);
     } else {
         node.handle(Input::ClientConnected { client: 1 });
-        node.handle(Input::ClientPhase { client: 1, phase: Phase::Answering });
+        node.handle(Input::ClientPhase { client: 1, phase: ClientPhase::Answering });
     }
     node.handle(Input::Stop);
     let (mut answered, mut exited) = (None, None);
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -773,7 +773,7 @@
                 eject(state, false);
             }
             // Only a probe finds a hung worker, so one that holds jobs of this node must not go long without.
-            let overdue = busy
+            let unprobed_too_long = busy
                 && state.probes_to_return == 0
                 && state.reported_at.is_none_or(|r| now - r > max_unprobed);
             if state.entry.health == Health::Gone {
@@ -781,13 +781,14 @@
             } else if !self.config.may_probe {
                 self.probe_answered(worker);
             } else if state.probe_sent_at.is_none()
-                && (overdue || (state.is_due_for_probe(now) && probe_debt < MAX_PROBE_DEBT_PROBES))
+                && (unprobed_too_long || (state.is_due_for_probe(now) && probe_debt < MAX_PROBE_DEBT_PROBES))
             {
                 // All nodes probe a worker that is down, so the interval is random and doubles each time.
                 let wait = period << state.unanswered_probes.min(MAX_DOUBLINGS);
                 (state.probe_sent_at, state.next_probe_at) =
                     (Some(now), now + wait / 2 + self.rng.u64(..=wait));
-                self.traffic.probe_budget.probes -= f64::from(u8::from(!overdue));
+                // Probes of busy workers are not charged to the budget: `max_unprobed` limits them.
+                self.traffic.probe_budget.probes -= f64::from(u8::from(!unprobed_too_long));
                 self.actions.push(Action::Probe { worker });
             }
             for j in 0..self.fleet[worker].in_flight.len() {
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -17,7 +17,7 @@
 use super::arrivals::ArrivalTimes;
 use super::{Mailbox, Node, YIELD_PAUSE, spawn};
 use crate::http::{self, HttpError, WriteQueue};
-use linestack_core::{Answer, ClientId, Input, Nanos, Phase};
+use linestack_core::{Answer, ClientId, ClientPhase, Input, Nanos};
 
 use answer::{CONTINUE, empty_response, encode_answer};
 use reading::{Overflow, READ_AHEAD_BYTES, ReadStatus, read};
@@ -267,7 +267,7 @@
                             );
                         }
                         Ok(false) => {
-                            node.handle_input(Input::ClientPhase { client, phase: Phase::Reading });
+                            node.handle_input(Input::ClientPhase { client, phase: ClientPhase::Reading });
                             if let Some(incoming) = head
                                 && std::mem::take(&mut incoming.expects_continue)
                                 && input.is_empty()
@@ -318,7 +318,7 @@
                                 // An idle connection keeps no buffer.
                                 input = BytesMut::new();
                             }
-                            node.handle_input(Input::ClientPhase { client, phase: Phase::Idle });
+                            node.handle_input(Input::ClientPhase { client, phase: ClientPhase::Idle });
                         }
                     }
                 }
@@ -349,7 +349,7 @@
 /// Ends the sending side of the connection; the client gets some time to close its own.
 fn shut_down_write(node: &Arc<Node>, client: ClientId, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
-    node.handle_input(Input::ClientPhase { client, phase: Phase::Closing });
+    node.handle_input(Input::ClientPhase { client, phase: ClientPhase::Closing });
     Ok(())
 }
 
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use linestack_core::{Answer, ClientId, ConnectionId as CoreConnectionId, Effect, Input, Nanos, Phase};
+use linestack_core::{Answer, ClientId, ClientPhase, ConnectionId as CoreConnectionId, Effect, Input, Nanos};
 
 use super::event::{ClientOutcome, Event};
 use super::fleet::executor_at;
@@ -54,7 +54,7 @@
         self.schedule_after(delay, Event::ResponseAtClient { attempt, outcome });
         let state = &mut self.nodes[node];
         if state.incarnation == incarnation {
-            state.inbox.push_back(Input::ClientPhase { client, phase: Phase::Idle });
+            state.inbox.push_back(Input::ClientPhase { client, phase: ClientPhase::Idle });
             state.inbox.push_back(Input::ClientDisconnected { client });
         }
     }
