--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/eviction.rs
@@ -16,13 +16,18 @@
 /// Each such check evicts one part in this many of the allowed connections.
 const EVICTION_DIVISOR: usize = 16;
 
+/// Room is short when the clients exceed this many quarters of the allowed connections.
+const SHORT_ROOM_QUARTERS: usize = 3;
+/// Beyond this many eighths, there is little room even for connections that are being closed.
+const CLOSING_ROOM_EIGHTHS: usize = 7;
+
 /// How long room for clients has been short.
 #[derive(Debug, Default)]
 pub(crate) struct ClientRoom {
     /// When the limit was reached for the first time since room became short; `None` while there is enough room.
     short_since: Option<Nanos>,
     /// The timer of the next check is set.
-    check_armed: bool,
+    check_scheduled: bool,
 }
 
 /// The classes of connections that can be evicted, in the order of eviction: those that have used the node least and lose
@@ -30,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
     /// It has not sent a request yet. A flood of connections without requests therefore evicts its own connections first.
-    Newcomer,
+    New,
     /// It has sent requests before and is idle.
     Idle,
     /// It has sent requests before, and the next one is partly received. The client gets an error; nothing was executed.
@@ -43,18 +48,18 @@
         if self.submission.is_some() || self.evicted {
             return None;
         }
-        match (self.phase, self.newcomer_since) {
-            (Phase::Closing | Phase::Answering, _) => None,
-            (_, Some(_)) => Some(EvictionClass::Newcomer),
-            (Phase::Idle, None) => Some(EvictionClass::Idle),
-            (Phase::Reading, None) => Some(EvictionClass::PartialRequest),
+        match (self.phase, self.new_since) {
+            (ClientPhase::Closing | ClientPhase::Answering, _) => None,
+            (_, Some(_)) => Some(EvictionClass::New),
+            (ClientPhase::Idle, None) => Some(EvictionClass::Idle),
+            (ClientPhase::Reading, None) => Some(EvictionClass::PartialRequest),
         }
     }
 }
 
 impl Core {
     fn room_is_short(&self) -> bool {
-        self.clients.len() > self.max_clients * 3 / 4
+        self.clients.len() > self.max_clients * SHORT_ROOM_QUARTERS / 4
     }
 
     /// Updates the record of how long room has been short, after a change in the number of clients.
@@ -67,10 +72,10 @@
     }
 
     /// Evicts another connection after a client has connected, if room is short.
-    pub(crate) fn make_room_after(&mut self, newcomer: ClientId) {
+    pub(crate) fn make_room_after(&mut self, connected: ClientId) {
         self.update_room();
         if self.room_is_short() {
-            self.make_room(Some(newcomer));
+            self.make_room(Some(connected));
         }
         if self.is_at_client_limit() {
             self.schedule_room_check();
@@ -79,7 +84,7 @@
 
     fn schedule_room_check(&mut self) {
         let Some(since) = self.client_room.short_since else { return };
-        if !std::mem::replace(&mut self.client_room.check_armed, true) {
+        if !std::mem::replace(&mut self.client_room.check_scheduled, true) {
             let due = (since + MAX_FULL_TIME).max(self.now + CHECK_INTERVAL);
             self.set_timer(due, Timer::ClientRoom);
         }
@@ -87,7 +92,7 @@
 
     /// Evicts several connections if the limit is still reached.
     pub(crate) fn make_room_when_full(&mut self) {
-        self.client_room.check_armed = false;
+        self.client_room.check_scheduled = false;
         if !self.is_at_client_limit() {
             return;
         }
@@ -109,7 +114,7 @@
     /// can be evicted, the one that has been closing for longest is dropped as well.
     fn make_room(&mut self, except: Option<ClientId>) {
         let evicted = self.first_to_evict(except);
-        let short = evicted.is_none() || self.clients.len() > self.max_clients * 7 / 8;
+        let short = evicted.is_none() || self.clients.len() > self.max_clients * CLOSING_ROOM_EIGHTHS / 8;
         let dropped = if short { self.oldest_closing(except) } else { None };
         for client in evicted.into_iter().chain(dropped) {
             self.evict(client);
@@ -121,7 +126,7 @@
         let others = self.clients.iter().filter(|(client, _)| Some(**client) != except);
         let candidates = others.filter_map(|(client, state)| {
             let class = state.eviction_class()?;
-            let since = state.newcomer_since.unwrap_or(state.since);
+            let since = state.new_since.unwrap_or(state.since);
             (class < EvictionClass::PartialRequest || may_evict_partial_requests)
                 .then_some((class, since, *client))
         });
@@ -131,7 +136,7 @@
     fn oldest_closing(&self, except: Option<ClientId>) -> Option<ClientId> {
         let closing = self.clients.iter().filter(|(client, state)| {
             Some(**client) != except
-                && state.phase == Phase::Closing
+                && state.phase == ClientPhase::Closing
                 && state.submission.is_none()
                 && !state.evicted
         });
@@ -141,10 +146,10 @@
     fn evict(&mut self, client: ClientId) {
         let Some(state) = self.clients.get_mut(&client) else { return };
         state.evicted = true;
-        self.stats.evicted += u64::from(state.phase != Phase::Closing);
+        self.stats.evicted += u64::from(state.phase != ClientPhase::Closing);
         self.effects.push(match state.phase {
             // A request that has arrived in the meantime is still served.
-            Phase::Idle => Effect::CloseClient { client },
+            ClientPhase::Idle => Effect::CloseClient { client },
             _ => Effect::DropClient { client },
         });
     }
--- a/crates/core/src/executions.rs
+++ b/crates/core/src/executions.rs
@@ -37,14 +37,20 @@
     }
 
     /// The record of one execution of a submission.
-    pub(crate) fn attempt(&mut self, submission: Submission, execution: Execution) -> Option<&mut Attempt> {
+    pub(crate) fn attempt_mut(
+        &mut self,
+        submission: Submission,
+        execution: Execution,
+    ) -> Option<&mut Attempt> {
         let accepted = self.accepted.get_mut(submission as usize)?.as_mut()?;
         accepted.executions.get_mut(usize::from(execution))
     }
 
     /// Cancels an execution that waits for its connection or is in flight.
     pub(crate) fn cancel(&mut self, submission: Submission, execution: Execution) {
-        let Some(connection) = self.attempt(submission, execution).and_then(|a| a.connection) else { return };
+        let Some(connection) = self.attempt_mut(submission, execution).and_then(|a| a.connection) else {
+            return;
+        };
         let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.phase == ConnectionPhase::Opening {
             // Nothing was sent; the connection can carry another exchange once it is established.
@@ -67,15 +73,18 @@
         report: Option<Report>,
     ) {
         let now = self.now;
-        let Some(attempt) = self.attempt(submission, execution) else { return };
+        let Some(attempt) = self.attempt_mut(submission, execution) else { return };
         attempt.connection = None;
         let (worker, duration) = (attempt.worker, now - attempt.started_at);
-        self.start_execution_ended(worker, outcome);
+        self.inform_start_of_outcome(worker, outcome);
+        let last_observation = &mut self.workers[worker as usize].last_observation;
         match outcome {
             Outcome::Completed | Outcome::Overloaded => {
-                self.workers[worker as usize].last_observation = Some((now, true, report))
+                *last_observation = Some(LastObservation { at: now, answered: true, report })
+            }
+            Outcome::TimedOut => {
+                *last_observation = Some(LastObservation { at: now, answered: false, report: None })
             }
-            Outcome::TimedOut => self.workers[worker as usize].last_observation = Some((now, false, None)),
             _ => {}
         }
         match outcome {
@@ -98,13 +107,20 @@
         self.pending_events.push_back(Event::Ended(ending));
     }
 
-    /// Records the end of a probe; `answered` is `None` if the probe says nothing about the worker.
-    pub(crate) fn probe_ended(&mut self, worker: Worker, answered: Option<bool>, report: Option<Report>) {
-        self.stats.probes_failed += u64::from(answered != Some(true));
-        if let Some(answered) = answered {
-            self.workers[worker as usize].last_observation =
-                Some((self.now, answered, report.filter(|_| answered)));
+    /// Records the end of a probe and informs the dispatcher.
+    pub(crate) fn probe_ended(&mut self, worker: Worker, outcome: ProbeOutcome, report: Option<Report>) {
+        self.stats.probes_failed += u64::from(outcome != ProbeOutcome::Answered);
+        let at = self.now;
+        let last_observation = &mut self.workers[worker as usize].last_observation;
+        match outcome {
+            ProbeOutcome::Answered => {
+                *last_observation = Some(LastObservation { at, answered: true, report })
+            }
+            ProbeOutcome::Failed => {
+                *last_observation = Some(LastObservation { at, answered: false, report: None })
+            }
+            ProbeOutcome::Inconclusive => {}
         }
-        self.pending_events.push_back(Event::Probed { worker, answered, report });
+        self.pending_events.push_back(Event::Probed { worker, outcome, report });
     }
 }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use linestack_dispatch::types::{Health, ListKind, Nanos, Outcome, Report};
+use linestack_dispatch::types::{Health, ListKind, Nanos, Outcome, ProbeOutcome, Report};
 use linestack_peers::Observation;
 use linestack_recovery::OutcomeRecord;
 use linestack_recovery::start::Stage;
@@ -43,7 +43,7 @@
     /// The value of `Req-Id`.
     pub id: Bytes,
     /// The value of `Idempotency-Key`.
-    pub stamp: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     pub body: Bytes,
 }
 
@@ -61,7 +61,7 @@
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ClientPhase {
     /// No request is being read or answered.
     Idle,
     /// A request is being received.
@@ -116,7 +116,7 @@
     /// A client has connected.
     ClientConnected { client: ClientId },
     /// A client's connection has entered another phase.
-    ClientPhase { client: ClientId, phase: Phase },
+    ClientPhase { client: ClientId, phase: ClientPhase },
     /// A client's connection has ended.
     ClientDisconnected { client: ClientId },
     /// A client's request was invalid. The client gets an error, and its connection is then closed.
@@ -132,12 +132,7 @@
     /// An execution has ended with a response.
     Ended { connection: ConnectionId, outcome: Outcome, result: Bytes, report: Option<Report> },
     /// A probe has ended.
-    Probed {
-        connection: ConnectionId,
-        /// `None` if the executor turned the probe away.
-        answered: Option<bool>,
-        report: Option<Report>,
-    },
+    Probed { connection: ConnectionId, outcome: ProbeOutcome, report: Option<Report> },
     /// The last byte of an exchange was received, and the connection can carry another.
     ConnectionReusable {
         connection: ConnectionId,
@@ -206,7 +201,7 @@
     /// An invariant was violated. The violation has been counted.
     InvariantBroken(&'static str),
     /// Log the statistics.
-    Report(Stats),
+    LogStats(Stats),
     /// End the process.
     Exit,
 }
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -9,11 +9,12 @@
     /// would be delayed by the whole time within which changes must become known.
     pub(crate) fn list_failed(&mut self, silent_for: Nanos, overloaded: bool) {
         self.failed_list_calls += 1;
+        // Leaves a range of random delays above the shortest, however long discovery was silent.
         let latest = MAX_LIST_CALL_DELAY.saturating_sub(silent_for).max(2 * MIN_LIST_CALL_DELAY);
         let delay = if !self.list_on_request {
-            WATCH_RETRY_DELAY + self.rng.u64(..WATCH_RETRY_DELAY)
+            MIN_WATCH_RETRY_DELAY + self.rng.u64(..MIN_WATCH_RETRY_DELAY)
         } else if overloaded && silent_for >= LONG_CALL_WAIT {
-            OVERLOADED_CALL_DELAY + self.rng.u64(..MAX_LIST_CALL_DELAY)
+            MIN_OVERLOADED_CALL_DELAY + self.rng.u64(..MAX_LIST_CALL_DELAY)
         } else if self.failed_list_calls == 1 {
             self.rng.u64(MIN_LIST_CALL_DELAY..latest)
         } else {
@@ -41,7 +42,7 @@
                 _ => self.list_state = ListState::Current,
             }
             let ready = endpoints.iter().filter(|e| e.health == Health::Ready).count();
-            self.start_list_received(kind, ready);
+            self.inform_start_of_list(kind, ready);
         }
         if matches!(kind, ListKind::Whole | ListKind::Cached) {
             self.workers.iter_mut().for_each(|w| w.health = Health::Gone);
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -16,11 +16,12 @@
     /// The outcomes by key.
     pub outcomes: OutcomeTable,
     /// The time of the store when the node starts. The times of records are times of the store.
-    pub age: StoreTime,
+    pub store_time: StoreTime,
     /// The time of the start on the node's clock.
-    pub now: Nanos,
-    /// Whether a repeated submission is recognized by `Idempotency-Key`, which clients keep in a retry, or else by `Req-Id`.
-    pub by_stamp: bool,
+    pub started_at: Nanos,
+    /// Whether a repeated submission is recognized by its `Idempotency-Key`, which clients keep in a retry; otherwise by its
+    /// `Req-Id`.
+    pub by_idempotency_key: bool,
     /// An earlier store was lost. Until this time a one-shot that is not in the store may have run.
     pub incomplete_until: Nanos,
 }
@@ -28,9 +29,11 @@
 /// The outcomes of one-shots, and the state of their store.
 pub(crate) struct OutcomeStore {
     outcomes: OutcomeTable,
-    age: StoreTime,
-    since: Nanos,
-    by_stamp: bool,
+    /// The time of the store when the node started.
+    store_time_at_start: StoreTime,
+    /// The time of the start on the node's clock.
+    started_at: Nanos,
+    by_idempotency_key: bool,
     incomplete_until: Nanos,
     /// The number of records that executions wait for.
     pending_records: usize,
@@ -52,12 +55,13 @@
 impl Core {
     /// Keeps the outcomes of one-shots over restarts from now on. Must be called before anything is accepted.
     pub fn enable_outcome_store(&mut self, stored: StoredOutcomes) {
-        let StoredOutcomes { outcomes, age, now, by_stamp, incomplete_until } = stored;
+        let StoredOutcomes { outcomes, store_time, started_at, by_idempotency_key, incomplete_until } =
+            stored;
         self.outcome_store = Some(OutcomeStore {
             outcomes,
-            age,
-            since: now,
-            by_stamp,
+            store_time_at_start: store_time,
+            started_at,
+            by_idempotency_key,
             incomplete_until,
             pending_records: 0,
             open_keys: HashSet::new(),
@@ -86,7 +90,7 @@
     /// The key by which a repeated submission is recognized; `None` if the request carries none.
     fn outcome_key(&self, request: &ForwardedRequest) -> Option<Bytes> {
         let store = self.outcome_store.as_ref()?;
-        if store.by_stamp { request.stamp.clone() } else { Some(request.id.clone()) }
+        if store.by_idempotency_key { request.idempotency_key.clone() } else { Some(request.id.clone()) }
     }
 
     fn is_one_shot(&self, product: u8) -> bool {
@@ -96,7 +100,7 @@
     /// The answer to a one-shot that is repeated or whose outcome can't be stored; `None` if it is to be accepted.
     pub(crate) fn answer_from_store(&self, new: &NewSubmission) -> Option<Answer> {
         let store = self.outcome_store.as_ref().filter(|_| self.is_one_shot(new.product))?;
-        let dismissed = Answer::Dismissed(self.max_retry_after.map(|longest| longest / 8));
+        let dismissed = Answer::Dismissed(self.short_retry_after());
         // Without a key a repeated submission could not be recognized and would run again.
         let Some(key) = self.outcome_key(&new.request) else { return Some(dismissed) };
         if store.open_keys.contains(&key) {
@@ -131,7 +135,9 @@
 
     /// The time of the store now.
     fn store_time(&self) -> StoreTime {
-        self.outcome_store.as_ref().map_or(0, |store| store.age + self.now.saturating_sub(store.since))
+        self.outcome_store
+            .as_ref()
+            .map_or(0, |store| store.store_time_at_start + self.now.saturating_sub(store.started_at))
     }
 
     /// Whether an execution must wait until the record that it may have run is durable. If so, asks for the record to be
@@ -177,7 +183,7 @@
         };
         let (worker, address) = (state.worker, state.address);
         if durable && self.permit(Occasion::Durable, worker, address, exchange).is_ok() {
-            let deadline = self.attempt(submission, execution).map_or(0, |attempt| attempt.deadline);
+            let deadline = self.attempt_mut(submission, execution).map_or(0, |attempt| attempt.deadline);
             let timeout = deadline.saturating_sub(self.now);
             return self.effects.push(Effect::Send { connection, request, timeout, version });
         }
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -248,7 +248,7 @@
             node.handle(Input::ExecutorDisconnected { connection: probe, disconnect: NOT_STARTED });
         } else {
             node.handle(Input::ExecutorConnected { connection: probe });
-            node.handle(Input::Probed { connection: probe, answered: Some(true), report: None });
+            node.handle(Input::Probed { connection: probe, outcome: ProbeOutcome::Answered, report: None });
         }
     }
     node.now += 400 * MS;
@@ -467,10 +467,10 @@
 fn partial_requests_that_take_up_all_room_are_evicted_in_time() {
     let mut node = Node::configured(common::SETTINGS, 1);
     while !node.core.is_at_client_limit() {
-        // The submission is refused before the first list, but the client is no newcomer any more.
+        // The submission is refused before the first list, but the client is not new any more.
         let client = node.submit(LOOK, 5_000 * MS);
-        node.handle(Input::ClientPhase { client, phase: Phase::Idle });
-        node.handle(Input::ClientPhase { client, phase: Phase::Reading });
+        node.handle(Input::ClientPhase { client, phase: ClientPhase::Idle });
+        node.handle(Input::ClientPhase { client, phase: ClientPhase::Reading });
         node.advance(MS);
     }
     let dropped = |node: &Node| {
@@ -484,8 +484,8 @@
     assert!(dropped(&node).is_empty());
     node.advance(10 * MS);
     assert_eq!(dropped(&node), [1]);
-    node.handle(Input::ClientPhase { client: 1, phase: Phase::Answering });
-    node.handle(Input::ClientPhase { client: 1, phase: Phase::Closing });
+    node.handle(Input::ClientPhase { client: 1, phase: ClientPhase::Answering });
+    node.handle(Input::ClientPhase { client: 1, phase: ClientPhase::Closing });
     node.advance(20 * MS);
     assert!(dropped(&node).contains(&1), "not dropped, although others wait for the room");
     node.handle(Input::ClientDisconnected { client: 1 });
@@ -658,9 +658,9 @@
 fn a_flood_of_silent_connections_evicts_its_own() {
     let mut node = Node::new(2);
     let (busy, connection) = node.start_execution(PAY);
-    let (usual, other) = node.start_execution(PAY);
+    let (established, other) = node.start_execution(PAY);
     node.end_execution(other, Outcome::Completed);
-    node.handle(Input::ClientPhase { client: usual, phase: Phase::Idle });
+    node.handle(Input::ClientPhase { client: established, phase: ClientPhase::Idle });
     let mut evicted = Vec::new();
     for client in 100..400 {
         node.now += MS;
@@ -670,7 +670,7 @@
         evicted.extend(closed);
         assert!(!node.core.is_at_client_limit());
     }
-    assert!(evicted.len() > 200 && evicted.iter().all(|c| ![busy, usual].contains(c)));
+    assert!(evicted.len() > 200 && evicted.iter().all(|c| ![busy, established].contains(c)));
     node.end_execution(connection, Outcome::Completed);
     assert_eq!(node.answers().len(), 1);
 }
@@ -682,18 +682,22 @@
     }
 }
 
-// The time limit of a newcomer runs from its connecting, whatever it does. Only a client that has sent a submission before may
-// be silent.
+// The time limit of a new client runs from its connecting, whatever it does. Only a client that has sent a submission before
+// may be silent.
 #[rstest]
 #[case::silent(false, None, Some(2_500))]
-#[case::slow(false, Some(Phase::Reading), Some(2_500))]
-#[case::asks_for_health(false, Some(Phase::Idle), Some(2_500))]
-#[case::usual(true, Some(Phase::Idle), None)]
-#[case::usual_and_slow(true, Some(Phase::Reading), Some(3_500))]
-#[case::answered_for_good(false, Some(Phase::Closing), Some(3_500))]
-fn a_newcomer_has_a_time_limit(#[case] usual: bool, #[case] phase: Option<Phase>, #[case] at: Option<u64>) {
+#[case::slow(false, Some(ClientPhase::Reading), Some(2_500))]
+#[case::asks_for_health(false, Some(ClientPhase::Idle), Some(2_500))]
+#[case::established(true, Some(ClientPhase::Idle), None)]
+#[case::established_and_slow(true, Some(ClientPhase::Reading), Some(3_500))]
+#[case::answered_for_good(false, Some(ClientPhase::Closing), Some(3_500))]
+fn a_new_client_has_a_time_limit(
+    #[case] established: bool,
+    #[case] phase: Option<ClientPhase>,
+    #[case] at: Option<u64>,
+) {
     let mut node = Node::new(1);
-    let client = if usual {
+    let client = if established {
         let (client, connection) = node.start_execution(PAY);
         node.end_execution(connection, Outcome::Completed);
         client
@@ -709,7 +713,7 @@
             found = Some((node.now - start) / MS);
         }
         // A client that sends a byte now and then gets no more time.
-        if let Some(phase) = phase.filter(|p| ms == 999 || (ms == 1_999 && *p == Phase::Reading)) {
+        if let Some(phase) = phase.filter(|p| ms == 999 || (ms == 1_999 && *p == ClientPhase::Reading)) {
             node.handle(Input::ClientPhase { client, phase });
         }
     }
@@ -729,9 +733,9 @@
 ) {
     let with_deadline = format!("\"cutOffMs\": {deadline}, \"agreedTimeMs\"");
     let mut node = Node::with(&common::SETTINGS.replace("\"agreedTimeMs\"", &with_deadline), 1);
-    let (usual, connection) = node.start_execution(PAY);
+    let (established, connection) = node.start_execution(PAY);
     node.end_execution(connection, Outcome::Completed);
-    node.handle(Input::ClientPhase { client: usual, phase: Phase::Idle });
+    node.handle(Input::ClientPhase { client: established, phase: ClientPhase::Idle });
     node.handle(Input::Stop);
     node.advance(MS);
     let (client, _) = node.start_execution(LOOK);
@@ -741,7 +745,8 @@
         if node.answers().iter().any(|(c, _)| *c == client) {
             answered.get_or_insert(ms);
         }
-        if node.effects.iter().any(|e| matches!(e, Effect::CloseClient { client } if *client == usual)) {
+        if node.effects.iter().any(|e| matches!(e, Effect::CloseClient { client } if *client == established))
+        {
             idle_closed.get_or_insert(ms);
         }
     }
@@ -750,16 +755,16 @@
 }
 
 #[rstest]
-#[case::sends_too_slowly(Phase::Reading, true)]
-#[case::reads_too_slowly(Phase::Answering, true)]
-#[case::idle(Phase::Idle, false)]
-fn a_client_may_not_keep_the_node_waiting(#[case] phase: Phase, #[case] dropped: bool) {
+#[case::sends_too_slowly(ClientPhase::Reading, true)]
+#[case::reads_too_slowly(ClientPhase::Answering, true)]
+#[case::idle(ClientPhase::Idle, false)]
+fn a_client_may_not_keep_the_node_waiting(#[case] phase: ClientPhase, #[case] dropped: bool) {
     let mut node = Node::new(1);
     node.handle(Input::ClientConnected { client: 1 });
     let mut effects = Vec::new();
     for second in 0..6 {
         // A client that sends a byte now and then gets no more time.
-        if second == 0 || phase == Phase::Reading {
+        if second == 0 || phase == ClientPhase::Reading {
             node.handle(Input::ClientPhase { client: 1, phase });
         }
         node.advance(1_000 * MS);
@@ -963,9 +968,9 @@
     let mut node = Node::new(2);
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes,
-        age: 0,
-        now: node.now,
-        by_stamp: false,
+        store_time: 0,
+        started_at: node.now,
+        by_idempotency_key: false,
         incomplete_until: 0,
     });
     node
@@ -983,9 +988,9 @@
     let incomplete_until = node.now + 1000 * MS;
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes: no_outcomes(),
-        age: 0,
-        now: node.now,
-        by_stamp: false,
+        store_time: 0,
+        started_at: node.now,
+        by_idempotency_key: false,
         incomplete_until,
     });
     let client = node.submit(PAY, 5_000 * MS);
@@ -1035,7 +1040,7 @@
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), last_client: 0 };
     let within = 500 * MS;
     let (nodes, connects_per_s, lists_per_s, sessions_per_s) = (1, per_s, per_s, per_s);
-    let terms = StartLimits {
+    let limits = StartLimits {
         nodes,
         connects_per_s,
         lists_per_s,
@@ -1045,7 +1050,7 @@
         share_timeout: within,
     };
     let start = StagedStart::new(
-        terms,
+        limits,
         StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: true },
         [0.0; 2],
         node.now,
@@ -1174,17 +1179,17 @@
     let mut node = Node::new(2);
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes: no_outcomes(),
-        age: 0,
-        now: node.now,
-        by_stamp: true,
+        store_time: 0,
+        started_at: node.now,
+        by_idempotency_key: true,
         incomplete_until: 0,
     });
     let submit = |node: &mut Node, id: &'static str| {
         node.last_client += 1;
         let client = node.last_client;
         node.handle(Input::ClientConnected { client });
-        let (id, stamp) = (Bytes::from_static(id.as_bytes()), Some(Bytes::from_static(b"k")));
-        let request = Arc::new(ForwardedRequest { id, stamp, ..ForwardedRequest::default() });
+        let (id, idempotency_key) = (Bytes::from_static(id.as_bytes()), Some(Bytes::from_static(b"k")));
+        let request = Arc::new(ForwardedRequest { id, idempotency_key, ..ForwardedRequest::default() });
         let timeout = 1_000 * MS;
         let submission = NewSubmission { product: PAY, tenant: 0, timeout, slots: 1.0, memory: 0.0, request };
         node.handle(Input::Submitted { client, submission });
@@ -1260,7 +1265,7 @@
     assert_eq!(reported_or_panicked.unwrap_or(true), !allowed);
 }
 
-// A node counts as informed of what discovery knows 6 s after discovery knew it and could be reached. By then a call must have
+// A node must comply with what discovery knows 6 s after discovery knew it and could be reached. By then a call must have
 // begun and have had time to be answered, whatever became of the previous call.
 #[rstest]
 #[case::refused(0, false, 4_750)]
@@ -1270,7 +1275,7 @@
 #[case::down(1, true, 4_750)]
 // The call waited and was turned away, because others were ahead of it. Calling again at once would keep all nodes from the list.
 #[case::overbooked(3_000, true, 5_750)]
-// By the strictest reading what discovery knew in that time counts all the same, since it was up.
+// By the strictest reading a node must comply with what discovery knew during the wait, since discovery was up.
 #[case::overbooked_by_the_strictest_reading(3_000, true, 1_750)]
 fn the_list_is_asked_for_again_in_time(
     #[case] silent_for: u64,
@@ -1344,7 +1349,7 @@
         for effect in effects {
             match effect {
                 Effect::CloseClient { client } => {
-                    node.handle(Input::ClientPhase { client, phase: Phase::Closing });
+                    node.handle(Input::ClientPhase { client, phase: ClientPhase::Closing });
                     closing.push(client);
                 }
                 Effect::DropClient { client } => {
@@ -1359,9 +1364,9 @@
     assert!(!closing.is_empty());
 }
 
-// The request of a newcomer is on its way. If the connection were closed at once, the request would get no answer.
+// The request of a new client is on its way. If the connection were closed at once, the request would get no answer.
 #[test]
-fn a_newcomer_to_a_stopping_node_has_time_to_send_its_request() {
+fn a_new_client_of_a_stopping_node_has_time_to_send_its_request() {
     let mut node = Node::new(1);
     node.handle(Input::Stop);
     node.advance(1_800 * MS);
@@ -1383,7 +1388,7 @@
         node.start_execution(PAY);
     } else {
         node.handle(Input::ClientConnected { client: 1 });
-        node.handle(Input::ClientPhase { client: 1, phase: Phase::Answering });
+        node.handle(Input::ClientPhase { client: 1, phase: ClientPhase::Answering });
     }
     node.handle(Input::Stop);
     let (mut answered, mut exited) = (None, None);
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -1,8 +1,8 @@
 //! The interface of the decisions: the events that go in, the actions that come out, and the configuration.
 //!
-//! Times are nanoseconds on the caller's monotonic clock. Submissions and workers are small indices that
-//! the caller assigns. A submission keeps its index until its last execution has ended, and a worker keeps
-//! its index until [`Event::Retired`].
+//! Times are nanoseconds on the caller's monotonic clock. Submissions and workers are identified by small
+//! indices that the caller assigns. A submission keeps its index until its last execution has ended, and a
+//! worker keeps its index until [`Event::Retired`].
 
 /// A time or a duration in nanoseconds.
 pub type Nanos = u64;
@@ -28,7 +28,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
+    /// Those of the same zone.
     Zone,
+    /// Those of the same [`WorkerEntry::cell`].
     Cell,
 }
 
@@ -106,7 +108,9 @@
     pub zone_crossing_cost: f64,
     /// The points lost per submission for each new connection.
     pub connection_cost: f64,
+    /// The most executions of a submission.
     pub max_executions: u16,
+    /// Whether a submission may have several executions in flight.
     pub may_duplicate: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
@@ -152,6 +156,7 @@
     pub health: Health,
     pub kind: u16,
     pub zone: u16,
+    /// The group of workers that drop repeats of what any of them has executed.
     pub cell: u16,
     /// The time of the last start, or 0 if it was long ago.
     pub started: Nanos,
@@ -176,6 +181,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     pub free_slots: Option<f32>,
+    /// In the unit of [`Job::memory`].
     pub free_memory: Option<f32>,
     pub queued_jobs: Option<f32>,
     /// The jobs that the worker holds, the queued ones among them.
@@ -209,6 +215,17 @@
     }
 }
 
+/// How a probe ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProbeOutcome {
+    Answered,
+    /// The worker did not answer, or answered with an error.
+    Failed,
+    /// The probe says nothing about the worker's health: the worker refused it because it gets too many, or it
+    /// was not sent.
+    Inconclusive,
+}
+
 /// The requirements of a submission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Job {
@@ -216,7 +233,9 @@
     pub tenant: u16,
     /// The time by which the client must be answered.
     pub deadline: Nanos,
+    /// The slots of a worker that it takes while it is executed.
     pub slots: f64,
+    /// The memory that it takes. A worker that reports no memory is assumed to have one unit per slot.
     pub memory: f64,
 }
 
@@ -229,6 +248,7 @@
     pub outcome: Outcome,
     /// Whether the submission is over, by this end or earlier.
     pub closed: bool,
+    /// The time since the execution was started.
     pub took: Nanos,
     pub report: Option<Report>,
 }
@@ -261,8 +281,7 @@
     Ended(Ending),
     Probed {
         worker: Worker,
-        /// `None` if the worker refused the probe because it gets too many.
-        answered: Option<bool>,
+        outcome: ProbeOutcome,
         report: Option<Report>,
     },
     /// The state of all connections to the worker shows that its process or machine was lost: the worker is
--- a/crates/lab/src/scale/dispatch.rs
+++ b/crates/lab/src/scale/dispatch.rs
@@ -14,7 +14,7 @@
     Answer, ClientId, ConnectionId, Core, Effect, Endpoint, ForwardedRequest, Input, Nanos, NewSubmission,
     Outcome,
 };
-use linestack_dispatch::types::{Health, ListKind, Report};
+use linestack_dispatch::types::{Health, ListKind, ProbeOutcome, Report};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
@@ -167,7 +167,7 @@
             }
             Effect::Probe { connection } => {
                 let report = self.worker_of.get(&connection).map(|worker| self.report(*worker));
-                inputs.push_back(Input::Probed { connection, answered: Some(true), report });
+                inputs.push_back(Input::Probed { connection, outcome: ProbeOutcome::Answered, report });
                 inputs.push_back(Input::ConnectionReusable { connection, identified: true });
             }
             Effect::CloseConnection { connection } => {
