--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -15,8 +15,8 @@
 pub struct StoredOutcomes {
     /// The outcomes by key.
     pub outcomes: OutcomeTable,
-    /// The time of the store when the node starts. The times of records are times of the store.
-    pub age: StoreTime,
+    /// The store's clock when the node starts, on which the times of records are counted.
+    pub store_time: StoreTime,
     /// The time of the start on the node's clock.
     pub now: Nanos,
     /// Whether a repeated submission is recognized by `Idempotency-Key`, which clients keep in a retry, or else by `Req-Id`.
@@ -28,7 +28,7 @@
 /// The outcomes of one-shots, and the state of their store.
 pub(crate) struct OutcomeStore {
     outcomes: OutcomeTable,
-    age: StoreTime,
+    store_time: StoreTime,
     since: Nanos,
     by_stamp: bool,
     incomplete_until: Nanos,
@@ -52,10 +52,10 @@
 impl Core {
     /// Keeps the outcomes of one-shots over restarts from now on. Must be called before anything is accepted.
     pub fn enable_outcome_store(&mut self, stored: StoredOutcomes) {
-        let StoredOutcomes { outcomes, age, now, by_stamp, incomplete_until } = stored;
+        let StoredOutcomes { outcomes, store_time, now, by_stamp, incomplete_until } = stored;
         self.outcome_store = Some(OutcomeStore {
             outcomes,
-            age,
+            store_time,
             since: now,
             by_stamp,
             incomplete_until,
@@ -131,7 +131,7 @@
 
     /// The time of the store now.
     fn store_time(&self) -> StoreTime {
-        self.outcome_store.as_ref().map_or(0, |store| store.age + self.now.saturating_sub(store.since))
+        self.outcome_store.as_ref().map_or(0, |store| store.store_time + self.now.saturating_sub(store.since))
     }
 
     /// Whether an execution must wait until the record that it may have run is durable. If so, asks for the record to be
--- a/crates/core/src/staged_start.rs
+++ b/crates/core/src/staged_start.rs
@@ -1,7 +1,7 @@
 //! The staged start of a node, which operators may ask for. It limits how many submissions are accepted, and schedules
 //! connections and list calls. Without it a node accepts submissions as soon as it has a list.
 
-use linestack_recovery::start::{Stage, StagedStart};
+use linestack_recovery::start::{ListSource, Stage, StagedStart};
 
 use super::*;
 
@@ -63,7 +63,8 @@
     /// Informs the staged start of a list with this many ready executors.
     pub(crate) fn start_list_received(&mut self, kind: ListKind, ready: usize) {
         if let Some(s) = &mut self.staged_start {
-            s.start.list_received(kind != ListKind::Cached, ready);
+            let source = if kind == ListKind::Cached { ListSource::Store } else { ListSource::Discovery };
+            s.start.list_received(source, ready);
         }
     }
 
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -963,7 +963,7 @@
     let mut node = Node::new(2);
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes,
-        age: 0,
+        store_time: 0,
         now: node.now,
         by_stamp: false,
         incomplete_until: 0,
@@ -983,7 +983,7 @@
     let incomplete_until = node.now + 1000 * MS;
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes: no_outcomes(),
-        age: 0,
+        store_time: 0,
         now: node.now,
         by_stamp: false,
         incomplete_until,
@@ -1029,7 +1029,7 @@
 
 /// A node in a staged start, with an old list of four executors.
 fn in_staged_start(per_s: f64) -> Node {
-    use linestack_recovery::start::{StagedStart, StartConditions, StartLimits};
+    use linestack_recovery::start::{StagedStart, StartConditions, StartJitter, StartLimits};
     let settings = linestack_settings::read(common::SETTINGS.as_bytes(), 7).unwrap();
     let core = Core::new(settings, 64, 32 << 20);
     let mut node = Node { core, now: 1_000_000 * MS, effects: Vec::new(), last_client: 0 };
@@ -1041,13 +1041,13 @@
         lists_per_s,
         sessions_per_s,
         list_timeout: within,
-        known_timeout: within,
-        share_timeout: within,
+        executors_timeout: within,
+        ramp_up_timeout: within,
     };
     let start = StagedStart::new(
         terms,
         StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: true },
-        [0.0; 2],
+        StartJitter::default(),
         node.now,
     );
     node.core.start_in_stages(node.now, start, (0..4).map(|w| endpoint(w, Health::Ready)).collect());
@@ -1174,7 +1174,7 @@
     let mut node = Node::new(2);
     node.core.enable_outcome_store(StoredOutcomes {
         outcomes: no_outcomes(),
-        age: 0,
+        store_time: 0,
         now: node.now,
         by_stamp: true,
         incomplete_until: 0,
--- a/crates/lab/src/keep.rs
+++ b/crates/lab/src/keep.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use linestack_store::{Folder, Limits, Op, Store, StoreError};
+use linestack_store::{Folder, Limits, Op, OpenMode, Store, StoreError};
 use serde::Serialize;
 
 /// Commits of one size.
@@ -38,8 +38,8 @@
     Limits { segment_size: 16 << 20, budget: 1 << 40, sync, max_uncovered_segments, ..Limits::default() }
 }
 
-fn open(folder: &Path, limits: Limits, new: bool) -> Result<Store<Folder>, StoreError> {
-    Store::open(Folder::open(folder)?, limits, new, 1)
+fn open(folder: &Path, limits: Limits, mode: OpenMode) -> Result<Store<Folder>, StoreError> {
+    Store::open(Folder::open(folder)?, limits, mode, 1)
 }
 
 /// Commits for `span`, each of `batch` records.
@@ -48,7 +48,7 @@
 ///
 /// The disk's.
 pub fn commits(folder: &Path, sync: bool, batch: usize, span: Duration) -> Result<Commits, StoreError> {
-    let mut store = open(folder, limits(sync, 8), true)?;
+    let mut store = open(folder, limits(sync, 8), OpenMode::Create)?;
     let (begin, mut number, mut times) = (Instant::now(), 0, Vec::new());
     while begin.elapsed() < span {
         let ops: Vec<Op> = (0..batch as u64).map(|i| op(number + i, 24)).collect();
@@ -83,7 +83,7 @@
 ///
 /// The disk's.
 pub fn back(folder: &Path, records: usize) -> Result<Back, StoreError> {
-    let mut store = open(folder, limits(false, usize::MAX - 1), true)?;
+    let mut store = open(folder, limits(false, usize::MAX - 1), OpenMode::Create)?;
     let mut number = 0;
     while number < records as u64 {
         let ops: Vec<Op> = (number..(number + 512).min(records as u64)).map(|i| op(i, 24)).collect();
@@ -94,7 +94,7 @@
     drop(store);
     let timed = || -> Result<(f64, Store<Folder>, u64), StoreError> {
         let (before, at) = (resident(), Instant::now());
-        let store = open(folder, limits(false, usize::MAX - 1), false)?;
+        let store = open(folder, limits(false, usize::MAX - 1), OpenMode::Existing)?;
         Ok((at.elapsed().as_secs_f64(), store, resident().saturating_sub(before)))
     };
     let (without_s, mut store, index_bytes) = timed()?;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -21,7 +21,7 @@
 use linestack_core::{Core, Input};
 use linestack_dispatch::types::{ListKind, RepeatPolicy};
 use linestack_history::HistoryEvent;
-use linestack_recovery::start::{StagedStart, StartConditions};
+use linestack_recovery::start::{StagedStart, StartConditions, StartJitter};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
@@ -197,7 +197,8 @@
         let mut rng = fastrand::Rng::with_seed(config.seed ^ fleet::random_u64());
         let conditions =
             StartConditions { settings_confirmed, list_is_fresh, has_old_list: !old_endpoints.is_empty() };
-        let start = StagedStart::new(stages.limits, conditions, [rng.f64(), rng.f64()], clock.now());
+        let jitter = StartJitter { connection: rng.f64(), list_request: rng.f64() };
+        let start = StagedStart::new(stages.limits, conditions, jitter, clock.now());
         core.start_in_stages(clock.now(), start, old_endpoints);
     }
     let index = known.as_ref().map(|known| known.index).filter(|_| !request_whole);
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -9,7 +9,9 @@
 use linestack_core::{Core, Input, Nanos, PersistTicket, StoredOutcomes};
 use linestack_recovery::start::{BootTimestamp, is_fresh};
 use linestack_recovery::{OutcomeRecord, OutcomeTable, StoreTime, StoredOutcome};
-use linestack_store::{Damage, Folder, Limits, MAX_RECORD_LENGTH, Op, Store, StoreError, repair};
+use linestack_store::{
+    Damage, Folder, Limits, MAX_RECORD_LENGTH, Op, OpenMode, Retention, Store, StoreError, repair,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::store::{FileIdentity, file_identity, same_file};
@@ -144,7 +146,12 @@
 
 fn limits(retention: StoreTime, budget_mb: u64, sync: Sync) -> Limits {
     let sync = sync == Sync::Group;
-    Limits { budget: budget_mb << 20, retention: vec![(KIND_OUTCOME, retention)], sync, ..Limits::default() }
+    Limits {
+        budget: budget_mb << 20,
+        retention: vec![Retention { kind: KIND_OUTCOME, duration: retention }],
+        sync,
+        ..Limits::default()
+    }
 }
 
 /// A record to be written to the store.
@@ -238,12 +245,12 @@
                 aside = %quarantine.display(),
                 "repeated starts died while reading the store; it was set aside and a new one created"
             );
-            let mut store =
-                Store::open(folder, limits(), true, crate::fleet::random_u64()).map_err(|e| message(&e))?;
+            let mut store = Store::open(folder, limits(), OpenMode::Create, crate::fleet::random_u64())
+                .map_err(|e| message(&e))?;
             store.commit(&[lost_mark()], 0).map_err(|e| message(&e))?;
             (store, Vec::new())
         } else {
-            let opened = Store::open(folder, limits(), false, 0);
+            let opened = Store::open(folder, limits(), OpenMode::Existing, 0);
             let store =
                 opened.inspect_err(|_| start_attempts::clear_attempts(&path)).map_err(|e| message(&e))?;
             let outcomes = read_outcomes(&store)
@@ -308,7 +315,7 @@
         }
         core.enable_outcome_store(StoredOutcomes {
             outcomes,
-            age: self.time,
+            store_time: self.time,
             now,
             by_stamp,
             incomplete_until,
@@ -543,24 +550,24 @@
     let message = |path: &Path, e: &StoreError| format!("{}: {e}", path.display());
     match command {
         Command::Init { folder: path, lost } => {
-            let mut store =
-                Store::open(folder(path)?, unlimited(), true, seed).map_err(|e| message(path, &e))?;
+            let mut store = Store::open(folder(path)?, unlimited(), OpenMode::Create, seed)
+                .map_err(|e| message(path, &e))?;
             if *lost {
                 store.commit(&[lost_mark()], 0).map_err(|e| message(path, &e))?;
             }
             println!("{}: created", path.display());
         }
         Command::Adopt { folder: path, moved } => {
-            let mut store =
-                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
+            let mut store = Store::open(folder(path)?, unlimited(), OpenMode::Existing, seed)
+                .map_err(|e| message(path, &e))?;
             let mut ops = vec![Op::Remove { kind: KIND_OWNER, key: b"owner".to_vec() }];
             ops.extend((!moved).then(lost_mark));
             store.commit(&ops, 0).map_err(|e| message(path, &e))?;
             println!("{}: belongs to the node that starts with it next", path.display());
         }
         Command::Verify { folder: path } => {
-            let store =
-                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
+            let store = Store::open(folder(path)?, unlimited(), OpenMode::Existing, seed)
+                .map_err(|e| message(path, &e))?;
             let damage = store.verify().map_err(|e| message(path, &e))?;
             let stats = store.stats();
             println!("{}: {} records in {} segments", path.display(), stats.records, stats.segments);
@@ -569,8 +576,8 @@
             }
         }
         Command::Dump { folder: path } => {
-            let store =
-                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
+            let store = Store::open(folder(path)?, unlimited(), OpenMode::Existing, seed)
+                .map_err(|e| message(path, &e))?;
             let mut entries = Vec::new();
             store.for_each(|entry, value| entries.push((entry, value))).map_err(|e| message(path, &e))?;
             entries.sort_by(|(a, _), (b, _)| (a.at, &a.key).cmp(&(b.at, &b.key)));
@@ -586,15 +593,16 @@
             }
         }
         Command::Compact { folder: path } => {
-            let mut store =
-                Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
+            let mut store = Store::open(folder(path)?, unlimited(), OpenMode::Existing, seed)
+                .map_err(|e| message(path, &e))?;
             let before = store.stats().bytes;
             // No record expires here, because how long records are retained is configured at the node.
             store.compact(0).and_then(|()| store.checkpoint()).map_err(|e| message(path, &e))?;
             println!("{}: {before} bytes before, {} now", path.display(), store.stats().bytes);
         }
         Command::Repair { folder: path } => {
-            let damage = Store::open(folder(path)?, unlimited(), false, seed).and_then(|s| s.verify());
+            let damage =
+                Store::open(folder(path)?, unlimited(), OpenMode::Existing, seed).and_then(|s| s.verify());
             match damage {
                 Ok(damage) if damage.is_empty() => {
                     return Err(format!(
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -95,8 +95,8 @@
         lists_per_s: table.lists_per_s,
         sessions_per_s: table.sessions_per_s,
         list_timeout: table.list_within_ms * 1_000_000,
-        known_timeout: table.known_within_ms * 1_000_000,
-        share_timeout: table.share_within_ms * 1_000_000,
+        executors_timeout: table.known_within_ms * 1_000_000,
+        ramp_up_timeout: table.share_within_ms * 1_000_000,
     };
     Ok(Config { limits, list_max_age: table.list_fresh_ms * 1_000_000 })
 }
--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -320,7 +320,7 @@
 #[case::a_restored_copy(|f: &Path| { let c = f.with_file_name("c"); copy_folder(f, &c).unwrap(); std::fs::remove_dir_all(f).unwrap(); std::fs::rename(c, f).unwrap(); }, "a copy", &["adopt"])]
 #[case::half_copied(|f: &Path| std::fs::remove_file(f.join("manifest")).unwrap(), "damaged", &["repair"])]
 #[case::cut_short(|f: &Path| { let s = f.join("000000000001.segment"); std::fs::write(&s, &std::fs::read(&s).unwrap()[..99]).unwrap(); }, "damaged", &["repair"])]
-#[case::newer_format_version(|f: &Path| { let m = f.join("manifest"); let mut b = std::fs::read(&m).unwrap(); b[4] = 9; std::fs::write(&m, b).unwrap(); }, "of form 9", &[])]
+#[case::newer_format_version(|f: &Path| { let m = f.join("manifest"); let mut b = std::fs::read(&m).unwrap(); b[4] = 9; std::fs::write(&m, b).unwrap(); }, "format version 9", &[])]
 #[case::unreadable(|f: &Path| { let m = f.join("manifest"); std::fs::remove_file(&m).unwrap(); std::fs::create_dir(m).unwrap(); }, "store.folder", &[])]
 #[case::not_a_folder(|f: &Path| { std::fs::remove_dir_all(f).unwrap(); std::fs::write(f, "x").unwrap(); }, "store.folder", &[])]
 fn an_unusable_store_is_refused(#[case] change: fn(&Path), #[case] expected: &str, #[case] remedy: &[&str]) {
--- a/crates/node/tests/list.rs
+++ b/crates/node/tests/list.rs
@@ -6,7 +6,7 @@
 use linestack::net::discovery::List;
 use linestack_core::Endpoint;
 use linestack_dispatch::types::Health;
-use linestack_store::{Folder, Limits, Op, Store};
+use linestack_store::{Folder, Limits, Op, OpenMode, Store};
 use rstest::rstest;
 
 #[rstest]
@@ -51,9 +51,9 @@
     println!("{} bytes", text.len());
     assert!(text.len() < linestack_store::MAX_RECORD_LENGTH - http::MAX_HEAD_BYTES, "{}", text.len());
     let folder = tempfile::tempdir().unwrap();
-    let open = |new| Store::open(Folder::open(folder.path()).unwrap(), Limits::default(), new, 1).unwrap();
+    let open = |mode| Store::open(Folder::open(folder.path()).unwrap(), Limits::default(), mode, 1).unwrap();
     let put = Op::Put { kind: 2, key: b"list".to_vec(), value: text, at: 1 };
-    open(true).commit(&[put], 1).unwrap();
-    let stored = open(false).get(2, b"list").unwrap().unwrap();
+    open(OpenMode::Create).commit(&[put], 1).unwrap();
+    let stored = open(OpenMode::Existing).get(2, b"list").unwrap().unwrap();
     assert_eq!(List::read(&stored).unwrap(), list);
 }
--- a/crates/recovery/src/start.rs
+++ b/crates/recovery/src/start.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
     /// The settings are not confirmed as current: no submission is taken.
-    Version,
+    AwaitingSettings,
     /// There is no usable list of executors: no submission is taken.
-    List,
+    AwaitingList,
     /// Executors are being contacted; the number of active submissions is bounded by how many executors have answered.
-    Known,
+    AwaitingExecutors,
     /// The node takes on its share of the load, as fast as executors answer.
-    Share,
+    RampingUp,
     /// The start is complete: the start sets no limits any more.
     Full,
 }
@@ -28,10 +28,10 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Version => "version",
-            Self::List => "list",
-            Self::Known => "known",
-            Self::Share => "share",
+            Self::AwaitingSettings => "version",
+            Self::AwaitingList => "list",
+            Self::AwaitingExecutors => "known",
+            Self::RampingUp => "share",
             Self::Full => "full",
         }
     }
@@ -39,17 +39,17 @@
     /// Returns whether clients should send requests to a node in this stage.
     #[must_use]
     pub fn serves(self) -> bool {
-        self >= Self::Known
+        self >= Self::AwaitingExecutors
     }
 
     /// Returns what a node in this stage waits for, for the log.
     #[must_use]
     pub fn waits_for(self) -> &'static str {
         match self {
-            Self::Version => "no coordinator has proved the terms current",
-            Self::List => "discovery has told no list",
-            Self::Known => "executors are being met",
-            Self::Share => "load is taken on as executors answer",
+            Self::AwaitingSettings => "no coordinator has proved the terms current",
+            Self::AwaitingList => "discovery has told no list",
+            Self::AwaitingExecutors => "executors are being met",
+            Self::RampingUp => "load is taken on as executors answer",
             Self::Full => "nothing",
         }
     }
@@ -68,17 +68,17 @@
     pub sessions_per_s: f64,
     /// After this time without a list from discovery the node uses a stored list, if it has one.
     pub list_timeout: Nanos,
-    /// The longest time in [`Stage::Known`]; the next stage then begins even if too few executors have answered.
-    pub known_timeout: Nanos,
-    /// The longest time in [`Stage::Share`]; the next stage then begins even if submissions are still rejected.
-    pub share_timeout: Nanos,
+    /// The longest time in [`Stage::AwaitingExecutors`]; the next stage then begins even if too few executors have answered.
+    pub executors_timeout: Nanos,
+    /// The longest time in [`Stage::RampingUp`]; the next stage then begins even if submissions are still rejected.
+    pub ramp_up_timeout: Nanos,
 }
 
 /// The initial limit of active submissions, before any executor has answered. Each answer raises the limit by one.
 const INITIAL_LIMIT: f64 = 4.0;
-/// In [`Stage::Known`], the active submissions allowed for each executor that has answered.
+/// In [`Stage::AwaitingExecutors`], the active submissions allowed for each executor that has answered.
 const LIMIT_PER_EXECUTOR: f64 = 4.0;
-/// [`Stage::Share`] ends once no submission has been rejected for this long.
+/// [`Stage::RampingUp`] ends once no submission has been rejected for this long.
 const NO_REJECTION_PERIOD: Nanos = 500_000_000;
 /// While new connections are delayed by more than this, no further submissions are taken.
 const MAX_CONNECT_DELAY: Nanos = 250_000_000;
@@ -164,15 +164,32 @@
     pub has_old_list: bool,
 }
 
+/// Random numbers from 0 to 1 that delay the first events of a start, as fractions of the interval between two events.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct StartJitter {
+    /// For the first connection to an executor.
+    pub connection: f64,
+    /// For the first request for the list.
+    pub list_request: f64,
+}
+
+/// Where a list of executors comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListSource {
+    /// Discovery has sent it.
+    Discovery,
+    /// The node has read it from its store.
+    Store,
+}
+
 impl StagedStart {
-    /// Begins a start now. `random` are random numbers from 0 to 1: for the first connection and the first request for
-    /// the list.
+    /// Begins a start now.
     #[must_use]
-    pub fn new(limits: StartLimits, conditions: StartConditions, random: [f64; 2], now: Nanos) -> Self {
+    pub fn new(limits: StartLimits, conditions: StartConditions, jitter: StartJitter, now: Nanos) -> Self {
         let StartConditions { settings_confirmed, list_is_fresh, has_old_list } = conditions;
         Self {
             limits,
-            stage: Stage::Version,
+            stage: Stage::AwaitingSettings,
             since: now,
             settings_confirmed,
             listed: false,
@@ -183,8 +200,8 @@
             limit: INITIAL_LIMIT,
             last_rejection: now,
             rejected_submissions: 0,
-            connects: Pace::new(limits.connects_per_s, limits.nodes, now, random[0]).ramped(),
-            lists: Pace::new(limits.lists_per_s, limits.nodes, now, random[1]),
+            connects: Pace::new(limits.connects_per_s, limits.nodes, now, jitter.connection).ramped(),
+            lists: Pace::new(limits.lists_per_s, limits.nodes, now, jitter.list_request),
             list_request_at: None,
         }
     }
@@ -203,7 +220,7 @@
 
     /// Returns whether the old list is to be used now because discovery sent none in time. Returns true only once.
     pub fn should_use_old_list(&mut self) -> bool {
-        self.stage >= Stage::Known && !self.listed && std::mem::take(&mut self.has_old_list)
+        self.stage >= Stage::AwaitingExecutors && !self.listed && std::mem::take(&mut self.has_old_list)
     }
 
     /// Moves on to the next stage if evidence or time allow it. Returns the stage reached, or none if it did not move.
@@ -212,18 +229,19 @@
         let (done, next) = match self.stage {
             // There is no time-out here: old settings do not become current by waiting. Only the coordinators can
             // confirm them.
-            Stage::Version => (self.settings_confirmed, Stage::List),
-            Stage::List => {
-                (self.listed || (self.has_old_list && waited >= self.limits.list_timeout), Stage::Known)
-            }
-            Stage::Known => {
+            Stage::AwaitingSettings => (self.settings_confirmed, Stage::AwaitingList),
+            Stage::AwaitingList => (
+                self.listed || (self.has_old_list && waited >= self.limits.list_timeout),
+                Stage::AwaitingExecutors,
+            ),
+            Stage::AwaitingExecutors => {
                 let half_answered = 2 * self.answered.len() >= self.ready.max(1);
-                (half_answered || waited >= self.limits.known_timeout, Stage::Share)
+                (half_answered || waited >= self.limits.executors_timeout, Stage::RampingUp)
             }
-            Stage::Share => {
+            Stage::RampingUp => {
                 let no_rejections =
                     now.saturating_sub(self.last_rejection.max(self.since)) >= NO_REJECTION_PERIOD;
-                (no_rejections || waited >= self.limits.share_timeout, Stage::Full)
+                (no_rejections || waited >= self.limits.ramp_up_timeout, Stage::Full)
             }
             Stage::Full => (false, Stage::Full),
         };
@@ -237,11 +255,11 @@
     #[must_use]
     pub fn next_due(&self) -> Nanos {
         match self.stage {
-            Stage::List if self.has_old_list => self.since + self.limits.list_timeout,
-            Stage::Known => self.since + self.limits.known_timeout,
-            Stage::Share => (self.last_rejection.max(self.since) + NO_REJECTION_PERIOD)
-                .min(self.since + self.limits.share_timeout),
-            Stage::Version | Stage::List | Stage::Full => Nanos::MAX,
+            Stage::AwaitingList if self.has_old_list => self.since + self.limits.list_timeout,
+            Stage::AwaitingExecutors => self.since + self.limits.executors_timeout,
+            Stage::RampingUp => (self.last_rejection.max(self.since) + NO_REJECTION_PERIOD)
+                .min(self.since + self.limits.ramp_up_timeout),
+            Stage::AwaitingSettings | Stage::AwaitingList | Stage::Full => Nanos::MAX,
         }
     }
 
@@ -250,9 +268,9 @@
         self.settings_confirmed = true;
     }
 
-    /// Records a list with `ready` ready executors, either received from discovery or read from the store.
-    pub fn list_received(&mut self, from_discovery: bool, ready: usize) {
-        self.listed |= from_discovery || (self.list_is_fresh && ready > 0);
+    /// Records a list with `ready` ready executors.
+    pub fn list_received(&mut self, source: ListSource, ready: usize) {
+        self.listed |= source == ListSource::Discovery || (self.list_is_fresh && ready > 0);
         self.ready = ready;
     }
 
@@ -273,9 +291,11 @@
     pub fn admits(&mut self, now: Nanos, active: usize) -> bool {
         let most = match self.stage {
             Stage::Full => return true,
-            Stage::Version | Stage::List => 0.0,
-            Stage::Known => self.limit.min(INITIAL_LIMIT + LIMIT_PER_EXECUTOR * self.answered.len() as f64),
-            Stage::Share => self.limit,
+            Stage::AwaitingSettings | Stage::AwaitingList => 0.0,
+            Stage::AwaitingExecutors => {
+                self.limit.min(INITIAL_LIMIT + LIMIT_PER_EXECUTOR * self.answered.len() as f64)
+            }
+            Stage::RampingUp => self.limit,
         };
         let fits = (active as f64) < most
             && self.connects.next <= now + self.connects.interval(now) + MAX_CONNECT_DELAY;
--- a/crates/recovery/tests/start.rs
+++ b/crates/recovery/tests/start.rs
@@ -1,7 +1,8 @@
 //! The stages of a start and their limits.
 
 use linestack_recovery::start::{
-    BootTimestamp, Nanos, Stage, StagedStart, StartConditions, StartLimits, is_fresh, session_delay,
+    BootTimestamp, ListSource, Nanos, Stage, StagedStart, StartConditions, StartJitter, StartLimits,
+    is_fresh, session_delay,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -15,8 +16,8 @@
         lists_per_s: per_s,
         sessions_per_s: per_s,
         list_timeout: 3000 * MS,
-        known_timeout: 2000 * MS,
-        share_timeout: 4000 * MS,
+        executors_timeout: 2000 * MS,
+        ramp_up_timeout: 4000 * MS,
     }
 }
 
@@ -30,32 +31,32 @@
     StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: false };
 const WITH_OLD_LIST: StartConditions = StartConditions { has_old_list: true, ..CONFIRMED };
 
-// The conditions at the start, the list received (from discovery or not), and the stage reached after some time.
+// The conditions at the start, the source of the list received, and the stage reached after some time.
 #[rstest]
-#[case::settings_not_confirmed(StartConditions { settings_confirmed: false, list_is_fresh: true, has_old_list: true }, None, 600_000, Stage::Version)]
-#[case::no_list_at_all(CONFIRMED, None, 600_000, Stage::List)]
-#[case::old_list_before_the_timeout(WITH_OLD_LIST, None, 2999, Stage::List)]
-#[case::old_list_after_the_timeout(WITH_OLD_LIST, None, 3000, Stage::Known)]
-#[case::list_from_discovery(CONFIRMED, Some(true), 0, Stage::Known)]
-#[case::fresh_stored_list(StartConditions { list_is_fresh: true, ..CONFIRMED }, Some(false), 0, Stage::Known)]
-#[case::stored_list_not_fresh(CONFIRMED, Some(false), 0, Stage::List)]
+#[case::settings_not_confirmed(StartConditions { settings_confirmed: false, list_is_fresh: true, has_old_list: true }, None, 600_000, Stage::AwaitingSettings)]
+#[case::no_list_at_all(CONFIRMED, None, 600_000, Stage::AwaitingList)]
+#[case::old_list_before_the_timeout(WITH_OLD_LIST, None, 2999, Stage::AwaitingList)]
+#[case::old_list_after_the_timeout(WITH_OLD_LIST, None, 3000, Stage::AwaitingExecutors)]
+#[case::list_from_discovery(CONFIRMED, Some(ListSource::Discovery), 0, Stage::AwaitingExecutors)]
+#[case::fresh_stored_list(StartConditions { list_is_fresh: true, ..CONFIRMED }, Some(ListSource::Store), 0, Stage::AwaitingExecutors)]
+#[case::stored_list_not_fresh(CONFIRMED, Some(ListSource::Store), 0, Stage::AwaitingList)]
 fn stage_reached(
     #[case] conditions: StartConditions,
-    #[case] list: Option<bool>,
+    #[case] list: Option<ListSource>,
     #[case] after_ms: u64,
     #[case] stage: Stage,
 ) {
-    let mut start = StagedStart::new(limits(10, 0.0), conditions, [0.0; 2], 7);
+    let mut start = StagedStart::new(limits(10, 0.0), conditions, StartJitter::default(), 7);
     advance(&mut start, 7);
-    list.iter().for_each(|from_discovery| start.list_received(*from_discovery, 4));
+    list.iter().for_each(|source| start.list_received(*source, 4));
     assert_eq!(advance(&mut start, 7 + after_ms * MS), stage);
     assert_eq!(start.admits(7 + after_ms * MS, 0), stage.serves());
 }
 
 /// A start that received a list with four ready executors.
 fn serving(per_s: f64) -> StagedStart {
-    let mut start = StagedStart::new(limits(10, per_s), CONFIRMED, [0.0; 2], 0);
-    start.list_received(true, 4);
+    let mut start = StagedStart::new(limits(10, per_s), CONFIRMED, StartJitter::default(), 0);
+    start.list_received(ListSource::Discovery, 4);
     advance(&mut start, 0);
     start
 }
@@ -65,14 +66,14 @@
 fn a_stage_ends_by_evidence_or_by_timeout() {
     let mut start = serving(0.0);
     start.executor_answered(1);
-    assert_eq!(advance(&mut start, MS), Stage::Known);
+    assert_eq!(advance(&mut start, MS), Stage::AwaitingExecutors);
     start.executor_answered(2);
-    assert_eq!(advance(&mut start, 2 * MS), Stage::Share);
-    assert_eq!(advance(&mut start, 501 * MS), Stage::Share);
+    assert_eq!(advance(&mut start, 2 * MS), Stage::RampingUp);
+    assert_eq!(advance(&mut start, 501 * MS), Stage::RampingUp);
     assert_eq!(advance(&mut start, 502 * MS), Stage::Full);
     let mut start = serving(0.0);
-    assert_eq!(advance(&mut start, 1999 * MS), Stage::Known);
-    assert_eq!(advance(&mut start, 2000 * MS), Stage::Share);
+    assert_eq!(advance(&mut start, 1999 * MS), Stage::AwaitingExecutors);
+    assert_eq!(advance(&mut start, 2000 * MS), Stage::RampingUp);
     assert_eq!(advance(&mut start, 2500 * MS), Stage::Full);
 }
 
@@ -88,9 +89,9 @@
     start.execution_rejected();
     assert!(start.admits(0, 4) && !start.admits(0, 6));
     // The stage goes on while submissions are rejected.
-    assert_eq!(advance(&mut start, 0), Stage::Share);
+    assert_eq!(advance(&mut start, 0), Stage::RampingUp);
     for at in (0..4000).step_by(100) {
-        assert!(!start.admits(at * MS, 999) && advance(&mut start, at * MS) == Stage::Share, "{at}");
+        assert!(!start.admits(at * MS, 999) && advance(&mut start, at * MS) == Stage::RampingUp, "{at}");
     }
     assert_eq!(advance(&mut start, 4000 * MS), Stage::Full);
     assert!(start.admits(4000 * MS, 999));
@@ -120,7 +121,7 @@
         let limits = limits(nodes, per_s);
         let mut at: Vec<Nanos> = Vec::new();
         for random in randoms.iter().take(nodes as usize) {
-            let mut start = StagedStart::new(limits, CONFIRMED, [*random; 2], 0);
+            let mut start = StagedStart::new(limits, CONFIRMED, StartJitter { connection: *random, list_request: *random }, 0);
             at.extend((0..connections).map(|_| start.schedule_connect(0)));
             let list_at = start.schedule_list_request(0);
             prop_assert!(list_at <= (f64::from(nodes) / per_s * 1e9) as Nanos);
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -23,7 +23,7 @@
         reason: &'static str,
     },
     /// A file has another format version.
-    #[error("{file}: of form {found}, and this reads {FORMAT_VERSION}")]
+    #[error("{file}: format version {found}, but only {FORMAT_VERSION} is supported")]
     FormatVersion {
         /// The file.
         file: String,
--- a/crates/store/src/store/compaction.rs
+++ b/crates/store/src/store/compaction.rs
@@ -97,7 +97,7 @@
     }
 
     fn is_expired(&self, record: &Record, now: u64) -> bool {
-        let retention = self.limits.retention.iter().find(|(kind, _)| *kind == record.kind);
-        retention.is_some_and(|(_, duration)| record.time.saturating_add(*duration) < now)
+        let retention = self.limits.retention.iter().find(|retention| retention.kind == record.kind);
+        retention.is_some_and(|retention| record.time.saturating_add(retention.duration) < now)
     }
 }
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -4,7 +4,7 @@
 use crate::error::{StoreError, damaged};
 use crate::format::{Manifest, SEGMENT_HEADER, SegmentEntry, decode_manifest, decode_segment_header};
 use crate::segment::{Extent, MANIFEST, MANIFEST_NEW, Segment, checkpoint_name, is_store_file, segment_name};
-use crate::types::Limits;
+use crate::types::{Limits, OpenMode};
 
 use super::{Location, Store};
 
@@ -14,20 +14,23 @@
 const PAGE: u64 = 4096;
 
 impl<D: Disk> Store<D> {
-    /// Opens the store on this disk, or with `new` creates one. `seed` is any number that other stores are unlikely to
-    /// have.
+    /// Opens the store on this disk or creates one. `seed` is any number that other stores are unlikely to have; it is
+    /// used only when a store is created.
     ///
     /// # Errors
     ///
-    /// There is no store, or, with `new`, there is one already; the store is damaged, in which case nothing was
-    /// changed; errors of the disk.
-    pub fn open(disk: D, limits: Limits, new: bool, seed: u64) -> Result<Self, StoreError> {
+    /// There is no store to open, or there is one already where one is to be created; the store is damaged, in which case
+    /// nothing was changed; errors of the disk.
+    pub fn open(disk: D, limits: Limits, mode: OpenMode, seed: u64) -> Result<Self, StoreError> {
         let names = disk.list()?;
         if !names.iter().any(|name| name == MANIFEST) {
             check_never_created(&disk, &names)?;
-            return if new { Self::create(disk, limits, seed) } else { Err(StoreError::Missing) };
+            return match mode {
+                OpenMode::Create => Self::create(disk, limits, seed),
+                OpenMode::Existing => Err(StoreError::Missing),
+            };
         }
-        if new {
+        if mode == OpenMode::Create {
             return Err(StoreError::AlreadyExists);
         }
         let bytes = disk.read(MANIFEST, 0, usize::MAX)?;
--- a/crates/store/src/types.rs
+++ b/crates/store/src/types.rs
@@ -7,9 +7,8 @@
     pub segment_size: u64,
     /// The size of all segments, in bytes. When a commit exceeds it, the oldest segments are cleaned.
     pub budget: u64,
-    /// By kind: how long after its time a record is kept, in the unit of that time. Records of other kinds never
-    /// expire.
-    pub retention: Vec<(u8, u64)>,
+    /// The kinds whose records expire. Records of other kinds never expire.
+    pub retention: Vec<Retention>,
     /// The kinds whose records may be dropped before they expire, oldest segment first, when the store exceeds its
     /// budget.
     pub evictable_kinds: Vec<u8>,
@@ -21,6 +20,15 @@
     pub max_uncovered_segments: usize,
 }
 
+/// How long records of one kind are kept.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Retention {
+    /// The kind of record.
+    pub kind: u8,
+    /// How long after its time a record is kept, in the unit of that time.
+    pub duration: u64,
+}
+
 impl Default for Limits {
     fn default() -> Self {
         Self {
@@ -34,6 +42,15 @@
     }
 }
 
+/// Whether a store is created or must exist already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OpenMode {
+    /// Creates a store; fails if there is one already.
+    Create,
+    /// Opens the existing store; fails if there is none.
+    Existing,
+}
+
 /// One operation of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
--- a/crates/store/tests/cut.rs
+++ b/crates/store/tests/cut.rs
@@ -8,7 +8,7 @@
 
 use common::{DiskFault, SimulatedDisk};
 use fastrand::Rng;
-use linestack_store::{Disk, Limits, Op, Store, StoreError, repair};
+use linestack_store::{Disk, Limits, Op, OpenMode, Retention, Store, StoreError, repair};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -66,8 +66,8 @@
 
 /// Commits until one fails. Returns the store, the number of operations whose commits succeeded, and the number of
 /// operations whose commits were begun.
-fn run(disk: SimulatedDisk, all: &[Vec<Op>], new: bool) -> (Option<Store<SimulatedDisk>>, usize, usize) {
-    let Ok(mut store) = Store::open(disk, limits(), new, 7) else { return (None, 0, 0) };
+fn run(disk: SimulatedDisk, all: &[Vec<Op>], mode: OpenMode) -> (Option<Store<SimulatedDisk>>, usize, usize) {
+    let Ok(mut store) = Store::open(disk, limits(), mode, 7) else { return (None, 0, 0) };
     let (mut committed, mut begun) = (0, 0);
     for (i, ops) in all.iter().enumerate() {
         begun += ops.len();
@@ -105,7 +105,7 @@
 /// Runs commits without a fault. Returns the disk, the commits and the content of the store.
 fn run_to_end(seed: u64, count: usize) -> (SimulatedDisk, Vec<Vec<Op>>, Map) {
     let all = commits(seed, count);
-    let (store, committed, begun) = run(SimulatedDisk::default(), &all, true);
+    let (store, committed, begun) = run(SimulatedDisk::default(), &all, OpenMode::Create);
     let store = store.unwrap();
     assert_eq!(committed, begun);
     let map = contents(&store).unwrap();
@@ -119,13 +119,13 @@
 #[test]
 fn a_power_failure_or_kill_at_every_step() {
     let all = commits(1, 60);
-    let total = run(SimulatedDisk::default(), &all, true).0.unwrap().close().steps;
+    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).0.unwrap().close().steps;
     let (mut rng, mut refused, mut opened) = (Rng::with_seed(5), 0, 0);
     for step in 1..=total {
         for _ in 0..if runs_all_cases() { 40 } else { 4 } {
             let bytes = if rng.bool() { rng.usize(0..64) } else { rng.usize(0..4096) };
             let disk = SimulatedDisk::with_fault(step, DiskFault::PowerFailure(bytes));
-            let (store, committed, begun) = run(disk, &all, true);
+            let (store, committed, begun) = run(disk, &all, OpenMode::Create);
             let Some(store) = store else { continue };
             let disk = store.close();
             let (disk, is_power_failure) = if rng.bool() {
@@ -133,7 +133,7 @@
             } else {
                 (disk.after_kill(), false)
             };
-            let again = match Store::open(disk, limits(), false, 7) {
+            let again = match Store::open(disk, limits(), OpenMode::Existing, 7) {
                 Ok(store) => store,
                 // The store was not created yet. Any other error must report damage, at least after a kill.
                 Err(StoreError::Missing) if committed == 0 => continue,
@@ -163,12 +163,12 @@
 #[test]
 fn every_call_fails_in_turn() {
     let all = commits(2, 60);
-    let total = run(SimulatedDisk::default(), &all, true).0.unwrap().close().steps;
+    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).0.unwrap().close().steps;
     for step in 1..=total {
         let disk = SimulatedDisk::with_fault(step, DiskFault::CallFails);
-        let (store, committed, begun) = run(disk, &all, true);
+        let (store, committed, begun) = run(disk, &all, OpenMode::Create);
         let Some(store) = store else { continue };
-        let again = match Store::open(store.close().after_kill(), limits(), false, 7) {
+        let again = match Store::open(store.close().after_kill(), limits(), OpenMode::Existing, 7) {
             Ok(again) => again,
             Err(StoreError::Missing) if committed == 0 => continue,
             Err(error) => panic!("step {step}: {error}"),
@@ -188,7 +188,7 @@
         for cut in (0..length).step_by(step) {
             let mut truncated = disk.after_kill();
             truncated.truncate_file(&name, cut);
-            match Store::open(truncated, limits(), false, 7) {
+            match Store::open(truncated, limits(), OpenMode::Existing, 7) {
                 Ok(store) => assert_eq!(contents(&store).unwrap(), map, "{name} at {cut}"),
                 Err(StoreError::Damaged { .. }) => refused += 1,
                 Err(error) => panic!("{name} at {cut}: {error}"),
@@ -209,7 +209,7 @@
         for bit in (0..length * 8).step_by(step) {
             let mut flipped = disk.after_kill();
             flipped.flip_bit(&name, bit);
-            match Store::open(flipped, limits(), false, 7).and_then(|s| contents(&s)) {
+            match Store::open(flipped, limits(), OpenMode::Existing, 7).and_then(|s| contents(&s)) {
                 Ok(found) => {
                     restored += 1;
                     assert_eq!(found, map, "{name}, bit {bit}");
@@ -228,7 +228,7 @@
     for (name, _) in disk.files() {
         let mut incomplete = disk.after_kill();
         incomplete.remove_name(&name);
-        match Store::open(incomplete, limits(), false, 7) {
+        match Store::open(incomplete, limits(), OpenMode::Existing, 7) {
             Ok(store) => {
                 assert!(name.starts_with("checkpoint"), "the missing {name} is not reported");
                 assert_eq!(contents(&store).unwrap(), map);
@@ -245,15 +245,15 @@
 fn an_unfinished_commit_is_never_restored() {
     // Each record occupies 512 bytes.
     let put = |key: u8| Op::Put { kind: 1, key: vec![key; 8], value: vec![key; 475], at: 0 };
-    let mut store = Store::open(SimulatedDisk::default(), limits(), true, 7).unwrap();
+    let mut store = Store::open(SimulatedDisk::default(), limits(), OpenMode::Create, 7).unwrap();
     store.commit(&[put(1)], 0).unwrap();
     store.commit(&[put(2), put(3)], 0).unwrap();
     let mut disk = store.close().after_kill();
     disk.zero("000000000001.segment", 32 + 512, 32 + 1024);
-    let mut store = Store::open(disk, limits(), false, 7).unwrap();
+    let mut store = Store::open(disk, limits(), OpenMode::Existing, 7).unwrap();
     assert_eq!(store.entries().count(), 1);
     store.commit(&[put(4)], 0).unwrap();
-    let again = Store::open(store.close().after_kill(), limits(), false, 7).unwrap();
+    let again = Store::open(store.close().after_kill(), limits(), OpenMode::Existing, 7).unwrap();
     let mut keys: Vec<u8> = again.entries().map(|e| e.key[0]).collect();
     keys.sort_unstable();
     assert_eq!(keys, [1, 4]);
@@ -289,7 +289,7 @@
 #[rstest]
 #[case::too_large(Op::Put { kind: 1, key: vec![1], value: vec![0; 5000], at: 0 })]
 fn a_record_that_does_not_fit_is_rejected_with_its_commit(#[case] op: Op) {
-    let mut store = Store::open(SimulatedDisk::default(), limits(), true, 7).unwrap();
+    let mut store = Store::open(SimulatedDisk::default(), limits(), OpenMode::Create, 7).unwrap();
     let valid = Op::Put { kind: 1, key: vec![2], value: vec![], at: 0 };
     assert!(matches!(store.commit(&[valid.clone(), op], 0), Err(StoreError::TooLarge(_))));
     assert_eq!(store.entries().count(), 0);
@@ -301,8 +301,9 @@
 // other records.
 #[test]
 fn the_oldest_records_of_evictable_kinds_are_dropped() {
-    let limits = Limits { retention: vec![(1, 50)], evictable_kinds: vec![2], ..limits() };
-    let mut store = Store::open(SimulatedDisk::default(), limits, true, 7).unwrap();
+    let limits =
+        Limits { retention: vec![Retention { kind: 1, duration: 50 }], evictable_kinds: vec![2], ..limits() };
+    let mut store = Store::open(SimulatedDisk::default(), limits, OpenMode::Create, 7).unwrap();
     let put = |kind, i: u64| Op::Put { kind, key: i.to_le_bytes().to_vec(), value: vec![9; 100], at: i };
     store.commit(&[put(3, 0), put(1, 1)], 1).unwrap();
     for i in 2..2_000 {
@@ -326,12 +327,12 @@
     #[test]
     fn like_a_plain_map(seed in any::<u64>(), faults in prop::collection::vec((1_usize..120, any::<bool>()), 1..6)) {
         let mut rng = Rng::with_seed(seed);
-        let (mut disk, mut new, mut history) = (SimulatedDisk::default(), true, Vec::new());
+        let (mut disk, mut mode, mut history) = (SimulatedDisk::default(), OpenMode::Create, Vec::new());
         for (round, (step, is_power_failure)) in faults.into_iter().enumerate() {
             let more = commits(seed.wrapping_add(round as u64), 30);
             disk.fault = Some((step, DiskFault::PowerFailure(rng.usize(0..600))));
             let before: Vec<Vec<Op>> = history.clone();
-            let opened = Store::open(disk.clone(), limits(), new, 7);
+            let opened = Store::open(disk.clone(), limits(), mode, 7);
             let Ok(mut store) = opened else { disk = disk.after_kill(); continue };
             let committed: usize = before.iter().map(Vec::len).sum();
             let (mut committed, mut begun) = (committed, committed);
@@ -345,9 +346,9 @@
             }
             disk = store.close();
             disk = if is_power_failure { disk.after_power_failure(&mut rng) } else { disk.after_kill() };
-            match Store::open(disk.clone(), limits(), false, 7) {
+            match Store::open(disk.clone(), limits(), OpenMode::Existing, 7) {
                 Ok(again) => {
-                    new = false;
+                    mode = OpenMode::Existing;
                     let map = contents(&again).unwrap();
                     prop_assert!(is_possible_state(&map, &history, committed, begun));
                     // The next round starts from the restored state.
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -5,7 +5,7 @@
 
 use linestack_core::{ConnectionId as CoreConnectionId, Input, Nanos, PersistTicket, StoredOutcomes};
 use linestack_dispatch::types::ListKind;
-use linestack_recovery::start::{StagedStart, StartConditions, StartLimits};
+use linestack_recovery::start::{StagedStart, StartConditions, StartJitter, StartLimits};
 use linestack_recovery::{OutcomeRecord, OutcomeTable};
 use rand::Rng as _;
 
@@ -231,12 +231,13 @@
             lists_per_s: starts.lists_per_s,
             sessions_per_s: 0.0,
             list_timeout: START_LIST_TIMEOUT,
-            known_timeout: START_KNOWN_TIMEOUT,
-            share_timeout: START_SHARE_TIMEOUT,
+            executors_timeout: START_KNOWN_TIMEOUT,
+            ramp_up_timeout: START_SHARE_TIMEOUT,
         };
         let conditions =
             StartConditions { settings_confirmed: true, list_is_fresh: true, has_old_list: false };
-        StagedStart::new(limits, conditions, [self.rng.random(), self.rng.random()], self.now)
+        let jitter = StartJitter { connection: self.rng.random(), list_request: self.rng.random() };
+        StagedStart::new(limits, conditions, jitter, self.now)
     }
 
     /// Returns the outcomes that earlier incarnations of a node have stored.
@@ -244,8 +245,8 @@
         let persisted = &self.nodes[node].persisted;
         let mut outcomes = OutcomeTable::new(OUTCOME_RETENTION, usize::MAX, usize::MAX);
         outcomes.restore(persisted.iter().cloned());
-        let age = persisted.iter().map(|record| record.at + 1).max().unwrap_or(0);
-        StoredOutcomes { outcomes, age, now: self.now, by_stamp: true, incomplete_until: 0 }
+        let store_time = persisted.iter().map(|record| record.at + 1).max().unwrap_or(0);
+        StoredOutcomes { outcomes, store_time, now: self.now, by_stamp: true, incomplete_until: 0 }
     }
 
     /// A record is on a node's disk. A record whose write was in progress when the node was killed is lost.
