--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 
-/// A time in nanoseconds, counted only while a node runs on this store, over all its runs. Downtime does not make records
-/// expire, and the wall clock has no influence.
+/// A time in nanoseconds on the clock of a store, which counts the total time for which nodes have run on this store.
+/// Downtime therefore does not make records expire, and steps of the wall clock have no effect.
 pub type StoreTime = u64;
 
 /// The outcome of a submission, as it is stored.
@@ -60,6 +60,7 @@
 /// A record for the store: the outcome of one submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutcomeRecord {
+    /// The key by which the submission is recognized when it is retried.
     pub key: Bytes,
     pub outcome: StoredOutcome,
     /// When the outcome was recorded.
@@ -69,10 +70,11 @@
 /// The outcomes that a node remembers, bounded in time, number and memory.
 #[derive(Debug)]
 pub struct OutcomeTable {
-    known: HashMap<Bytes, (StoredOutcome, StoreTime)>,
-    /// The keys in the order in which outcomes were recorded, the oldest first. An entry that was superseded by a later
-    /// one for the same key is skipped when it expires.
-    order: VecDeque<(StoreTime, Bytes)>,
+    /// The latest outcome of each key.
+    latest: HashMap<Bytes, LatestOutcome>,
+    /// Every recorded outcome, the oldest first. An entry that a later one for the same key has superseded is skipped when
+    /// it expires.
+    expiry_queue: VecDeque<ExpiryEntry>,
     /// How long an outcome is remembered; clients do not retry later than that.
     retention: StoreTime,
     max_entries: usize,
@@ -81,13 +83,32 @@
     max_bytes: usize,
 }
 
+/// The latest outcome of a key.
+#[derive(Debug)]
+struct LatestOutcome {
+    outcome: StoredOutcome,
+    recorded_at: StoreTime,
+}
+
+/// An outcome that was recorded for this key, for the order of expiry.
+#[derive(Debug)]
+struct ExpiryEntry {
+    recorded_at: StoreTime,
+    key: Bytes,
+}
+
+/// Returns the number of bytes that an outcome counts against the table's limit.
+fn entry_size(key: &Bytes, outcome: &StoredOutcome) -> usize {
+    key.len() + if let StoredOutcome::Completed(result) = outcome { result.len() } else { 0 }
+}
+
 impl OutcomeTable {
     /// Creates a table that remembers each outcome for `retention`, and is full at `max_entries` or `max_bytes`.
     #[must_use]
     pub fn new(retention: StoreTime, max_entries: usize, max_bytes: usize) -> Self {
         Self {
-            known: HashMap::new(),
-            order: VecDeque::new(),
+            latest: HashMap::new(),
+            expiry_queue: VecDeque::new(),
             retention,
             max_entries,
             used_bytes: 0,
@@ -99,33 +120,29 @@
     pub fn restore(&mut self, records: impl IntoIterator<Item = OutcomeRecord>) {
         let mut records: Vec<OutcomeRecord> = records.into_iter().collect();
         records.sort_by_key(|r| r.at);
-        records.into_iter().for_each(|r| self.set(r));
+        records.into_iter().for_each(|r| self.insert(r));
     }
 
-    fn set(&mut self, record: OutcomeRecord) {
-        let OutcomeRecord { key, outcome, at } = record;
-        let size = |outcome: &StoredOutcome| {
-            key.len() + if let StoredOutcome::Completed(r) = outcome { r.len() } else { 0 }
-        };
-        self.used_bytes += size(&outcome);
-        self.order.push_back((at, key.clone()));
-        if let Some((before, _)) = self.known.insert(key.clone(), (outcome, at)) {
-            self.used_bytes = self.used_bytes.saturating_sub(size(&before));
+    fn insert(&mut self, record: OutcomeRecord) {
+        let OutcomeRecord { key, outcome, at: recorded_at } = record;
+        self.used_bytes += entry_size(&key, &outcome);
+        self.expiry_queue.push_back(ExpiryEntry { recorded_at, key: key.clone() });
+        if let Some(previous) = self.latest.insert(key.clone(), LatestOutcome { outcome, recorded_at }) {
+            self.used_bytes = self.used_bytes.saturating_sub(entry_size(&key, &previous.outcome));
         }
     }
 
     /// Drops the outcomes that are past their retention time.
     pub fn expire(&mut self, now: StoreTime) {
-        while let Some((at, _)) = self.order.front() {
-            if at.saturating_add(self.retention) >= now {
+        while let Some(oldest) = self.expiry_queue.front() {
+            if oldest.recorded_at.saturating_add(self.retention) >= now {
                 return;
             }
-            let Some((at, key)) = self.order.pop_front() else { return };
-            if self.known.get(&key).is_some_and(|(_, latest)| *latest == at)
-                && let Some((outcome, _)) = self.known.remove(&key)
+            let Some(ExpiryEntry { recorded_at, key }) = self.expiry_queue.pop_front() else { return };
+            if self.latest.get(&key).is_some_and(|latest| latest.recorded_at == recorded_at)
+                && let Some(expired) = self.latest.remove(&key)
             {
-                let result = if let StoredOutcome::Completed(r) = outcome { r.len() } else { 0 };
-                self.used_bytes = self.used_bytes.saturating_sub(key.len() + result);
+                self.used_bytes = self.used_bytes.saturating_sub(entry_size(&key, &expired.outcome));
             }
         }
     }
@@ -134,23 +151,25 @@
     /// may have run would let it run twice.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        self.known.len() >= self.max_entries || self.used_bytes >= self.max_bytes
+        self.latest.len() >= self.max_entries || self.used_bytes >= self.max_bytes
     }
 
     /// Returns the outcome recorded for a key.
     #[must_use]
     pub fn outcome(&self, key: &[u8]) -> Option<&StoredOutcome> {
-        self.known.get(key).map(|(outcome, _)| outcome)
+        self.latest.get(key).map(|latest| &latest.outcome)
     }
 
+    /// Returns the number of keys whose outcome is remembered.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.latest.len()
     }
 
+    /// Returns whether no outcome is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.latest.is_empty()
     }
 
     /// Records that an execution is about to be sent. The returned record must be durable before the first byte of the
@@ -159,20 +178,20 @@
         self.record(key, StoredOutcome::MayHaveRun, now)
     }
 
-    /// Records the outcome of a submission and returns the record to be stored, or none if nothing was recorded of the
-    /// submission before.
+    /// Records the outcome of a submission and returns the record to be stored. Does nothing and returns none if no
+    /// outcome is remembered for the submission: no execution of it was sent, or the record has expired.
     pub fn record_outcome(
         &mut self,
         key: &Bytes,
         outcome: StoredOutcome,
         now: StoreTime,
     ) -> Option<OutcomeRecord> {
-        self.known.contains_key(key).then(|| self.record(key, outcome, now))
+        self.latest.contains_key(key).then(|| self.record(key, outcome, now))
     }
 
     fn record(&mut self, key: &Bytes, outcome: StoredOutcome, at: StoreTime) -> OutcomeRecord {
         let record = OutcomeRecord { key: key.clone(), outcome, at };
-        self.set(record.clone());
+        self.insert(record.clone());
         record
     }
 }
--- a/crates/recovery/src/start.rs
+++ b/crates/recovery/src/start.rs
@@ -11,13 +11,15 @@
 /// How far a start has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// The settings are not confirmed as current: no submission is taken.
+    /// Waits until the settings are confirmed as current. No submission is taken.
     AwaitingSettings,
-    /// There is no usable list of executors: no submission is taken.
+    /// Waits for a usable list of executors. No submission is taken.
     AwaitingList,
-    /// Executors are being contacted; the number of active submissions is bounded by how many executors have answered.
+    /// Waits until half of the ready executors have answered. The number of active submissions is bounded by the number
+    /// of executors that have answered.
     AwaitingExecutors,
-    /// The node takes on its share of the load, as fast as executors answer.
+    /// Waits until no submission is rejected any more. The number of active submissions may grow with each answer of an
+    /// executor.
     RampingUp,
     /// The start is complete: the start sets no limits any more.
     Full,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Returns whether clients should send requests to a node in this stage.
+    /// Returns whether a node in this stage takes submissions.
     #[must_use]
     pub fn serves(self) -> bool {
         self >= Self::AwaitingExecutors
@@ -74,44 +76,55 @@
     pub ramp_up_timeout: Nanos,
 }
 
-/// The initial limit of active submissions, before any executor has answered. Each answer raises the limit by one.
-const INITIAL_LIMIT: f64 = 4.0;
-/// In [`Stage::AwaitingExecutors`], the active submissions allowed for each executor that has answered.
-const LIMIT_PER_EXECUTOR: f64 = 4.0;
+/// The limit of active submissions before any executor has answered. Each answer raises the limit by one.
+const INITIAL_SUBMISSION_LIMIT: f64 = 4.0;
+/// In [`Stage::AwaitingExecutors`], the number of active submissions allowed for each executor that has answered.
+const SUBMISSIONS_PER_EXECUTOR: f64 = 4.0;
 /// [`Stage::RampingUp`] ends once no submission has been rejected for this long.
 const NO_REJECTION_PERIOD: Nanos = 500_000_000;
 /// While new connections are delayed by more than this, no further submissions are taken.
 const MAX_CONNECT_DELAY: Nanos = 250_000_000;
 
 /// A rate limiter that spaces events evenly. The first event has a random delay within one interval, so that nodes that
-/// start together do not act together. A limiter with a ramp doubles its rate each time the ramp's length has passed:
-/// the rate that a node needs once no node is starting is unknown, and a fixed rate below it would slow the node
-/// permanently.
+/// start together do not act together. A limiter may double its rate periodically: the rate that a node needs once no
+/// node is starting is unknown, and a fixed rate below it would slow the node permanently.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct RateLimiter {
+    /// The initial time between two events.
     interval: Nanos,
+    /// The next free time slot.
     next: Nanos,
-    ramp: Nanos,
-    /// When the first event was due.
+    /// The rate doubles each time this period has passed; `Nanos::MAX` for a constant rate.
+    doubling_period: Nanos,
+    /// The time slot of the first event, from which the doublings are counted.
     first_at: Option<Nanos>,
 }
 
 /// The period after which the rate of connections doubles.
-const CONNECT_RATE_DOUBLING: Nanos = 500_000_000;
+const CONNECT_RATE_DOUBLING_PERIOD: Nanos = 500_000_000;
 
-impl Pace {
+impl RateLimiter {
+    /// Creates the limiter of one of `nodes` nodes that together have a rate of `per_s`. `random` is a random number from 0
+    /// to 1.
     fn new(per_s: f64, nodes: u32, now: Nanos, random: f64) -> Self {
         let interval =
             if per_s > 0.0 { (f64::from(nodes.max(1)) / per_s * NANOS_PER_SECOND) as Nanos } else { 0 };
-        Self { interval, next: now + (interval as f64 * random) as Nanos, ramp: Nanos::MAX, first_at: None }
+        Self {
+            interval,
+            next: now + (interval as f64 * random) as Nanos,
+            doubling_period: Nanos::MAX,
+            first_at: None,
+        }
     }
 
-    fn ramped(self) -> Self {
-        Self { ramp: CONNECT_RATE_DOUBLING, ..self }
+    fn doubling_every(self, doubling_period: Nanos) -> Self {
+        Self { doubling_period, ..self }
     }
 
+    /// Returns the time between two events at this time.
     fn interval(&self, now: Nanos) -> Nanos {
-        let doublings = now.saturating_sub(self.first_at.unwrap_or(now)) / self.ramp;
+        let doublings = now.saturating_sub(self.first_at.unwrap_or(now)) / self.doubling_period;
+        // 63 bits are the largest valid shift.
         self.interval >> doublings.min(63)
     }
 
@@ -130,25 +143,25 @@
     limits: StartLimits,
     stage: Stage,
     /// When the current stage began.
-    since: Nanos,
+    stage_began_at: Nanos,
     settings_confirmed: bool,
     /// A list that counts as current has been received.
-    listed: bool,
+    has_current_list: bool,
     /// The stored list is recent enough to count as one just received from discovery.
     list_is_fresh: bool,
-    /// A stored list of unknown or greater age is there as a fallback, and was not used yet.
+    /// There is a stored list that is not recent or of unknown age, and it was not used yet.
     has_old_list: bool,
     /// The number of ready executors on the list.
-    ready: usize,
+    ready_executors: usize,
     /// The executors that have answered.
     answered: BTreeSet<u32>,
     /// The number of submissions that may be active.
-    limit: f64,
+    submission_limit: f64,
     /// When a submission was last rejected.
     last_rejection: Nanos,
     rejected_submissions: u64,
-    connects: Pace,
-    lists: Pace,
+    connections: RateLimiter,
+    list_requests: RateLimiter,
     /// The time slot reserved for the next request for the list.
     list_request_at: Option<Nanos>,
 }
@@ -160,7 +173,7 @@
     pub settings_confirmed: bool,
     /// The stored list is recent enough to count as one just received from discovery.
     pub list_is_fresh: bool,
-    /// A stored list is there as a fallback, in case discovery does not answer.
+    /// There is a stored list that is not recent or of unknown age, to be used if discovery does not answer.
     pub has_old_list: bool,
 }
 
@@ -190,18 +203,19 @@
         Self {
             limits,
             stage: Stage::AwaitingSettings,
-            since: now,
+            stage_began_at: now,
             settings_confirmed,
-            listed: false,
+            has_current_list: false,
             list_is_fresh,
             has_old_list,
-            ready: 0,
+            ready_executors: 0,
             answered: BTreeSet::new(),
-            limit: INITIAL_LIMIT,
+            submission_limit: INITIAL_SUBMISSION_LIMIT,
             last_rejection: now,
             rejected_submissions: 0,
-            connects: Pace::new(limits.connects_per_s, limits.nodes, now, jitter.connection).ramped(),
-            lists: Pace::new(limits.lists_per_s, limits.nodes, now, jitter.list_request),
+            connections: RateLimiter::new(limits.connects_per_s, limits.nodes, now, jitter.connection)
+                .doubling_every(CONNECT_RATE_DOUBLING_PERIOD),
+            list_requests: RateLimiter::new(limits.lists_per_s, limits.nodes, now, jitter.list_request),
             list_request_at: None,
         }
     }
@@ -220,33 +234,35 @@
 
     /// Returns whether the old list is to be used now because discovery sent none in time. Returns true only once.
     pub fn should_use_old_list(&mut self) -> bool {
-        self.stage >= Stage::AwaitingExecutors && !self.listed && std::mem::take(&mut self.has_old_list)
+        self.stage >= Stage::AwaitingExecutors
+            && !self.has_current_list
+            && std::mem::take(&mut self.has_old_list)
     }
 
     /// Moves on to the next stage if evidence or time allow it. Returns the stage reached, or none if it did not move.
     pub fn advance(&mut self, now: Nanos) -> Option<Stage> {
-        let waited = now.saturating_sub(self.since);
+        let waited = now.saturating_sub(self.stage_began_at);
         let (done, next) = match self.stage {
             // There is no time-out here: old settings do not become current by waiting. Only the coordinators can
             // confirm them.
             Stage::AwaitingSettings => (self.settings_confirmed, Stage::AwaitingList),
             Stage::AwaitingList => (
-                self.listed || (self.has_old_list && waited >= self.limits.list_timeout),
+                self.has_current_list || (self.has_old_list && waited >= self.limits.list_timeout),
                 Stage::AwaitingExecutors,
             ),
             Stage::AwaitingExecutors => {
-                let half_answered = 2 * self.answered.len() >= self.ready.max(1);
+                let half_answered = 2 * self.answered.len() >= self.ready_executors.max(1);
                 (half_answered || waited >= self.limits.executors_timeout, Stage::RampingUp)
             }
             Stage::RampingUp => {
                 let no_rejections =
-                    now.saturating_sub(self.last_rejection.max(self.since)) >= NO_REJECTION_PERIOD;
+                    now.saturating_sub(self.last_rejection.max(self.stage_began_at)) >= NO_REJECTION_PERIOD;
                 (no_rejections || waited >= self.limits.ramp_up_timeout, Stage::Full)
             }
             Stage::Full => (false, Stage::Full),
         };
         if done {
-            (self.stage, self.since) = (next, now);
+            (self.stage, self.stage_began_at) = (next, now);
         }
         done.then_some(next)
     }
@@ -255,10 +271,10 @@
     #[must_use]
     pub fn next_due(&self) -> Nanos {
         match self.stage {
-            Stage::AwaitingList if self.has_old_list => self.since + self.limits.list_timeout,
-            Stage::AwaitingExecutors => self.since + self.limits.executors_timeout,
-            Stage::RampingUp => (self.last_rejection.max(self.since) + NO_REJECTION_PERIOD)
-                .min(self.since + self.limits.ramp_up_timeout),
+            Stage::AwaitingList if self.has_old_list => self.stage_began_at + self.limits.list_timeout,
+            Stage::AwaitingExecutors => self.stage_began_at + self.limits.executors_timeout,
+            Stage::RampingUp => (self.last_rejection.max(self.stage_began_at) + NO_REJECTION_PERIOD)
+                .min(self.stage_began_at + self.limits.ramp_up_timeout),
             Stage::AwaitingSettings | Stage::AwaitingList | Stage::Full => Nanos::MAX,
         }
     }
@@ -268,46 +284,48 @@
         self.settings_confirmed = true;
     }
 
-    /// Records a list with `ready` ready executors.
-    pub fn list_received(&mut self, source: ListSource, ready: usize) {
-        self.listed |= source == ListSource::Discovery || (self.list_is_fresh && ready > 0);
-        self.ready = ready;
+    /// Records that there is a list with this number of ready executors.
+    pub fn list_received(&mut self, source: ListSource, ready_executors: usize) {
+        self.has_current_list |=
+            source == ListSource::Discovery || (self.list_is_fresh && ready_executors > 0);
+        self.ready_executors = ready_executors;
     }
 
     /// Records that an executor answered an execution.
     pub fn executor_answered(&mut self, executor: u32) {
         if self.stage < Stage::Full {
             self.answered.insert(executor);
-            self.limit += 1.0;
+            self.submission_limit += 1.0;
         }
     }
 
     /// Records that an executor rejected an execution or did not answer it: there is less capacity than assumed.
     pub fn execution_rejected(&mut self) {
-        self.limit = (self.limit / 2.0).max(INITIAL_LIMIT);
+        self.submission_limit = (self.submission_limit / 2.0).max(INITIAL_SUBMISSION_LIMIT);
     }
 
     /// Returns whether another submission may be taken while `active` of them are active. Counts a rejection if not.
     pub fn admits(&mut self, now: Nanos, active: usize) -> bool {
-        let most = match self.stage {
+        let limit = match self.stage {
             Stage::Full => return true,
             Stage::AwaitingSettings | Stage::AwaitingList => 0.0,
-            Stage::AwaitingExecutors => {
-                self.limit.min(INITIAL_LIMIT + LIMIT_PER_EXECUTOR * self.answered.len() as f64)
-            }
-            Stage::RampingUp => self.limit,
+            Stage::AwaitingExecutors => self
+                .submission_limit
+                .min(INITIAL_SUBMISSION_LIMIT + SUBMISSIONS_PER_EXECUTOR * self.answered.len() as f64),
+            Stage::RampingUp => self.submission_limit,
         };
-        let fits = (active as f64) < most
-            && self.connects.next <= now + self.connects.interval(now) + MAX_CONNECT_DELAY;
-        if !fits {
+        // A submission may need a new connection, so none is taken while connections are delayed for too long.
+        let is_admitted = (active as f64) < limit
+            && self.connections.next <= now + self.connections.interval(now) + MAX_CONNECT_DELAY;
+        if !is_admitted {
             (self.last_rejection, self.rejected_submissions) = (now, self.rejected_submissions + 1);
         }
-        fits
+        is_admitted
     }
 
     /// Reserves the time slot of the next connection to an executor and returns it.
     pub fn schedule_connect(&mut self, now: Nanos) -> Nanos {
-        if self.stage == Stage::Full { now } else { self.connects.reserve(now) }
+        if self.stage == Stage::Full { now } else { self.connections.reserve(now) }
     }
 
     /// Returns `now` if the list may be requested at once, or else the time at which this is to be called again.
@@ -315,7 +333,7 @@
         if self.stage == Stage::Full {
             return now;
         }
-        let slot = self.list_request_at.take().unwrap_or_else(|| self.lists.reserve(now));
+        let slot = self.list_request_at.take().unwrap_or_else(|| self.list_requests.reserve(now));
         self.list_request_at = (slot > now).then_some(slot);
         slot.max(now)
     }
@@ -325,7 +343,7 @@
 /// to 1.
 #[must_use]
 pub fn session_delay(limits: &StartLimits, random: f64) -> Nanos {
-    Pace::new(limits.sessions_per_s, limits.nodes, 0, random).next
+    RateLimiter::new(limits.sessions_per_s, limits.nodes, 0, random).next
 }
 
 /// A time on a clock that keeps running while the process is down, together with the boot of the machine since which
--- a/crates/recovery/tests/fates.rs
+++ b/crates/recovery/tests/outcomes.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_outcome_is_recorded_only_after_a_sending() {
+fn an_outcome_is_recorded_only_after_an_execution_was_sent() {
     let (mut table, key) = (OutcomeTable::new(100, 10, 1000), Bytes::from_static(b"k"));
     assert_eq!(table.record_outcome(&key, StoredOutcome::NeverSent, 1), None);
     table.record_sending(&key, 2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_full_table_reports_it_rather_than_forget() {
+fn a_full_table_says_so_and_forgets_nothing() {
     let mut table = OutcomeTable::new(100, 3, 1000);
     for i in 0..3_u8 {
         assert!(!table.is_full());
@@ -58,12 +58,16 @@
     // Compares the table with a plain list: an outcome is known until its retention time after it was last recorded, and
     // a table restored from the stored records knows the same.
     #[test]
-    fn behaves_like_a_plain_list(steps in prop::collection::vec((0_u8..8, 0_u8..3, 0_u64..40), 1..80)) {
+    fn behaves_like_a_plain_list(
+        // Each step has the key, the index of the outcome, and the time since the step before.
+        steps in prop::collection::vec((0_u8..8, 0_u8..3, 0_u64..40), 1..80),
+    ) {
         let mut table = OutcomeTable::new(100, 1000, 100_000);
         let (mut now, mut stored) = (0_u64, Vec::<OutcomeRecord>::new());
+        // By key: when the outcome was recorded, and the outcome.
         let mut expected: Vec<Option<(u64, StoredOutcome)>> = vec![None; 8];
-        for (key, kind, passed) in steps {
-            now += passed;
+        for (key, outcome_index, elapsed) in steps {
+            now += elapsed;
             table.expire(now);
             for entry in &mut expected {
                 if entry.as_ref().is_some_and(|(at, _)| at + 100 < now) {
@@ -73,7 +77,7 @@
             let name = Bytes::copy_from_slice(&[key]);
             let outcomes =
                 [StoredOutcome::MayHaveRun, StoredOutcome::NeverSent, StoredOutcome::Completed(name.clone())];
-            let outcome = outcomes[usize::from(kind)].clone();
+            let outcome = outcomes[usize::from(outcome_index)].clone();
             let record = match &outcome {
                 StoredOutcome::MayHaveRun => Some(table.record_sending(&name, now)),
                 _ => table.record_outcome(&name, outcome.clone(), now),
