--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings, a JSON object with the key names of the simulator's wire, into the configuration of a dispatcher.
-//! The simulator sends the object at the start of an instance; a node on sockets has it in its configuration file.
+//! Reads the settings, a JSON object whose keys are those of the simulator's protocol, into the configuration of a
+//! dispatcher. The simulator sends the object at the start of an instance; a node has it in its configuration file.
 
 use linestack_dispatch::types::{DedupScope, DispatchConfig, Nanos, Product, RepeatPolicy, Report};
 use serde::de::Error as _;
@@ -10,18 +10,20 @@
 pub struct Settings {
     /// The configuration of the dispatcher.
     pub dispatch: DispatchConfig,
-    /// Where the figures of a load report are found.
+    /// The positions of the figures in a load report.
     pub layout: ReportLayout,
+    /// The names that the dispatcher's indices stand for.
     pub names: Names,
-    /// The longest deadline of any product.
+    /// The longest deadline among the products.
     pub longest_deadline: Nanos,
     /// Whether nodes may send each other messages. This program sends none and ignores those it receives.
     pub may_message_peers: bool,
 }
 
 impl Settings {
-    /// Returns the first key whose change a running node can't apply without a restart, or none. The node's state refers
-    /// to the names of the settings by index, and open promises to clients depend on the products' repeat policies.
+    /// Returns the first key that differs in `newer` and whose change a running node can't apply without a restart, or none.
+    /// The node's state refers to the names of the settings by index, and what clients were promised depends on the
+    /// products' repeat policies.
     #[must_use]
     pub fn key_needing_restart(&self, newer: &Self) -> Option<&'static str> {
         let (names, others) = (&self.names, &newer.names);
@@ -47,18 +49,18 @@
     }
 }
 
-/// The names in the settings. Everywhere else the index in these lists stands for the name.
+/// The names in the settings. Everywhere else a name is represented by its index in these lists.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub products: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
-    /// The names of the figures in a load report.
+    /// The names of the figures in a load report, in the order in which the report has them.
     pub report_fields: Vec<String>,
 }
 
-/// The index of each figure in a load report, where the report has it.
+/// The index of each figure in a load report, or none if the reports lack it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportLayout {
     pub free_slots: Option<usize>,
@@ -83,6 +85,7 @@
     }
 }
 
+/// The settings as they are in JSON. The fields of this struct and of those in it are named after the keys.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct RawSettings {
@@ -143,47 +146,61 @@
     if valid { Ok(number) } else { Err(D::Error::custom(format!("{number} is not from {min} to {max}"))) }
 }
 
-/// Reads a cost or a share.
+/// Reads a cost or a share of a whole.
 fn fraction<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     number_in_range(from, 0.0, 1.0)
 }
 
-/// Reads a duration in milliseconds, of a year at most.
+/// The shortest connect timeout; shorter ones are raised to it, because the dispatcher sets timers to fractions of it.
+const MIN_CONNECT_TIMEOUT_MS: f64 = 5.0;
+/// The longest duration in the settings: a year, in milliseconds.
+const MAX_DURATION_MS: f64 = 366.0 * 86_400_000.0;
+/// The largest rate, payoff or multiple in the settings.
+const MAX_NUMBER: f64 = 1e12;
+
+/// Reads a duration in milliseconds.
 fn duration_ms<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    number_in_range(from, 0.0, 366.0 * 86_400_000.0)
+    number_in_range(from, 0.0, MAX_DURATION_MS)
 }
 
-/// Reads a list of multiples of the running time.
+/// Reads a list of multiples of a job's own running time.
 fn factors<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<f64>, D::Error> {
     let all = Vec::<f64>::deserialize(from)?;
-    let invalid = all.iter().find(|s| !(0.0..=1e12).contains(*s));
-    invalid.map_or(Ok(all.clone()), |s| Err(D::Error::custom(format!("{s} is not from 0 to 1e12"))))
+    let invalid = all.iter().find(|factor| !(0.0..=MAX_NUMBER).contains(*factor));
+    invalid.map_or(Ok(all.clone()), |factor| {
+        Err(D::Error::custom(format!("{factor} is not from 0 to {MAX_NUMBER:e}")))
+    })
 }
 
-/// Reads a multiple of the running time.
+/// Reads a multiple of a job's own running time.
 fn factor<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
     non_negative(from).map(Some)
 }
 
 /// Reads a rate, a payoff or a multiple.
 fn non_negative<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    number_in_range(from, 0.0, 1e12)
+    number_in_range(from, 0.0, MAX_NUMBER)
 }
 
+/// The settings under `familyInfo`. The lists have one entry for each product.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct FamilyInfo {
+    /// The only kind of executor that runs the product; a negative number stands for any kind.
     class_kind: Vec<i32>,
     #[serde(deserialize_with = "factors")]
+    /// The multiple of a job's own running time that is added to the product's latency target.
     class_stretch: Vec<f64>,
     memory_unit: Option<String>,
     #[serde(deserialize_with = "duration_ms")]
     progress_ms: f64,
+    /// What the report fields `x0` and `x1` mean, as texts.
     report_x0: String,
     report_x1: String,
     tells_start: bool,
 }
 
+/// The bounds in the simulator's rules for a dispatcher.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Invariants {
@@ -217,6 +234,7 @@
     }
 }
 
+/// What the dispatcher may do, and how much of it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Limits {
@@ -291,7 +309,7 @@
     }
 }
 
-/// A zone or a kind, either by its index in the list of names, as on the simulator's wire, or by its name.
+/// A zone or a kind, either by its index in the list of names, as the simulator gives it, or by its name.
 #[derive(Deserialize, PartialEq)]
 #[serde(untagged)]
 enum IndexOrName {
@@ -319,9 +337,15 @@
     }
 }
 
+/// The executors that may run a product, by the indices of their kinds and zones; `None` where any may.
+struct Restriction {
+    kinds: Option<Vec<u16>>,
+    zones: Option<Vec<u16>>,
+}
+
 impl Selection {
-    /// Returns the indices, sorted. A name that the settings do not list is appended to `names`, since the list of
-    /// executors may still bring it.
+    /// Returns the indices, sorted. A name that the settings do not list is appended to `names`, since executors with that
+    /// name may be listed later.
     fn resolve(&self, names: &mut Vec<String>) -> Vec<u16> {
         let index = |item: &IndexOrName| match item {
             IndexOrName::Index(index) => *index,
@@ -355,13 +379,15 @@
     quota_per_s: f64,
 }
 
+const NANOS_PER_MILLI: f64 = 1e6;
+
 /// Converts milliseconds to nanoseconds; negative durations and NaN give 0.
 #[must_use]
 pub fn nanos_from_millis(millis: f64) -> Nanos {
-    (millis * 1e6).round() as Nanos
+    (millis * NANOS_PER_MILLI).round() as Nanos
 }
 
-/// The key at which the settings are invalid, and the reason.
+/// The error for invalid settings, with the key of the invalid value and the reason.
 pub type SettingsError = serde_path_to_error::Error<serde_json::Error>;
 
 /// Reads the settings object. `seed` is the seed of the dispatcher's random numbers.
@@ -374,19 +400,19 @@
         serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))?;
     let family = &raw.family_info;
     let (zones, kinds) = (&mut raw.zones, &mut raw.kinds);
-    let mut allowed = |i: usize, product: &RawProduct| {
+    let mut restriction_of = |i: usize, product: &RawProduct| {
         let family_kind = family.class_kind.get(i).and_then(|k| u16::try_from(*k).ok());
-        let bound = product.bound_to.as_ref().map(|p| p.resolve(kinds));
+        let bound_to = product.bound_to.as_ref().map(|selection| selection.resolve(kinds));
         // If both are given, both must hold.
-        let kinds = match (family_kind, bound) {
-            (Some(kind), Some(bound)) => Some(bound.into_iter().filter(|k| *k == kind).collect()),
-            (kind, bound) => bound.or(kind.map(|k| vec![k])),
+        let kinds = match (family_kind, bound_to) {
+            (Some(kind), Some(bound_to)) => Some(bound_to.into_iter().filter(|k| *k == kind).collect()),
+            (kind, bound_to) => bound_to.or(kind.map(|k| vec![k])),
         };
-        (kinds, product.stays_in.as_ref().map(|p| p.resolve(zones)))
+        Restriction { kinds, zones: product.stays_in.as_ref().map(|selection| selection.resolve(zones)) }
     };
-    let allowed: Vec<_> = raw.products.iter().enumerate().map(|(i, p)| allowed(i, p)).collect();
-    type Allowed = (Option<Vec<u16>>, Option<Vec<u16>>);
-    let product = |((i, raw_product), (kinds, zones)): ((usize, &RawProduct), Allowed)| Product {
+    let restrictions: Vec<_> =
+        raw.products.iter().enumerate().map(|(i, product)| restriction_of(i, product)).collect();
+    let product = |((i, raw_product), restriction): ((usize, &RawProduct), Restriction)| Product {
         repeat_policy: match raw_product.effect.as_str() {
             "pure" => RepeatPolicy::Idempotent,
             "token" => RepeatPolicy::Stamped {
@@ -406,28 +432,28 @@
             .unwrap_or(0.0),
         payoff: raw_product.payoff,
         late_payoff: raw_product.late_payoff,
-        allowed_kinds: kinds,
-        allowed_zones: zones,
+        allowed_kinds: restriction.kinds,
+        allowed_zones: restriction.zones,
     };
     let field = |name: &str| raw.report.fields.iter().position(|f| f == name);
-    // The meaning of the fields x0 and x1 depends on the family, whose settings describe each field by a text.
-    let extra_field = |word: &str| {
+    // The fields x0 and x1 have no fixed meaning: a text in `familyInfo` describes each of them.
+    let described_field = |word: &str| {
         let x0 = field("x0").filter(|_| family.report_x0.contains(word));
         x0.or_else(|| field("x1").filter(|_| family.report_x1.contains(word)))
     };
     let layout = ReportLayout {
-        free_slots: extra_field("slot"),
-        free_memory: extra_field("memory"),
+        free_slots: described_field("slot"),
+        free_memory: described_field("memory"),
         queued_jobs: field("backlog"),
         active_jobs: field("outstanding"),
     };
-    let (limits, rules) = (&raw.limits, &raw.invariants);
+    let (limits, invariants) = (&raw.limits, &raw.invariants);
     let unless_zero = |duration: Nanos| (duration > 0).then_some(duration);
     let dispatch = DispatchConfig {
         seed,
         nodes: raw.balancers.max(1),
         zone: raw.az,
-        products: raw.products.iter().enumerate().zip(allowed).map(product).collect(),
+        products: raw.products.iter().enumerate().zip(restrictions).map(product).collect(),
         quotas: raw.tenants.iter().map(|t| t.quota_per_s.max(0.0)).collect(),
         excess_payoff: raw.excess_payoff,
         probe_cost: raw.deductions.probe,
@@ -438,15 +464,14 @@
         may_probe: limits.may_probe,
         may_cancel: limits.cancel,
         retry_after: unless_zero(nanos_from_millis(limits.max_retry_after_ms)).filter(|_| limits.retry_after),
-        // The dispatcher sets its timer to fractions of this time, so it must not be too short.
-        connect_timeout: nanos_from_millis(limits.connect_timeout_ms.max(5.0)),
+        connect_timeout: nanos_from_millis(limits.connect_timeout_ms.max(MIN_CONNECT_TIMEOUT_MS)),
         idle_timeout: nanos_from_millis(limits.conn_idle_ms),
-        deadline_margin: nanos_from_millis(rules.answer_slack_ms),
-        cold_capacity_share: rules.cold_from,
-        slow_start_duration: nanos_from_millis(rules.cold_ms),
-        overload_factor: rules.fall_multiple,
-        overload_window: nanos_from_millis(rules.fall_ms),
-        list_refresh_limit: unless_zero(nanos_from_millis(rules.must_ask_in_ms))
+        deadline_margin: nanos_from_millis(invariants.answer_slack_ms),
+        cold_capacity_share: invariants.cold_from,
+        slow_start_duration: nanos_from_millis(invariants.cold_ms),
+        overload_factor: invariants.fall_multiple,
+        overload_window: nanos_from_millis(invariants.fall_ms),
+        list_refresh_limit: unless_zero(nanos_from_millis(invariants.must_ask_in_ms))
             .filter(|_| raw.discovery == "on_request"),
         progress_interval: unless_zero(nanos_from_millis(family.progress_ms)),
         reports_start: family.tells_start,
--- a/crates/settings/tests/places.rs
+++ b/crates/settings/tests/restrictions.rs
@@ -3,18 +3,19 @@
 use linestack_settings::read;
 use rstest::rstest;
 
+/// Returns settings with one product that has these keys. `class_kind` is the only kind that runs it; -1 stands for any.
 fn settings(product: &str, class_kind: i32) -> String {
     format!(
         r#"{{"familyInfo": {{"classKind": [{class_kind}]}}, "kinds": ["small", "large"], "zones": ["here", "there"],
-            "products": [{{"name": "look", {product}}}]}}"#
+            "products": [{{"name": "lookup", {product}}}]}}"#
     )
 }
 
 #[rstest]
-#[case::open(r#""payoff": 1.0"#, -1, None, None)]
-#[case::numbers(r#""staysIn": [1, 0]"#, -1, None, Some(vec![0, 1]))]
-#[case::names(r#""staysIn": ["there"], "boundTo": ["large"]"#, -1, Some(vec![1]), Some(vec![1]))]
-#[case::not_listed_yet(r#""staysIn": ["nowhere"]"#, -1, None, Some(vec![2]))]
+#[case::unrestricted(r#""payoff": 1.0"#, -1, None, None)]
+#[case::by_index(r#""staysIn": [1, 0]"#, -1, None, Some(vec![0, 1]))]
+#[case::by_name(r#""staysIn": ["there"], "boundTo": ["large"]"#, -1, Some(vec![1]), Some(vec![1]))]
+#[case::name_not_listed(r#""staysIn": ["nowhere"]"#, -1, None, Some(vec![2]))]
 #[case::kind_of_the_family(r#""payoff": 1.0"#, 0, Some(vec![0]), None)]
 #[case::both_must_hold(r#""boundTo": [0, 1]"#, 1, Some(vec![1]), None)]
 #[case::no_kind_left(r#""boundTo": [0]"#, 1, Some(vec![]), None)]
