--- a/crates/simwire/src/lib.rs
+++ b/crates/simwire/src/lib.rs
@@ -1,8 +1,11 @@
 //! The binary protocol of the simulator: batches of events come in, replies with actions go out. Numbers are big-endian.
 //!
 //! A batch has a header, event records of a fixed length and a tail, to which records refer by offset and length. A reply
-//! has a header and action records of a fixed length. Ids are passed on as the wire has them, also `call`, the
-//! simulator's id of a submission; the host maps them to linestack's small indices.
+//! has a header and action records of a fixed length. A record begins with the code of the event or action in its first
+//! byte and the number of the instance in the next two; the other fields are at offsets that depend on the code.
+//!
+//! Ids are passed on as the simulator gives them, also `call`, its id of a submission; the host maps them to linestack's
+//! small indices.
 
 use std::io::{self, Read, Write};
 
@@ -19,21 +22,34 @@
 /// The length of a list entry in the tail, in bytes.
 const LIST_ENTRY_LENGTH: usize = 23;
 
-/// The input is not valid.
+/// The status of a completed execution or an answered probe.
+const STATUS_OK: u16 = 200;
+/// The status of an execution or a probe that the executor rejected for lack of capacity.
+const STATUS_TOO_MANY: u16 = 429;
+
+/// An error in the input. `batch` is the number of the batch, `after` that of the last complete one before the error, and
+/// `record` the index of the event in its batch.
 #[derive(Debug, Error)]
 pub enum WireError {
+    /// The input ends within a batch.
     #[error("the frame after batch {after} is cut short: {found} of {wanted} bytes")]
     Truncated { after: u32, found: usize, wanted: usize },
+    /// The number of records in the header contradicts the length of the batch.
     #[error("batch {batch}: {records} records do not fit in {length} bytes")]
     RecordsTooLong { batch: u32, records: u32, length: u32 },
+    /// A record has an unknown code.
     #[error("batch {batch}: record {record} has the unknown event code {code}")]
     UnknownEvent { batch: u32, record: u32, code: u8 },
+    /// A record refers to bytes beyond the tail of the batch.
     #[error("batch {batch}: record {record} points outside the tail ({offset} + {length} of {tail} bytes)")]
     OutsideTail { batch: u32, record: u32, offset: u32, length: u64, tail: usize },
+    /// The settings in a start event are invalid.
     #[error("batch {batch}: the start text is not usable: {error}")]
     Settings { batch: u32, error: linestack_settings::SettingsError },
+    /// A field of a record has an unknown value.
     #[error("batch {batch}: record {record} has the unknown {field} {value}")]
     UnknownValue { batch: u32, record: u32, field: &'static str, value: u8 },
+    /// The input can't be read.
     #[error("after batch {after}: {error}")]
     Io { after: u32, error: io::Error },
 }
@@ -46,15 +62,17 @@
     pub kind: u16,
     pub zone: u16,
     pub cell: u16,
-    /// The time of the last start.
+    /// The time at which the executor last started.
     pub started: Nanos,
-    /// The entry's `scale` on the wire; 0 if that is negative or not finite.
+    /// The executor's size, or the free part of it where weights are live (`scale` in the simulator's protocol); 0 if the
+    /// entry has a negative number or one that is not finite.
     pub weight: f32,
 }
 
 /// Up to four figures of a load report, in the order of the report fields in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportFigures {
+    /// The number of figures in the report.
     count: u8,
     values: [f32; 4],
 }
@@ -66,46 +84,37 @@
     Start(Box<Settings>),
     /// The instance was killed; its state is dropped.
     Killed,
-    ListReceived {
-        kind: ListKind,
-        entries: Vec<ListEntry>,
-    },
-    Submitted {
-        call: u64,
-        job: Job,
-    },
+    /// Discovery has sent a list, its changes or a failure.
+    ListReceived { kind: ListKind, entries: Vec<ListEntry> },
+    /// A client has sent a submission.
+    Submitted { call: u64, job: Job },
     /// The client left, or was answered by another node.
-    ClientLeft {
-        call: u64,
-    },
+    ClientLeft { call: u64 },
     /// The answer has begun; the deadline does not apply any longer.
-    Streaming {
-        call: u64,
-        execution: u16,
-    },
+    Streaming { call: u64, execution: u16 },
     /// The job has started or made progress.
-    Progressed {
-        call: u64,
-        execution: u16,
-    },
+    Progressed { call: u64, execution: u16 },
+    /// An execution has ended.
     Ended {
         call: u64,
         execution: u16,
         executor: u32,
         outcome: Outcome,
+        /// Whether the submission is over, by this end or earlier.
         closed: bool,
+        /// How long the execution took.
         took: Nanos,
         figures: ReportFigures,
     },
+    /// A probe has ended.
     Probed {
         executor: u32,
-        /// None if the executor rejected the probe because it gets too many.
+        /// Whether the executor answered; none if it rejected the probe because it gets too many.
         answered: Option<bool>,
         figures: ReportFigures,
     },
-    TimerFired {
-        timer_id: u64,
-    },
+    /// A timer has fired that [`Outgoing::SetTimer`] has set.
+    TimerFired { timer_id: u64 },
     /// A message from another node. It is not handled.
     PeerMessage,
 }
@@ -113,32 +122,24 @@
 /// An action for the simulator.
 #[derive(Clone, Copy, Debug)]
 pub enum Outgoing {
-    Cancel {
-        call: u64,
-        execution: u16,
-    },
-    SetTimer {
-        at: Nanos,
-        timer_id: u64,
-    },
-    Probe {
-        executor: u32,
-    },
-    Abort {
-        call: u64,
-    },
-    Execute {
-        call: u64,
-        timeout: Nanos,
-        executor: u32,
-    },
-    CloseIdleConnections {
-        executor: u32,
-    },
-    /// Request the changes of the list from now on.
+    /// Cancel an execution.
+    Cancel { call: u64, execution: u16 },
+    /// Send an [`Incoming::TimerFired`] with the same id at this time.
+    SetTimer { at: Nanos, timer_id: u64 },
+    /// Probe an executor.
+    Probe { executor: u32 },
+    /// Answer the client without the promise that a retry is harmless.
+    Abort { call: u64 },
+    /// Send a submission to an executor.
+    Execute { call: u64, timeout: Nanos, executor: u32 },
+    /// Close the unused connections to an executor.
+    CloseIdleConnections { executor: u32 },
+    /// Request the list and its changes from now on.
     Subscribe,
+    /// Answer the client with the promise that a retry is harmless.
     Dismiss {
         call: u64,
+        /// How long the client should wait before it retries; 0 if it is not told.
         retry_after: Nanos,
     },
 }
@@ -150,7 +151,9 @@
     pub clock: Nanos,
     /// The number of the batch, which its reply repeats.
     pub number: u32,
+    /// The number of event records.
     records: u32,
+    /// The event records and the tail.
     body: Vec<u8>,
 }
 
@@ -162,6 +165,7 @@
     /// The input fails or ends within a batch, or the lengths in the header contradict each other.
     pub fn read(&mut self, input: &mut impl Read) -> Result<bool, WireError> {
         let after = self.number;
+        // Reads this number of bytes, or fewer at the end of the input.
         let mut fill = |body: &mut Vec<u8>, wanted: usize| {
             body.clear();
             let found = input
@@ -213,8 +217,8 @@
             2 => Incoming::Probed {
                 executor: f.u32(3),
                 answered: match f.u16(7) {
-                    200 => Some(true),
-                    429 => None,
+                    STATUS_OK => Some(true),
+                    STATUS_TOO_MANY => None,
                     _ => Some(false),
                 },
                 figures: f.figures(17),
@@ -277,6 +281,7 @@
         Ok((f.u16(1), event))
     }
 
+    /// Returns the bytes of the tail to which a record refers.
     fn tail(&self, record: u32, offset: u32, length: u64) -> Result<&[u8], WireError> {
         let tail = &self.body[self.records as usize * EVENT_LENGTH..];
         let (from, to) = (u64::from(offset), u64::from(offset) + length);
@@ -299,15 +304,17 @@
 /// The reply to one batch: the actions of all instances, collected before they are written.
 #[derive(Default)]
 pub struct Reply {
+    /// The number of action records.
     records: u32,
+    /// The action records.
     body: Vec<u8>,
 }
 
 impl Reply {
-    /// Adds an action of an instance.
-    pub fn push(&mut self, node: u16, action: Outgoing) {
+    /// Adds an action of the instance with this number.
+    pub fn push(&mut self, instance: u16, action: Outgoing) {
         let mut record = [0; ACTION_LENGTH];
-        record[1..3].copy_from_slice(&node.to_be_bytes());
+        record[1..3].copy_from_slice(&instance.to_be_bytes());
         let mut put = |at: usize, bytes: &[u8]| record[at..at + bytes.len()].copy_from_slice(bytes);
         let code = match action {
             Outgoing::Cancel { call, execution } => {
@@ -370,7 +377,7 @@
     }
 }
 
-/// Reads big-endian numbers at byte offsets of a record.
+/// Reads big-endian numbers at byte offsets of a header, a record or a list entry.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
@@ -402,6 +409,7 @@
         f64::from_be_bytes(self.bytes(at))
     }
 
+    /// Reads the number of figures and then four figures.
     fn figures(&self, at: usize) -> ReportFigures {
         ReportFigures { count: self.u8(at), values: std::array::from_fn(|i| self.f32(at + 1 + 4 * i)) }
     }
@@ -415,25 +423,28 @@
     }
 }
 
-/// Returns the outcome for a status of the wire.
+/// Returns the outcome for the status of an execution.
 fn outcome(status: u16) -> Outcome {
     match status {
-        200 => Outcome::Completed,
-        429 => Outcome::Overloaded,
+        STATUS_OK => Outcome::Completed,
+        STATUS_TOO_MANY => Outcome::Overloaded,
         408 => Outcome::TimedOut,
         521 => Outcome::ConnectFailed,
         520 => Outcome::Reset,
         444 => Outcome::Cancelled,
         409 => Outcome::NotSent,
-        // After an unknown status the execution may have run.
+        // After an unknown status the execution may have run, as after `Error`.
         _ => Outcome::Error,
     }
 }
 
+/// Returns the number, or none if it is negative or not finite.
 fn non_negative(number: f32) -> Option<f32> {
     (number.is_finite() && number >= 0.0).then_some(number)
 }
 
+const NANOS_PER_MILLI: f64 = 1e6;
+
 fn millis(nanos: Nanos) -> f64 {
-    nanos as f64 / 1e6
+    nanos as f64 / NANOS_PER_MILLI
 }
--- a/crates/simwire/tests/frames.rs
+++ b/crates/simwire/tests/frames.rs
@@ -4,7 +4,8 @@
 use linestack_simwire::{Batch, Incoming, Outgoing, Reply, WireError};
 use rstest::rstest;
 
-/// Encodes a batch of one event with these bytes after its code, and a tail.
+/// Encodes a batch of one event at 2.5 ms with the number 7. `fields` are the bytes of its record after the code; the rest
+/// of the record is zeros.
 fn frame(code: u8, fields: &[u8], tail: &[u8]) -> Vec<u8> {
     let mut record = vec![code];
     record.extend_from_slice(fields);
@@ -16,6 +17,7 @@
     [frame, record, tail.to_vec()].concat()
 }
 
+/// Decodes a batch of one event.
 fn decoded(frame: &[u8]) -> Result<(u16, Incoming), WireError> {
     let mut batch = Batch::default();
     assert!(batch.read(&mut &*frame)?);
@@ -23,6 +25,7 @@
     batch.events().next().expect("one event")
 }
 
+/// Encodes a batch of one start event with these settings.
 fn start(text: &str) -> Vec<u8> {
     let fields = [&[0; 10][..], &0u32.to_be_bytes(), &(text.len() as u32).to_be_bytes()].concat();
     frame(7, &fields, text.as_bytes())
@@ -71,27 +74,30 @@
 fn missing_settings_get_defaults(
     #[case] text: &str,
     #[case] tenants: usize,
-    #[case] come_back: Option<u64>,
-    #[case] ask_within: Option<u64>,
+    #[case] retry_after: Option<u64>,
+    #[case] list_refresh_limit: Option<u64>,
 ) {
     let Incoming::Start(settings) = decoded(&start(text)).unwrap().1 else { panic!() };
-    let o = settings.dispatch;
-    assert_eq!((o.quotas.len(), o.retry_after, o.list_refresh_limit), (tenants, come_back, ask_within));
-    assert!(!o.may_probe && !o.may_duplicate && o.max_executions == 1);
+    let config = settings.dispatch;
+    assert_eq!(
+        (config.quotas.len(), config.retry_after, config.list_refresh_limit),
+        (tenants, retry_after, list_refresh_limit)
+    );
+    assert!(!config.may_probe && !config.may_duplicate && config.max_executions == 1);
 }
 
 #[rstest]
-#[case::harmless(r#""effect":"pure""#, RepeatPolicy::Idempotent)]
+#[case::idempotent(r#""effect":"pure""#, RepeatPolicy::Idempotent)]
 #[case::stamped(
     r#""effect":"token","dedupScope":"zone","memorySpanMs":3"#,
     RepeatPolicy::Stamped { scope: DedupScope::Zone, dedup_window: 3_000_000 }
 )]
 #[case::one_shot(r#""effect":"side_effect""#, RepeatPolicy::OneShot)]
 #[case::unknown_effect(r#""effect":"other""#, RepeatPolicy::OneShot)]
-fn the_effect_of_a_product_gives_its_repeat_policy(#[case] fields: &str, #[case] repeats: RepeatPolicy) {
+fn the_effect_of_a_product_gives_its_repeat_policy(#[case] fields: &str, #[case] policy: RepeatPolicy) {
     let text = format!(r#"{{"products":[{{{fields}}}]}}"#);
     let Incoming::Start(settings) = decoded(&start(&text)).unwrap().1 else { panic!() };
-    assert_eq!(settings.dispatch.products[0].repeat_policy, repeats);
+    assert_eq!(settings.dispatch.products[0].repeat_policy, policy);
 }
 
 #[rstest]
