--- a/crates/frames/tests/frames.rs
+++ b/crates/frames/tests/frames.rs
@@ -6,22 +6,22 @@
 
 proptest! {
     #[test]
-    fn frames_are_whole_however_the_bytes_are_split(
+    fn frames_are_read_as_written_however_the_bytes_are_split(
         frames in prop::collection::vec((any::<u8>(), prop::collection::vec(any::<u8>(), 0..200)), 1..6),
-        step in 1_usize..64,
+        chunk_length in 1_usize..64,
     ) {
         let bytes: Vec<u8> = frames.iter().flat_map(|(k, b)| encode(*k, b).unwrap()).collect();
-        let (mut reader, mut seen) = (Reader::default(), Vec::new());
-        for chunk in bytes.chunks(step) {
+        let (mut reader, mut received) = (Reader::default(), Vec::new());
+        for chunk in bytes.chunks(chunk_length) {
             reader.push(chunk);
             while let Some(Frame { kind, body }) = reader.next_frame().unwrap() {
-                seen.push((kind, body));
+                received.push((kind, body));
             }
         }
-        prop_assert_eq!(seen, frames);
+        prop_assert_eq!(received, frames);
     }
 
-    // Whichever bit is flipped, the frame is not read as a valid one.
+    // Whichever bit is flipped, the frame is not returned as a valid one.
     #[test]
     fn every_flipped_bit_is_detected(body in prop::collection::vec(any::<u8>(), 0..64), bit in any::<prop::sample::Index>()) {
         let mut bytes = encode(3, &body).unwrap();
@@ -33,7 +33,7 @@
     }
 
     #[test]
-    fn garbage_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
+    fn random_bytes_never_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
         let mut reader = Reader::default();
         reader.push(&bytes);
         while let Ok(Some(_)) = reader.next_frame() {}
