--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -19,7 +19,8 @@
     pub v: u8,
     /// The time in nanoseconds on the machine's monotonic clock, which is the same for all processes of the machine.
     pub at: u64,
-    /// The name of the process: `n3`, `c0`, `clients`, `executors`, `rig`.
+    /// The name of the process: a node (`n3`), a coordinator (`c0`), an `operator`, or the `rig` that tests them, with its
+    /// `clients` and `executors`.
     pub by: String,
     /// A number that distinguishes this run of the process from earlier runs.
     pub life: u64,
@@ -43,12 +44,15 @@
 }
 
 /// An event that a process caused or observed.
+///
+/// `id` identifies a submission; a retry is another submission. `version` identifies a version of the policy, `digest` its
+/// text, and `request` a change of the policy that an operator requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum HistoryEvent {
     /// A process started.
     Started,
-    /// A node reached this stage of its start.
+    /// A node reached the stage of its start that has this name.
     Stage { stage: String },
     /// A node accepted a submission under this version of the policy.
     Taken { id: String, version: u64 },
@@ -66,7 +70,7 @@
     Staged { version: u64, digest: u32 },
     /// A node can't apply a change because of this key.
     Declined { version: u64, key: String },
-    /// A coordinator became the leader in this round.
+    /// A coordinator became the leader in this round of the consensus protocol.
     Established { round: u64 },
     /// A coordinator granted a member a lease under a version.
     Granted { member: String, round: u64, version: u64 },
@@ -78,13 +82,13 @@
     Dropped { request: String, version: u64, why: String },
     /// An operator received the outcome of a change.
     Heard { request: String, outcome: String },
-    /// A client sent a submission; `key` identifies its work.
+    /// A client sent a submission. `key` identifies its work and is the same in a retry.
     Asked { id: String, key: String, node: String, one_shot: bool },
     /// A client received this status.
     Told { id: String, status: u16 },
-    /// A client can't know whether its submission was accepted.
+    /// A client has sent a submission but received no status, so it can't know whether the submission was accepted.
     Unknown { id: String },
-    /// A client's request was never sent completely.
+    /// A client has not sent its request completely, so the submission was not accepted.
     Unsent { id: String },
     /// An executor accepted an execution.
     Took { id: String, key: String, executor: String },
@@ -129,12 +133,13 @@
     Io(#[from] io::Error),
 }
 
+/// The format version of a line, which is read before the other fields, since those may differ in another version.
 #[derive(Deserialize)]
 struct VersionField {
     v: u64,
 }
 
-/// Reads a history. A last line without a line feed was interrupted by a kill and is omitted.
+/// Reads a history. A last line without a line feed is omitted: the process was killed while it wrote the line.
 ///
 /// # Errors
 ///
--- a/crates/history/tests/lines.rs
+++ b/crates/history/tests/lines.rs
@@ -3,6 +3,7 @@
 use linestack_history::{Ended, HistoryError, HistoryEvent, Line, read};
 use rstest::rstest;
 
+/// Returns a history of three lines.
 fn sample_history() -> Vec<u8> {
     let mut text = Vec::new();
     let ended = HistoryEvent::Answered { id: "a".into(), version: 2, ended: Ended::Dismissed };
@@ -28,7 +29,7 @@
 
 #[rstest]
 #[case::other_version(b"{\"v\":9,\"at\":1,\"by\":\"n\",\"life\":1,\"what\":\"started\"}\n", true)]
-#[case::unknown_event(b"{\"v\":2,\"at\":1,\"by\":\"n\",\"life\":1,\"what\":\"flew\"}\n", false)]
+#[case::unknown_event(b"{\"v\":2,\"at\":1,\"by\":\"n\",\"life\":1,\"what\":\"unheard-of\"}\n", false)]
 #[case::garbage(b"\xff\xfe\n", false)]
 fn an_invalid_line_is_rejected(#[case] text: &[u8], #[case] is_version_error: bool) {
     let error = read(&mut &text[..]).unwrap_err();
