--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -35,13 +35,16 @@
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the file system, locked by one process at a time.
-///
-/// Written files are kept open.
+/// The file by which a process locks a folder. It is not part of the store.
+const LOCK_FILE: &str = "lock";
+
+/// A folder of the file system, which one process at a time can open.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
+    /// The files that are open for writing.
     open: HashMap<String, File>,
+    /// Holds the lock on the folder as long as it is open.
     _lock: File,
 }
 
@@ -53,7 +56,7 @@
     /// `WouldBlock` if another process has locked the folder; errors of the file system.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
         match lock.try_lock() {
             Ok(()) => Ok(Self { path: path.to_owned(), open: HashMap::new(), _lock: lock }),
             Err(TryLockError::WouldBlock) => {
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Returns the file opened for writing.
+    /// Returns a file, open for writing.
     fn writer(&mut self, name: &str) -> io::Result<&File> {
         if !self.open.contains_key(name) {
             let file = OpenOptions::new().write(true).open(self.path.join(name))?;
@@ -79,7 +82,7 @@
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
-            if name != "lock" && entry.file_type()?.is_file() {
+            if name != LOCK_FILE && entry.file_type()?.is_file() {
                 names.push(name);
             }
         }
@@ -101,7 +104,7 @@
 
     fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
         let file = OpenOptions::new().create(true).truncate(true).write(true).open(self.path.join(name))?;
-        // The zeros are written rather than left as a hole: later writes then neither change the length nor allocate
+        // The zeros are written rather than left as a hole, so that later writes neither change the length nor allocate
         // space.
         let zeros = [0; 64 * 1024];
         let mut at = 0;
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -4,8 +4,8 @@
 
 /// The version of the format. Files of another version are refused.
 pub const FORMAT_VERSION: u16 = 1;
-/// The largest key and value together, in bytes, which holds a list of 1,024 executors
-/// of 2 KB each. No memory is preallocated for it.
+/// The greatest length of a key and its value together, in bytes. A list of 1,024 executors of 2 KB each fits in it. No
+/// memory is allocated in advance for it.
 pub const MAX_RECORD_LENGTH: usize = 2 << 20;
 /// Records begin at multiples of this number of bytes, so that no record header crosses a sector boundary.
 pub(crate) const ALIGN: usize = 16;
@@ -13,19 +13,33 @@
 const SECTOR: usize = 512;
 /// The size of a segment's header, in bytes.
 pub(crate) const SEGMENT_HEADER: usize = 32;
-/// The size of a record's header: the body's length and checksum, the salt and the header's checksum.
+/// The size of a record's header, in bytes: the body's length and checksum, the salt and the header's checksum, each of 4
+/// bytes.
 const RECORD_HEADER: usize = 16;
-/// The size of a record's body without key and value: kind, tombstone flag, length of the key, time.
+// The offsets of the fields of a record's header.
+const BODY_LENGTH_AT: usize = 0;
+const BODY_CHECKSUM_AT: usize = 4;
+const RECORD_SALT_AT: usize = 8;
+const HEADER_CHECKSUM_AT: usize = 12;
+/// The size of a record's body without key and value, in bytes: kind (1), tombstone flag (1), length of the key (2), time
+/// (8).
 const BODY_HEADER: usize = 12;
-/// The last byte of a record. Space that was never written holds zeros.
+/// The last byte of a record, and its padding. Space that was never written holds zeros.
 const TERMINATOR: u8 = 0xff;
 const SEGMENT_MAGIC: &[u8; 4] = b"LSTO";
+/// The offset of the checksum in a segment's header.
+const SEGMENT_CHECKSUM_AT: usize = 28;
 const MANIFEST_MAGIC: &[u8; 4] = b"LSTM";
-/// The size of a manifest without its list of segments and its checksum.
+/// The size of a manifest without its list of segments and its checksum, in bytes: magic number (4), format version (2),
+/// number of segments (2), number of the manifest (8), size of a segment (8), number of the checkpoint (8), last segment
+/// that the checkpoint covers (8).
 const MANIFEST_HEADER: usize = 40;
-/// The size of a segment's entry in a manifest.
+/// The size of a segment's entry in a manifest, in bytes: number (8), offset at which the records end (8).
 const MANIFEST_ENTRY: usize = 16;
 
+/// 2^64 divided by the golden ratio. A multiplication by it spreads consecutive numbers over all bits.
+pub(crate) const MIXING_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
 /// A record as stored in a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Record {
@@ -38,7 +52,7 @@
 }
 
 /// The result of decoding at an offset of a segment.
-pub(crate) enum Found {
+pub(crate) enum Decoded {
     Record {
         record: Record,
         size: usize,
@@ -133,43 +147,45 @@
     checksum.finalize()
 }
 
-/// Decodes the record at an offset of a segment. `segment` holds all bytes of the segment.
-pub(crate) fn decode(segment: &[u8], offset: usize, salt: u64) -> Found {
+/// Decodes the record at an offset of a segment. `segment` holds all bytes of the segment. Bytes that are
+/// not a valid record are damage, unless an interrupted write can have left them.
+pub(crate) fn decode(segment: &[u8], offset: usize, salt: u64) -> Decoded {
     let rest = segment.get(offset..).unwrap_or_default();
-    let Some(header) = rest.get(..RECORD_HEADER) else { return Found::End };
+    let Some(header) = rest.get(..RECORD_HEADER) else { return Decoded::End };
     if is_zero(header) {
-        return Found::End;
+        return Decoded::End;
     }
     if !is_record_header(header, salt) {
-        return if ends_complete(segment) { Found::Damage("invalid record header") } else { Found::End };
+        return if ends_complete(segment) { Decoded::Damage("invalid record header") } else { Decoded::End };
     }
-    let body_length = read_u32(header, 0) as usize;
+    let body_length = read_u32(header, BODY_LENGTH_AT) as usize;
     if !(BODY_HEADER..=MAX_RECORD_LENGTH + BODY_HEADER).contains(&body_length) {
-        return Found::Damage("invalid record length");
+        return Decoded::Damage("invalid record length");
     }
     let size = record_size(body_length);
     let Some(bytes) = rest.get(..size) else {
-        return Found::Damage("a record extends beyond the end of the segment");
+        return Decoded::Damage("a record extends beyond the end of the segment");
     };
     match decode_record(bytes, offset, salt) {
-        Some(record) => Found::Record { record, size },
-        None if has_unwritten_sector(segment, offset, size) || !ends_complete(segment) => Found::End,
-        None => Found::Damage("invalid record"),
+        Some(record) => Decoded::Record { record, size },
+        None if has_unwritten_sector(segment, offset, size) || !ends_complete(segment) => Decoded::End,
+        None => Decoded::Damage("invalid record"),
     }
 }
 
 fn is_record_header(header: &[u8], salt: u64) -> bool {
-    crc32fast::hash(&header[..12]) == read_u32(header, 12) && read_u32(header, 8) == salt as u32
+    crc32fast::hash(&header[..HEADER_CHECKSUM_AT]) == read_u32(header, HEADER_CHECKSUM_AT)
+        && read_u32(header, RECORD_SALT_AT) == salt as u32
 }
 
 /// Decodes a record from all of its bytes. Returns `None` if they differ from what was written.
 fn decode_record(bytes: &[u8], offset: usize, salt: u64) -> Option<Record> {
     let (header, rest) = bytes.split_at(RECORD_HEADER);
-    let (body, padding) = rest.split_at(read_u32(header, 0) as usize);
+    let (body, padding) = rest.split_at(read_u32(header, BODY_LENGTH_AT) as usize);
     let mut body = body.to_vec();
     whiten(&mut body, salt, offset as u64);
     let is_padded = padding.iter().all(|byte| *byte == TERMINATOR);
-    if body_checksum(offset as u64, &body) != read_u32(header, 4) || !is_padded {
+    if body_checksum(offset as u64, &body) != read_u32(header, BODY_CHECKSUM_AT) || !is_padded {
         return None;
     }
     Record::decode_body(body)
@@ -192,10 +208,10 @@
     last.is_some_and(|at| at % ALIGN == ALIGN - 1 && segment[at].count_ones() >= 7)
 }
 
-/// XORs bytes with a pseudorandom sequence; a second call restores them. Otherwise a run of zeros in a record would
+/// XORs bytes with a pseudorandom sequence; a second call restores them. Without this, a run of zeros in a record would
 /// look like a sector that was never written.
 fn whiten(bytes: &mut [u8], salt: u64, offset: u64) {
-    let mut state = salt ^ offset.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+    let mut state = salt ^ offset.wrapping_mul(MIXING_MULTIPLIER) | 1;
     for chunk in bytes.chunks_mut(8) {
         state ^= state << 13;
         state ^= state >> 7;
@@ -213,8 +229,8 @@
     header[4..6].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
     header[8..16].copy_from_slice(&number.to_le_bytes());
     header[16..24].copy_from_slice(&salt.to_le_bytes());
-    let checksum = crc32fast::hash(&header[..28]);
-    header[28..].copy_from_slice(&checksum.to_le_bytes());
+    let checksum = crc32fast::hash(&header[..SEGMENT_CHECKSUM_AT]);
+    header[SEGMENT_CHECKSUM_AT..].copy_from_slice(&checksum.to_le_bytes());
     header
 }
 
@@ -224,7 +240,7 @@
         return Err(damaged(file, 0, "not a segment file"));
     }
     check_format_version(file, header)?;
-    if crc32fast::hash(&header[..28]) != read_u32(header, 28) {
+    if crc32fast::hash(&header[..SEGMENT_CHECKSUM_AT]) != read_u32(header, SEGMENT_CHECKSUM_AT) {
         return Err(damaged(file, 0, "segment header checksum mismatch"));
     }
     if read_u64(header, 8) != number {
@@ -233,7 +249,7 @@
     Ok(read_u64(header, 16))
 }
 
-/// Rejects another version of the format. This check precedes the checksum, whose position may differ in another
+/// Rejects another version of the format. This is checked before the checksum, whose position may differ in another
 /// version.
 fn check_format_version(file: &str, bytes: &[u8]) -> Result<(), StoreError> {
     let found = u16::from_le_bytes([bytes[4], bytes[5]]);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -19,4 +19,4 @@
 pub use error::StoreError;
 pub use format::{FORMAT_VERSION, MAX_RECORD_LENGTH};
 pub use store::{Store, repair};
-pub use types::{Damage, Entry, Limits, Op, OpenMode, Retention, Stats};
+pub use types::{Damage, Entry, Eviction, Limits, Op, OpenMode, Retention, Stats};
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,7 +1,7 @@
-//! Scanning of segments, and the names of the store's files.
+//! Reading of all records of a segment, and the names of the store's files.
 
 use crate::error::{StoreError, damaged};
-use crate::format::{Found, Record, SEGMENT_HEADER, decode};
+use crate::format::{Decoded, MIXING_MULTIPLIER, Record, SEGMENT_HEADER, decode};
 
 /// The file that lists the segments and the checkpoint of the store.
 pub(crate) const MANIFEST: &str = "manifest";
@@ -29,9 +29,10 @@
     name.ends_with(".segment") || name.starts_with(MANIFEST) || name.starts_with(CHECKPOINT)
 }
 
-/// Derives the salt of a new segment. It only has to differ between segments and between stores.
+/// Derives the salt of a new segment, which keeps records of other segments and stores from being read as records of this
+/// one. It only has to differ between them.
 pub(crate) fn new_salt(number: u64, seed: u64) -> u64 {
-    let mixed = (number ^ seed.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mixed = (number ^ seed.rotate_left(32)).wrapping_mul(MIXING_MULTIPLIER);
     mixed ^ mixed >> 29 | 1
 }
 
@@ -47,12 +48,12 @@
 pub(crate) enum Extent {
     /// Exactly at this offset.
     Known(u64),
-    /// At the first offset at which nothing was written.
+    /// At the first offset from which nothing was written, or at an interrupted write.
     Unknown,
 }
 
 /// A record with its offset and size in its segment.
-pub(crate) struct Located {
+pub(crate) struct LocatedRecord {
     pub(crate) record: Record,
     pub(crate) offset: usize,
     pub(crate) size: usize,
@@ -60,7 +61,11 @@
 
 impl Segment {
     /// Visits all records in order. Returns the offset at which they end.
-    pub(crate) fn scan(&self, extent: Extent, mut visit: impl FnMut(Located)) -> Result<usize, StoreError> {
+    pub(crate) fn scan(
+        &self,
+        extent: Extent,
+        mut visit: impl FnMut(LocatedRecord),
+    ) -> Result<usize, StoreError> {
         let end = match extent {
             Extent::Known(end) => end as usize,
             Extent::Unknown => self.bytes.len(),
@@ -68,17 +73,17 @@
         let mut offset = SEGMENT_HEADER;
         while offset < end {
             match decode(&self.bytes, offset, self.salt) {
-                Found::Record { record, size } => {
-                    visit(Located { record, offset, size });
+                Decoded::Record { record, size } => {
+                    visit(LocatedRecord { record, offset, size });
                     offset += size;
                 }
-                Found::End if matches!(extent, Extent::Unknown) => return Ok(offset),
-                Found::End => {
+                Decoded::End if matches!(extent, Extent::Unknown) => return Ok(offset),
+                Decoded::End => {
                     return Err(
                         self.damaged(offset, "the records end before the recorded end of the segment")
                     );
                 }
-                Found::Damage(reason) => return Err(self.damaged(offset, reason)),
+                Decoded::Damage(reason) => return Err(self.damaged(offset, reason)),
             }
         }
         if offset == end {
--- a/crates/store/src/store/append.rs
+++ b/crates/store/src/store/append.rs
@@ -58,7 +58,7 @@
         let mut batch = Vec::new();
         let mut locations = Vec::with_capacity(records.len());
         for record in records {
-            let batch_end = self.end + batch.len() as u64;
+            let batch_end = self.append_offset + batch.len() as u64;
             if batch_end + record.size() as u64 > self.manifest.segment_size {
                 self.flush(&batch)?;
                 batch.clear();
@@ -76,7 +76,7 @@
     /// Adds a record to the batch that is written next, and returns its future location.
     fn encode_to(&self, batch: &mut Vec<u8>, record: &Record) -> Location {
         let segment = self.last_segment();
-        let offset = self.end + batch.len() as u64;
+        let offset = self.append_offset + batch.len() as u64;
         batch.extend(record.encode(self.salt_of(segment), offset));
         Location::new(segment, offset as usize, record.size(), record.time)
     }
@@ -87,13 +87,13 @@
             return self.check_usable();
         }
         let name = segment_name(self.last_segment());
-        let offset = self.end;
+        let offset = self.append_offset;
         self.stats.written_bytes += bytes.len() as u64;
         self.modify(|disk| disk.write(&name, offset, bytes))?;
         if self.limits.sync {
             self.sync(&name)?;
         }
-        self.end = offset + bytes.len() as u64;
+        self.append_offset = offset + bytes.len() as u64;
         Ok(())
     }
 
@@ -102,7 +102,7 @@
         let mut manifest = self.manifest.clone();
         let number = self.last_segment() + 1;
         if let Some(last) = manifest.segments.last_mut() {
-            last.used = self.end;
+            last.used = self.append_offset;
             if !self.limits.sync {
                 // The manifest will state that the records up to this end are durable.
                 self.sync(&segment_name(last.number))?;
@@ -113,7 +113,7 @@
         self.create_segment(number, salt)?;
         self.replace_manifest(manifest)?;
         self.salts.insert(number, salt);
-        self.end = SEGMENT_HEADER as u64;
+        self.append_offset = SEGMENT_HEADER as u64;
         Ok(())
     }
 
--- a/crates/store/src/store/checkpoint.rs
+++ b/crates/store/src/store/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: the index of all sealed segments in a file, so that the next start need not read those segments.
+//! Checkpoints: the index of all sealed segments in a file, so that these need not be read when the store is opened.
 //!
 //! A checkpoint consists of the magic number, the number of entries, the entries, and a checksum of all preceding
 //! bytes. An entry consists of the location, the kind, the length of the key, and the key.
@@ -13,7 +13,8 @@
 use super::{Key, Location, Store};
 
 const MAGIC: &[u8; 4] = b"LSTC";
-/// The size of an entry without its key, in bytes.
+/// The size of an entry without its key, in bytes: segment (8), time (8), offset (4), size (4), kind (1), length of the key
+/// (2).
 const ENTRY_HEADER: usize = 27;
 
 impl<D: Disk> Store<D> {
@@ -54,7 +55,7 @@
         self.modify(|disk| disk.sync_folder())
     }
 
-    /// Encodes the index of the segments up to this one. Later segments are read at the start, and their records
+    /// Encodes the index of the segments up to this one. When the store is opened, later segments are read, and their records
     /// override the checkpoint.
     fn encode_checkpoint(&self, covers: u64) -> Vec<u8> {
         let mut count = 0_u64;
@@ -79,7 +80,7 @@
         if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
             return None;
         }
-        let mut reader = Reader { rest: body.strip_prefix(MAGIC)? };
+        let mut reader = CheckpointReader { rest: body.strip_prefix(MAGIC)? };
         let count = reader.read_u64()?;
         // A damaged count may pass the checksum, so the reservation is limited to the entries that the file can hold.
         let max_entries = body.len() / ENTRY_HEADER;
@@ -107,11 +108,11 @@
 }
 
 /// Reads the fields of a checkpoint in order.
-struct Reader<'a> {
+struct CheckpointReader<'a> {
     rest: &'a [u8],
 }
 
-impl Reader<'_> {
+impl CheckpointReader<'_> {
     fn read_array<const LENGTH: usize>(&mut self) -> Option<[u8; LENGTH]> {
         let (array, rest) = self.rest.split_first_chunk()?;
         self.rest = rest;
--- a/crates/store/src/store/compaction.rs
+++ b/crates/store/src/store/compaction.rs
@@ -1,15 +1,16 @@
-//! Compaction: the current records of the oldest segment are appended again, and the segment is removed.
+//! Compaction: a segment is cleaned, which means that its current records are appended again and that it is removed.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
 use crate::format::{Record, SegmentEntry};
 use crate::segment::{Extent, segment_name};
+use crate::types::Eviction;
 
 use super::{Key, Store};
 
 /// The current records of a segment that is cleaned, by whether they are kept.
 #[derive(Default)]
-struct SortedRecords {
+struct ClassifiedRecords {
     /// Records that are appended again.
     kept: Vec<Record>,
     /// Keys of the records that are dropped.
@@ -19,26 +20,26 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Appends the current records of the oldest segment again and removes the segment. With `over_budget`, records of
-    /// evictable kinds are dropped instead.
+    /// Appends the current records of the oldest segment again, except for expired and evicted ones, and removes the
+    /// segment.
     ///
     /// # Errors
     ///
     /// The segment is damaged, in which case it is kept; errors of the disk.
-    pub fn clean(&mut self, now: u64, over_budget: bool) -> Result<(), StoreError> {
+    pub fn clean(&mut self, now: u64, eviction: Eviction) -> Result<(), StoreError> {
         self.check_usable()?;
         if self.manifest.segments.len() < 2 {
             return Ok(());
         }
         let oldest = self.manifest.segments[0];
-        let sorted = self.sort_records(oldest, now, over_budget)?;
-        self.stats.evicted += sorted.evicted;
+        let records = self.classify_records(oldest, now, eviction)?;
+        self.stats.evicted += records.evicted;
         // The records are durable in their new location before the old segment is removed.
-        self.append(&sorted.kept)?;
+        self.append(&records.kept)?;
         let mut manifest = self.manifest.clone();
         manifest.segments.remove(0);
         self.replace_manifest(manifest)?;
-        for key in &sorted.dropped {
+        for key in &records.dropped {
             self.index.remove(key);
         }
         self.salts.remove(&oldest.number);
@@ -53,7 +54,7 @@
     /// As [`Store::clean`].
     pub fn compact(&mut self, now: u64) -> Result<(), StoreError> {
         for _ in 1..self.manifest.segments.len() {
-            self.clean(now, false)?;
+            self.clean(now, Eviction::Forbidden)?;
         }
         Ok(())
     }
@@ -62,7 +63,7 @@
     pub(super) fn enforce_budget(&mut self, now: u64) -> Result<(), StoreError> {
         while self.size() > self.limits.budget && self.manifest.segments.len() > 2 {
             let before = self.size();
-            self.clean(now, true)?;
+            self.clean(now, Eviction::Allowed)?;
             if self.size() >= before {
                 break;
             }
@@ -70,14 +71,14 @@
         Ok(())
     }
 
-    fn sort_records(
+    fn classify_records(
         &self,
         entry: SegmentEntry,
         now: u64,
-        over_budget: bool,
-    ) -> Result<SortedRecords, StoreError> {
+        eviction: Eviction,
+    ) -> Result<ClassifiedRecords, StoreError> {
         let segment = self.read_segment(entry.number)?;
-        let mut sorted = SortedRecords::default();
+        let mut classified = ClassifiedRecords::default();
         segment.scan(Extent::Known(entry.used), |found| {
             let record = found.record;
             let key = Key::of(&record);
@@ -85,15 +86,15 @@
                 return;
             }
             if self.is_expired(&record, now) {
-                sorted.dropped.push(key);
-            } else if over_budget && self.limits.evictable_kinds.contains(&record.kind) {
-                sorted.evicted += 1;
-                sorted.dropped.push(key);
+                classified.dropped.push(key);
+            } else if eviction == Eviction::Allowed && self.limits.evictable_kinds.contains(&record.kind) {
+                classified.evicted += 1;
+                classified.dropped.push(key);
             } else {
-                sorted.kept.push(record);
+                classified.kept.push(record);
             }
         })?;
-        Ok(sorted)
+        Ok(classified)
     }
 
     fn is_expired(&self, record: &Record, now: u64) -> bool {
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -35,7 +35,7 @@
     /// The salt of each segment, by segment number.
     salts: HashMap<u64, u64>,
     /// The offset in the last segment at which the next record is written.
-    end: u64,
+    append_offset: u64,
     index: Index,
     /// Whether a write or a sync failed, after which the state of the disk is unknown.
     failed: bool,
@@ -51,7 +51,7 @@
     bytes: Box<[u8]>,
 }
 
-/// The location of the latest record of a key.
+/// The location of the current record of a key.
 #[derive(Clone, Copy, Debug)]
 struct Location {
     segment: u64,
@@ -90,7 +90,7 @@
             limits,
             manifest,
             salts: HashMap::new(),
-            end: 0,
+            append_offset: 0,
             index: Index::default(),
             failed: false,
             stats: Stats::default(),
@@ -177,6 +177,6 @@
 
     /// Returns where the records of a segment end. The manifest has the end of all segments but the last.
     fn extent_of(&self, number: u64, used: u64) -> Extent {
-        Extent::Known(if number == self.last_segment() { self.end } else { used })
+        Extent::Known(if number == self.last_segment() { self.append_offset } else { used })
     }
 }
--- a/crates/store/src/store/read.rs
+++ b/crates/store/src/store/read.rs
@@ -2,8 +2,8 @@
 
 use crate::disk::Disk;
 use crate::error::{StoreError, damaged};
-use crate::format::{Found, SegmentEntry, decode};
-use crate::segment::{Located, segment_name};
+use crate::format::{Decoded, SegmentEntry, decode};
+use crate::segment::{LocatedRecord, segment_name};
 use crate::types::{Damage, Entry};
 
 use super::{Key, Store};
@@ -24,11 +24,11 @@
         bytes.extend(self.disk.read(&name, u64::from(location.offset), location.size as usize)?);
         let damaged = |reason| damaged(&name, u64::from(location.offset), reason);
         match decode(&bytes, offset, self.salt_of(location.segment)) {
-            Found::Record { record, .. } if record.key == key && record.kind == kind => {
+            Decoded::Record { record, .. } if record.key == key && record.kind == kind => {
                 Ok(Some(record.value))
             }
-            Found::Damage(reason) => Err(damaged(reason)),
-            Found::Record { .. } | Found::End => Err(damaged("not the record that the index refers to")),
+            Decoded::Damage(reason) => Err(damaged(reason)),
+            Decoded::Record { .. } | Decoded::End => Err(damaged("not the record that the index refers to")),
         }
     }
 
@@ -78,7 +78,7 @@
         Ok(damage)
     }
 
-    fn scan_segment(&self, entry: &SegmentEntry, visit: impl FnMut(Located)) -> Result<(), StoreError> {
+    fn scan_segment(&self, entry: &SegmentEntry, visit: impl FnMut(LocatedRecord)) -> Result<(), StoreError> {
         let extent = self.extent_of(entry.number, entry.used);
         self.read_segment(entry.number)?.scan(extent, visit)?;
         Ok(())
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -8,10 +8,12 @@
 
 use super::{Location, Store};
 
-/// The smallest and the largest segment size, in bytes.
-const SEGMENT_SIZES: (u64, u64) = (4096, 1 << 30);
+/// The smallest size of a segment, in bytes.
+const MIN_SEGMENT_SIZE: u64 = 4096;
+/// The largest size of a segment, in bytes.
+const MAX_SEGMENT_SIZE: u64 = 1 << 30;
 /// The size of a segment is a multiple of this page size, in bytes.
-const PAGE: u64 = 4096;
+const PAGE_SIZE: u64 = 4096;
 
 impl<D: Disk> Store<D> {
     /// Opens the store on this disk or creates one. `seed` is any number that other stores are unlikely to have; it is
@@ -42,8 +44,8 @@
     }
 
     pub(super) fn create(disk: D, limits: Limits, seed: u64) -> Result<Self, StoreError> {
-        let (smallest, largest) = SEGMENT_SIZES;
-        let segment_size = limits.segment_size.clamp(smallest, largest).next_multiple_of(PAGE);
+        let segment_size =
+            limits.segment_size.clamp(MIN_SEGMENT_SIZE, MAX_SEGMENT_SIZE).next_multiple_of(PAGE_SIZE);
         let manifest = Manifest { number: seed, segment_size, ..Manifest::default() };
         let mut store = Self::with_manifest(disk, limits, manifest);
         store.begin_segment()?;
@@ -66,8 +68,8 @@
         Ok(())
     }
 
-    /// Loads the checkpoint and returns the number of the last segment that it covers. Its content is in the segments,
-    /// too, so a checkpoint that can't be read is ignored.
+    /// Loads the checkpoint and returns the number of the last segment that it covers, or 0 if there is none. Its content is
+    /// in the segments, too, so a checkpoint that can't be read is ignored.
     fn load_checkpoint(&mut self) -> u64 {
         let Some(checkpoint) = self.manifest.checkpoint else { return 0 };
         if self.read_checkpoint(&checkpoint_name(checkpoint.number)).is_some() {
@@ -77,7 +79,7 @@
         0
     }
 
-    /// Reads only the header of a segment that the checkpoint covers.
+    /// Reads the salt of a segment that the checkpoint covers from its header. Its records are not read.
     fn load_salt(&mut self, number: u64) -> Result<(), StoreError> {
         let name = segment_name(number);
         self.check_segment_length(&name)?;
@@ -102,10 +104,10 @@
     /// record once other records precede them.
     fn load_last_segment(&mut self, number: u64) -> Result<(), StoreError> {
         let (segment, end) = self.load_segment(number, Extent::Unknown)?;
-        self.end = end as u64;
+        self.append_offset = end as u64;
         if segment.bytes[end..].iter().any(|byte| *byte != 0) {
             let zeros = vec![0; segment.bytes.len() - end];
-            self.disk.write(&segment.name, self.end, &zeros)?;
+            self.disk.write(&segment.name, self.append_offset, &zeros)?;
             self.disk.sync(&segment.name)?;
         }
         Ok(())
--- a/crates/store/src/store/repair.rs
+++ b/crates/store/src/store/repair.rs
@@ -2,13 +2,13 @@
 
 use crate::disk::Disk;
 use crate::error::StoreError;
-use crate::format::{ALIGN, Found, Record, SEGMENT_HEADER, decode, decode_segment_header};
+use crate::format::{ALIGN, Decoded, Record, SEGMENT_HEADER, decode, decode_segment_header};
 use crate::segment::{Segment, segment_number};
 use crate::types::{Damage, Limits};
 
 use super::Store;
 
-/// The prefix under which the files of the damaged store are kept.
+/// The prefix that the names of the damaged store's files get.
 const LOST_PREFIX: &str = "lost-";
 
 /// The file of a segment.
@@ -21,7 +21,7 @@
 #[derive(Default)]
 struct Salvage {
     records: Vec<Record>,
-    lost: Vec<Damage>,
+    damage: Vec<Damage>,
     /// The error of a segment that has another format version.
     unsupported: Option<StoreError>,
 }
@@ -45,7 +45,7 @@
     let salvage = Salvage::read(&disk, &segments)?;
     // The version in a single header may be damaged. If no segment is readable and a version differs, the store has
     // another version.
-    if let Some(error) = salvage.unsupported.filter(|_| salvage.lost.len() == segments.len()) {
+    if let Some(error) = salvage.unsupported.filter(|_| salvage.damage.len() == segments.len()) {
         return Err(error);
     }
     for name in names.iter().filter(|name| !name.starts_with(LOST_PREFIX)) {
@@ -54,7 +54,7 @@
     disk.sync_folder()?;
     let mut store = Store::create(disk, limits, seed)?;
     store.append(&salvage.records)?;
-    Ok((store, salvage.lost))
+    Ok((store, salvage.damage))
 }
 
 /// Returns the segments among these files, in order.
@@ -83,7 +83,7 @@
         if matches!(error, StoreError::FormatVersion { .. }) {
             self.unsupported = Some(error);
         }
-        self.lost.push(Damage { file, offset: 0, reason: "the whole segment: invalid header".into() });
+        self.damage.push(Damage { file, offset: 0, reason: "the whole segment: invalid header".into() });
     }
 
     /// Reads all records of a segment, including those after damaged bytes.
@@ -91,11 +91,11 @@
         let mut offset = SEGMENT_HEADER;
         while offset < segment.bytes.len() {
             match decode(&segment.bytes, offset, segment.salt) {
-                Found::Record { record, size } => {
+                Decoded::Record { record, size } => {
                     self.records.push(record);
                     offset += size;
                 }
-                Found::End | Found::Damage(_) => {
+                Decoded::End | Decoded::Damage(_) => {
                     let next = next_record(segment, offset);
                     self.add_lost_bytes(segment, offset, next);
                     offset = next;
@@ -108,14 +108,14 @@
     fn add_lost_bytes(&mut self, segment: &Segment, from: usize, to: usize) {
         if segment.bytes[from..to].iter().any(|byte| *byte != 0) {
             let reason = format!("{} bytes without a valid record", to - from);
-            self.lost.push(Damage { file: segment.name.clone(), offset: from as u64, reason });
+            self.damage.push(Damage { file: segment.name.clone(), offset: from as u64, reason });
         }
     }
 }
 
 /// Returns the offset of the next valid record after this offset, or the end of the segment.
 fn next_record(segment: &Segment, offset: usize) -> usize {
-    let is_record = |at: &usize| matches!(decode(&segment.bytes, *at, segment.salt), Found::Record { .. });
+    let is_record = |at: &usize| matches!(decode(&segment.bytes, *at, segment.salt), Decoded::Record { .. });
     let mut offsets = (offset + ALIGN..segment.bytes.len()).step_by(ALIGN);
     offsets.find(is_record).unwrap_or(segment.bytes.len())
 }
--- a/crates/store/src/types.rs
+++ b/crates/store/src/types.rs
@@ -3,9 +3,10 @@
 /// The limits on a store's size, and the rules by which it drops records.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The size of a segment, in bytes.
+    /// The size of a segment, in bytes. An existing store keeps the size that it was created with.
     pub segment_size: u64,
-    /// The size of all segments, in bytes. When a commit exceeds it, the oldest segments are cleaned.
+    /// The size of all segments, in bytes. When a commit exceeds it, the oldest segments are cleaned: what is still needed of
+    /// them is appended again, and they are removed.
     pub budget: u64,
     /// The kinds whose records expire. Records of other kinds never expire.
     pub retention: Vec<Retention>,
@@ -51,6 +52,15 @@
     Existing,
 }
 
+/// Whether records of evictable kinds are dropped when a segment is cleaned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Eviction {
+    /// They are dropped, because the store exceeds its budget.
+    Allowed,
+    /// They are kept until they expire.
+    Forbidden,
+}
+
 /// One operation of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
@@ -88,9 +98,9 @@
 /// The size of a store, and counters since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Stored records.
+    /// The number of stored records.
     pub records: usize,
-    /// Segments.
+    /// The number of segments.
     pub segments: usize,
     /// The size of all segments, in bytes.
     pub bytes: u64,
@@ -98,11 +108,11 @@
     pub committed_bytes: u64,
     /// Bytes that were written to the disk, including headers, padding, checkpoints and compaction.
     pub written_bytes: u64,
-    /// Syncs of files.
+    /// The number of syncs of files.
     pub syncs: u64,
-    /// Segments that were cleaned.
+    /// The number of segments that were cleaned.
     pub cleaned: u64,
-    /// Records that were dropped before they expired, because the store exceeded its budget.
+    /// The number of records that were dropped before they expired, because the store exceeded its budget.
     pub evicted: u64,
 }
 
--- a/crates/store/tests/cut.rs
+++ b/crates/store/tests/faults.rs
@@ -64,10 +64,21 @@
     Ok(all)
 }
 
-/// Commits until one fails. Returns the store, the number of operations whose commits succeeded, and the number of
-/// operations whose commits were begun.
-fn run(disk: SimulatedDisk, all: &[Vec<Op>], mode: OpenMode) -> (Option<Store<SimulatedDisk>>, usize, usize) {
-    let Ok(mut store) = Store::open(disk, limits(), mode, 7) else { return (None, 0, 0) };
+/// The result of a series of commits.
+struct Run {
+    /// The store, if it could be opened.
+    store: Option<Store<SimulatedDisk>>,
+    /// The number of operations whose commits succeeded.
+    committed: usize,
+    /// The number of operations whose commits were begun.
+    begun: usize,
+}
+
+/// Commits until one fails.
+fn run(disk: SimulatedDisk, all: &[Vec<Op>], mode: OpenMode) -> Run {
+    let Ok(mut store) = Store::open(disk, limits(), mode, 7) else {
+        return Run { store: None, committed: 0, begun: 0 };
+    };
     let (mut committed, mut begun) = (0, 0);
     for (i, ops) in all.iter().enumerate() {
         begun += ops.len();
@@ -76,15 +87,15 @@
                 matches!(store.commit(ops, 0), Err(StoreError::Failed)),
                 "the store accepts a commit after a failure"
             );
-            return (Some(store), committed, begun);
+            return Run { store: Some(store), committed, begun };
         }
         committed += ops.len();
         // Compact the whole store at every 17th commit.
         if i % 17 == 16 && store.compact(0).is_err() {
-            return (Some(store), committed, begun);
+            return Run { store: Some(store), committed, begun };
         }
     }
-    (Some(store), committed, begun)
+    Run { store: Some(store), committed, begun }
 }
 
 /// Whether a map is the result of the first n operations, where n lies between the number of operations that were
@@ -105,7 +116,7 @@
 /// Runs commits without a fault. Returns the disk, the commits and the content of the store.
 fn run_to_end(seed: u64, count: usize) -> (SimulatedDisk, Vec<Vec<Op>>, Map) {
     let all = commits(seed, count);
-    let (store, committed, begun) = run(SimulatedDisk::default(), &all, OpenMode::Create);
+    let Run { store, committed, begun } = run(SimulatedDisk::default(), &all, OpenMode::Create);
     let store = store.unwrap();
     assert_eq!(committed, begun);
     let map = contents(&store).unwrap();
@@ -119,13 +130,13 @@
 #[test]
 fn a_power_failure_or_kill_at_every_step() {
     let all = commits(1, 60);
-    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).0.unwrap().close().steps;
+    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).store.unwrap().close().steps;
     let (mut rng, mut refused, mut opened) = (Rng::with_seed(5), 0, 0);
     for step in 1..=total {
         for _ in 0..if runs_all_cases() { 40 } else { 4 } {
             let bytes = if rng.bool() { rng.usize(0..64) } else { rng.usize(0..4096) };
             let disk = SimulatedDisk::with_fault(step, DiskFault::PowerFailure(bytes));
-            let (store, committed, begun) = run(disk, &all, OpenMode::Create);
+            let Run { store, committed, begun } = run(disk, &all, OpenMode::Create);
             let Some(store) = store else { continue };
             let disk = store.close();
             let (disk, is_power_failure) = if rng.bool() {
@@ -163,10 +174,10 @@
 #[test]
 fn every_call_fails_in_turn() {
     let all = commits(2, 60);
-    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).0.unwrap().close().steps;
+    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).store.unwrap().close().steps;
     for step in 1..=total {
         let disk = SimulatedDisk::with_fault(step, DiskFault::CallFails);
-        let (store, committed, begun) = run(disk, &all, OpenMode::Create);
+        let Run { store, committed, begun } = run(disk, &all, OpenMode::Create);
         let Some(store) = store else { continue };
         let again = match Store::open(store.close().after_kill(), limits(), OpenMode::Existing, 7) {
             Ok(again) => again,
