--- a/crates/shim/examples/victim.rs
+++ b/crates/shim/examples/victim.rs
@@ -1,5 +1,5 @@
-//! Makes each of the calls that the library can fail a hundred times, and prints how often each result occurred. The
-//! tests of the library run this program.
+//! Makes each call that the library can make fail a hundred times, and prints how often each result occurred. The tests of
+//! the library run this program.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -7,6 +7,7 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant, SystemTime};
 
+/// How often each call is made.
 const CALLS: usize = 100;
 
 fn main() {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Copies an error, which can't be cloned.
+/// Returns an error with the same number, since errors can't be cloned.
 fn copy(error: &std::io::Error) -> std::io::Error {
     std::io::Error::from_raw_os_error(error.raw_os_error().unwrap_or(0))
 }
--- a/crates/shim/src/calls.rs
+++ b/crates/shim/src/calls.rs
@@ -1,4 +1,5 @@
-//! The functions that replace those of the C library.
+//! The functions that replace those of the C library. Those that can fail draw whether they do, and otherwise pass the
+//! call on.
 
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
@@ -45,9 +46,9 @@
     if found == 0 { stat.st_mode & libc::S_IFMT } else { 0 }
 }
 
-/// Whether a descriptor is a network socket. The socket pairs with which a process wakes its own threads do not fail
-/// like connections and are excluded.
-fn is_connection(fd: c_int) -> bool {
+/// Whether a descriptor is a network socket. Socket pairs, with which a process wakes its own threads, can't fail as network
+/// connections do and are excluded.
+fn is_network_socket(fd: c_int) -> bool {
     let (mut domain, mut length) = (0 as c_int, size_of::<c_int>() as socklen_t);
     // SAFETY: the pointers are to an integer of this frame and its size.
     let found = unsafe {
@@ -57,13 +58,16 @@
     found == 0 && matches!(domain, libc::AF_INET | libc::AF_INET6)
 }
 
+/// The number of words in `BROKEN_SOCKETS`.
+const BROKEN_WORDS: usize = 64;
 /// The broken sockets, one bit for each descriptor. Sockets with larger descriptors are never broken.
-static BROKEN: [AtomicU64; 64] = [const { AtomicU64::new(0) }; 64];
+static BROKEN_SOCKETS: [AtomicU64; BROKEN_WORDS] = [const { AtomicU64::new(0) }; BROKEN_WORDS];
 
-/// Returns the word and mask of a descriptor's bit in `BROKEN`.
+/// Returns the word and mask of a descriptor's bit in `BROKEN_SOCKETS`, or none if it has none.
 fn broken_bit(fd: c_int) -> Option<(&'static AtomicU64, u64)> {
     let fd = usize::try_from(fd).ok()?;
-    Some((BROKEN.get(fd / 64)?, 1 << (fd % 64)))
+    let bits = u64::BITS as usize;
+    Some((BROKEN_SOCKETS.get(fd / bits)?, 1 << (fd % bits)))
 }
 
 /// Whether a socket has received bytes that were not read.
@@ -74,7 +78,7 @@
     result == 0 && unread > 0
 }
 
-/// Returns the error of a connection that is broken already or by this draw.
+/// Returns the error of a connection that was broken before or breaks now.
 fn broken_error(fd: c_int) -> Option<i32> {
     let (word, mask) = broken_bit(fd)?;
     if word.load(Ordering::Relaxed) & mask != 0 {
@@ -92,14 +96,14 @@
     Some(error)
 }
 
-/// Clears a descriptor's bit in `BROKEN`.
+/// Marks a descriptor as not broken, since the next socket may get the same number.
 fn clear_broken(fd: c_int) {
     if let Some((word, mask)) = broken_bit(fd) {
         word.fetch_and(!mask, Ordering::Relaxed);
     }
 }
 
-/// The result of drawing failures for a read or a write of a socket.
+/// What happens to a read or a write of a socket.
 enum Transfer {
     /// The call is passed on.
     Full,
@@ -109,17 +113,17 @@
     Error(i32),
 }
 
-/// Draws failures for a read or a write of `length` bytes.
+/// Draws what happens to a read or a write of `length` bytes.
 fn draw_transfer(fd: c_int, call: Call, length: usize) -> Transfer {
-    if !is_connection(fd) {
+    if !is_network_socket(fd) {
         return Transfer::Full;
     }
     if let Some(error) = broken_error(fd).or_else(|| draw_error(call)) {
         return Transfer::Error(error);
     }
-    let part =
+    let partial_length =
         with_faults(|faults: &Faults| faults.draw_error(Call::Short).map(|_| faults.draw_length(length)));
-    part.map_or(Transfer::Full, Transfer::Partial)
+    partial_length.map_or(Transfer::Full, Transfer::Partial)
 }
 
 /// # Safety
@@ -174,7 +178,7 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     if let Some(error) = draw_error(Call::Wait) {
@@ -183,7 +187,7 @@
     let original =
         original!(c"epoll_wait", unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
     // SAFETY: the arguments are passed on unchanged.
-    unsafe { original(fd, events, most, timeout) }
+    unsafe { original(fd, events, max_events, timeout) }
 }
 
 /// # Safety
--- a/crates/shim/src/faults.rs
+++ b/crates/shim/src/faults.rs
@@ -7,11 +7,12 @@
 
 use crate::plan::{Call, ClockStep, Plan};
 
-/// The largest number of failures that are logged.
-const MAX_LOGGED: u64 = 10_000;
+/// The largest number of failures that are logged; later ones are not.
+const MAX_LOGGED_FAILURES: u64 = 10_000;
 const NANOS_PER_S: i64 = 1_000_000_000;
+const NANOS_PER_MS: u64 = 1_000_000;
 /// The exit code of a process whose plan is invalid.
-const EXIT_BAD_PLAN: i32 = 97;
+const EXIT_INVALID_PLAN: i32 = 97;
 
 /// The plan of this process and the state of its execution.
 pub struct Faults {
@@ -21,14 +22,14 @@
     started_at: u64,
     /// The number of random draws so far.
     draws: AtomicU64,
-    /// The number of failures to log so far, including those beyond the limit.
+    /// The number of failures so far, including those beyond the limit of the log. Without a log they are not counted.
     failures: AtomicU64,
     /// The descriptor of the log, negative if there is none.
     log: i32,
 }
 
 thread_local! {
-    /// Whether this thread is inside the library. The library's own calls never fail.
+    /// Whether this thread is inside this library. The library's own calls never fail.
     static INSIDE: Cell<bool> = const { Cell::new(false) };
 }
 
@@ -49,25 +50,26 @@
         let text = unsafe { CStr::from_ptr(text) }.to_str().unwrap_or("?");
         let plan = Plan::parse(text).unwrap_or_else(|_| {
             // SAFETY: _exit terminates the process immediately and has no preconditions.
-            unsafe { libc::_exit(EXIT_BAD_PLAN) }
+            unsafe { libc::_exit(EXIT_INVALID_PLAN) }
         });
         let log = plan.log.as_ref().map_or(-1, |path| {
             let flags = libc::O_WRONLY | libc::O_CREAT | libc::O_APPEND | libc::O_CLOEXEC;
             // SAFETY: the path ends in a zero byte.
             unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), flags, 0o644) as i32 }
         });
-        let started_at = monotonic();
+        let started_at = monotonic_now();
         Some(Self { plan, started_at, draws: AtomicU64::new(0), failures: AtomicU64::new(0), log })
     }
 
     /// Draws whether this call fails. Returns its error if it does.
     pub fn draw_error(&self, call: Call) -> Option<i32> {
-        let age = monotonic().saturating_sub(self.started_at);
-        let mut rules = self.plan.rules.iter().filter(|r| r.call == call && (r.from..r.until).contains(&age));
+        let elapsed = monotonic_now().saturating_sub(self.started_at);
+        let mut rules =
+            self.plan.rules.iter().filter(|r| r.call == call && (r.from..r.until).contains(&elapsed));
         let rule = rules.find(|rule| self.random_fraction() < rule.rate)?;
         let index = (self.random_fraction() * rule.errors.len() as f64) as usize;
         let error = rule.errors.get(index).copied().unwrap_or(libc::EINTR);
-        self.log_failure(age, call, error);
+        self.log_failure(elapsed, call, error);
         Some(error)
     }
 
@@ -78,8 +80,8 @@
 
     /// Returns the current offset of the wall clock, in nanoseconds.
     pub fn clock_offset(&self) -> i64 {
-        let age = monotonic().saturating_sub(self.started_at);
-        let past_steps = self.plan.steps.iter().filter(|ClockStep { at, .. }| *at <= age);
+        let elapsed = monotonic_now().saturating_sub(self.started_at);
+        let past_steps = self.plan.steps.iter().filter(|ClockStep { at, .. }| *at <= elapsed);
         past_steps.map(|step| step.by).sum()
     }
 
@@ -92,11 +94,12 @@
         ((z ^ (z >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    fn log_failure(&self, age: u64, call: Call, error: i32) {
-        if self.log < 0 || self.failures.fetch_add(1, Ordering::Relaxed) >= MAX_LOGGED {
+    /// Writes a line with the time in milliseconds, the name of the call and the number of the error.
+    fn log_failure(&self, elapsed: u64, call: Call, error: i32) {
+        if self.log < 0 || self.failures.fetch_add(1, Ordering::Relaxed) >= MAX_LOGGED_FAILURES {
             return;
         }
-        let line = format!("{} {call:?} {error}\n", age / 1_000_000);
+        let line = format!("{} {call:?} {error}\n", elapsed / NANOS_PER_MS);
         // SAFETY: the line outlives the call.
         unsafe { libc::syscall(libc::SYS_write, self.log, line.as_ptr(), line.len()) };
     }
@@ -114,7 +117,8 @@
     result
 }
 
-fn monotonic() -> u64 {
+/// Returns the time on the monotonic clock, in nanoseconds.
+fn monotonic_now() -> u64 {
     let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: the pointer is to a timespec of this frame.
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &raw mut now) };
--- a/crates/shim/src/plan.rs
+++ b/crates/shim/src/plan.rs
@@ -26,7 +26,7 @@
     Wait,
     /// Reads of a socket that fail but leave it usable, as with EINTR.
     Read,
-    /// Writes to a socket that fail but leave it usable.
+    /// Writes to a socket that fail but leave it usable, as with EINTR.
     Write,
     /// Reads and writes of a socket that transfer only a part of the bytes.
     Short,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// The first rule that is invalid.
+    /// The text of the first invalid rule.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut plan = Self::default();
         for rule in text.split(';').map(str::trim).filter(|rule| !rule.is_empty()) {
@@ -105,17 +105,20 @@
     }
 }
 
+/// Parses a number of milliseconds and returns it in nanoseconds.
 fn parse_millis(text: &str) -> Option<u64> {
     let millis: f64 = text.trim().parse().ok()?;
     (millis >= 0.0).then_some((millis * NANOS_PER_MS) as u64)
 }
 
+/// Parses the value of `clock`: the size of the step, and its time after `@`.
 fn parse_step(value: &str) -> Option<ClockStep> {
-    let (by, at) = value.split_once('@').unwrap_or((value, "0"));
-    let by: f64 = by.trim().parse().ok()?;
-    Some(ClockStep { at: parse_millis(at)?, by: (by * NANOS_PER_MS) as i64 })
+    let (size, at) = value.split_once('@').unwrap_or((value, "0"));
+    let size: f64 = size.trim().parse().ok()?;
+    Some(ClockStep { at: parse_millis(at)?, by: (size * NANOS_PER_MS) as i64 })
 }
 
+/// Parses the value of a rule: the rate, the errors after `:`, and the start and end after `@`.
 fn parse_rule(call: Call, value: &str) -> Option<Rule> {
     let (failure, period) = value.split_once('@').unwrap_or((value, "0.."));
     let (from, until) = period.split_once("..")?;
--- a/crates/shim/tests/reaches.rs
+++ b/crates/shim/tests/planned_faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of a plan reaches the program into which the library is loaded.
+//! Each fault of a plan occurs in the program into which the library is loaded.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -17,7 +17,7 @@
         .unwrap_or_else(|| panic!("{name} is not built"))
 }
 
-/// Runs the program under a plan and returns its output.
+/// Runs the program with the library loaded, and returns its output.
 fn run_victim(plan: Option<&str>) -> String {
     let mut command = Command::new(build_output("examples/victim"));
     command.env("LD_PRELOAD", build_output("liblinestack_shim.so"));
@@ -49,23 +49,26 @@
 #[case::file_write("file-write=1:ENOSPC", "file-write 28 x100")]
 #[case::sync("sync=1", "sync 5 x100")]
 #[case::open("open=1", "open 23 x100")]
-#[case::step_back("clock=-3600000@100", "clock -3599")]
-#[case::step_ahead("clock=3600000@100", "clock 3600")]
-fn a_fault_reaches_the_program(#[case] plan: &str, #[case] line: &str) {
+#[case::clock_step_back("clock=-3600000@100", "clock -3599")]
+#[case::clock_step_ahead("clock=3600000@100", "clock 3600")]
+fn a_planned_fault_occurs_in_the_program(#[case] plan: &str, #[case] line: &str) {
     let output_text = run_victim(Some(plan));
     assert!(output_text.lines().any(|l| l.starts_with(line)), "{line} in\n{output_text}");
     assert!(output_text.contains("steady 0\n"), "{output_text}");
 }
 
 #[test]
-fn a_fraction_of_the_calls_fails_and_the_same_seed_fails_the_same_number() {
+fn a_fraction_of_the_calls_fails_and_the_same_seed_gives_the_same_number() {
     let output_text = run_victim(Some("seed=3; connect=0.5:EADDRNOTAVAIL"));
-    let failed = |output_text: &str| -> usize {
+    let failed_connects = |output_text: &str| -> usize {
         let line = output_text.lines().find_map(|l| l.strip_prefix("connect 99 x")).expect("some calls fail");
         line.parse().unwrap()
     };
-    assert!((30..70).contains(&failed(&output_text)), "{output_text}");
-    assert_eq!(failed(&output_text), failed(&run_victim(Some("seed=3; connect=0.5:EADDRNOTAVAIL"))));
+    assert!((30..70).contains(&failed_connects(&output_text)), "{output_text}");
+    assert_eq!(
+        failed_connects(&output_text),
+        failed_connects(&run_victim(Some("seed=3; connect=0.5:EADDRNOTAVAIL")))
+    );
 }
 
 #[test]
