--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -26,18 +26,21 @@
     /// products' repeat policies.
     #[must_use]
     pub fn key_needing_restart(&self, newer: &Self) -> Option<&'static str> {
-        let (names, others) = (&self.names, &newer.names);
+        let (names, newer_names) = (&self.names, &newer.names);
         let repeat_policies =
             |s: &Self| s.dispatch.products.iter().map(|p| p.repeat_policy).collect::<Vec<_>>();
         let differ = [
             (
                 "settings.products",
-                names.products != others.products || repeat_policies(self) != repeat_policies(newer),
+                names.products != newer_names.products || repeat_policies(self) != repeat_policies(newer),
+            ),
+            ("settings.tenants", names.tenants != newer_names.tenants),
+            ("settings.kinds", names.kinds != newer_names.kinds),
+            ("settings.zones", names.zones != newer_names.zones),
+            (
+                "settings.report",
+                names.report_fields != newer_names.report_fields || self.layout != newer.layout,
             ),
-            ("settings.tenants", names.tenants != others.tenants),
-            ("settings.kinds", names.kinds != others.kinds),
-            ("settings.zones", names.zones != others.zones),
-            ("settings.report", names.report_fields != others.report_fields || self.layout != newer.layout),
             // The node's own zone, and how the list is obtained.
             ("settings.az", self.dispatch.zone != newer.dispatch.zone),
             (
@@ -89,10 +92,14 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct RawSettings {
+    /// The zone of this node.
     az: u16,
+    /// The number of nodes.
     balancers: u32,
     deductions: Deductions,
+    /// `on_request` if the list has to be requested; otherwise discovery pushes changes.
     discovery: String,
+    /// The value of a submission beyond its tenant's share, as a part of its payoff.
     #[serde(deserialize_with = "fraction")]
     excess_payoff: f64,
     family_info: FamilyInfo,
@@ -102,6 +109,7 @@
     products: Vec<RawProduct>,
     report: Reports,
     tenants: Vec<Tenant>,
+    /// What the weights in the list are; `nominal` and `rough` stand for the sizes of the executors.
     weights: String,
     zones: Vec<String>,
 }
@@ -188,15 +196,19 @@
 struct FamilyInfo {
     /// The only kind of executor that runs the product; a negative number stands for any kind.
     class_kind: Vec<i32>,
+    /// The multiple of a job's own running time that is added to the product's latency target. A product's `aim_stretch`
+    /// takes precedence.
     #[serde(deserialize_with = "factors")]
-    /// The multiple of a job's own running time that is added to the product's latency target.
     class_stretch: Vec<f64>,
+    /// The unit of memory; if it is missing or empty, the memory of jobs is not accounted for.
     memory_unit: Option<String>,
+    /// The time between two progress messages of a job; 0 if executors send none.
     #[serde(deserialize_with = "duration_ms")]
     progress_ms: f64,
     /// What the report fields `x0` and `x1` mean, as texts.
     report_x0: String,
     report_x1: String,
+    /// Whether executors report that a job has started.
     tells_start: bool,
 }
 
@@ -204,18 +216,24 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Invariants {
+    /// The time before a submission's deadline at which no execution is begun any more.
     #[serde(deserialize_with = "duration_ms")]
     answer_slack_ms: f64,
+    /// The part of its capacity that an executor has right after its start.
     #[serde(deserialize_with = "fraction")]
     cold_from: f64,
+    /// The time from an executor's start until it has its whole capacity.
     #[serde(deserialize_with = "duration_ms")]
     cold_ms: f64,
+    /// Its range is checked, but it is not used.
     #[serde(deserialize_with = "duration_ms")]
     drain_grace_ms: f64,
+    /// An executor collapses when it gets more than `fall_multiple` times its capacity within this time.
     #[serde(deserialize_with = "duration_ms")]
     fall_ms: f64,
     #[serde(deserialize_with = "non_negative")]
     fall_multiple: f64,
+    /// The longest time between two requests for the list, where it has to be requested.
     #[serde(deserialize_with = "duration_ms")]
     must_ask_in_ms: f64,
 }
@@ -248,7 +266,9 @@
     max_retry_after_ms: f64,
     may_duplicate: bool,
     may_probe: bool,
+    /// Whether nodes may send each other messages.
     may_tell: bool,
+    /// Whether clients honour a Retry-After, up to `max_retry_after_ms`.
     retry_after: bool,
 }
 
@@ -268,25 +288,35 @@
     }
 }
 
+/// A product.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct RawProduct {
+    /// The time within which an answer earns the full payoff.
     #[serde(deserialize_with = "duration_ms")]
     agreed_time_ms: f64,
+    /// The multiple of a job's own running time that is added to `agreed_time_ms`.
     #[serde(deserialize_with = "factor")]
     aim_stretch: Option<f64>,
+    /// The kinds of executor that may run the product; all kinds if missing.
     bound_to: Option<Selection>,
+    /// The time from a submission to its deadline.
     #[serde(deserialize_with = "duration_ms")]
     cut_off_ms: f64,
+    /// The executors among which repeats of a stamped submission are dropped: `all`, `zone` or `cell`.
     dedup_scope: String,
+    /// Whether a submission may be executed more than once: `pure`, `token` or `side_effect`.
     effect: String,
+    /// The part of the payoff that an answer after the latency target still earns.
     #[serde(deserialize_with = "fraction")]
     late_payoff: f64,
+    /// How long executors drop repeats of a stamped submission.
     #[serde(deserialize_with = "duration_ms")]
     memory_span_ms: f64,
     name: String,
     #[serde(deserialize_with = "non_negative")]
     payoff: f64,
+    /// The zones in which the product may run; all zones if missing.
     stays_in: Option<Selection>,
 }
 
@@ -364,10 +394,13 @@
     }
 }
 
+/// The load reports of executors.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Reports {
+    /// The names of the figures, in order.
     fields: Vec<String>,
+    /// Accepted, but not used.
     how: String,
 }
 
@@ -375,6 +408,7 @@
 #[serde(rename_all = "camelCase", default)]
 struct Tenant {
     name: String,
+    /// The submissions per second within the tenant's share, for all nodes together.
     #[serde(deserialize_with = "non_negative")]
     quota_per_s: f64,
 }
