--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -23,14 +23,19 @@
     Completed(Bytes),
 }
 
+// The first byte of an encoded outcome.
+const CODE_MAY_HAVE_RUN: u8 = 1;
+const CODE_NEVER_SENT: u8 = 2;
+const CODE_COMPLETED: u8 = 3;
+
 impl StoredOutcome {
     /// Encodes the outcome for the store.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         match self {
-            Self::MayHaveRun => vec![1],
-            Self::NeverSent => vec![2],
-            Self::Completed(result) => [&[3], &result[..]].concat(),
+            Self::MayHaveRun => vec![CODE_MAY_HAVE_RUN],
+            Self::NeverSent => vec![CODE_NEVER_SENT],
+            Self::Completed(result) => [&[CODE_COMPLETED], &result[..]].concat(),
         }
     }
 
@@ -39,9 +44,9 @@
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         match bytes.split_first()? {
-            (1, []) => Some(Self::MayHaveRun),
-            (2, []) => Some(Self::NeverSent),
-            (3, result) => Some(Self::Completed(Bytes::copy_from_slice(result))),
+            (&CODE_MAY_HAVE_RUN, []) => Some(Self::MayHaveRun),
+            (&CODE_NEVER_SENT, []) => Some(Self::NeverSent),
+            (&CODE_COMPLETED, result) => Some(Self::Completed(Bytes::copy_from_slice(result))),
             _ => None,
         }
     }
