--- a/crates/recovery/tests/start.rs
+++ b/crates/recovery/tests/start.rs
@@ -9,6 +9,7 @@
 
 const MS: Nanos = 1_000_000;
 
+/// Limits with the same rate for connections, list requests and sessions.
 fn limits(nodes: u32, per_s: f64) -> StartLimits {
     StartLimits {
         nodes,
@@ -53,7 +54,7 @@
     assert_eq!(start.admits(7 + after_ms * MS, 0), stage.serves());
 }
 
-/// A start that received a list with four ready executors.
+/// Returns a start that has received a list with four ready executors.
 fn serving(per_s: f64) -> StagedStart {
     let mut start = StagedStart::new(limits(10, per_s), CONFIRMED, StartJitter::default(), 0);
     start.list_received(ListSource::Discovery, 4);
@@ -80,12 +81,16 @@
 #[test]
 fn only_answers_raise_the_limit() {
     let mut start = serving(0.0);
+    // Four submissions are admitted before any answer, however much time passes.
     assert!(start.admits(0, 3) && !start.admits(0, 4) && !start.admits(1900 * MS, 4));
     (0..6).for_each(|_| start.executor_answered(1));
-    // The answers of one executor are no evidence for the others.
+    // Six answers would raise the limit to ten, but those of one executor raise it by four at most, since they say nothing
+    // about the others.
     assert!(start.admits(0, 7) && !start.admits(0, 8));
+    // With answers of two executors, the limit is raised by one for each of the seven answers.
     start.executor_answered(2);
     assert!(start.admits(0, 10) && !start.admits(0, 11));
+    // A rejection halves the limit.
     start.execution_rejected();
     assert!(start.admits(0, 4) && !start.admits(0, 6));
     // The stage goes on while submissions are rejected.
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -12,8 +12,10 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
+/// The content of a store: the value of each kind and key.
 type Map = BTreeMap<(u8, Vec<u8>), Vec<u8>>;
 
+/// Limits so small that a few dozen commits fill several segments.
 fn limits() -> Limits {
     Limits { segment_size: 4096, budget: 10 * 4096, max_uncovered_segments: 3, ..Limits::default() }
 }
@@ -39,6 +41,7 @@
     (0..count).map(|_| (0..rng.usize(1..6)).map(|_| op(&mut rng)).collect()).collect()
 }
 
+/// Applies an operation to the expected content.
 fn apply(map: &mut Map, op: &Op) {
     match op {
         Op::Put { kind, key, value, .. } => drop(map.insert((*kind, key.clone()), value.clone())),
@@ -46,12 +49,12 @@
     }
 }
 
+/// Reads the content of a store in both ways that it offers, which must agree.
 fn contents<D: Disk>(store: &Store<D>) -> Result<Map, StoreError> {
     let entries: Vec<_> = store.entries().collect();
-    // Reading each record by its key gives the same as reading all records at once.
     let mut all = Map::new();
     store.for_each(|entry, value| drop(all.insert((entry.kind, entry.key), value)))?;
-    let one_by_one: Map = entries
+    let by_key: Map = entries
         .into_iter()
         .map(|e| {
             Ok((
@@ -60,7 +63,7 @@
             ))
         })
         .collect::<Result<_, StoreError>>()?;
-    assert_eq!(all, one_by_one);
+    assert_eq!(all, by_key);
     Ok(all)
 }
 
@@ -74,7 +77,7 @@
     begun: usize,
 }
 
-/// Commits until one fails.
+/// Opens a store and commits these operations until a commit fails. The whole store is compacted at times.
 fn run(disk: SimulatedDisk, all: &[Vec<Op>], mode: OpenMode) -> Run {
     let Ok(mut store) = Store::open(disk, limits(), mode, 7) else {
         return Run { store: None, committed: 0, begun: 0 };
@@ -130,9 +133,9 @@
 #[test]
 fn a_power_failure_or_kill_at_every_step() {
     let all = commits(1, 60);
-    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).store.unwrap().close().steps;
+    let total_steps = run(SimulatedDisk::default(), &all, OpenMode::Create).store.unwrap().close().steps;
     let (mut rng, mut refused, mut opened) = (Rng::with_seed(5), 0, 0);
-    for step in 1..=total {
+    for step in 1..=total_steps {
         for _ in 0..if runs_all_cases() { 40 } else { 4 } {
             let bytes = if rng.bool() { rng.usize(0..64) } else { rng.usize(0..4096) };
             let disk = SimulatedDisk::with_fault(step, DiskFault::PowerFailure(bytes));
@@ -144,7 +147,7 @@
             } else {
                 (disk.after_kill(), false)
             };
-            let again = match Store::open(disk, limits(), OpenMode::Existing, 7) {
+            let reopened = match Store::open(disk, limits(), OpenMode::Existing, 7) {
                 Ok(store) => store,
                 // The store was not created yet. Any other error must report damage, at least after a kill.
                 Err(StoreError::Missing) if committed == 0 => continue,
@@ -158,15 +161,15 @@
                 }
             };
             opened += 1;
-            let map = contents(&again).unwrap();
+            let map = contents(&reopened).unwrap();
             assert!(
                 is_possible_state(&map, &all, committed, begun),
                 "step {step}, power failure {is_power_failure}: {committed} of {begun} were committed"
             );
-            assert_eq!(again.verify().unwrap(), []);
+            assert_eq!(reopened.verify().unwrap(), []);
         }
     }
-    println!("{total} steps, {opened} opened, {refused} refused");
+    println!("{total_steps} steps, {opened} opened, {refused} refused");
     assert!(opened > 20 * refused, "too few stores were opened: {opened}, {refused} refused");
 }
 
@@ -174,17 +177,17 @@
 #[test]
 fn every_call_fails_in_turn() {
     let all = commits(2, 60);
-    let total = run(SimulatedDisk::default(), &all, OpenMode::Create).store.unwrap().close().steps;
-    for step in 1..=total {
+    let total_steps = run(SimulatedDisk::default(), &all, OpenMode::Create).store.unwrap().close().steps;
+    for step in 1..=total_steps {
         let disk = SimulatedDisk::with_fault(step, DiskFault::CallFails);
         let Run { store, committed, begun } = run(disk, &all, OpenMode::Create);
         let Some(store) = store else { continue };
-        let again = match Store::open(store.close().after_kill(), limits(), OpenMode::Existing, 7) {
-            Ok(again) => again,
+        let reopened = match Store::open(store.close().after_kill(), limits(), OpenMode::Existing, 7) {
+            Ok(reopened) => reopened,
             Err(StoreError::Missing) if committed == 0 => continue,
             Err(error) => panic!("step {step}: {error}"),
         };
-        assert!(is_possible_state(&contents(&again).unwrap(), &all, committed, begun), "step {step}");
+        assert!(is_possible_state(&contents(&reopened).unwrap(), &all, committed, begun), "step {step}");
     }
 }
 
@@ -264,8 +267,8 @@
     let mut store = Store::open(disk, limits(), OpenMode::Existing, 7).unwrap();
     assert_eq!(store.entries().count(), 1);
     store.commit(&[put(4)], 0).unwrap();
-    let again = Store::open(store.close().after_kill(), limits(), OpenMode::Existing, 7).unwrap();
-    let mut keys: Vec<u8> = again.entries().map(|e| e.key[0]).collect();
+    let reopened = Store::open(store.close().after_kill(), limits(), OpenMode::Existing, 7).unwrap();
+    let mut keys: Vec<u8> = reopened.entries().map(|e| e.key[0]).collect();
     keys.sort_unstable();
     assert_eq!(keys, [1, 4]);
 }
@@ -358,14 +361,14 @@
             disk = store.close();
             disk = if is_power_failure { disk.after_power_failure(&mut rng) } else { disk.after_kill() };
             match Store::open(disk.clone(), limits(), OpenMode::Existing, 7) {
-                Ok(again) => {
+                Ok(reopened) => {
                     mode = OpenMode::Existing;
-                    let map = contents(&again).unwrap();
+                    let map = contents(&reopened).unwrap();
                     prop_assert!(is_possible_state(&map, &history, committed, begun));
                     // The next round starts from the restored state.
                     let put = |((kind, key), value): (&(u8, Vec<u8>), &Vec<u8>)| Op::Put { kind: *kind, key: key.clone(), value: value.clone(), at: 0 };
                     history = vec![map.iter().map(put).collect()];
-                    disk = again.close();
+                    disk = reopened.close();
                 }
                 Err(StoreError::Missing) if committed == 0 => return Ok(()),
                 Err(StoreError::Damaged { .. }) if is_power_failure => return Ok(()),
