--- a/crates/lab/src/store_benchmark.rs
+++ b/crates/lab/src/store_benchmark.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use linestack_store::{Folder, Limits, Op, Store, StoreError};
+use linestack_store::{Folder, Limits, Op, OpenMode, Store, StoreError};
 use serde::Serialize;
 
 /// Size of each record's value in bytes.
@@ -56,8 +56,8 @@
     Limits { segment_size: 16 << 20, budget: 1 << 40, sync, max_uncovered_segments, ..Limits::default() }
 }
 
-fn open(folder: &Path, limits: Limits, new: bool) -> Result<Store<Folder>, StoreError> {
-    Store::open(Folder::open(folder)?, limits, new, 1)
+fn open(folder: &Path, limits: Limits, mode: OpenMode) -> Result<Store<Folder>, StoreError> {
+    Store::open(Folder::open(folder)?, limits, mode, 1)
 }
 
 /// Commits batches of `batch` records to a new store in `folder` for the duration `span`.
@@ -71,7 +71,7 @@
     batch: usize,
     span: Duration,
 ) -> Result<CommitCost, StoreError> {
-    let mut store = open(folder, limits(sync, 8), true)?;
+    let mut store = open(folder, limits(sync, 8), OpenMode::Create)?;
     let (begin, mut number, mut times_us) = (Instant::now(), 0, Vec::new());
     while begin.elapsed() < span {
         let ops: Vec<Op> = (0..batch as u64).map(|i| put(number + i, VALUE_BYTES)).collect();
@@ -106,7 +106,7 @@
 ///
 /// Returns an error if the store cannot be created, written or reopened.
 pub fn measure_reopen(folder: &Path, records: usize) -> Result<ReopenCost, StoreError> {
-    let mut store = open(folder, limits(false, NO_CHECKPOINT), true)?;
+    let mut store = open(folder, limits(false, NO_CHECKPOINT), OpenMode::Create)?;
     let mut number = 0;
     while number < records as u64 {
         let end = (number + FILL_BATCH).min(records as u64);
@@ -118,7 +118,7 @@
     drop(store);
     let timed_open = || -> Result<(f64, Store<Folder>, u64), StoreError> {
         let (before, begin) = (resident_bytes(), Instant::now());
-        let store = open(folder, limits(false, NO_CHECKPOINT), false)?;
+        let store = open(folder, limits(false, NO_CHECKPOINT), OpenMode::Existing)?;
         Ok((begin.elapsed().as_secs_f64(), store, resident_bytes().saturating_sub(before)))
     };
     let (without_checkpoint_s, mut store, index_bytes) = timed_open()?;
--- a/crates/recovery/tests/start.rs
+++ b/crates/recovery/tests/start.rs
@@ -1,13 +1,15 @@
 //! The stages of a start and their limits.
 
 use linestack_recovery::start::{
-    BootTimestamp, Nanos, Stage, StagedStart, StartConditions, StartLimits, is_fresh, session_delay,
+    BootTimestamp, ListSource, Nanos, Stage, StagedStart, StartConditions, StartJitter, StartLimits,
+    is_fresh, session_delay,
 };
 use proptest::prelude::*;
 use rstest::rstest;
 
 const MS: Nanos = 1_000_000;
 
+/// Limits with the same rate for connections, list requests and sessions.
 fn limits(nodes: u32, per_s: f64) -> StartLimits {
     StartLimits {
         nodes,
@@ -15,8 +17,8 @@
         lists_per_s: per_s,
         sessions_per_s: per_s,
         list_timeout: 3000 * MS,
-        known_timeout: 2000 * MS,
-        share_timeout: 4000 * MS,
+        executors_timeout: 2000 * MS,
+        ramp_up_timeout: 4000 * MS,
     }
 }
 
@@ -30,32 +32,32 @@
     StartConditions { settings_confirmed: true, list_is_fresh: false, has_old_list: false };
 const WITH_OLD_LIST: StartConditions = StartConditions { has_old_list: true, ..CONFIRMED };
 
-// The conditions at the start, the list received (from discovery or not), and the stage reached after some time.
+// The conditions at the start, the source of the list received, and the stage reached after some time.
 #[rstest]
-#[case::settings_not_confirmed(StartConditions { settings_confirmed: false, list_is_fresh: true, has_old_list: true }, None, 600_000, Stage::Version)]
-#[case::no_list_at_all(CONFIRMED, None, 600_000, Stage::List)]
-#[case::old_list_before_the_timeout(WITH_OLD_LIST, None, 2999, Stage::List)]
-#[case::old_list_after_the_timeout(WITH_OLD_LIST, None, 3000, Stage::Known)]
-#[case::list_from_discovery(CONFIRMED, Some(true), 0, Stage::Known)]
-#[case::fresh_stored_list(StartConditions { list_is_fresh: true, ..CONFIRMED }, Some(false), 0, Stage::Known)]
-#[case::stored_list_not_fresh(CONFIRMED, Some(false), 0, Stage::List)]
+#[case::settings_not_confirmed(StartConditions { settings_confirmed: false, list_is_fresh: true, has_old_list: true }, None, 600_000, Stage::AwaitingSettings)]
+#[case::no_list_at_all(CONFIRMED, None, 600_000, Stage::AwaitingList)]
+#[case::old_list_before_the_timeout(WITH_OLD_LIST, None, 2999, Stage::AwaitingList)]
+#[case::old_list_after_the_timeout(WITH_OLD_LIST, None, 3000, Stage::AwaitingExecutors)]
+#[case::list_from_discovery(CONFIRMED, Some(ListSource::Discovery), 0, Stage::AwaitingExecutors)]
+#[case::fresh_stored_list(StartConditions { list_is_fresh: true, ..CONFIRMED }, Some(ListSource::Store), 0, Stage::AwaitingExecutors)]
+#[case::stored_list_not_fresh(CONFIRMED, Some(ListSource::Store), 0, Stage::AwaitingList)]
 fn stage_reached(
     #[case] conditions: StartConditions,
-    #[case] list: Option<bool>,
+    #[case] list: Option<ListSource>,
     #[case] after_ms: u64,
     #[case] stage: Stage,
 ) {
-    let mut start = StagedStart::new(limits(10, 0.0), conditions, [0.0; 2], 7);
+    let mut start = StagedStart::new(limits(10, 0.0), conditions, StartJitter::default(), 7);
     advance(&mut start, 7);
-    list.iter().for_each(|from_discovery| start.list_received(*from_discovery, 4));
+    list.iter().for_each(|source| start.list_received(*source, 4));
     assert_eq!(advance(&mut start, 7 + after_ms * MS), stage);
     assert_eq!(start.admits(7 + after_ms * MS, 0), stage.serves());
 }
 
-/// A start that received a list with four ready executors.
+/// Returns a start that has received a list with four ready executors.
 fn serving(per_s: f64) -> StagedStart {
-    let mut start = StagedStart::new(limits(10, per_s), CONFIRMED, [0.0; 2], 0);
-    start.list_received(true, 4);
+    let mut start = StagedStart::new(limits(10, per_s), CONFIRMED, StartJitter::default(), 0);
+    start.list_received(ListSource::Discovery, 4);
     advance(&mut start, 0);
     start
 }
@@ -65,32 +67,36 @@
 fn a_stage_ends_by_evidence_or_by_timeout() {
     let mut start = serving(0.0);
     start.executor_answered(1);
-    assert_eq!(advance(&mut start, MS), Stage::Known);
+    assert_eq!(advance(&mut start, MS), Stage::AwaitingExecutors);
     start.executor_answered(2);
-    assert_eq!(advance(&mut start, 2 * MS), Stage::Share);
-    assert_eq!(advance(&mut start, 501 * MS), Stage::Share);
+    assert_eq!(advance(&mut start, 2 * MS), Stage::RampingUp);
+    assert_eq!(advance(&mut start, 501 * MS), Stage::RampingUp);
     assert_eq!(advance(&mut start, 502 * MS), Stage::Full);
     let mut start = serving(0.0);
-    assert_eq!(advance(&mut start, 1999 * MS), Stage::Known);
-    assert_eq!(advance(&mut start, 2000 * MS), Stage::Share);
+    assert_eq!(advance(&mut start, 1999 * MS), Stage::AwaitingExecutors);
+    assert_eq!(advance(&mut start, 2000 * MS), Stage::RampingUp);
     assert_eq!(advance(&mut start, 2500 * MS), Stage::Full);
 }
 
 #[test]
 fn only_answers_raise_the_limit() {
     let mut start = serving(0.0);
+    // Four submissions are admitted before any answer, however much time passes.
     assert!(start.admits(0, 3) && !start.admits(0, 4) && !start.admits(1900 * MS, 4));
     (0..6).for_each(|_| start.executor_answered(1));
-    // The answers of one executor are no evidence for the others.
+    // Six answers would raise the limit to ten, but those of one executor raise it by four at most, since they say nothing
+    // about the others.
     assert!(start.admits(0, 7) && !start.admits(0, 8));
+    // With answers of two executors, the limit is raised by one for each of the seven answers.
     start.executor_answered(2);
     assert!(start.admits(0, 10) && !start.admits(0, 11));
+    // A rejection halves the limit.
     start.execution_rejected();
     assert!(start.admits(0, 4) && !start.admits(0, 6));
     // The stage goes on while submissions are rejected.
-    assert_eq!(advance(&mut start, 0), Stage::Share);
+    assert_eq!(advance(&mut start, 0), Stage::RampingUp);
     for at in (0..4000).step_by(100) {
-        assert!(!start.admits(at * MS, 999) && advance(&mut start, at * MS) == Stage::Share, "{at}");
+        assert!(!start.admits(at * MS, 999) && advance(&mut start, at * MS) == Stage::RampingUp, "{at}");
     }
     assert_eq!(advance(&mut start, 4000 * MS), Stage::Full);
     assert!(start.admits(4000 * MS, 999));
@@ -120,7 +126,7 @@
         let limits = limits(nodes, per_s);
         let mut at: Vec<Nanos> = Vec::new();
         for random in randoms.iter().take(nodes as usize) {
-            let mut start = StagedStart::new(limits, CONFIRMED, [*random; 2], 0);
+            let mut start = StagedStart::new(limits, CONFIRMED, StartJitter { connection: *random, list_request: *random }, 0);
             at.extend((0..connections).map(|_| start.schedule_connect(0)));
             let list_at = start.schedule_list_request(0);
             prop_assert!(list_at <= (f64::from(nodes) / per_s * 1e9) as Nanos);
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -4,30 +4,35 @@
 use crate::error::{StoreError, damaged};
 use crate::format::{Manifest, SEGMENT_HEADER, SegmentEntry, decode_manifest, decode_segment_header};
 use crate::segment::{Extent, MANIFEST, MANIFEST_NEW, Segment, checkpoint_name, is_store_file, segment_name};
-use crate::types::Limits;
+use crate::types::{Limits, OpenMode};
 
 use super::{Location, Store};
 
-/// The smallest and the largest segment size, in bytes.
-const SEGMENT_SIZES: (u64, u64) = (4096, 1 << 30);
+/// The smallest size of a segment, in bytes.
+const MIN_SEGMENT_SIZE: u64 = 4096;
+/// The largest size of a segment, in bytes.
+const MAX_SEGMENT_SIZE: u64 = 1 << 30;
 /// The size of a segment is a multiple of this page size, in bytes.
-const PAGE: u64 = 4096;
+const PAGE_SIZE: u64 = 4096;
 
 impl<D: Disk> Store<D> {
-    /// Opens the store on this disk, or with `new` creates one. `seed` is any number that other stores are unlikely to
-    /// have.
+    /// Opens the store on this disk or creates one. `seed` is any number that other stores are unlikely to have; it is
+    /// used only when a store is created.
     ///
     /// # Errors
     ///
-    /// There is no store, or, with `new`, there is one already; the store is damaged, in which case nothing was
-    /// changed; errors of the disk.
-    pub fn open(disk: D, limits: Limits, new: bool, seed: u64) -> Result<Self, StoreError> {
+    /// There is no store to open, or there is one already where one is to be created; the store is damaged, in which case
+    /// nothing was changed; errors of the disk.
+    pub fn open(disk: D, limits: Limits, mode: OpenMode, seed: u64) -> Result<Self, StoreError> {
         let names = disk.list()?;
         if !names.iter().any(|name| name == MANIFEST) {
             check_never_created(&disk, &names)?;
-            return if new { Self::create(disk, limits, seed) } else { Err(StoreError::Missing) };
+            return match mode {
+                OpenMode::Create => Self::create(disk, limits, seed),
+                OpenMode::Existing => Err(StoreError::Missing),
+            };
         }
-        if new {
+        if mode == OpenMode::Create {
             return Err(StoreError::AlreadyExists);
         }
         let bytes = disk.read(MANIFEST, 0, usize::MAX)?;
@@ -39,8 +44,8 @@
     }
 
     pub(super) fn create(disk: D, limits: Limits, seed: u64) -> Result<Self, StoreError> {
-        let (smallest, largest) = SEGMENT_SIZES;
-        let segment_size = limits.segment_size.clamp(smallest, largest).next_multiple_of(PAGE);
+        let segment_size =
+            limits.segment_size.clamp(MIN_SEGMENT_SIZE, MAX_SEGMENT_SIZE).next_multiple_of(PAGE_SIZE);
         let manifest = Manifest { number: seed, segment_size, ..Manifest::default() };
         let mut store = Self::with_manifest(disk, limits, manifest);
         store.begin_segment()?;
@@ -63,8 +68,8 @@
         Ok(())
     }
 
-    /// Loads the checkpoint and returns the number of the last segment that it covers. Its content is in the segments,
-    /// too, so a checkpoint that can't be read is ignored.
+    /// Loads the checkpoint and returns the number of the last segment that it covers, or 0 if there is none. Its content is
+    /// in the segments, too, so a checkpoint that can't be read is ignored.
     fn load_checkpoint(&mut self) -> u64 {
         let Some(checkpoint) = self.manifest.checkpoint else { return 0 };
         if self.read_checkpoint(&checkpoint_name(checkpoint.number)).is_some() {
@@ -74,7 +79,7 @@
         0
     }
 
-    /// Reads only the header of a segment that the checkpoint covers.
+    /// Reads the salt of a segment that the checkpoint covers from its header. Its records are not read.
     fn load_salt(&mut self, number: u64) -> Result<(), StoreError> {
         let name = segment_name(number);
         self.check_segment_length(&name)?;
@@ -99,10 +104,10 @@
     /// record once other records precede them.
     fn load_last_segment(&mut self, number: u64) -> Result<(), StoreError> {
         let (segment, end) = self.load_segment(number, Extent::Unknown)?;
-        self.end = end as u64;
+        self.append_offset = end as u64;
         if segment.bytes[end..].iter().any(|byte| *byte != 0) {
             let zeros = vec![0; segment.bytes.len() - end];
-            self.disk.write(&segment.name, self.end, &zeros)?;
+            self.disk.write(&segment.name, self.append_offset, &zeros)?;
             self.disk.sync(&segment.name)?;
         }
         Ok(())
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -5,7 +5,7 @@
 
 use linestack_core::{ConnectionId as CoreConnectionId, Input, Nanos, PersistTicket, StoredOutcomes};
 use linestack_dispatch::types::ListKind;
-use linestack_recovery::start::{StagedStart, StartConditions, StartLimits};
+use linestack_recovery::start::{StagedStart, StartConditions, StartJitter, StartLimits};
 use linestack_recovery::{OutcomeRecord, OutcomeTable};
 use rand::Rng as _;
 
@@ -231,12 +231,13 @@
             lists_per_s: starts.lists_per_s,
             sessions_per_s: 0.0,
             list_timeout: START_LIST_TIMEOUT,
-            known_timeout: START_KNOWN_TIMEOUT,
-            share_timeout: START_SHARE_TIMEOUT,
+            executors_timeout: START_KNOWN_TIMEOUT,
+            ramp_up_timeout: START_SHARE_TIMEOUT,
         };
         let conditions =
             StartConditions { settings_confirmed: true, list_is_fresh: true, has_old_list: false };
-        StagedStart::new(limits, conditions, [self.rng.random(), self.rng.random()], self.now)
+        let jitter = StartJitter { connection: self.rng.random(), list_request: self.rng.random() };
+        StagedStart::new(limits, conditions, jitter, self.now)
     }
 
     /// Returns the outcomes that earlier incarnations of a node have stored.
