--- a/crates/lab/src/file.rs
+++ b/crates/lab/src/file.rs
@@ -41,7 +41,7 @@
         let why = fault.message().replace('\n', "; ");
         Fault::Malformed { path: path.to_owned(), line, why }
     })?;
-    scenario.check().map_err(|faults| {
+    scenario.validate().map_err(|faults| {
         let place = |fault: &str| {
             let key = fault.split(':').next().unwrap_or("");
             let line = line_of(text, key).map_or(String::new(), |l| format!("{l}:"));
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -200,7 +200,7 @@
 ///
 /// A plan that makes no sense, or a process that could not be started.
 pub fn go(command: &Command, json: bool) -> Fallible<ExitCode> {
-    let program = |given: &Option<PathBuf>| given.clone().map_or_else(NodeProcess::program, Ok);
+    let program = |given: &Option<PathBuf>| given.clone().map_or_else(NodeProcess::program_path, Ok);
     match command {
         Command::Run { plan, program: given, keep, seeds } => {
             let (plan, program) = (read(plan)?, program(given)?);
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -21,7 +21,7 @@
     /// Whether the world shows it.
     #[must_use]
     pub fn shown(self, s: &Scenario) -> bool {
-        if s.check().is_err() {
+        if s.validate().is_err() {
             return false;
         }
         match self {
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -86,7 +86,7 @@
         }],
         ..Scenario::default()
     };
-    let program = NodeProcess::program()?;
+    let program = NodeProcess::program_path()?;
     let fleet = Arc::new(StandInFleet::start(&s)?);
     let nodes = [1, 2].map(|i| NodeProcess::start(&program, &fleet.configuration(&format!("n{i}"), i)));
     let nodes = nodes.into_iter().collect::<Result<Vec<_>, _>>()?;
@@ -95,7 +95,7 @@
         "two nodes, five executors of four slots; 150 requests a second; from 3 s to 5 s one executor hangs"
     );
     println!("{HEAD}");
-    fleet.play_troubles();
+    fleet.run_faults();
     let mut failed = false;
     for (name, span) in [("before (3 s)", 3.0), ("hanging (2 s)", 2.0), ("after (3 s)", 3.0)] {
         let loaded = load::load(&s, &to, &plan(40, Some(150.0), span, 0.0)?, seed_now())?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -263,7 +263,7 @@
                 .is_ok_and(|t| t.get("nodes").is_some_and(|n| n.is_integer()));
             let page = if of_plan {
                 let plan = fleet::read(scenario)?;
-                report::fleet(&plan, &fleet::play(&plan, &NodeProcess::program()?, None)?)?
+                report::fleet(&plan, &fleet::play(&plan, &NodeProcess::program_path()?, None)?)?
             } else {
                 let s = file::read(scenario)?;
                 report::page(&s.name, &play_all(&seeds(&s, *count), policies, arguments.quiet))?
@@ -277,7 +277,7 @@
         }
         Command::Serve { scenario, span } => {
             let fleet = Arc::new(StandInFleet::start(&file::read(scenario)?)?);
-            fleet.play_troubles();
+            fleet.run_faults();
             println!("discovery {}", fleet.discovery);
             fleet.executors.iter().for_each(|e| println!("executor {e}"));
             std::thread::sleep(Duration::from_secs_f64(span.clamp(0.0, 86_400.0)));
@@ -292,10 +292,10 @@
         }
         Command::Fill { workers, slots, clients, work_ms, span, ramp } => {
             let s = large(*workers, *slots, *work_ms);
-            s.check()?;
+            s.validate()?;
             let plan = plan(*clients, None, *span, *ramp)?;
             let fleet = StandInFleet::start(&s)?;
-            let node = NodeProcess::start(&NodeProcess::program()?, &fleet.configuration("n0", 1))?;
+            let node = NodeProcess::start(&NodeProcess::program_path()?, &fleet.configuration("n0", 1))?;
             let direct = load::load(&s, &fleet.executors, &plan, seed_now())?;
             let through = load::load(&s, &[node.address], &plan, seed_now())?;
             println!("{HEAD}\n{}\n{}", row("direct", &direct), row("through a node", &through));
@@ -311,7 +311,7 @@
                 hung_after: span(*hung_after)?,
                 via: via.split_whitespace().map(str::to_owned).collect(),
             };
-            let program = program.clone().map_or_else(NodeProcess::program, Ok)?;
+            let program = program.clone().map_or_else(NodeProcess::program_path, Ok)?;
             many_starts(&program, &plan)
         }
         Command::Demo => demo(),
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -9,7 +9,7 @@
     Action, Decide, DedupScope, DispatchConfig, Ending, Event, Health, Job, ListKind, Outcome, RepeatPolicy,
     Report, Submission, Worker, WorkerEntry,
 };
-use linestack_world::{GroundTruth, NodeSetup, SimulatedNode, production_node};
+use linestack_world::{ExecutorTruth, GroundTruth, NodeSetup, SimulatedNode, production_node};
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -43,7 +43,8 @@
         if self == Self::Linestack {
             return production_node(seat);
         }
-        let plain = Plain::new(self, seat.settings.dispatch.clone(), seat.node, Arc::clone(&seat.truth));
+        let plain =
+            Plain::new(self, seat.settings.dispatch.clone(), seat.node, Arc::clone(&seat.ground_truth));
         seat.build_with(Box::new(plain))
     }
 }
@@ -147,7 +148,7 @@
                     let executor = executor_of_worker.get(w as usize).copied().flatten();
                     let state = executor.and_then(|e| truth.executors.get(e));
                     // Free slots count down from nothing; one that is down comes last.
-                    state.map_or(f64::MAX, |(up, free, capacity)| {
+                    state.map_or(f64::MAX, |ExecutorTruth { available: up, free_slots: free, capacity }| {
                         if *up {
                             (self.desks[w as usize].since - free) / capacity.max(1e-6)
                         } else {
--- a/crates/lab/src/scale/coordinators.rs
+++ b/crates/lab/src/scale/coordinators.rs
@@ -59,7 +59,7 @@
             let file_name = file.to_string_lossy().into_owned();
             let mut process = Process::new(&name, place, program, &["coordinate", &file_name]);
             let told = json!({"coordinator": {"fleet": FLEET, "number": number, "listen": address.to_string(),
-                "peers": peers, "folder": process.store(), "first-policy": first_policy,
+                "peers": peers, "folder": process.store_folder(), "first-policy": first_policy,
                 "lease-ms": members.lease_ms, "hold-ms": members.hold_ms}});
             std::fs::write(&file, toml::to_string(&told).map_err(io::Error::other)?)?;
             process.next_start_arguments = vec!["--first".to_owned()];
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -90,7 +90,7 @@
     let scale = file::read(&arguments.file, &machine)?;
     let program = match (&arguments.program, &scale.members) {
         (Some(program), _) => program.clone(),
-        (None, Some(_)) => NodeProcess::program()?,
+        (None, Some(_)) => NodeProcess::program_path()?,
         (None, None) => PathBuf::new(),
     };
     let stop = Stop::after(scale.span);
--- a/crates/lab/src/scale/nodes.rs
+++ b/crates/lab/src/scale/nodes.rs
@@ -56,7 +56,7 @@
             std::fs::write(&configuration, told.to_string())?;
             let mut process = Process::new(&name, place, program, &[]);
             let told = json!({"fleet": {"id": FLEET, "member": name, "coordinators": coordinators,
-                "folder": process.store()}});
+                "folder": process.store_folder()}});
             std::fs::write(&fleet, toml::to_string(&told).map_err(io::Error::other)?)?;
             let variable = |key: &str, path: &Path| (key.to_owned(), path.to_string_lossy().into_owned());
             process.variables =
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -58,7 +58,7 @@
 ///
 /// A plan makes no sense, or could not be played.
 pub fn soak(arguments: &Arguments) -> Fallible<ExitCode> {
-    let program = arguments.program.clone().map_or_else(NodeProcess::program, Ok)?;
+    let program = arguments.program.clone().map_or_else(NodeProcess::program_path, Ok)?;
     let limit = Duration::try_from_secs_f64(arguments.time_limit)?;
     let begun = Instant::now();
     let (mut played, mut broken) = (0, 0);
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -47,7 +47,7 @@
     }
     let read = |(name, value): (String, Value)| {
         let s: Scenario = value.try_into().map_err(|e| format!("{name}: {e}"))?;
-        s.check().map_err(|e| format!("{name}: {e}"))?;
+        s.validate().map_err(|e| format!("{name}: {e}"))?;
         Ok((name.trim_end().to_owned(), s))
     };
     all.into_iter().map(read).collect()
--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -289,7 +289,7 @@
 
     /// Starts the node. Returns its address, or its error output if it does not listen.
     fn start(&mut self) -> Result<std::net::SocketAddr, String> {
-        let from = std::fs::metadata(self.process.log()).map_or(0, |m| m.len());
+        let from = std::fs::metadata(self.process.log_file()).map_or(0, |m| m.len());
         self.process.start().unwrap();
         self.process.wait_until_listening(from).map_err(|e| e.to_string())
     }
@@ -392,7 +392,7 @@
     process.variables.clone_from(&node.process.variables);
     process.start().unwrap();
     let listens = process.wait_until_listening(0);
-    let log = std::fs::read_to_string(process.log()).unwrap();
+    let log = std::fs::read_to_string(process.log_file()).unwrap();
     assert!(!log.contains("panicked"), "{log}");
     assert!(listens.is_ok() || log.contains("ERROR") || log.contains("open files"), "{log}");
 }
--- a/crates/node/tests/coordinator.rs
+++ b/crates/node/tests/coordinator.rs
@@ -38,7 +38,7 @@
     let mut process = Process::new("c0", at.join("run"), program, &words);
     process.start().unwrap();
     let address = process.wait_until_listening(0).unwrap();
-    Coordinator { log: process.log(), _process: process, address, _folder: folder }
+    Coordinator { log: process.log_file(), _process: process, address, _folder: folder }
 }
 
 fn sender(fleet: &str, identity: Identity) -> SenderInfo {
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -10,7 +10,7 @@
     /// Coordinators run, so nodes agree on policy versions.
     pub coordinated: bool,
     /// Time in nanoseconds after a decision from which no process accepts a submission under an older version.
-    pub bound: u64,
+    pub stale_version_limit_ns: u64,
     /// Nodes that cannot prove that their policy is current accept no submissions.
     pub strict: bool,
     /// Nodes keep a store and clients retry at the same node, so no job that the node sent is started twice.
@@ -22,7 +22,7 @@
 /// A kind of broken guarantee. The names appear in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A node accepted a submission under a version although a newer one was decided longer ago than the bound.
+    /// A node accepted a submission under a version although a newer one was decided longer ago than the limit.
     OldVersion,
     /// A node applied a version that was not decided yet, or never was.
     Undecided,
@@ -92,7 +92,7 @@
 
 /// Returns all violations that the merged histories show, ordered by time. The lines may be in any order.
 #[must_use]
-pub fn check(lines: &[Line], guarantees: &Guarantees) -> Vec<Finding> {
+pub fn find_violations(lines: &[Line], guarantees: &Guarantees) -> Vec<Finding> {
     let mut lines = lines.to_vec();
     lines.sort_by_key(|l| l.at);
     let mut found = Vec::new();
@@ -189,7 +189,7 @@
                 }
                 let newer = decided.range(version + 1..).map(|(v, (at, _))| (*at, *v)).min();
                 if let Some((at, v)) = newer
-                    && line.at > at + guarantees.bound
+                    && line.at > at + guarantees.stale_version_limit_ns
                 {
                     let late = (line.at - at) / 1_000_000;
                     let reason = format!("took {id} under {version}, {late} ms after {v} was decided");
@@ -331,7 +331,7 @@
 pub fn count_duplicates(lines: &[Line]) -> usize {
     let guarantees = Guarantees {
         coordinated: false,
-        bound: 0,
+        stale_version_limit_ns: 0,
         strict: false,
         remembered: false,
         retried_when_unknown: false,
--- a/crates/rig/src/draw.rs
+++ b/crates/rig/src/draw.rs
@@ -118,7 +118,7 @@
             continue;
         }
         tries -= 1;
-        if candidate.check().is_ok() && fails(&candidate) {
+        if candidate.validate().is_ok() && fails(&candidate) {
             smallest = candidate;
             at = at.min(smallest.steps.len());
         }
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// The maximum size in bytes of a head, a body or a chunk that is read.
-pub const MAX_PART_SIZE: usize = 80 * 1024;
+pub const MAX_PART_BYTES: usize = 80 * 1024;
 /// The read and write timeout of connections to and from stand-ins.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -14,10 +14,10 @@
     let mut head = String::new();
     loop {
         let before = head.len();
-        if socket.by_ref().take(MAX_PART_SIZE as u64).read_line(&mut head)? == 0 {
+        if socket.by_ref().take(MAX_PART_BYTES as u64).read_line(&mut head)? == 0 {
             return Ok(None);
         }
-        if head.len() > MAX_PART_SIZE {
+        if head.len() > MAX_PART_BYTES {
             return Err(io::Error::other("head too large"));
         }
         if !head.ends_with('\n') {
@@ -31,7 +31,7 @@
     let mut body = Vec::new();
     if let Some(length) = header(&head, "content-length") {
         let length = length.parse::<usize>().map_err(io::Error::other)?;
-        if length > MAX_PART_SIZE {
+        if length > MAX_PART_BYTES {
             return Err(io::Error::other("body too large"));
         }
         body.resize(length, 0);
@@ -41,7 +41,7 @@
             let mut line = String::new();
             socket.by_ref().take(64).read_line(&mut line)?;
             let length = usize::from_str_radix(line.trim(), 16).map_err(io::Error::other)?;
-            if length > MAX_PART_SIZE {
+            if length > MAX_PART_BYTES {
                 return Err(io::Error::other("chunk too large"));
             }
             let start = body.len();
--- a/crates/rig/src/node_process.rs
+++ b/crates/rig/src/node_process.rs
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// The node's program has not been built.
-    pub fn program() -> io::Result<PathBuf> {
+    pub fn program_path() -> io::Result<PathBuf> {
         let path = std::env::current_exe()?.with_file_name("linestack");
         if path.exists() {
             return Ok(path);
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -274,7 +274,7 @@
     /// Returns all problems, each with its key.
     pub fn read(text: &str) -> Result<Self, PlanError> {
         let plan: Self = toml::from_str(text).map_err(|e| PlanError::Malformed(e.to_string()))?;
-        plan.check()?;
+        plan.validate()?;
         Ok(plan)
     }
 
@@ -310,7 +310,7 @@
     /// # Errors
     ///
     /// Returns all problems, each with its key.
-    pub fn check(&self) -> Result<(), PlanError> {
+    pub fn validate(&self) -> Result<(), PlanError> {
         let mut errors = Vec::new();
         let mut must = |valid: bool, key: &str, reason: &str| {
             if !valid {
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -55,19 +55,19 @@
 
     /// Returns the folder of the persistent data, which does not contain the configuration.
     #[must_use]
-    pub fn store(&self) -> PathBuf {
+    pub fn store_folder(&self) -> PathBuf {
         self.folder.join("store")
     }
 
     /// Returns the path of the log.
     #[must_use]
-    pub fn log(&self) -> PathBuf {
+    pub fn log_file(&self) -> PathBuf {
         self.folder.join("log")
     }
 
     /// Returns whether the process was started and has not been observed to end.
     #[must_use]
-    pub fn running(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
@@ -86,8 +86,8 @@
         if self.child.is_some() {
             return Err(io::Error::other(format!("{} runs", self.name)));
         }
-        fs::create_dir_all(self.store())?;
-        let log = fs::OpenOptions::new().create(true).append(true).open(self.log())?;
+        fs::create_dir_all(self.store_folder())?;
+        let log = fs::OpenOptions::new().create(true).append(true).open(self.log_file())?;
         let mut command = Command::new(&self.program);
         for key in ["CONFIG", "LISTEN", "DISCOVERY", "NAME", "LOG", "FLEET", "STORE", "START", "PEERS"] {
             command.env_remove(format!("PROXY_{key}"));
@@ -109,7 +109,7 @@
     pub fn wait_until_listening(&mut self, from: u64) -> io::Result<SocketAddr> {
         let begin = Instant::now();
         loop {
-            let text = fs::read(self.log()).unwrap_or_default();
+            let text = fs::read(self.log_file()).unwrap_or_default();
             let text = String::from_utf8_lossy(text.get(from as usize..).unwrap_or_default()).into_owned();
             // Only complete lines are parsed: in a line that is still being written, the address may be truncated.
             let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
@@ -134,7 +134,7 @@
     /// Returns the text after `key`, up to the next space, in the log of the run that began when it had `from` bytes.
     #[must_use]
     pub fn log_value(&self, key: &str, from: u64) -> Option<String> {
-        let text = fs::read(self.log()).unwrap_or_default();
+        let text = fs::read(self.log_file()).unwrap_or_default();
         let text = String::from_utf8_lossy(text.get(from as usize..).unwrap_or_default()).into_owned();
         text.lines().find_map(|l| l.split_once(key)?.1.split(' ').next().map(str::to_owned))
     }
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// The process does not run.
-    pub fn pause(&mut self, paused: bool) -> io::Result<()> {
+    pub fn set_paused(&mut self, paused: bool) -> io::Result<()> {
         self.signal(if paused { Signal::STOP } else { Signal::CONT })?;
         self.paused = paused;
         Ok(())
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -115,9 +115,9 @@
         let resolve = |to: &String| if to == LEADER { self.leader() } else { to.clone() };
         let to: Vec<String> = step.to.iter().map(resolve).collect();
         let is_target = |name: &str, process: &Process| {
-            to.iter().any(|to| name_matches(to, name) || (to == DOWN && !process.running()))
+            to.iter().any(|to| name_matches(to, name) || (to == DOWN && !process.is_running()))
         };
-        let wanted = |process: &Process| !is_start(step.action) || !process.running();
+        let wanted = |process: &Process| !is_start(step.action) || !process.is_running();
         let processes = self.processes.iter();
         processes.filter(|(n, p)| is_target(n, p) && wanted(p)).map(|(n, _)| n.clone()).collect()
     }
@@ -125,8 +125,8 @@
     fn act_on_process(&mut self, step: &Step, name: &str) -> io::Result<()> {
         match step.action {
             Action::Kill => self.process(name)?.kill(),
-            Action::Pause => self.process(name)?.pause(true),
-            Action::Resume => self.process(name)?.pause(false),
+            Action::Pause => self.process(name)?.set_paused(true),
+            Action::Resume => self.process(name)?.set_paused(false),
             Action::Stop => stop(self.process(name)?),
             Action::Copy => copy_store(self.process(name)?),
             Action::Replace => self.replace(name),
@@ -143,7 +143,7 @@
     fn replace(&mut self, name: &str) -> io::Result<()> {
         let replacement = self.request_replacement(name.trim_start_matches('c'))?;
         let process = self.process(name)?;
-        fs::remove_dir_all(process.store())?;
+        fs::remove_dir_all(process.store_folder())?;
         process.next_start_arguments = vec!["--replacement".into(), replacement.to_string()];
         Ok(())
     }
@@ -159,7 +159,7 @@
         fs::write(&path, file.to_string())?;
         self.file_policies.insert(name.to_owned(), number);
         let process = self.process(name)?;
-        if process.running() { process.signal(Signal::HUP) } else { Ok(()) }
+        if process.is_running() { process.signal(Signal::HUP) } else { Ok(()) }
     }
 
     /// Creates new stores, which record that an earlier store was lost, for nodes that start with an empty one.
@@ -173,7 +173,8 @@
     /// Swaps the stores of two processes that do not run.
     fn swap_stores(&self, to: &[String]) -> io::Result<()> {
         let [a, b] = to else { return Err(io::Error::other("two change places")) };
-        let store = |name: &String| self.processes.get(name).filter(|p| !p.running()).map(Process::store);
+        let store =
+            |name: &String| self.processes.get(name).filter(|p| !p.is_running()).map(Process::store_folder);
         let (Some(a), Some(b)) = (store(a), store(b)) else { return Err(io::Error::other("both are down")) };
         let temporary = a.with_file_name("swapped");
         fs::rename(&a, &temporary)?;
@@ -236,16 +237,16 @@
 fn copy_store(process: &Process) -> io::Result<()> {
     let older = copy_of_store(process);
     let _ = fs::remove_dir_all(&older);
-    copy_folder(&process.store(), &older)
+    copy_folder(&process.store_folder(), &older)
 }
 
 /// Prepares the store and the injected fault for the start of a process.
 fn prepare_start(step: &Step, process: &mut Process) -> io::Result<()> {
     if matches!(step.action, Action::StartEmpty | Action::StartOlder) {
-        fs::remove_dir_all(process.store())?;
+        fs::remove_dir_all(process.store_folder())?;
     }
     if matches!(step.action, Action::StartOlder | Action::StartRolledBack) {
-        copy_folder(&copy_of_store(process), &process.store())?;
+        copy_folder(&copy_of_store(process), &process.store_folder())?;
     }
     process.variables.retain(|(key, _)| key != FAULT_VARIABLE);
     if !step.fault.is_empty() {
--- a/crates/rig/src/run/histories.rs
+++ b/crates/rig/src/run/histories.rs
@@ -90,7 +90,8 @@
     fn unsettled_nodes(&self) -> Vec<String> {
         let decided = self.last_decided();
         let states = NodeStates::of(self.histories("n"));
-        let running = self.processes.iter().filter(|(n, p)| n.starts_with('n') && p.running() && !p.paused);
+        let running =
+            self.processes.iter().filter(|(n, p)| n.starts_with('n') && p.is_running() && !p.paused);
         running.filter_map(|(name, _)| self.unsettled_reason(name, &states, decided)).collect()
     }
 
--- a/crates/rig/src/run/mod.rs
+++ b/crates/rig/src/run/mod.rs
@@ -35,7 +35,7 @@
 
 use self::observations::{LogTails, Observations};
 use self::seconds::{OpenedConnections, Sample, per_second};
-use crate::check::{Guarantees, check, count_duplicates};
+use crate::check::{Guarantees, count_duplicates, find_violations};
 use crate::link::Link;
 use crate::plan::Plan;
 use crate::process::Process;
@@ -120,7 +120,7 @@
     folder: &Path,
     on_started: &dyn Fn(&Endpoints),
 ) -> io::Result<Outcome> {
-    plan.check().map_err(io::Error::other)?;
+    plan.validate().map_err(io::Error::other)?;
     let (history, received) = channel();
     let mut rig = Rig::set_up(plan, program, folder, history.clone())?;
     rig.start(&plan.processes())?;
@@ -134,7 +134,7 @@
     };
     faults.extend(rig.end()?);
     let lines = rig.collect(&received, &mut faults);
-    let mut findings = check(&lines, &guarantees(plan));
+    let mut findings = find_violations(&lines, &guarantees(plan));
     findings.truncate(MAX_FINDINGS);
     let late_after = plan.load.deadline_ms * NANOS_PER_MS / 2;
     let seconds = per_second(&lines, &samples, began, late_after);
@@ -155,7 +155,7 @@
     Guarantees {
         coordinated,
         // A lease that was granted just before the decision, and the allowance.
-        bound: plan.lease_ms * NANOS_PER_MS + CLOCK_AND_MACHINE_SLACK,
+        stale_version_limit_ns: plan.lease_ms * NANOS_PER_MS + CLOCK_AND_MACHINE_SLACK,
         strict: coordinated && plan.strict,
         remembered: plan.store && plan.load.same_node,
         retried_when_unknown: plan.load.retry_when_unknown,
--- a/crates/rig/src/run/operator.rs
+++ b/crates/rig/src/run/operator.rs
@@ -94,7 +94,7 @@
         }
         for name in lost {
             let process = self.process(name)?;
-            fs::remove_dir_all(process.store())?;
+            fs::remove_dir_all(process.store_folder())?;
             process.next_start_arguments = vec!["--refounded".into(), foundation.display().to_string()];
             self.note("start-empty", name);
         }
--- a/crates/rig/src/run/processes.rs
+++ b/crates/rig/src/run/processes.rs
@@ -39,7 +39,7 @@
         let mut began = Vec::new();
         for name in names {
             let process = self.process(name)?;
-            let log_length = fs::metadata(process.log()).map_or(0, |m| m.len());
+            let log_length = fs::metadata(process.log_file()).map_or(0, |m| m.len());
             process.start()?;
             // The address of the previous run is no longer valid.
             self.set_address(name, None);
@@ -128,12 +128,12 @@
     fn request_stop(&mut self, name: &str) -> io::Result<Option<String>> {
         let Some(process) = self.processes.get_mut(name) else { return Ok(None) };
         if process.paused {
-            process.pause(false)?;
+            process.set_paused(false)?;
         }
         if let Some(status) = process.poll_exit()? {
             return Ok(Some(format!("{name} ended by itself: {status}")));
         }
-        if process.running() {
+        if process.is_running() {
             process.signal(Signal::TERM)?;
         }
         Ok(None)
@@ -142,7 +142,7 @@
     /// Waits for a process to stop. Returns a fault if it does not end in time with exit code 0.
     fn wait_until_stopped(&mut self, name: &str) -> io::Result<Option<String>> {
         let Some(process) = self.processes.get_mut(name) else { return Ok(None) };
-        if !process.running() {
+        if !process.is_running() {
             return Ok(None);
         }
         match process.wait_or_kill(PROCESS_TIMEOUT)? {
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -129,7 +129,7 @@
         let plan = self.plan;
         let name = format!("n{number}");
         let mut process = Process::new(&name, self.folder.join(&name), &self.program, &[]);
-        fs::create_dir_all(process.store())?;
+        fs::create_dir_all(process.store_folder())?;
         let file = self.node_file(&name, number)?;
         write_file(&mut process, "PROXY_CONFIG", "node.json", &file.to_string())?;
         if plan.store {
@@ -152,7 +152,7 @@
         }
         if plan.coordinators > 0 {
             let content = json!({"fleet": {"id": self.fleet_name, "member": name,
-                "coordinators": self.coordinators_for(&name), "folder": process.store(),
+                "coordinators": self.coordinators_for(&name), "folder": process.store_folder(),
                 "mode": if plan.strict { "strict" } else { "available" },
                 "history": process.folder.join("history")}});
             write_toml(&mut process, "PROXY_FLEET", "fleet.toml", &content)?;
@@ -192,12 +192,12 @@
         let arguments = ["coordinate", &path.display().to_string()];
         let mut process = Process::new(&name, folder.clone(), &self.program, &arguments);
         process.next_start_arguments.push("--first".into());
-        fs::create_dir_all(process.store())?;
+        fs::create_dir_all(process.store_folder())?;
         let first_policy = folder.join("policy.json");
         fs::write(&first_policy, self.policy(FIRST_POLICY).to_string())?;
         let lease_ms = self.plan.lease_ms;
         let content = json!({"coordinator": {"fleet": self.fleet_name, "number": number, "listen": "127.0.0.1:0",
-            "peers": self.coordinators_for(&name), "folder": process.store(), "first-policy": first_policy,
+            "peers": self.coordinators_for(&name), "folder": process.store_folder(), "first-policy": first_policy,
             "lease-ms": lease_ms, "hold-ms": (lease_ms / LEASES_PER_HOLD).max(MIN_HOLD_MS),
             "history": folder.join("history")}});
         fs::write(&path, toml::to_string(&content).map_err(io::Error::other)?)?;
@@ -241,7 +241,7 @@
 
 /// Returns the folder of a node's embedded store.
 pub(super) fn store_of(process: &Process) -> PathBuf {
-    process.store().join("kept")
+    process.store_folder().join("kept")
 }
 
 /// Writes a file into a process's folder, and sets an environment variable of the process to its path.
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -88,7 +88,7 @@
     }
 
     fn read_log(&mut self, name: &str) -> io::Result<()> {
-        for text in self.tails.new_lines(&self.processes[name].log())? {
+        for text in self.tails.new_lines(&self.processes[name].log_file())? {
             // Nodes without coordinators have no history: only their log shows that they adopt other settings.
             if self.plan.coordinators == 0 && text.contains(SETTINGS_TAKEN_OVER) {
                 self.write_active(name);
--- a/crates/rig/src/stand_ins.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -409,21 +409,21 @@
     }
 
     /// Begins or ends a fault at the first executors that make up its share of the fleet. Returns their number.
-    pub fn set_trouble(&self, t: &FaultSpec, begins: bool) -> usize {
+    pub fn set_fault(&self, t: &FaultSpec, begins: bool) -> usize {
         let count = ((self.states.len() as f64 * t.part).round() as usize).clamp(1, self.states.len());
         (0..count).for_each(|place| self.set_executor_fault(place, t.kind, t.size, begins));
         count
     }
 
     /// Carries out the scenario's faults at their times, counted from now.
-    pub fn play_troubles(self: &Arc<Self>) {
+    pub fn run_faults(self: &Arc<Self>) {
         for t in self.scenario.faults.clone() {
             let fleet = Arc::clone(self);
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs_f64(t.at_s));
-                fleet.set_trouble(&t, true);
+                fleet.set_fault(&t, true);
                 std::thread::sleep(Duration::from_secs_f64(t.for_s));
-                fleet.set_trouble(&t, false);
+                fleet.set_fault(&t, false);
             });
         }
     }
--- a/crates/rig/tests/check.rs
+++ b/crates/rig/tests/check.rs
@@ -1,7 +1,7 @@
 //! Tests the history checker with a correct history, and with one violation of each kind.
 
 use linestack_history::{Ended, HistoryEvent, Line};
-use linestack_rig::check::{Guarantees, Violation, check};
+use linestack_rig::check::{Guarantees, Violation, find_violations};
 use rstest::rstest;
 
 const MS: u64 = 1_000_000;
@@ -153,12 +153,13 @@
     let lines = [correct_history(), additional].concat();
     let guarantees = Guarantees {
         coordinated: true,
-        bound: 500 * MS,
+        stale_version_limit_ns: 500 * MS,
         strict: true,
         remembered: false,
         retried_when_unknown: false,
     };
-    let found: Vec<Violation> = check(&lines, &guarantees).into_iter().map(|f| f.violation).collect();
+    let found: Vec<Violation> =
+        find_violations(&lines, &guarantees).into_iter().map(|f| f.violation).collect();
     match violation {
         None => assert_eq!(found, []),
         Some(violation) => assert!(found.contains(&violation), "{found:?}"),
--- a/crates/rig/tests/rig.rs
+++ b/crates/rig/tests/rig.rs
@@ -126,7 +126,7 @@
 fn drawn_plans_are_valid_and_reproducible() {
     for seed in 0..300 {
         let plan = draw(seed);
-        plan.check().unwrap();
+        plan.validate().unwrap();
         assert_eq!(plan, draw(seed));
         // A plan is unchanged after it is written to a file and read again.
         assert_eq!(Plan::read(&toml::to_string(&plan).unwrap()).unwrap(), plan);
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -193,7 +193,7 @@
     /// The process can't be started.
     pub fn start(&self, node: usize, plan: &str) -> io::Result<()> {
         let mut own = lock(&self.nodes[node]);
-        if own.process.running() {
+        if own.process.is_running() {
             // Another fault at the same time has already started the node.
             return Ok(());
         }
@@ -249,7 +249,7 @@
     }
 
     fn read_log(&self, node: usize, own: &mut Node) {
-        let text = fs::read(own.process.log()).unwrap_or_default();
+        let text = fs::read(own.process.log_file()).unwrap_or_default();
         let new = String::from_utf8_lossy(text.get(own.log_checked..).unwrap_or_default()).into_owned();
         let whole = new.rfind('\n').map_or(0, |end| end + 1);
         own.log_checked += whole;
@@ -268,7 +268,7 @@
     pub fn stop(&self, node: usize, back_after: Option<Duration>, plan: &str) -> io::Result<()> {
         {
             let own = lock(&self.nodes[node]);
-            if !own.process.running() || own.process.paused {
+            if !own.process.is_running() || own.process.paused {
                 return Ok(());
             }
             self.record(node, NodeEvent::Stopped);
@@ -285,10 +285,10 @@
     pub fn stop_while_paused(&self, node: usize, paused: Duration, back_after: Duration) -> io::Result<()> {
         {
             let mut own = lock(&self.nodes[node]);
-            if !own.process.running() || own.process.paused {
+            if !own.process.is_running() || own.process.paused {
                 return Ok(());
             }
-            own.process.pause(true)?;
+            own.process.set_paused(true)?;
             self.record(node, NodeEvent::Paused);
             self.record(node, NodeEvent::Stopped);
             own.process.signal(Signal::TERM)?;
@@ -297,9 +297,9 @@
         std::thread::sleep(paused);
         {
             let mut own = lock(&self.nodes[node]);
-            if own.process.running() && own.process.paused {
+            if own.process.is_running() && own.process.paused {
                 self.record(node, NodeEvent::Resumed);
-                own.process.pause(false)?;
+                own.process.set_paused(false)?;
             }
         }
         self.wait_for_exit(node, start, Some(back_after), "")
@@ -332,13 +332,13 @@
                 self.directory.states[node].open.store(false, Ordering::SeqCst);
             }
             self.check_exit_and_log(node);
-            if !lock(&self.nodes[node]).process.running() {
+            if !lock(&self.nodes[node]).process.is_running() {
                 break;
             }
             std::thread::sleep(POLL_INTERVAL / 4);
         }
         self.directory.states[node].open.store(false, Ordering::SeqCst);
-        if lock(&self.nodes[node]).process.running() {
+        if lock(&self.nodes[node]).process.is_running() {
             self.directory.states[node].dead.store(true, Ordering::SeqCst);
             self.record(node, NodeEvent::Killed);
             lock(&self.nodes[node]).process.kill()?;
@@ -356,7 +356,7 @@
     pub fn kill(&self, node: usize, back_after: Duration, plan: &str) -> io::Result<()> {
         {
             let mut own = lock(&self.nodes[node]);
-            if !own.process.running() {
+            if !own.process.is_running() {
                 return Ok(());
             }
             self.directory.states[node].dead.store(true, Ordering::SeqCst);
@@ -377,17 +377,17 @@
     pub fn pause(&self, node: usize, span: Duration) -> io::Result<()> {
         {
             let mut own = lock(&self.nodes[node]);
-            if !own.process.running() || own.process.paused {
+            if !own.process.is_running() || own.process.paused {
                 return Ok(());
             }
-            own.process.pause(true)?;
+            own.process.set_paused(true)?;
             self.record(node, NodeEvent::Paused);
         }
         std::thread::sleep(span);
         let mut own = lock(&self.nodes[node]);
-        if own.process.running() && own.process.paused {
+        if own.process.is_running() && own.process.paused {
             self.record(node, NodeEvent::Resumed);
-            own.process.pause(false)?;
+            own.process.set_paused(false)?;
         }
         Ok(())
     }
@@ -409,7 +409,7 @@
         } else {
             self.write_configuration(node, "{\"name\": \"n\", \"discovery\": 7}")?;
         }
-        if own.process.running() && !own.started_within(HANDLERS_INSTALLED) {
+        if own.process.is_running() && !own.started_within(HANDLERS_INSTALLED) {
             self.record(node, NodeEvent::Reloaded);
             own.process.signal(Signal::HUP)?;
         }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -175,7 +175,7 @@
     /// The text is no valid plan, or a value is out of range.
     pub fn read(text: &str) -> Result<Self, PlanError> {
         let plan: Self = toml::from_str(text)?;
-        plan.check()?;
+        plan.validate()?;
         Ok(plan)
     }
 
@@ -188,7 +188,7 @@
         Ok(toml::to_string(self)?)
     }
 
-    fn check(&self) -> Result<(), PlanError> {
+    fn validate(&self) -> Result<(), PlanError> {
         let within = |key: &'static str, value: usize, most: usize| {
             let reason = format!("{value} is not from 1 to {most}");
             if (1..=most).contains(&value) { Ok(()) } else { Err(PlanError::Key { key, reason }) }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -71,12 +71,22 @@
     }
 }
 
+/// The true state of one executor.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ExecutorTruth {
+    /// Whether it accepts jobs and does work.
+    pub available: bool,
+    /// The slots that neither running nor waiting jobs need.
+    pub free_slots: f64,
+    /// The seconds of work that it can currently do per second.
+    pub capacity: f64,
+}
+
 /// The true state of all executors, for reference policies that may see it.
 #[derive(Debug, Default)]
 pub struct GroundTruth {
-    /// By executor: whether it is available, its free slots minus those of waiting jobs, and its current
-    /// capacity.
-    pub executors: Vec<(bool, f64, f64)>,
+    /// The state of each executor, by its index.
+    pub executors: Vec<ExecutorTruth>,
     /// By node and worker index: the index of the executor.
     pub executor_of_worker: Vec<Vec<Option<usize>>>,
 }
@@ -88,11 +98,11 @@
     /// The settings of the fleet, for the zone of the node.
     pub settings: Settings,
     /// The maximum number of connections.
-    pub sockets: usize,
-    /// The memory limit, in bytes.
-    pub memory: usize,
+    pub max_connections: usize,
+    /// The memory limit.
+    pub memory_limit_bytes: usize,
     /// The true state of all executors, for reference policies that may see it.
-    pub truth: Arc<Mutex<GroundTruth>>,
+    pub ground_truth: Arc<Mutex<GroundTruth>>,
     /// The current time.
     pub now: Nanos,
     /// The staged start, if the node starts in stages.
@@ -105,7 +115,8 @@
     /// Builds a whole node that uses another dispatch policy.
     #[must_use]
     pub fn build_with(self, decisions: Box<dyn Decide + Send>) -> Box<dyn SimulatedNode> {
-        let core = Core::with_dispatcher(decisions, self.settings, self.sockets, self.memory);
+        let core =
+            Core::with_dispatcher(decisions, self.settings, self.max_connections, self.memory_limit_bytes);
         Box::new(configure_start(core, self.now, self.staged_start, self.stored_outcomes))
     }
 }
@@ -129,6 +140,6 @@
 /// Builds a node as it runs in production.
 #[must_use]
 pub fn production_node(setup: NodeSetup) -> Box<dyn SimulatedNode> {
-    let core = Core::new(setup.settings, setup.sockets, setup.memory);
+    let core = Core::new(setup.settings, setup.max_connections, setup.memory_limit_bytes);
     Box::new(configure_start(core, setup.now, setup.staged_start, setup.stored_outcomes))
 }
--- a/crates/world/src/scenario/check.rs
+++ b/crates/world/src/scenario/check.rs
@@ -15,12 +15,12 @@
     }
 }
 
-fn is_positive(figure: f64) -> bool {
-    figure.is_finite() && figure > 0.0
+fn is_positive(value: f64) -> bool {
+    value.is_finite() && value > 0.0
 }
 
-fn is_not_negative(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+fn is_not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
 impl Scenario {
@@ -29,21 +29,21 @@
     /// # Errors
     ///
     /// Returns all errors at once, one line each, starting with the key.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         let mut errors = ScenarioErrors::default();
-        self.check_span_and_nodes(&mut errors);
-        self.check_executors(&mut errors);
-        self.check_products(&mut errors);
-        self.check_tenants(&mut errors);
-        self.check_load_and_clients(&mut errors);
-        self.check_surroundings(&mut errors);
+        self.validate_span_and_nodes(&mut errors);
+        self.validate_executors(&mut errors);
+        self.validate_products(&mut errors);
+        self.validate_tenants(&mut errors);
+        self.validate_load_and_clients(&mut errors);
+        self.validate_environment(&mut errors);
         for (index, fault) in self.faults.iter().enumerate() {
-            self.check_fault(index, fault, &mut errors);
+            self.validate_fault(index, fault, &mut errors);
         }
         if errors.0.is_empty() { Ok(()) } else { Err(errors.0.join("\n")) }
     }
 
-    fn check_span_and_nodes(&self, errors: &mut ScenarioErrors) {
+    fn validate_span_and_nodes(&self, errors: &mut ScenarioErrors) {
         let span = is_positive(self.span_s) && self.span_s <= 86_400.0;
         errors.require(span, "span_s", "must be above 0 and at most a day (86400)");
         errors.require(self.zones > 0, "zones", "must be at least 1");
@@ -51,29 +51,29 @@
         errors.require(nodes.count > 0, "nodes.count", "must be at least 1");
         errors.require(nodes.sockets >= 64, "nodes.sockets", "must be at least 64");
         errors.require(nodes.memory_mb >= 4, "nodes.memory_mb", "must be at least 4");
-        for (key, figure) in [
+        for (key, value) in [
             ("nodes.cpu_us", nodes.cpu_us),
             ("nodes.sync_ms", nodes.sync_ms),
             ("nodes.starts.connects_per_s", nodes.starts.connects_per_s),
             ("nodes.starts.lists_per_s", nodes.starts.lists_per_s),
             ("nodes.back_after_s", nodes.back_after_s),
         ] {
-            errors.require(is_not_negative(figure), key, "must not be negative");
+            errors.require(is_not_negative(value), key, "must not be negative");
         }
     }
 
-    fn check_executors(&self, errors: &mut ScenarioErrors) {
+    fn validate_executors(&self, errors: &mut ScenarioErrors) {
         let count: u32 = self.executors.iter().map(|e| e.count).sum();
         errors.require(count > 0, "executors", "no executor");
         for (index, executors) in self.executors.iter().enumerate() {
-            executors.check(index, errors);
+            executors.validate(index, errors);
         }
     }
 
-    fn check_products(&self, errors: &mut ScenarioErrors) {
+    fn validate_products(&self, errors: &mut ScenarioErrors) {
         errors.require((1..=200).contains(&self.products.len()), "products", "must have 1 to 200 entries");
         for (index, product) in self.products.iter().enumerate() {
-            product.check(index, errors);
+            product.validate(index, errors);
         }
         errors.require(
             self.products.iter().any(|p| p.share > 0.0),
@@ -82,7 +82,7 @@
         );
     }
 
-    fn check_tenants(&self, errors: &mut ScenarioErrors) {
+    fn validate_tenants(&self, errors: &mut ScenarioErrors) {
         let sends = self.tenants.iter().any(|t| t.share * t.usage > 0.0);
         errors.require(sends, "tenants", "at least one tenant must have a share and a usage above 0");
         for (index, tenant) in self.tenants.iter().enumerate() {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn check_load_and_clients(&self, errors: &mut ScenarioErrors) {
+    fn validate_load_and_clients(&self, errors: &mut ScenarioErrors) {
         let (load, clients) = (&self.load, &self.clients);
         let some = is_positive(load.of_capacity) || is_positive(load.per_s) || load.closed > 0;
         errors.require(some, "load", "empty: one of of_capacity, per_s and closed must be above 0");
@@ -108,7 +108,7 @@
         errors.require(is_not_negative(clients.wait_ms), "clients.wait_ms", "must not be negative");
     }
 
-    fn check_surroundings(&self, errors: &mut ScenarioErrors) {
+    fn validate_environment(&self, errors: &mut ScenarioErrors) {
         let network = &self.network;
         let network = [network.same_ms, network.cross_ms, network.client_ms, network.jitter];
         errors.require(network.into_iter().all(is_not_negative), "network", "must not be negative");
@@ -120,7 +120,7 @@
         errors.require(self.rules.overload_factor >= 1.0, "rules.fall_multiple", "must be at least 1");
     }
 
-    fn check_fault(&self, index: usize, fault: &FaultSpec, errors: &mut ScenarioErrors) {
+    fn validate_fault(&self, index: usize, fault: &FaultSpec, errors: &mut ScenarioErrors) {
         let key = |k: &str| format!("troubles[{index}].{k}");
         errors.require(is_not_negative(fault.at_s), &key("at_s"), "must not be negative");
         errors.require(is_not_negative(fault.for_s), &key("for_s"), "must not be negative");
@@ -133,7 +133,7 @@
 }
 
 impl Executors {
-    fn check(&self, index: usize, errors: &mut ScenarioErrors) {
+    fn validate(&self, index: usize, errors: &mut ScenarioErrors) {
         let key = |k: &str| format!("executors[{index}].{k}");
         errors.require(is_positive(self.cores), &key("cores"), "must be above 0");
         errors.require(is_positive(self.speed), &key("speed"), "must be above 0");
@@ -146,17 +146,17 @@
         errors.require(cold_share, &key("cold_from"), "must be above 0 and at most 1");
         let error_rate = (0.0..=1.0).contains(&self.error_rate);
         errors.require(error_rate, &key("error_rate"), "must be from 0 to 1");
-        for (name, figure) in
+        for (name, value) in
             [("cold_s", self.cold_s), ("handshake_ms", self.handshake_ms), ("probe_ms", self.probe_ms)]
         {
-            errors.require(is_not_negative(figure), &key(name), "must not be negative");
+            errors.require(is_not_negative(value), &key(name), "must not be negative");
         }
         errors.require(is_positive(self.idle_s), &key("idle_s"), "must be above 0");
     }
 }
 
 impl Product {
-    fn check(&self, index: usize, errors: &mut ScenarioErrors) {
+    fn validate(&self, index: usize, errors: &mut ScenarioErrors) {
         let key = |k: &str| format!("products[{index}].{k}");
         errors.require(is_not_negative(self.share), &key("share"), "must not be negative");
         errors.require(is_positive(self.work_ms), &key("work_ms"), "must be above 0");
--- a/crates/world/src/world/fleet.rs
+++ b/crates/world/src/world/fleet.rs
@@ -8,6 +8,7 @@
 
 use super::discovery::Detection;
 use super::{World, lock};
+use crate::ExecutorTruth;
 use crate::executor::{ActiveFaults, ConnectionId, Executor};
 
 /// Executors have consecutive addresses from 10.0.0.0, by index.
@@ -120,10 +121,14 @@
     pub(super) fn update_ground_truth(&mut self, index: usize) {
         let executor = &self.executors[index];
         let available = !executor.is_stalled() && !executor.draining;
-        let state = (available, executor.free_slots(), executor.capacity(self.now));
+        let state = ExecutorTruth {
+            available,
+            free_slots: executor.free_slots(),
+            capacity: executor.capacity(self.now),
+        };
         let mut truth = lock(&self.ground_truth);
         if truth.executors.len() <= index {
-            truth.executors.resize(index + 1, (false, 0.0, 0.0));
+            truth.executors.resize(index + 1, ExecutorTruth::default());
         }
         truth.executors[index] = state;
     }
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -93,7 +93,7 @@
     open_requests: usize,
 }
 
-/// Simulates a scenario, which must pass [`Scenario::check`]. `make_node` builds the nodes.
+/// Simulates a scenario, which must pass [`Scenario::validate`]. `make_node` builds the nodes.
 ///
 /// The same scenario with the same kind of nodes gives the same outcome, byte for byte.
 pub fn run(s: &Scenario, make_node: &dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>) -> Outcome {
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -213,9 +213,9 @@
             stored_outcomes: self.scenario.nodes.store.then(|| self.stored_outcomes(node)),
             node,
             settings: self.scenario.settings(self.nodes[node].zone, settings_seed),
-            sockets: self.scenario.nodes.sockets,
-            memory: self.scenario.nodes.memory_mb << 20,
-            truth: Arc::clone(&self.ground_truth),
+            max_connections: self.scenario.nodes.sockets,
+            memory_limit_bytes: self.scenario.nodes.memory_mb << 20,
+            ground_truth: Arc::clone(&self.ground_truth),
         };
         self.nodes[node].process = Some((self.make_node)(setup));
         let input = Input::ListReceived { kind: ListKind::Cached, endpoints: self.listed_endpoints() };
--- a/crates/world/tests/judge.rs
+++ b/crates/world/tests/judge.rs
@@ -133,6 +133,6 @@
 #[case::deadline_below_target("[[products]]\ncut_off_ms = 3", "products[0].cut_off_ms")]
 fn an_invalid_scenario_is_rejected_with_its_key(#[case] text: &str, #[case] key: &str) {
     let scenario: Scenario = toml::from_str(text).unwrap();
-    let errors = scenario.check().unwrap_err();
+    let errors = scenario.validate().unwrap_err();
     assert!(errors.contains(key), "{errors}");
 }
