--- a/crates/world/src/executor.rs
+++ b/crates/world/src/executor.rs
@@ -9,6 +9,9 @@
 
 use crate::scenario::Executors;
 
+/// The minimum fraction of the speed that slowed executors keep, so that their jobs make progress.
+pub(crate) const MIN_SPEED_SHARE: f64 = 0.01;
+
 /// The minimum number of cores that another program leaves, so that jobs always make progress.
 const MIN_AVAILABLE_CORES: f64 = 0.05;
 
@@ -40,7 +43,7 @@
     pub(crate) connection: ConnectionId,
     pub(crate) attempt: usize,
     /// Remaining seconds of work, at speed 1.
-    pub(crate) remaining_work: f64,
+    pub(crate) remaining_work_s: f64,
     pub(crate) slots: f64,
     /// When it started to run; 0 while it waits.
     pub(crate) started: Nanos,
@@ -80,16 +83,16 @@
 pub(crate) struct Executor {
     pub(crate) name: String,
     /// Its index in the scenario's list of executor kinds.
-    pub(crate) spec: usize,
+    pub(crate) kind_index: usize,
     pub(crate) zone: u16,
     /// The group of executors that share their memory of idempotency keys.
     pub(crate) group: u16,
-    /// Seconds of work that a core does per second.
+    /// Seconds of work that a core does per second when warm and without faults.
     pub(crate) speed: f64,
     pub(crate) cores: f64,
     pub(crate) slots: f64,
     /// The maximum number of waiting jobs.
-    pub(crate) max_queue: usize,
+    pub(crate) max_waiting: usize,
     /// The fraction of its capacity that it has right after a start.
     pub(crate) cold_capacity_share: f64,
     /// The time from a start until it has its full capacity.
@@ -110,15 +113,15 @@
     /// Slots taken by running jobs.
     pub(crate) used_slots: f64,
     /// Remaining seconds of work for handshakes and probes.
-    overhead: f64,
+    overhead_s: f64,
     /// The time up to which work has been simulated.
     advanced_to: Nanos,
-    /// The number of the latest scheduled wake-up; earlier ones are ignored.
-    pub(crate) wake: u64,
+    /// The number of the latest scheduled wake-up. Events of earlier wake-ups are ignored.
+    pub(crate) wake_number: u64,
     /// Past load reports, the newest last.
     reports: VecDeque<TimedReport>,
     /// Total seconds of work done.
-    pub(crate) worked: f64,
+    pub(crate) done_work_s: f64,
 }
 
 /// A load report and the time at which it was made.
@@ -131,8 +134,8 @@
 impl Executor {
     pub(crate) fn new(
         name: String,
-        spec_index: usize,
-        spec: &Executors,
+        kind_index: usize,
+        kind: &Executors,
         zone: u16,
         group: u16,
         speed: f64,
@@ -140,15 +143,15 @@
     ) -> Self {
         Self {
             name,
-            spec: spec_index,
+            kind_index,
             zone,
             group,
             speed,
-            cores: spec.cores,
-            slots: f64::from(spec.slots),
-            max_queue: spec.queue as usize,
-            cold_capacity_share: spec.cold_capacity_share,
-            cold_duration: crate::scenario::seconds(spec.cold_s),
+            cores: kind.cores,
+            slots: f64::from(kind.slots),
+            max_waiting: kind.queue as usize,
+            cold_capacity_share: kind.cold_capacity_share,
+            cold_duration: crate::scenario::seconds_to_nanos(kind.cold_s),
             alive: true,
             draining: false,
             collapsed: false,
@@ -159,11 +162,11 @@
             running: Vec::new(),
             waiting: VecDeque::new(),
             used_slots: 0.0,
-            overhead: 0.0,
+            overhead_s: 0.0,
             advanced_to: now,
-            wake: 0,
+            wake_number: 0,
             reports: VecDeque::new(),
-            worked: 0.0,
+            done_work_s: 0.0,
         }
     }
 
@@ -196,13 +199,15 @@
         self.speed * self.cores.min(self.slots) * self.warm_share(now)
     }
 
+    /// Returns the seconds of work that one core currently does per second.
     fn core_speed(&self, now: Nanos) -> f64 {
         self.speed * self.faults.slowed_to.unwrap_or(1.0) * self.warm_share(now)
     }
 
+    /// Returns the number of cores that another program on the machine leaves.
     fn available_cores(&self) -> f64 {
-        let taken = if self.faults.neighbour_active { self.faults.neighbour_share } else { 0.0 };
-        (self.cores * (1.0 - taken)).max(MIN_AVAILABLE_CORES)
+        let taken_share = if self.faults.neighbour_active { self.faults.neighbour_share } else { 0.0 };
+        (self.cores * (1.0 - taken_share)).max(MIN_AVAILABLE_CORES)
     }
 
     /// Returns the seconds of work done per second on each running job.
@@ -212,26 +217,26 @@
 
     /// Simulates its work up to now. Must be called before anything that changes its speed.
     pub(crate) fn advance(&mut self, now: Nanos) {
-        let span = now.saturating_sub(self.advanced_to) as f64 / 1e9;
+        let span_s = now.saturating_sub(self.advanced_to) as f64 / 1e9;
         let (job_speed, total_speed) =
             (self.job_speed(self.advanced_to), self.core_speed(self.advanced_to) * self.available_cores());
         self.advanced_to = now;
-        if self.is_stalled() || span <= 0.0 {
+        if self.is_stalled() || span_s <= 0.0 {
             return;
         }
-        let spent = self.overhead.min(total_speed * span);
-        self.overhead -= spent;
-        let span = span - spent / total_speed;
+        let overhead_done_s = self.overhead_s.min(total_speed * span_s);
+        self.overhead_s -= overhead_done_s;
+        let span_s = span_s - overhead_done_s / total_speed;
         for job in &mut self.running {
-            job.remaining_work -= job_speed * span;
-            self.worked += job_speed * span;
+            job.remaining_work_s -= job_speed * span_s;
+            self.done_work_s += job_speed * span_s;
         }
     }
 
     /// Adds work that belongs to no job, such as a handshake. It is done before the work of jobs.
-    pub(crate) fn add_overhead(&mut self, now: Nanos, work: f64) {
+    pub(crate) fn add_overhead_work(&mut self, now: Nanos, work_s: f64) {
         self.advance(now);
-        self.overhead += work;
+        self.overhead_s += work_s;
     }
 
     /// Returns when the next job will be done if nothing changes.
@@ -239,20 +244,20 @@
         if self.is_stalled() {
             return None;
         }
-        let remaining = self.running.iter().map(|j| j.remaining_work).fold(f64::INFINITY, f64::min);
-        if !remaining.is_finite() {
+        let remaining_s = self.running.iter().map(|j| j.remaining_work_s).fold(f64::INFINITY, f64::min);
+        if !remaining_s.is_finite() {
             return None;
         }
         let total_speed = self.core_speed(now) * self.available_cores();
-        let span = remaining.max(0.0) / self.job_speed(now) + self.overhead / total_speed;
+        let span_s = remaining_s.max(0.0) / self.job_speed(now) + self.overhead_s / total_speed;
         // A cold executor speeds up over time, so the estimate is renewed after a short while.
-        let span = if self.is_cold(now) { span.min(COLD_ESTIMATE_LIMIT_S) } else { span };
-        Some(now + (span * 1e9).ceil().min(1e18) as Nanos + 1)
+        let span_s = if self.is_cold(now) { span_s.min(COLD_ESTIMATE_LIMIT_S) } else { span_s };
+        Some(now + (span_s * 1e9).ceil().min(1e18) as Nanos + 1)
     }
 
     /// Starts waiting jobs in order, as long as the first one fits into the free slots. Returns copies of the
     /// started jobs.
-    pub(crate) fn start(&mut self, now: Nanos) -> Vec<Job> {
+    pub(crate) fn start_waiting_jobs(&mut self, now: Nanos) -> Vec<Job> {
         let mut started = Vec::new();
         if self.is_stalled() {
             return started;
@@ -275,7 +280,7 @@
         let mut done = Vec::new();
         let mut i = 0;
         while i < self.running.len() {
-            if self.running[i].remaining_work <= ROUNDING_TOLERANCE {
+            if self.running[i].remaining_work_s <= ROUNDING_TOLERANCE {
                 done.push(self.running.remove(i));
             } else {
                 i += 1;
@@ -294,7 +299,7 @@
     /// ones.
     pub(crate) fn clear(&mut self) -> Vec<Job> {
         let jobs = self.running.drain(..).chain(self.waiting.drain(..)).collect();
-        (self.used_slots, self.overhead, self.connections) = (0.0, 0.0, 0);
+        (self.used_slots, self.overhead_s, self.connections) = (0.0, 0.0, 0);
         self.reports.clear();
         jobs
     }
@@ -315,7 +320,7 @@
     /// Returns whether a job with this number of slots may start or wait here.
     pub(crate) fn admits(&self, slots: f64) -> bool {
         let must_wait = self.used_slots + slots > self.slots || !self.waiting.is_empty();
-        let queue_full = self.waiting.len() >= self.max_queue;
+        let queue_full = self.waiting.len() >= self.max_waiting;
         slots <= self.slots && !(must_wait && queue_full)
     }
 
@@ -325,9 +330,9 @@
     }
 
     /// Completes the running job of a connection without doing its work.
-    pub(crate) fn skip(&mut self, connection: ConnectionId) {
+    pub(crate) fn complete_without_work(&mut self, connection: ConnectionId) {
         if let Some(job) = self.running.iter_mut().find(|job| job.connection == connection) {
-            job.remaining_work = 0.0;
+            job.remaining_work_s = 0.0;
         }
     }
 
@@ -338,7 +343,8 @@
     }
 
     /// Returns the load report that an answer sent now contains. Reports are renewed once per `period` and
-    /// become visible `delay` nanoseconds late; with both at 0 each answer has a fresh report.
+    /// become visible `delay` late; with both at 0 each answer has a fresh report. `noise` is the maximum
+    /// relative error of each figure.
     pub(crate) fn report(
         &mut self,
         now: Nanos,
@@ -347,7 +353,7 @@
         noise: f64,
         rng: &mut rand_pcg::Pcg64Mcg,
     ) -> Report {
-        let mut noisy = |f: f64| (f * (1.0 + noise * rng.random_range(-1.0..=1.0))) as f32;
+        let mut noisy = |figure: f64| (figure * (1.0 + noise * rng.random_range(-1.0..=1.0))) as f32;
         let (free, waiting) = ((self.slots - self.used_slots).max(0.0), self.waiting.len() as f64);
         let active = (self.running.len() + self.waiting.len()) as f64;
         let current = Report {
--- a/crates/world/src/executor_model.rs
+++ b/crates/world/src/executor_model.rs
@@ -10,8 +10,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::cold::{ColdLoadLimit, RecentWork};
-use crate::executor::{ConnectionId, Executor, Job};
-use crate::scenario::{Fault, Scenario, millis};
+use crate::executor::{ConnectionId, Executor, Job, MIN_SPEED_SHARE};
+use crate::scenario::{Fault, Scenario, millis_to_nanos};
 
 /// The number of a job. The caller assigns it and never reuses it.
 pub type JobId = u64;
@@ -21,7 +21,7 @@
 pub enum Offer {
     /// The executor accepted it; [`ExecutorModel::advance`] returns it once it is done.
     Queued,
-    /// The executor turned it away without looking at it.
+    /// The executor rejected it without executing it.
     Overloaded,
     /// It failed at once.
     Failed,
@@ -44,18 +44,18 @@
     #[must_use]
     pub fn new(s: &Scenario, index: usize) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(s.seed ^ (index as u64) << 32);
-        let (mut spec, mut remaining) = (0, index);
-        while spec + 1 < s.executors.len() && remaining >= s.executors[spec].count as usize {
-            remaining -= s.executors[spec].count as usize;
-            spec += 1;
+        let (mut kind_index, mut index_in_kind) = (0, index);
+        while kind_index + 1 < s.executors.len() && index_in_kind >= s.executors[kind_index].count as usize {
+            index_in_kind -= s.executors[kind_index].count as usize;
+            kind_index += 1;
         }
-        let e = &s.executors[spec];
-        let speed = e.speed * (1.0 + e.speed_spread * rng.random_range(-1.0..=1.0));
+        let kind = &s.executors[kind_index];
+        let speed = kind.speed * (1.0 + kind.speed_spread * rng.random_range(-1.0..=1.0));
         let zone = (index % usize::from(s.zones)) as u16;
-        let group = (index / e.group as usize) as u16;
+        let group = (index / kind.group as usize) as u16;
         let products = s.products.iter().enumerate().map(|(i, p)| (p.name.clone(), i)).collect();
         Self {
-            executor: Executor::new(format!("e{index}"), spec, e, zone, group, speed, 0),
+            executor: Executor::new(format!("e{index}"), kind_index, kind, zone, group, speed, 0),
             scenario: s.clone(),
             rng,
             products,
@@ -74,13 +74,13 @@
             return false;
         }
         let index = self.products.get(product).copied().unwrap_or(0);
-        let (rules, work) = (&self.scenario.rules, self.scenario.products[index].work_ms / 1e3);
+        let (rules, work_s) = (&self.scenario.rules, self.scenario.products[index].work_ms / 1e3);
         let limit = ColdLoadLimit {
             overload_factor: rules.overload_factor,
-            window: millis(rules.overload_window_ms),
+            window: millis_to_nanos(rules.overload_window_ms),
         };
-        self.recent_work.add(now, work, limit.window);
-        self.recent_work.exceeds(limit.max_work(self.executor.capacity(now)))
+        self.recent_work.add(now, work_s, limit.window);
+        self.recent_work.exceeds(limit.max_work_s(self.executor.capacity(now)))
     }
 
     /// Returns its name in discovery.
@@ -92,7 +92,7 @@
     /// Returns the kind that discovery lists it as.
     #[must_use]
     pub fn kind(&self) -> &str {
-        &self.scenario.executors[self.executor.spec].kind
+        &self.scenario.executors[self.executor.kind_index].kind
     }
 
     /// Returns its zone.
@@ -124,25 +124,25 @@
             }
         }
         // Jobs in the queue may fit into free slots: they start only at the next `advance`.
-        let ahead: f64 = self.executor.waiting.iter().map(|j| j.slots).sum();
-        let full = self.executor.used_slots + ahead + p.slots > self.executor.slots;
-        if p.slots > self.executor.slots || (full && self.queued() >= self.executor.max_queue) {
+        let slots_ahead: f64 = self.executor.waiting.iter().map(|j| j.slots).sum();
+        let must_wait = self.executor.used_slots + slots_ahead + p.slots > self.executor.slots;
+        if p.slots > self.executor.slots || (must_wait && self.queued_count() >= self.executor.max_waiting) {
             return Offer::Overloaded;
         }
-        let mean = p.work_ms / 1e3;
-        let remaining_work = if p.cv > 0.0 {
+        let mean_s = p.work_ms / 1e3;
+        let remaining_work_s = if p.cv > 0.0 {
             let variance = (1.0 + p.cv * p.cv).ln();
-            let spread = LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt());
-            spread.map_or(mean, |d| d.sample(&mut self.rng))
+            let distribution = LogNormal::new(mean_s.ln() - variance / 2.0, variance.sqrt());
+            distribution.map_or(mean_s, |d| d.sample(&mut self.rng))
         } else {
-            mean
+            mean_s
         };
         self.executor.advance(now);
         let connection = ConnectionId { node: 0, incarnation: 0, number: job };
         self.executor.waiting.push_back(Job {
             connection,
             attempt: 0,
-            remaining_work,
+            remaining_work_s,
             slots: p.slots,
             started: 0,
         });
@@ -150,7 +150,7 @@
     }
 
     /// Returns the number of waiting jobs that do not fit into free slots.
-    fn queued(&self) -> usize {
+    fn queued_count(&self) -> usize {
         let mut free = self.executor.slots - self.executor.used_slots;
         let waits = |j: &&Job| {
             free -= j.slots;
@@ -164,7 +164,7 @@
         self.executor.advance(now);
         let waited = self.executor.waiting.len();
         self.executor.waiting.retain(|j| j.connection.number != job);
-        if self.scenario.executors[self.executor.spec].cancels {
+        if self.scenario.executors[self.executor.kind_index].cancels {
             self.executor.running.retain(|j| j.connection.number != job);
             self.executor.recount_used_slots();
         }
@@ -175,37 +175,38 @@
     pub fn advance(&mut self, now: Nanos) -> (Vec<JobId>, Option<Nanos>) {
         self.executor.advance(now);
         let done = if self.executor.is_stalled() { Vec::new() } else { self.executor.take_done() };
-        self.executor.start(now);
+        self.executor.start_waiting_jobs(now);
         (done.into_iter().map(|j| j.connection.number).collect(), self.executor.next_completion(now))
     }
 
     /// Returns the load report for an answer sent now, if executors send reports.
     pub fn report(&mut self, now: Nanos) -> Option<Report> {
         let r = &self.scenario.reports;
-        let (period, delay) = (millis(r.period_ms), millis(r.delay_ms));
+        let (period, delay) = (millis_to_nanos(r.period_ms), millis_to_nanos(r.delay_ms));
         r.enabled.then(|| self.executor.report(now, period, delay, r.noise, &mut self.rng))
     }
 
-    /// Returns whether it answers anything, including probes.
+    /// Returns whether it currently answers jobs and probes.
     #[must_use]
     pub fn is_responsive(&self) -> bool {
         !self.executor.is_stalled()
     }
 
-    /// Sets or clears a fault. Returns false for a fault that does not concern a single executor.
+    /// Begins or ends a fault of the given size. Returns false for a fault that does not affect a single
+    /// executor. [`Fault::Pauses`] and [`Fault::Neighbour`] last without interruption here.
     pub fn set_fault(&mut self, now: Nanos, kind: Fault, size: f64, begins: bool) -> bool {
         self.executor.advance(now);
-        let rate = if begins { size } else { 0.0 };
+        let active_size = if begins { size } else { 0.0 };
         let faults = &mut self.executor.faults;
         match kind {
             Fault::Hang => faults.hangs = begins,
             Fault::Pauses => faults.paused = begins,
-            Fault::Slow => faults.slowed_to = begins.then_some(size.max(0.01)),
-            Fault::Neighbour => (faults.neighbour_share, faults.neighbour_active) = (rate, begins),
-            Fault::FastErrors => faults.error_rate = rate,
+            Fault::Slow => faults.slowed_to = begins.then_some(size.max(MIN_SPEED_SHARE)),
+            Fault::Neighbour => (faults.neighbour_share, faults.neighbour_active) = (active_size, begins),
+            Fault::FastErrors => faults.error_rate = active_size,
             Fault::ProductFails => faults.product_fails = begins,
-            Fault::Lose => faults.loss_rate = rate,
-            Fault::Refuse => faults.refusal_rate = rate,
+            Fault::Lose => faults.loss_rate = active_size,
+            Fault::Refuse => faults.refusal_rate = active_size,
             Fault::Lie => faults.reports_idle = begins,
             _ => return false,
         }
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -75,10 +75,12 @@
     repeats: RepeatPolicy,
     dedup_window: Nanos,
     deadline: Nanos,
+    /// When it was answered.
     answered: Option<Nanos>,
     /// No answer is required any more: the client left, or the node's process ended.
     excused: bool,
     sent: Vec<SentExecution>,
+    /// The number of its executions that have started.
     runs: u32,
     /// An executor's result for it has reached the node.
     has_result: bool,
@@ -98,16 +100,22 @@
     health: Health,
 }
 
-/// Compares the actions of the nodes with the rules.
+/// Checks the actions of the nodes against the rules.
+///
+/// Submissions are identified by the index of their attempt, executors by their index.
 #[derive(Debug, Default)]
 pub struct Judge {
+    /// The first breaches, with their details.
     pub breaches: Vec<Breach>,
-    pub broken: u64,
+    /// The number of all breaches, including those without details.
+    pub breach_count: u64,
     submissions: BTreeMap<usize, SubmissionRecord>,
     listed_health: HashMap<ListKey, ListedHealth>,
     /// By cold executor: the work that it was recently sent.
     cold_work: HashMap<usize, RecentWork>,
-    grace: Nanos,
+    /// How long after a node learnt that an executor drains or is gone it may still send jobs to it.
+    drain_grace: Nanos,
+    /// Added to every time limit.
     tolerance: Nanos,
     cold_limit: ColdLoadLimit,
 }
@@ -118,15 +126,15 @@
 const RETENTION_AFTER_DEADLINE: Nanos = 20_000_000_000;
 
 impl Judge {
-    /// Creates a judge. `grace` is the time for which jobs may still be sent to a draining executor;
+    /// Creates a judge. `drain_grace` is the time for which jobs may still be sent to a draining executor;
     /// `tolerance` is added to every time limit.
-    pub(crate) fn new(grace: Nanos, tolerance: Nanos, cold_limit: ColdLoadLimit) -> Self {
-        Self { grace, tolerance, cold_limit, ..Self::default() }
+    pub(crate) fn new(drain_grace: Nanos, tolerance: Nanos, cold_limit: ColdLoadLimit) -> Self {
+        Self { drain_grace, tolerance, cold_limit, ..Self::default() }
     }
 
     /// Counts a breach, and keeps its details unless there are too many already.
     pub(crate) fn breach(&mut self, rule: Rule, now: Nanos, detail: String) {
-        self.broken += 1;
+        self.breach_count += 1;
         if self.breaches.len() < MAX_DESCRIBED_BREACHES {
             self.breaches.push(Breach { rule, at_s: now as f64 / 1e9, detail });
         }
@@ -176,20 +184,20 @@
         let Some(submission) = self.submissions.get_mut(&attempt) else {
             return self.breach(Rule::AnsweredTwice, now, format!("{attempt}: not taken, or long over"));
         };
-        let second = submission.answered.replace(now).is_some();
-        let late = now > submission.deadline + self.tolerance && !submission.excused;
+        let is_second = submission.answered.replace(now).is_some();
+        let is_late = now > submission.deadline + self.tolerance && !submission.excused;
         let may_have_run = submission.sent.iter().any(|s| s.run_status == RunStatus::MayHaveRun);
-        let harmful = submission.repeats != RepeatPolicy::Idempotent && may_have_run;
+        let repeat_is_harmful = submission.repeats != RepeatPolicy::Idempotent && may_have_run;
         let has_result = submission.has_result;
-        if second {
+        if is_second {
             self.breach(Rule::AnsweredTwice, now, format!("{attempt}"));
         }
-        if late {
+        if is_late {
             self.breach(Rule::Lost, now, format!("{attempt}: answered after its cut-off"));
         }
         match answer {
             Answer::Completed(_) if !has_result => self.breach(Rule::MadeUp, now, format!("{attempt}")),
-            Answer::Dismissed(_) if harmful => {
+            Answer::Dismissed(_) if repeat_is_harmful => {
                 self.breach(Rule::DismissedMayHaveRun, now, format!("{attempt}"));
             }
             _ => {}
@@ -207,7 +215,7 @@
     ) {
         if let Some(listed) = self.listed_health.get(&ListKey { node: connection.node, executor })
             && listed.health != Health::Ready
-            && now > listed.at + self.grace + self.tolerance
+            && now > listed.at + self.drain_grace + self.tolerance
         {
             let ago_s = (now - listed.at) as f64 / 1e9;
             let detail = format!("{attempt} to {executor}, told {ago_s:.2} s before");
@@ -269,14 +277,14 @@
 
     /// Records work sent to a cold executor that can do `capacity` seconds of work per second. Returns true
     /// if the executor is overloaded by it.
-    pub(crate) fn cold_work_sent(&mut self, executor: usize, work: f64, capacity: f64, now: Nanos) -> bool {
+    pub(crate) fn cold_work_sent(&mut self, executor: usize, work_s: f64, capacity: f64, now: Nanos) -> bool {
         let recent = self.cold_work.entry(executor).or_default();
-        recent.add(now, work, self.cold_limit.window);
-        let max_work = self.cold_limit.max_work(capacity);
-        let overloaded = recent.exceeds(max_work);
+        recent.add(now, work_s, self.cold_limit.window);
+        let max_work_s = self.cold_limit.max_work_s(capacity);
+        let overloaded = recent.exceeds(max_work_s);
         if overloaded {
             let total = recent.total();
-            let detail = format!("{executor}: {total:.2} s of work in a window, bears {max_work:.2}");
+            let detail = format!("{executor}: {total:.2} s of work in a window, bears {max_work_s:.2}");
             self.breach(Rule::ColdPushedOver, now, detail);
         }
         overloaded
@@ -290,7 +298,7 @@
     /// Reports the submissions that are overdue, and drops those whose retention is over.
     pub(crate) fn sweep(&mut self, now: Nanos) {
         let tolerance = self.tolerance;
-        let late: Vec<usize> = self
+        let overdue: Vec<usize> = self
             .submissions
             .iter()
             .filter(|(_, submission)| {
@@ -298,7 +306,7 @@
             })
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in late {
+        for attempt in overdue {
             self.breach(Rule::Lost, now, format!("{attempt}: no answer"));
             self.excuse(attempt);
         }
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -8,10 +8,10 @@
 /// The cost of wasted work in the score, as a fraction of the payoff.
 const WASTE_COST: f64 = 0.02;
 
-/// The fleet counts as recovered when the earned fraction of the payoff is at least this share of what it was
-/// before the first fault,
+/// A second is as good as before the first fault if the earned fraction of the payoff is at least this share
+/// of its earlier mean.
 const RECOVERED_SHARE: f64 = 0.9;
-/// for this many consecutive seconds.
+/// The fleet counts as recovered after this many consecutive good seconds.
 const RECOVERED_SECONDS: usize = 3;
 
 /// How long after a fault the earned payoff was back at its earlier level.
@@ -112,10 +112,10 @@
     /// which policies are compared.
     #[must_use]
     pub fn score(&self, s: &Scenario) -> f64 {
-        let each = 1.0 / (self.submissions.max(1)) as f64;
-        let crossings = self.crossings as f64 * each * s.limits.zone_crossing_cost;
-        let probes = self.probes as f64 * each * s.limits.probe_cost;
-        self.goodput - crossings - probes - WASTE_COST * self.waste
+        let per_submission = 1.0 / (self.submissions.max(1)) as f64;
+        let crossing_cost = self.crossings as f64 * per_submission * s.limits.zone_crossing_cost;
+        let probe_cost = self.probes as f64 * per_submission * s.limits.probe_cost;
+        self.goodput - crossing_cost - probe_cost - WASTE_COST * self.waste
     }
 
     /// Returns the rules that were broken, without duplicates, in the order of [`Rule`].
@@ -128,7 +128,7 @@
     }
 
     /// Computes the figures that follow from the counts, after the end of the run.
-    pub(crate) fn finish(&mut self, s: &Scenario) {
+    pub(crate) fn compute_figures(&mut self, s: &Scenario) {
         let earned: f64 = self.earned_payoff_by_second.iter().sum();
         self.goodput = if self.offered_payoff > 0.0 { earned / self.offered_payoff } else { 0.0 };
         let mut times = self.answer_times.clone();
@@ -142,21 +142,22 @@
     fn find_recoveries(&self, s: &Scenario) -> Vec<Recovery> {
         let first_fault = s.faults.iter().map(|t| t.at_s).fold(s.span_s, f64::min) as usize;
         let before: Vec<f64> = (0..first_fault).filter_map(|second| self.earned_share(second)).collect();
-        let usual = before.iter().sum::<f64>() / before.len().max(1) as f64;
+        let usual_share = before.iter().sum::<f64>() / before.len().max(1) as f64;
         let recovery = |fault: &FaultSpec| {
             let ended_s = fault.at_s + fault.for_s;
-            let after_s = if before.is_empty() { None } else { self.recovered_after(ended_s, usual) };
+            let after_s = if before.is_empty() { None } else { self.recovered_after(ended_s, usual_share) };
             Recovery { fault: fault.kind, ended_s, after_s }
         };
         s.faults.iter().map(recovery).collect()
     }
 
     /// Returns the seconds from the end of a fault to the start of the first consecutive seconds that earn
-    /// nearly as much as usual.
-    fn recovered_after(&self, ended_s: f64, usual: f64) -> Option<f64> {
+    /// nearly as much as usual. `usual_share` is the mean earned fraction before the first fault.
+    fn recovered_after(&self, ended_s: f64, usual_share: f64) -> Option<f64> {
         let ended = ended_s.ceil() as usize;
-        let is_good =
-            |second: usize| self.earned_share(second).is_none_or(|share| share >= RECOVERED_SHARE * usual);
+        let is_good = |second: usize| {
+            self.earned_share(second).is_none_or(|share| share >= RECOVERED_SHARE * usual_share)
+        };
         let stays_good = |from: &usize| (*from..*from + RECOVERED_SECONDS).all(is_good);
         let recovered = (ended..self.offered_payoff_by_second.len()).find(stays_good)?;
         Some((recovered - ended) as f64)
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -9,13 +9,13 @@
 
 /// Converts a duration in seconds to nanoseconds.
 #[must_use]
-pub fn seconds(s: f64) -> Nanos {
+pub fn seconds_to_nanos(s: f64) -> Nanos {
     (s * 1e9).round().max(0.0) as Nanos
 }
 
 /// Converts a duration in milliseconds to nanoseconds.
-pub(crate) fn millis(ms: f64) -> Nanos {
-    seconds(ms / 1e3)
+pub(crate) fn millis_to_nanos(ms: f64) -> Nanos {
+    seconds_to_nanos(ms / 1e3)
 }
 
 macro_rules! table {
@@ -479,8 +479,9 @@
         if self.load.per_s > 0.0 {
             return self.load.per_s;
         }
-        let shares: f64 = self.products.iter().map(|p| p.share).sum();
-        let work: f64 = self.products.iter().map(|p| p.share * p.work_ms / 1e3).sum::<f64>() / shares;
-        self.load.of_capacity * self.capacity() / work
+        let total_share: f64 = self.products.iter().map(|p| p.share).sum();
+        let mean_work_s: f64 =
+            self.products.iter().map(|p| p.share * p.work_ms / 1e3).sum::<f64>() / total_share;
+        self.load.of_capacity * self.capacity() / mean_work_s
     }
 }
--- a/crates/world/src/scenario/settings.rs
+++ b/crates/world/src/scenario/settings.rs
@@ -5,7 +5,7 @@
 };
 use linestack_settings::{Names, ReportLayout, Settings};
 
-use super::{Product, RepeatPolicy, Scenario, millis, seconds};
+use super::{Product, RepeatPolicy, Scenario, millis_to_nanos, seconds_to_nanos};
 
 /// If nodes must poll discovery for changes, they do so at least every this many seconds.
 const LIST_REFRESH_LIMIT_S: f64 = 10.0;
@@ -24,7 +24,7 @@
                 active_jobs: Some(2),
             },
             names: self.names(),
-            longest_deadline: millis(deadlines.fold(0.0, f64::max)),
+            longest_deadline: millis_to_nanos(deadlines.fold(0.0, f64::max)),
             may_message_peers: false,
         }
     }
@@ -34,7 +34,7 @@
         let cold_capacity_share = executors.iter().map(|e| e.cold_capacity_share).fold(1.0, f64::min);
         let cold_s = executors.iter().map(|e| e.cold_s).fold(0.0, f64::max);
         let idle_s = executors.iter().map(|e| e.idle_s).fold(f64::INFINITY, f64::min);
-        let unless_zero = |ms: f64| (ms > 0.0).then(|| millis(ms));
+        let unless_zero = |ms: f64| (ms > 0.0).then(|| millis_to_nanos(ms));
         DispatchConfig {
             seed,
             nodes: self.nodes.count,
@@ -50,14 +50,14 @@
             may_probe: limits.may_probe,
             may_cancel: limits.may_cancel,
             retry_after: unless_zero(limits.max_retry_after_ms),
-            connect_timeout: millis(limits.connect_ms),
-            idle_timeout: seconds(idle_s),
-            deadline_margin: millis(limits.deadline_margin_ms),
+            connect_timeout: millis_to_nanos(limits.connect_ms),
+            idle_timeout: seconds_to_nanos(idle_s),
+            deadline_margin: millis_to_nanos(limits.deadline_margin_ms),
             cold_capacity_share,
-            slow_start_duration: seconds(cold_s),
+            slow_start_duration: seconds_to_nanos(cold_s),
             overload_factor: rules.overload_factor,
-            overload_window: millis(rules.overload_window_ms),
-            list_refresh_limit: self.discovery.polled.then(|| seconds(LIST_REFRESH_LIMIT_S)),
+            overload_window: millis_to_nanos(rules.overload_window_ms),
+            list_refresh_limit: self.discovery.polled.then(|| seconds_to_nanos(LIST_REFRESH_LIMIT_S)),
             progress_interval: unless_zero(self.progress_s * 1e3),
             reports_start: self.reports_start,
             weights_are_sizes: false,
@@ -67,8 +67,8 @@
 
     /// Returns the quota of each tenant, in submissions per second.
     fn quotas(&self) -> Vec<f64> {
-        let shares: f64 = self.tenants.iter().map(|t| t.share).sum();
-        self.tenants.iter().map(|t| self.rate() * t.share / shares.max(1e-9)).collect()
+        let total_share: f64 = self.tenants.iter().map(|t| t.share).sum();
+        self.tenants.iter().map(|t| self.rate() * t.share / total_share.max(1e-9)).collect()
     }
 
     fn names(&self) -> Names {
@@ -88,11 +88,11 @@
             RepeatPolicy::Idempotent => DispatchRepeatPolicy::Idempotent,
             RepeatPolicy::Stamped => DispatchRepeatPolicy::Stamped {
                 scope: DedupScope::Cell,
-                dedup_window: seconds(product.dedup_window_s),
+                dedup_window: seconds_to_nanos(product.dedup_window_s),
             },
             RepeatPolicy::OneShot => DispatchRepeatPolicy::OneShot,
         },
-        latency_target: millis(product.latency_target_ms),
+        latency_target: millis_to_nanos(product.latency_target_ms),
         latency_target_factor: product.latency_target_factor,
         payoff: product.payoff,
         late_payoff: product.late_payoff,
--- a/crates/world/src/tampered.rs
+++ b/crates/world/src/tampered.rs
@@ -15,34 +15,40 @@
 /// The way in which a node breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tampering {
-    /// Breaks [`Rule::AnsweredTwice`](crate::Rule::AnsweredTwice).
+    /// Sends each answer twice. Breaks [`Rule::AnsweredTwice`](crate::Rule::AnsweredTwice).
     AnswersTwice,
-    /// Breaks [`Rule::Lost`](crate::Rule::Lost).
+    /// Sends no answers. Breaks [`Rule::Lost`](crate::Rule::Lost).
     AnswersNothing,
-    /// Breaks [`Rule::MadeUp`](crate::Rule::MadeUp).
+    /// Answers each submission with an empty result. Breaks [`Rule::MadeUp`](crate::Rule::MadeUp).
     MakesUp,
-    /// Breaks [`Rule::ResentMayHaveRun`](crate::Rule::ResentMayHaveRun) and
-    /// [`Rule::RanTwice`](crate::Rule::RanTwice).
+    /// Sends a submission that may have run to all ready executors again. Breaks
+    /// [`Rule::ResentMayHaveRun`](crate::Rule::ResentMayHaveRun) and
+    /// [`Rule::RanTwice`](crate::Rule::RanTwice), with one-shot submissions.
     ResendsOneShots,
-    /// Breaks [`Rule::OutsideGroup`](crate::Rule::OutsideGroup).
+    /// Does the same as [`Self::ResendsOneShots`]. Breaks [`Rule::OutsideGroup`](crate::Rule::OutsideGroup),
+    /// with stamped submissions.
     ForgetsGroups,
-    /// Breaks [`Rule::DismissedMayHaveRun`](crate::Rule::DismissedMayHaveRun).
+    /// Dismisses a submission that may have run instead of aborting it. Breaks
+    /// [`Rule::DismissedMayHaveRun`](crate::Rule::DismissedMayHaveRun).
     DismissesWhatRan,
-    /// Breaks [`Rule::SentToDrained`](crate::Rule::SentToDrained).
+    /// Sends a copy of each execution to an executor that drains or is gone. Breaks
+    /// [`Rule::SentToDrained`](crate::Rule::SentToDrained).
     SendsToDrained,
-    /// Breaks [`Rule::ColdPushedOver`](crate::Rule::ColdPushedOver).
+    /// Sends a copy of each execution to the executor that started most recently. Breaks
+    /// [`Rule::ColdPushedOver`](crate::Rule::ColdPushedOver).
     FloodsCold,
-    /// Breaks [`Rule::SentAfterAnswer`](crate::Rule::SentAfterAnswer).
+    /// Sends a further execution after each answer. Breaks
+    /// [`Rule::SentAfterAnswer`](crate::Rule::SentAfterAnswer).
     SendsAfterAnswer,
 }
 
-/// The first number of connections that the wrapper opens itself; the wrapped node never reaches such
-/// numbers.
+/// The number of the first connection that the wrapper opens itself. The wrapped node never opens enough
+/// connections to reach it.
 const FIRST_EXTRA_CONNECTION: ConnectionId = 1 << 40;
 
-/// How long the wrapper waits for a connection, in nanoseconds.
+/// The time limit for opening an extra connection.
 const CONNECT_TIMEOUT: Nanos = 250_000_000;
-/// How long the wrapper waits for an answer, in nanoseconds.
+/// The time limit for the answer to an extra request.
 const ANSWER_TIMEOUT: Nanos = 5_000_000_000;
 
 /// A wrapper that alters some effects of a node.
@@ -53,10 +59,12 @@
     in_flight: HashMap<ConnectionId, Arc<ForwardedRequest>>,
     /// Clients whose submissions may have run, on connections that broke.
     may_have_run: HashSet<ClientId>,
-    ready: Vec<SocketAddr>,
-    drained: Vec<SocketAddr>,
+    /// The executors that discovery lists as ready, in the order of the lists.
+    ready_executors: Vec<SocketAddr>,
+    /// The executors that drain or are gone, in the order of the lists.
+    drained_executors: Vec<SocketAddr>,
     /// The executor that started most recently.
-    cold: Option<SocketAddr>,
+    last_started: Option<SocketAddr>,
     /// The requests to send over the connections that the wrapper has opened.
     extra_requests: HashMap<ConnectionId, Arc<ForwardedRequest>>,
     next_connection: ConnectionId,
@@ -71,9 +79,9 @@
             tampering,
             in_flight: HashMap::new(),
             may_have_run: HashSet::new(),
-            ready: Vec::new(),
-            drained: Vec::new(),
-            cold: None,
+            ready_executors: Vec::new(),
+            drained_executors: Vec::new(),
+            last_started: None,
             extra_requests: HashMap::new(),
             next_connection: FIRST_EXTRA_CONNECTION,
         }
@@ -114,19 +122,19 @@
         true
     }
 
-    /// Records which executors are ready, drained and cold.
-    fn record_list(&mut self, endpoints: &[Endpoint]) {
+    /// Records which executors are ready, which are not, and which started last.
+    fn record_executors(&mut self, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             let address = endpoint.address;
-            self.drained.retain(|a| *a != address);
-            self.ready.retain(|a| *a != address);
+            self.drained_executors.retain(|a| *a != address);
+            self.ready_executors.retain(|a| *a != address);
             if endpoint.health != Health::Ready {
-                self.drained.push(address);
+                self.drained_executors.push(address);
                 continue;
             }
-            self.ready.push(address);
+            self.ready_executors.push(address);
             if endpoint.started > 0 {
-                self.cold = Some(address);
+                self.last_started = Some(address);
             }
         }
     }
@@ -152,8 +160,8 @@
     ) {
         self.in_flight.insert(connection, Arc::clone(request));
         let extra_target = match self.tampering {
-            Tampering::SendsToDrained => self.drained.first().copied(),
-            Tampering::FloodsCold => self.cold,
+            Tampering::SendsToDrained => self.drained_executors.first().copied(),
+            Tampering::FloodsCold => self.last_started,
             _ => None,
         };
         if let Some(address) = extra_target {
@@ -178,11 +186,12 @@
     fn send_after_answer(&mut self, client: ClientId, effects: &mut Vec<Effect>) {
         let id = format!("{client}").into();
         let request = Arc::new(ForwardedRequest { id, ..ForwardedRequest::default() });
-        if let Some(address) = self.ready.first().copied() {
+        if let Some(address) = self.ready_executors.first().copied() {
             self.send_extra(address, request, effects);
         }
     }
 
+    /// Alters one effect of the node, and appends the result to `effects`.
     fn tamper(&mut self, effect: Effect, effects: &mut Vec<Effect>) {
         match effect {
             Effect::Send { connection, request, timeout, version } => {
@@ -216,7 +225,7 @@
             self.in_flight.remove(connection);
         }
         if let Input::ListReceived { endpoints, .. } = &input {
-            self.record_list(endpoints);
+            self.record_executors(endpoints);
         }
         let may_have_run = self.record_disconnect(&input);
         let mut node_effects = Vec::new();
@@ -224,7 +233,7 @@
         if let (Tampering::ResendsOneShots | Tampering::ForgetsGroups, Some(request)) =
             (self.tampering, may_have_run)
         {
-            for address in self.ready.clone() {
+            for address in self.ready_executors.clone() {
                 self.send_extra(address, Arc::clone(&request), effects);
             }
         }
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -11,9 +11,10 @@
 use super::{MILLISECOND, SECOND, World};
 use crate::executor::NodeProcess;
 use crate::judge::Rule;
-use crate::scenario::{Backoff, RepeatPolicy, millis, seconds};
+use crate::scenario::{Backoff, RepeatPolicy, millis_to_nanos, seconds_to_nanos};
 
-/// The maximum number of further nodes that a client tries at once when nodes refuse its connection.
+/// The maximum number of further nodes that a client tries, without a back-off, when nodes refuse its
+/// connection.
 const MAX_REFUSALS: u32 = 3;
 
 /// The time after which a client notices that its connection failed or was refused.
@@ -22,7 +23,7 @@
 /// The interval at which a client retries a node that currently accepts no connections.
 const ACCEPT_RETRY_INTERVAL: Nanos = 2 * MILLISECOND;
 
-/// The maximum number of times that the back-off doubles.
+/// The maximum number of times that the exponential back-off doubles.
 const MAX_DOUBLINGS: u32 = 10;
 
 /// A client's request, across all its attempts.
@@ -30,7 +31,7 @@
     pub(super) product: usize,
     pub(super) tenant: usize,
     /// Seconds of work at speed 1.
-    pub(super) work: f64,
+    pub(super) work_s: f64,
     pub(super) zone: u16,
     pub(super) created_at: Nanos,
     pub(super) retries_left: u32,
@@ -54,7 +55,7 @@
     /// When the node read it.
     pub(super) read_at: Option<Nanos>,
     /// The client has its answer, or has given up.
-    pub(super) over: bool,
+    pub(super) client_done: bool,
     /// The node has answered.
     pub(super) answered: bool,
 }
@@ -83,7 +84,7 @@
             refusals,
             assigned: None,
             read_at: None,
-            over: false,
+            client_done: false,
             answered: false,
         });
         self.schedule_give_up(attempt);
@@ -96,7 +97,7 @@
         self.requests[request].last_node = Some(node);
         let incarnation = self.nodes[node].incarnation;
         self.attempts[attempt].assigned = Some(Assignment { node, incarnation, accepted_at: None });
-        let delay = self.client_delay();
+        let delay = self.draw_client_delay();
         self.schedule_after(delay, Event::RequestAtNode { attempt });
     }
 
@@ -121,25 +122,25 @@
     /// Schedules the deadline of an attempt, and for some clients an earlier time at which they leave.
     fn schedule_give_up(&mut self, attempt: usize) {
         let product = self.requests[self.attempts[attempt].request].product;
-        let deadline = millis(self.scenario.products[product].deadline_ms);
+        let time_limit = millis_to_nanos(self.scenario.products[product].deadline_ms);
         let reason = GiveUp::DeadlinePassed;
-        self.schedule_after(deadline, Event::ClientGivesUp { attempt, reason });
+        self.schedule_after(time_limit, Event::ClientGivesUp { attempt, reason });
         let leaving_share = self.scenario.clients.leave;
         if leaving_share > 0.0 && self.rng.random::<f64>() < leaving_share {
-            let leaves_after = self.rng.random_range(0..deadline.max(1));
+            let leaves_after = self.rng.random_range(0..time_limit.max(1));
             self.schedule_after(leaves_after, Event::ClientGivesUp { attempt, reason: GiveUp::Leaves });
         }
     }
 
     /// Draws the delay of a message between a client and a node.
-    pub(super) fn client_delay(&mut self) -> Nanos {
+    pub(super) fn draw_client_delay(&mut self) -> Nanos {
         let jitter = 1.0 + self.scenario.network.jitter * self.rng.random::<f64>();
-        millis(self.scenario.network.client_ms * jitter)
+        millis_to_nanos(self.scenario.network.client_ms * jitter)
     }
 
     /// A submission reaches its node, which accepts it, makes it wait for a connection, or does not run.
     pub(super) fn request_at_node(&mut self, attempt: usize) {
-        if self.attempts[attempt].over {
+        if self.attempts[attempt].client_done {
             return;
         }
         let Some(Assignment { node, .. }) = self.attempts[attempt].assigned else { return };
@@ -163,7 +164,7 @@
         // The node counts the deadline from the moment it reads the submission; it does not know an earlier
         // time.
         let deadline = self.now + submission.timeout;
-        let dedup_window = seconds(product.dedup_window_s);
+        let dedup_window = seconds_to_nanos(product.dedup_window_s);
         let process = NodeProcess { node, incarnation };
         self.judge.accepted(attempt, process, product.repeats, dedup_window, deadline);
         let client = attempt as ClientId;
@@ -182,7 +183,7 @@
         NewSubmission {
             product: request.product as u8,
             tenant: request.tenant as u16,
-            timeout: millis(product.deadline_ms),
+            timeout: millis_to_nanos(product.deadline_ms),
             slots: product.slots,
             memory: 0.0,
             request: Arc::new(ForwardedRequest { id, stamp, ..ForwardedRequest::default() }),
@@ -191,7 +192,7 @@
 
     /// A client stops waiting, unless it has its answer.
     pub(super) fn client_gives_up(&mut self, attempt: usize, reason: GiveUp) {
-        if std::mem::replace(&mut self.attempts[attempt].over, true) {
+        if std::mem::replace(&mut self.attempts[attempt].client_done, true) {
             return;
         }
         let assigned = self.attempts[attempt].assigned;
@@ -215,7 +216,7 @@
         let Assignment { node, incarnation, .. } = assignment;
         // The node is not to blame if it read the submission late, by the client's clock, or if the client
         // left early.
-        let latest_read = self.attempts[attempt].sent_at + millis(self.scenario.rules.tolerance_ms);
+        let latest_read = self.attempts[attempt].sent_at + millis_to_nanos(self.scenario.rules.tolerance_ms);
         let read_in_time = self.attempts[attempt].read_at.is_some_and(|read_at| read_at <= latest_read);
         // A paused node cannot act; the other rules still apply to what it does later.
         let paused = self.nodes[node].busy_until > self.now;
@@ -228,7 +229,7 @@
 
     /// A response, or the end of the connection, reaches a client, which may no longer be waiting.
     pub(super) fn response_at_client(&mut self, attempt: usize, outcome: ClientOutcome) {
-        if std::mem::replace(&mut self.attempts[attempt].over, true) {
+        if std::mem::replace(&mut self.attempts[attempt].client_done, true) {
             return;
         }
         let Attempt { request, refusals, .. } = self.attempts[attempt];
@@ -255,14 +256,14 @@
         let product = &self.scenario.products[request.product];
         let latency_s = (self.now - request.created_at) as f64 / 1e9;
         let in_time =
-            latency_s <= product.latency_target_ms / 1e3 + product.latency_target_factor * request.work;
+            latency_s <= product.latency_target_ms / 1e3 + product.latency_target_factor * request.work_s;
         let payoff = if in_time { product.payoff } else { product.payoff * product.late_payoff };
         self.outcome.in_time += u64::from(in_time);
         self.outcome.earned_payoff_by_second[(request.created_at / SECOND) as usize] += payoff;
         self.outcome.by_product[request.product] += payoff;
         self.outcome.by_tenant[request.tenant] += payoff;
         self.outcome.answer_times.push(latency_s as f32);
-        self.useful_work += request.work;
+        self.useful_work_s += request.work_s;
     }
 
     /// Lets a client retry after its back-off, if it has retries left.
@@ -273,7 +274,7 @@
         self.requests[request].retries_left -= 1;
         let backoff = self.draw_backoff(self.requests[request].tries);
         let wait = match outcome {
-            ClientOutcome::Dismissed(Some(retry_after)) if self.heeds_retry_after() => {
+            ClientOutcome::Dismissed(Some(retry_after)) if self.draw_heeds_retry_after() => {
                 retry_after.max(backoff)
             }
             _ => backoff,
@@ -289,17 +290,17 @@
             Backoff::Fixed => clients.wait_ms,
             Backoff::Exponential => clients.wait_ms * doubled,
         };
-        millis(mean_ms * self.rng.random_range(0.5..1.5))
+        millis_to_nanos(mean_ms * self.rng.random_range(0.5..1.5))
     }
 
-    fn heeds_retry_after(&mut self) -> bool {
+    fn draw_heeds_retry_after(&mut self) -> bool {
         self.rng.random::<f64>() < self.scenario.clients.heed_retry_after
     }
 
     fn end_request(&mut self, request: usize) {
         self.open_requests -= 1;
         if let Some(client) = self.requests[request].closed_client {
-            let think = millis(self.scenario.load.think_ms);
+            let think = millis_to_nanos(self.scenario.load.think_ms);
             self.schedule_after(think, Event::ClosedClientSubmits { client });
         }
     }
--- a/crates/world/src/world/delivery.rs
+++ b/crates/world/src/world/delivery.rs
@@ -10,9 +10,9 @@
 use super::network::InFlight;
 use super::{MILLISECOND, World};
 use crate::executor::ConnectionId;
-use crate::scenario::{RepeatPolicy, millis, seconds};
+use crate::scenario::{RepeatPolicy, millis_to_nanos, seconds_to_nanos};
 
-/// The time after which a node notices that a connection was reset while it was sending.
+/// The delay after which a node notices that its connection was reset while it was sending.
 const RESET_NOTICE_DELAY: Nanos = 3 * MILLISECOND;
 
 /// What an executor does with a job that reaches it.
@@ -50,12 +50,12 @@
     fn load_cold_executor(&mut self, index: usize, attempt: usize) {
         let request = &self.requests[self.attempts[attempt].request];
         // The mean work of the product counts: nodes cannot know that a single job is an outlier.
-        let work = self.scenario.products[request.product].work_ms / 1e3;
+        let work_s = self.scenario.products[request.product].work_ms / 1e3;
         let capacity = self.executors[index].capacity(self.now);
-        if self.judge.cold_work_sent(index, work, capacity, self.now) {
+        if self.judge.cold_work_sent(index, work_s, capacity, self.now) {
             self.executors[index].collapsed = true;
             self.executor_ends(index);
-            self.announce(index, Health::Gone, Detection::Silent);
+            self.schedule_discovery_change(index, Health::Gone, Detection::Unannounced);
         }
     }
 
@@ -89,8 +89,8 @@
         if !same_process || executor.faults.inbound_cut || executor.faults.unreachable {
             return;
         }
-        if self.now > idle_since + seconds(self.scenario.executors[executor.spec].idle_s) {
-            return self.disconnect_node(connection);
+        if self.now > idle_since + seconds_to_nanos(self.scenario.executors[executor.kind_index].idle_s) {
+            return self.reset_from_executor(connection);
         }
         match self.admit(index, attempt) {
             Admission::Queued => self.enqueue(index, connection, attempt),
@@ -104,7 +104,7 @@
         let executor = &self.executors[index];
         let faults = executor.faults.clone();
         let draining = executor.draining;
-        let error_rate = faults.error_rate.max(self.scenario.executors[executor.spec].error_rate);
+        let error_rate = faults.error_rate.max(self.scenario.executors[executor.kind_index].error_rate);
         let product_index = self.requests[self.attempts[attempt].request].product;
         let product = &self.scenario.products[product_index];
         if faults.hangs {
@@ -164,7 +164,7 @@
     /// Returns the load report for an executor's answer, if executors send reports.
     fn load_report(&mut self, index: usize) -> Option<Report> {
         let reports = &self.scenario.reports;
-        let (period, delay) = (millis(reports.period_ms), millis(reports.delay_ms));
+        let (period, delay) = (millis_to_nanos(reports.period_ms), millis_to_nanos(reports.delay_ms));
         let executor = &mut self.executors[index];
         reports.enabled.then(|| executor.report(self.now, period, delay, reports.noise, &mut self.rng))
     }
@@ -213,8 +213,8 @@
         if !same_process || executor.faults.inbound_cut || executor.is_stalled() {
             return;
         }
-        let cost = self.scenario.executors[executor.spec].probe_ms / 1e3;
-        executor.add_overhead(self.now, cost);
+        let cost = self.scenario.executors[executor.kind_index].probe_ms / 1e3;
+        executor.add_overhead_work(self.now, cost);
         self.run_executor(index);
         let (answered, report) = (Some(true), self.load_report(index));
         self.send_to_node(connection, Event::ProbeReplyAtNode { connection, answered, report });
--- a/crates/world/src/world/discovery.rs
+++ b/crates/world/src/world/discovery.rs
@@ -9,7 +9,7 @@
 use super::fleet::{address_of, executor_at};
 use super::nodes::DiscoveryWatch;
 use super::{MILLISECOND, SECOND, World, count_in_second};
-use crate::scenario::seconds;
+use crate::scenario::seconds_to_nanos;
 
 /// The minimum delay of a message from discovery. List changes take up to twice as much in addition.
 const MESSAGE_DELAY: Nanos = MILLISECOND;
@@ -56,21 +56,29 @@
 pub(super) enum Detection {
     /// The process announces it.
     Announced,
-    /// Nobody announces it; discovery must detect it.
-    Silent,
+    /// The process cannot announce it, so discovery must detect it.
+    Unannounced,
 }
 
 impl World<'_> {
-    /// The state of an executor has changed. Discovery publishes the change after a delay.
-    pub(super) fn announce(&mut self, executor: usize, health: Health, detection: Detection) {
+    /// Schedules when discovery publishes a change of an executor's state, after a drawn delay.
+    pub(super) fn schedule_discovery_change(
+        &mut self,
+        executor: usize,
+        health: Health,
+        detection: Detection,
+    ) {
         let discovery = &self.scenario.discovery;
         let mean_s = match detection {
             Detection::Announced => discovery.late_s,
-            Detection::Silent => discovery.silent_late_s,
+            Detection::Unannounced => discovery.silent_late_s,
         };
         let delay_s = mean_s * (0.5 + self.rng.random::<f64>());
         let started = self.executors[executor].started;
-        self.schedule_after(seconds(delay_s), Event::DiscoveryPublishes { executor, health, started });
+        self.schedule_after(
+            seconds_to_nanos(delay_s),
+            Event::DiscoveryPublishes { executor, health, started },
+        );
     }
 
     /// Discovery has detected a change: updates the list, and sends the change to the nodes that watch it.
@@ -85,8 +93,8 @@
             entries.resize(index + 1, ListEntry::GONE);
         }
         entries[index] = ListEntry { health, started };
-        let sends: u32 = if self.discovery.flaps { self.rng.random_range(0..=2) } else { 1 };
-        for _ in 0..sends {
+        let repetitions: u32 = if self.discovery.flaps { self.rng.random_range(0..=2) } else { 1 };
+        for _ in 0..repetitions {
             self.notify_watchers(index);
         }
     }
@@ -126,7 +134,7 @@
             name: executor.name.clone(),
             address: address_of(index),
             zone: format!("z{}", executor.zone),
-            kind: self.scenario.executors[executor.spec].kind.clone(),
+            kind: self.scenario.executors[executor.kind_index].kind.clone(),
             cell: executor.group,
             health,
             started,
@@ -151,7 +159,7 @@
         count_in_second(&mut self.outcome.lists_by_second, self.now);
         let endpoints = self.listed_endpoints();
         let lines = LINES_PER_REQUEST + endpoints.len();
-        let service_time = seconds(lines as f64 / self.scenario.discovery.lines_per_s);
+        let service_time = seconds_to_nanos(lines as f64 / self.scenario.discovery.lines_per_s);
         let begins_at = self.discovery.busy_until.max(self.now);
         if self.discovery.down || begins_at > self.now + MAX_REQUEST_WAIT {
             self.nodes[node].watch = DiscoveryWatch::Off;
--- a/crates/world/src/world/dispatch.rs
+++ b/crates/world/src/world/dispatch.rs
@@ -41,10 +41,10 @@
             Event::ProgressDue { executor, incarnation, connection, attempt } => {
                 self.progress_due(executor, incarnation, connection, attempt);
             }
-            Event::ExecutorWakes { executor, wake } => self.executor_wakes(executor, wake),
+            Event::ExecutorWakes { executor, wake_number } => self.executor_wakes(executor, wake_number),
             Event::ExecutorDrains { executor } => self.executor_drains(executor),
             Event::ExecutorLeaves { executor } => self.executor_leaves(executor),
-            Event::ExecutorJoins { spec, zone } => self.executor_joins(spec, zone),
+            Event::ExecutorJoins { kind_index, zone } => self.executor_joins(kind_index, zone),
             Event::DiscoveryPublishes { executor, health, started } => {
                 self.discovery_publishes(executor, health, started);
             }
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -11,13 +11,13 @@
 use super::{FIRST_FLOOD_CLIENT, MILLISECOND, World, count_in_second};
 use crate::executor::{ConnectionId, Executor};
 use crate::judge::Rule;
-use crate::scenario::millis;
+use crate::scenario::millis_to_nanos;
 
 /// The time after which a client notices that its node closed the connection without an answer.
 const CLOSE_NOTICE_DELAY: Nanos = MILLISECOND;
 
 /// The delay of a node's request to discovery.
-const DISCOVERY_DELAY: Nanos = MILLISECOND;
+const DISCOVERY_REQUEST_DELAY: Nanos = MILLISECOND;
 
 impl World<'_> {
     /// Carries out one effect of a node.
@@ -36,7 +36,7 @@
             Effect::InvariantBroken(message) => self.judge.breach(Rule::Invariant, self.now, message.into()),
             Effect::Report(_) | Effect::Stage(_) | Effect::Refused { .. } => {}
             Effect::Persist { record, ticket } => {
-                let sync = millis(self.scenario.nodes.sync_ms);
+                let sync = millis_to_nanos(self.scenario.nodes.sync_ms);
                 self.schedule_after(sync, Event::RecordPersisted { node, incarnation, record, ticket });
             }
             Effect::Exit => self.node_ends(node),
@@ -50,7 +50,7 @@
         state.answered = true;
         self.judge.answered(attempt, answer, self.now);
         let outcome = self.count_answer(attempt, answer);
-        let delay = self.client_delay();
+        let delay = self.draw_client_delay();
         self.schedule_after(delay, Event::ResponseAtClient { attempt, outcome });
         let state = &mut self.nodes[node];
         if state.incarnation == incarnation {
@@ -122,7 +122,7 @@
     fn request_list(&mut self, node: usize, incarnation: u32) {
         if self.nodes[node].watch == DiscoveryWatch::Off {
             self.nodes[node].watch = DiscoveryWatch::Requested;
-            self.schedule_after(DISCOVERY_DELAY, Event::ListRequested { node, incarnation });
+            self.schedule_after(DISCOVERY_REQUEST_DELAY, Event::ListRequested { node, incarnation });
         }
     }
 }
--- a/crates/world/src/world/event.rs
+++ b/crates/world/src/world/event.rs
@@ -14,7 +14,7 @@
 /// Events for a process contain its incarnation; an event for an earlier incarnation is dropped.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// An open-loop client may arrive.
+    /// The next candidate arrival of the open-loop load; see `client_arrives`.
     ClientArrives,
     /// A closed-loop client makes its next submission.
     ClosedClientSubmits { client: usize },
@@ -58,7 +58,7 @@
     /// An executor's next progress message for a running job is due.
     ProgressDue { executor: usize, incarnation: u32, connection: ConnectionId, attempt: usize },
     /// A job of an executor may be done. Ignored if a later wake-up was scheduled.
-    ExecutorWakes { executor: usize, wake: u64 },
+    ExecutorWakes { executor: usize, wake_number: u64 },
     /// A fault of the scenario begins or ends.
     FaultChanges { fault: usize, phase: FaultPhase },
     /// An intermittent fault of one executor starts or stops during its span.
@@ -75,12 +75,12 @@
     NodeStops { node: usize },
     /// The load balancer checks a node's health.
     HealthChecked { node: usize },
-    /// An executor announces that it drains.
+    /// An executor starts to drain.
     ExecutorDrains { executor: usize },
     /// An executor leaves for good.
     ExecutorLeaves { executor: usize },
     /// A new executor joins.
-    ExecutorJoins { spec: usize, zone: u16 },
+    ExecutorJoins { kind_index: usize, zone: u16 },
     /// A client of a flood, which sends nothing, connects to a node.
     FloodConnects { fault: usize, node: usize },
     /// A record that a node persists is on its disk.
@@ -130,13 +130,14 @@
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
-    pushed: u64,
+    /// The number of events pushed so far.
+    pushed_count: u64,
 }
 
 impl EventQueue {
     pub(super) fn push(&mut self, at: Nanos, event: Event) {
-        self.pushed += 1;
-        self.heap.push(Reverse(Scheduled { at, number: self.pushed, event }));
+        self.pushed_count += 1;
+        self.heap.push(Reverse(Scheduled { at, sequence_number: self.pushed_count, event }));
     }
 
     /// Removes and returns the next event with its time.
@@ -147,13 +148,13 @@
 
 struct Scheduled {
     at: Nanos,
-    number: u64,
+    sequence_number: u64,
     event: Event,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence_number == other.sequence_number
     }
 }
 
@@ -167,6 +168,6 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence_number).cmp(&(other.at, other.sequence_number))
     }
 }
--- a/crates/world/src/world/execution.rs
+++ b/crates/world/src/world/execution.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::event::Event;
 use crate::executor::{ConnectionId, Job};
-use crate::scenario::{RepeatPolicy, seconds};
+use crate::scenario::{RepeatPolicy, seconds_to_nanos};
 use linestack_core::Outcome as ExecutionOutcome;
 
 impl World<'_> {
@@ -20,21 +20,21 @@
         executor.waiting.push_back(Job {
             connection,
             attempt,
-            remaining_work: request.work,
+            remaining_work_s: request.work_s,
             slots,
             started: 0,
         });
         self.run_executor(index);
     }
 
-    /// Advances an executor: answers the jobs that are done, starts the jobs that fit, and schedules its next
+    /// Simulates an executor up to now: answers the jobs that are done, starts the jobs that fit, and schedules its next
     /// wake-up. Must be called after every change of its state.
     pub(super) fn run_executor(&mut self, index: usize) {
         let now = self.now;
         let executor = &mut self.executors[index];
         executor.advance(now);
         let done = if executor.is_stalled() { Vec::new() } else { executor.take_done() };
-        for job in executor.start(now) {
+        for job in executor.start_waiting_jobs(now) {
             self.job_starts(index, &job);
         }
         for job in done {
@@ -51,15 +51,15 @@
     /// Schedules a wake-up for when the next job may be done. Earlier wake-ups are ignored then.
     fn schedule_wake(&mut self, index: usize) {
         let executor = &mut self.executors[index];
-        executor.wake += 1;
-        let wake = executor.wake;
+        executor.wake_number += 1;
+        let wake_number = executor.wake_number;
         if let Some(at) = executor.next_completion(self.now) {
-            self.schedule_at(at, Event::ExecutorWakes { executor: index, wake });
+            self.schedule_at(at, Event::ExecutorWakes { executor: index, wake_number });
         }
     }
 
-    pub(super) fn executor_wakes(&mut self, index: usize, wake: u64) {
-        if self.executors[index].wake == wake {
+    pub(super) fn executor_wakes(&mut self, index: usize, wake_number: u64) {
+        if self.executors[index].wake_number == wake_number {
             self.run_executor(index);
         }
     }
@@ -71,7 +71,7 @@
         let repeats = self.scenario.products[self.requests[request].product].repeats;
         if repeats == RepeatPolicy::Stamped {
             if self.is_duplicate(index, attempt) {
-                return self.executors[index].skip(connection);
+                return self.executors[index].complete_without_work(connection);
             }
             self.mark_executed(index, attempt);
         }
@@ -97,7 +97,7 @@
         connection: ConnectionId,
         attempt: usize,
     ) {
-        let period = seconds(self.scenario.progress_s);
+        let period = seconds_to_nanos(self.scenario.progress_s);
         self.schedule_after(period, Event::ProgressDue { executor, incarnation, connection, attempt });
     }
 
--- a/crates/world/src/world/faults/executors.rs
+++ b/crates/world/src/world/faults/executors.rs
@@ -4,8 +4,8 @@
 use linestack_dispatch::types::Health;
 use rand::Rng as _;
 
-use crate::executor::ActiveFaults;
-use crate::scenario::{Fault, FaultSpec, seconds};
+use crate::executor::{ActiveFaults, MIN_SPEED_SHARE};
+use crate::scenario::{Fault, FaultSpec, seconds_to_nanos};
 use crate::world::discovery::Detection;
 use crate::world::event::{Event, FaultPhase};
 use crate::world::{SECOND, World};
@@ -18,15 +18,12 @@
 /// The mean time between two pauses of an executor, in seconds.
 const MEAN_TIME_BETWEEN_PAUSES_S: f64 = 1.5;
 
-/// The mean time that the other program runs, and that it is idle, in seconds.
-const MEAN_NEIGHBOUR_SPAN_S: f64 = 2.0;
+/// The mean duration of each busy and each idle phase of the other program, in seconds.
+const MEAN_NEIGHBOUR_PHASE_S: f64 = 2.0;
 
-/// The minimum time between two toggles, in seconds.
+/// The minimum time between two toggles of an intermittent fault, in seconds.
 const MIN_TOGGLE_SPAN_S: f64 = 0.001;
 
-/// The minimum fraction of the speed that slowed executors keep.
-const MIN_SPEED_SHARE: f64 = 0.01;
-
 /// The `size` of a cut that loses only answers.
 const CUT_ANSWERS_ONLY: f64 = 1.0;
 /// The `size` of a cut that loses only sends.
@@ -38,9 +35,9 @@
         let count = (self.executors.len() as f64 * fault_spec.part).round().max(1.0) as usize;
         for index in 0..count {
             let model = &self.executors[index % self.executors.len()];
-            let (spec, zone) = (model.spec, model.zone);
-            let after = seconds(fault_spec.for_s * index as f64 / count as f64);
-            self.schedule_after(after, Event::ExecutorJoins { spec, zone });
+            let (kind_index, zone) = (model.kind_index, model.zone);
+            let after = seconds_to_nanos(fault_spec.for_s * index as f64 / count as f64);
+            self.schedule_after(after, Event::ExecutorJoins { kind_index, zone });
         }
     }
 
@@ -48,9 +45,9 @@
     pub(super) fn roll(&mut self, fault_spec: &FaultSpec, targets: &[usize]) {
         let gap_s = fault_spec.for_s / targets.len() as f64;
         for (index, &executor) in targets.iter().enumerate() {
-            let joins = seconds(gap_s * index as f64);
-            let (spec, zone) = (self.executors[executor].spec, self.executors[executor].zone);
-            self.schedule_after(joins, Event::ExecutorJoins { spec, zone });
+            let joins = seconds_to_nanos(gap_s * index as f64);
+            let (kind_index, zone) = (self.executors[executor].kind_index, self.executors[executor].zone);
+            self.schedule_after(joins, Event::ExecutorJoins { kind_index, zone });
             self.schedule_after(joins + ROLL_DRAIN_DELAY, Event::ExecutorDrains { executor });
             self.schedule_after(joins + ROLL_LEAVE_DELAY, Event::ExecutorLeaves { executor });
         }
@@ -80,7 +77,7 @@
         match phase {
             FaultPhase::Begins => {
                 self.executor_ends(index);
-                self.announce(index, Health::Gone, Detection::Silent);
+                self.schedule_discovery_change(index, Health::Gone, Detection::Unannounced);
             }
             FaultPhase::Ends => self.executor_starts(index),
         }
@@ -93,7 +90,7 @@
         match phase {
             FaultPhase::Begins => {
                 self.update_ground_truth(index);
-                self.announce(index, Health::Gone, Detection::Silent);
+                self.schedule_discovery_change(index, Health::Gone, Detection::Unannounced);
             }
             FaultPhase::Ends => {
                 self.executor_ends(index);
@@ -140,7 +137,7 @@
     /// An intermittent fault starts or stops. Its next change is scheduled during its span.
     pub(in crate::world) fn fault_toggles(&mut self, fault: usize, index: usize, on: bool) {
         let fault_spec = &self.scenario.faults[fault];
-        let ended = self.now >= seconds(fault_spec.at_s + fault_spec.for_s);
+        let ended = self.now >= seconds_to_nanos(fault_spec.at_s + fault_spec.for_s);
         let on = on && !ended;
         let executor = &mut self.executors[index];
         executor.advance(self.now);
@@ -152,11 +149,11 @@
         } else {
             faults.neighbour_share = fault_spec.size.min(1.0);
             faults.neighbour_active = on;
-            MEAN_NEIGHBOUR_SPAN_S * variation
+            MEAN_NEIGHBOUR_PHASE_S * variation
         };
         self.run_executor(index);
         if !ended {
-            let span = seconds(span_s.max(MIN_TOGGLE_SPAN_S));
+            let span = seconds_to_nanos(span_s.max(MIN_TOGGLE_SPAN_S));
             self.schedule_after(span, Event::FaultToggles { fault, executor: index, on: !on });
         }
     }
@@ -175,7 +172,7 @@
         Fault::Refuse => faults.refusal_rate = size,
         Fault::Garbage => faults.garbage_rate = size,
         Fault::Lie => faults.reports_idle = on,
-        Fault::ReportsLate => faults.report_delay = seconds(size),
+        Fault::ReportsLate => faults.report_delay = seconds_to_nanos(size),
         _ => {}
     }
 }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -3,7 +3,7 @@
 use linestack_core::Input;
 use rand::Rng as _;
 
-use crate::scenario::{FaultSpec, seconds};
+use crate::scenario::{FaultSpec, seconds_to_nanos};
 use crate::world::World;
 use crate::world::event::{Event, FaultPhase};
 
@@ -33,13 +33,13 @@
     pub(super) fn node_roll(&mut self, spec: &FaultSpec, targets: &[usize]) {
         let gap_s = spec.for_s / targets.len() as f64;
         for (index, &node) in targets.iter().enumerate() {
-            self.schedule_after(seconds(gap_s * index as f64), Event::NodeStops { node });
+            self.schedule_after(seconds_to_nanos(gap_s * index as f64), Event::NodeStops { node });
         }
     }
 
     /// Applies [`Fault::NodePause`](crate::Fault::NodePause).
     pub(super) fn node_pause(&mut self, spec: &FaultSpec, targets: &[usize]) {
-        let until = self.now + seconds(spec.for_s);
+        let until = self.now + seconds_to_nanos(spec.for_s);
         for &node in targets {
             self.nodes[node].busy_until = until;
             self.nodes[node].paused_until = until;
@@ -85,7 +85,7 @@
     /// A client that sends nothing connects to a node. The next one is scheduled while the flood lasts.
     pub(in crate::world) fn flood_connects(&mut self, fault: usize, node: usize) {
         let spec = &self.scenario.faults[fault];
-        if self.now >= seconds(spec.at_s + spec.for_s) {
+        if self.now >= seconds_to_nanos(spec.at_s + spec.for_s) {
             return;
         }
         let client = self.next_flood_client;
@@ -95,7 +95,7 @@
         if state.process.as_ref().is_some_and(|process| !process.is_at_client_limit()) {
             self.give_input(node, incarnation, Input::ClientConnected { client });
         }
-        let gap = seconds(1.0 / spec.size.max(MIN_FLOOD_RATE));
+        let gap = seconds_to_nanos(1.0 / spec.size.max(MIN_FLOOD_RATE));
         self.schedule_after(gap, Event::FloodConnects { fault, node });
     }
 }
--- a/crates/world/src/world/fleet.rs
+++ b/crates/world/src/world/fleet.rs
@@ -31,29 +31,29 @@
 impl World<'_> {
     /// Creates the executors of the scenario, spread over the zones. Discovery lists them from the beginning.
     pub(super) fn set_up_executors(&mut self) {
-        for (spec, executors) in self.scenario.executors.iter().enumerate() {
+        for (kind_index, executors) in self.scenario.executors.iter().enumerate() {
             for index in 0..executors.count as usize {
-                let zone = ((index + spec) % usize::from(self.scenario.zones)) as u16;
-                self.add_executor(spec, zone, self.now);
+                let zone = ((index + kind_index) % usize::from(self.scenario.zones)) as u16;
+                self.add_executor(kind_index, zone, self.now);
             }
         }
         self.discovery.list_all_ready(self.executors.len());
     }
 
     /// A new executor starts, cold, and is announced to discovery.
-    pub(super) fn executor_joins(&mut self, spec: usize, zone: u16) {
-        let index = self.add_executor(spec, zone, self.now);
+    pub(super) fn executor_joins(&mut self, kind_index: usize, zone: u16) {
+        let index = self.add_executor(kind_index, zone, self.now);
         self.executors[index].started = self.now;
-        self.announce(index, Health::Ready, Detection::Announced);
+        self.schedule_discovery_change(index, Health::Ready, Detection::Announced);
     }
 
-    fn add_executor(&mut self, spec: usize, zone: u16, now: Nanos) -> usize {
+    fn add_executor(&mut self, kind_index: usize, zone: u16, now: Nanos) -> usize {
         let index = self.executors.len();
-        let kind = &self.scenario.executors[spec];
+        let kind = &self.scenario.executors[kind_index];
         let speed = kind.speed * (1.0 + kind.speed_spread * self.rng.random_range(-1.0..=1.0));
         let group = self.group_of(index, kind.group as usize, zone);
         let name = format!("e{index}");
-        self.executors.push(Executor::new(name, spec, kind, zone, group, speed, now));
+        self.executors.push(Executor::new(name, kind_index, kind, zone, group, speed, now));
         self.update_ground_truth(index);
         index
     }
@@ -71,7 +71,7 @@
         executor.advance(self.now);
         executor.alive = false;
         executor.incarnation += 1;
-        executor.wake += 1;
+        executor.wake_number += 1;
         self.drop_all_jobs(index);
         self.reset_connections_of(index);
         self.update_ground_truth(index);
@@ -84,7 +84,7 @@
             .iter()
             .filter(|(_, state)| state.executor == index && state.executor_incarnation.is_some());
         let ids: Vec<ConnectionId> = accepted.map(|(id, _)| *id).collect();
-        ids.into_iter().for_each(|connection| self.disconnect_node(connection));
+        ids.into_iter().for_each(|connection| self.reset_from_executor(connection));
     }
 
     /// An executor's process starts again, cold. An executor that has collapsed stays down.
@@ -100,7 +100,7 @@
         executor.started = now;
         executor.faults = ActiveFaults::default();
         self.judge.reset_cold_work(index);
-        self.announce(index, Health::Ready, Detection::Announced);
+        self.schedule_discovery_change(index, Health::Ready, Detection::Announced);
         self.run_executor(index);
     }
 
@@ -108,13 +108,13 @@
     pub(super) fn executor_drains(&mut self, index: usize) {
         self.executors[index].draining = true;
         self.update_ground_truth(index);
-        self.announce(index, Health::Draining, Detection::Announced);
+        self.schedule_discovery_change(index, Health::Draining, Detection::Announced);
     }
 
     /// An executor leaves for good.
     pub(super) fn executor_leaves(&mut self, index: usize) {
         self.executor_ends(index);
-        self.announce(index, Health::Gone, Detection::Announced);
+        self.schedule_discovery_change(index, Health::Gone, Detection::Announced);
     }
 
     /// Updates the state of an executor for reference policies that may see the ground truth.
--- a/crates/world/src/world/idempotency.rs
+++ b/crates/world/src/world/idempotency.rs
@@ -4,7 +4,7 @@
 
 use super::World;
 use crate::executor::Job;
-use crate::scenario::seconds;
+use crate::scenario::seconds_to_nanos;
 
 /// The key of a client's request in one group of executors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -75,6 +75,6 @@
     /// Returns the deduplication window of the product of an attempt.
     fn dedup_window_of(&self, attempt: usize) -> Nanos {
         let request = &self.requests[self.attempts[attempt].request];
-        seconds(self.scenario.products[request.product].dedup_window_s)
+        seconds_to_nanos(self.scenario.products[request.product].dedup_window_s)
     }
 }
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -43,19 +43,19 @@
 use crate::executor::{ConnectionId, Executor};
 use crate::judge::Judge;
 use crate::outcome::Outcome;
-use crate::scenario::{Rules, Scenario, millis, seconds};
+use crate::scenario::{Rules, Scenario, millis_to_nanos, seconds_to_nanos};
 use crate::{GroundTruth, NodeSetup, SimulatedNode};
 
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// The first number of the clients of floods, above all indices of attempts.
+/// The number of the first client of a flood, above all indices of attempts.
 const FIRST_FLOOD_CLIENT: ClientId = 1 << 60;
 
-/// The simulation runs at most this long after the span, for submissions that are still open.
-const GRACE_AFTER_SPAN: Nanos = 60 * SECOND;
+/// The maximum time that the simulation continues after the span, for submissions that are still open.
+const MAX_TIME_AFTER_SPAN: Nanos = 60 * SECOND;
 
-/// Nodes and closed-loop clients start at random times within this span, not all at once.
+/// Nodes and closed-loop clients start at random times within this interval, not all at once.
 const START_SPREAD: Nanos = 100 * MILLISECOND;
 
 /// The time of the first submission. Until then nodes get their lists and probe executors.
@@ -88,7 +88,7 @@
     effects: Vec<Effect>,
     next_flood_client: ClientId,
     /// The seconds of work of the satisfied submissions.
-    useful_work: f64,
+    useful_work_s: f64,
     /// The number of submissions that are neither satisfied nor given up by their clients.
     open_requests: usize,
 }
@@ -99,10 +99,10 @@
 pub fn run(s: &Scenario, make_node: &dyn Fn(NodeSetup) -> Box<dyn SimulatedNode>) -> Outcome {
     let mut world = World::new(s, make_node);
     world.set_up();
-    let end = seconds(s.span_s);
+    let end = seconds_to_nanos(s.span_s);
     while let Some((at, event)) = world.queue.pop() {
         let all_ended = at > end && world.open_requests == 0;
-        if all_ended || at > end + GRACE_AFTER_SPAN {
+        if all_ended || at > end + MAX_TIME_AFTER_SPAN {
             break;
         }
         world.now = at;
@@ -134,7 +134,7 @@
             make_node,
             effects: Vec::new(),
             next_flood_client: FIRST_FLOOD_CLIENT,
-            useful_work: 0.0,
+            useful_work_s: 0.0,
             open_requests: 0,
         }
     }
@@ -179,7 +179,7 @@
 
     fn set_up_faults(&mut self) {
         for (fault, spec) in self.scenario.faults.iter().enumerate() {
-            let (begin, end) = (seconds(spec.at_s), seconds(spec.at_s + spec.for_s));
+            let (begin, end) = (seconds_to_nanos(spec.at_s), seconds_to_nanos(spec.at_s + spec.for_s));
             self.schedule_at(begin, Event::FaultChanges { fault, phase: FaultPhase::Begins });
             self.schedule_at(end, Event::FaultChanges { fault, phase: FaultPhase::Ends });
         }
@@ -193,26 +193,28 @@
     }
 
     fn finish(mut self) -> Outcome {
-        self.judge.sweep(self.now + GRACE_AFTER_SPAN);
+        self.judge.sweep(self.now + MAX_TIME_AFTER_SPAN);
         self.outcome.breaches = std::mem::take(&mut self.judge.breaches);
-        self.outcome.broken = self.judge.broken;
-        self.outcome.work_by_executor = self.executors.iter().map(|e| e.worked).collect();
+        self.outcome.broken = self.judge.breach_count;
+        self.outcome.work_by_executor = self.executors.iter().map(|e| e.done_work_s).collect();
         self.outcome.waste = self.wasted_share();
-        self.outcome.finish(self.scenario);
+        self.outcome.compute_figures(self.scenario);
         self.outcome
     }
 
     /// Returns the fraction of all executed work that did not contribute to a result.
     fn wasted_share(&self) -> f64 {
-        let worked: f64 = self.outcome.work_by_executor.iter().sum();
-        if worked > 0.0 { (1.0 - self.useful_work / worked).max(0.0) } else { 0.0 }
+        let done_work_s: f64 = self.outcome.work_by_executor.iter().sum();
+        if done_work_s > 0.0 { (1.0 - self.useful_work_s / done_work_s).max(0.0) } else { 0.0 }
     }
 }
 
 fn new_judge(rules: &Rules) -> Judge {
-    let cold_limit =
-        ColdLoadLimit { overload_factor: rules.overload_factor, window: millis(rules.overload_window_ms) };
-    Judge::new(millis(rules.drain_grace_ms), millis(rules.tolerance_ms), cold_limit)
+    let cold_limit = ColdLoadLimit {
+        overload_factor: rules.overload_factor,
+        window: millis_to_nanos(rules.overload_window_ms),
+    };
+    Judge::new(millis_to_nanos(rules.drain_grace_ms), millis_to_nanos(rules.tolerance_ms), cold_limit)
 }
 
 fn empty_outcome(scenario: &Scenario) -> Outcome {
--- a/crates/world/src/world/network.rs
+++ b/crates/world/src/world/network.rs
@@ -6,14 +6,14 @@
 use super::World;
 use super::event::Event;
 use crate::executor::{ConnectionId, Job};
-use crate::scenario::millis;
+use crate::scenario::millis_to_nanos;
 
 /// A connection from a node to an executor.
 pub(super) struct Connection {
     pub(super) executor: usize,
     /// The incarnation of the executor that accepted it; none until it is accepted.
     pub(super) executor_incarnation: Option<u32>,
-    /// What the node has sent on it without having got the reply.
+    /// The message that the node has sent and that is not answered yet.
     pub(super) in_flight: Option<InFlight>,
     /// Whether the executor has acknowledged the job in flight.
     pub(super) acknowledged: bool,
@@ -23,10 +23,11 @@
     last_node_arrival: Nanos,
     /// When the last message to the executor arrives.
     last_executor_arrival: Nanos,
+    /// When a reply was last sent or received on it, or when it was opened.
     pub(super) idle_since: Nanos,
 }
 
-/// The message in flight on a connection.
+/// A message of a node that waits for its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InFlight {
     Probe,
@@ -81,7 +82,7 @@
         let network = &self.scenario.network;
         let same_zone = self.nodes[connection.node].zone == self.executors[executor].zone;
         let ms = if same_zone { network.same_ms } else { network.cross_ms };
-        millis(ms * (1.0 + network.jitter * self.rng.random::<f64>())).max(1)
+        millis_to_nanos(ms * (1.0 + network.jitter * self.rng.random::<f64>())).max(1)
     }
 
     /// A connection attempt reaches the executor, which accepts it if it is up and below its limit of
@@ -93,13 +94,13 @@
         if executor.faults.inbound_cut || executor.faults.unreachable {
             return;
         }
-        let spec = &self.scenario.executors[executor.spec];
-        if !executor.alive || executor.connections >= spec.connections as usize {
-            return self.disconnect_node(connection);
+        let kind = &self.scenario.executors[executor.kind_index];
+        if !executor.alive || executor.connections >= kind.connections as usize {
+            return self.reset_from_executor(connection);
         }
         executor.connections += 1;
         state.executor_incarnation = Some(executor.incarnation);
-        executor.add_overhead(self.now, spec.handshake_ms / 1e3);
+        executor.add_overhead_work(self.now, kind.handshake_ms / 1e3);
         self.run_executor(index);
         self.send_to_node(connection, Event::ConnectedAtNode { connection });
     }
@@ -113,7 +114,7 @@
     }
 
     /// The executor's end of a connection is reset.
-    pub(super) fn disconnect_node(&mut self, connection: ConnectionId) {
+    pub(super) fn reset_from_executor(&mut self, connection: ConnectionId) {
         self.send_to_node(connection, Event::DisconnectedAtNode { connection, disconnect: None });
     }
 
@@ -150,7 +151,7 @@
         }
         executor.advance(now);
         executor.connections = executor.connections.saturating_sub(1);
-        let cancels = self.scenario.executors[executor.spec].cancels;
+        let cancels = self.scenario.executors[executor.kind_index].cancels;
         let dropped: Vec<Job> = executor.drop_jobs_of(connection, cancels);
         dropped.iter().for_each(|job| self.release_job(state.executor, job));
         self.run_executor(state.executor);
--- a/crates/world/src/world/nodes.rs
+++ b/crates/world/src/world/nodes.rs
@@ -13,7 +13,7 @@
 use super::fleet::executor_at;
 use super::{MILLISECOND, SECOND, World, lock};
 use crate::executor::{ConnectionId, NodeProcess};
-use crate::scenario::seconds;
+use crate::scenario::seconds_to_nanos;
 use crate::{NodeSetup, SimulatedNode};
 
 /// The delay after a node's start at which the load balancer checks its health.
@@ -25,10 +25,11 @@
 /// The time after which a client notices that its node's process has ended.
 const PROCESS_END_NOTICE_DELAY: Nanos = MILLISECOND;
 
-/// How long nodes keep stored outcomes after a start.
+/// How long nodes keep stored outcomes.
 const OUTCOME_RETENTION: Nanos = 3600 * SECOND;
 
-/// The maximum durations of the stages `List`, `Known` and `Share` of a staged start.
+/// The maximum durations of the stages `List` (getting a list of executors), `Known` (contacting them) and
+/// `Share` (taking on a share of the load) of a staged start.
 const START_LIST_TIMEOUT: Nanos = 3 * SECOND;
 const START_KNOWN_TIMEOUT: Nanos = 3 * SECOND;
 const START_SHARE_TIMEOUT: Nanos = 10 * SECOND;
@@ -268,7 +269,7 @@
     /// The load balancer checks a node's health, and takes it into or out of rotation.
     pub(super) fn check_health(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        state.in_rotation = state.process.as_ref().is_some_and(|m| m.ready(self.now));
+        state.in_rotation = state.process.as_ref().is_some_and(|process| process.ready(self.now));
     }
 
     /// A node is told to stop. It is killed later if it still runs.
@@ -281,7 +282,7 @@
         let incarnation = state.incarnation;
         self.give_input(node, incarnation, Input::Stop);
         self.schedule_after(HEALTH_CHECK_AFTER_STOP, Event::HealthChecked { node });
-        let kill_delay = seconds(self.scenario.nodes.kill_after_s);
+        let kill_delay = seconds_to_nanos(self.scenario.nodes.kill_after_s);
         self.schedule_after(kill_delay, Event::NodeKilled { node, incarnation });
     }
 
@@ -298,9 +299,9 @@
         self.judge.process_ended(NodeProcess { node, incarnation });
         self.close_connections_of(node, incarnation);
         self.fail_attempts_at(node, incarnation);
-        let notice_delay = seconds(self.scenario.clients.notice_s);
+        let notice_delay = seconds_to_nanos(self.scenario.clients.notice_s);
         self.schedule_after(notice_delay, Event::HealthChecked { node });
-        let restart_delay = seconds(self.scenario.nodes.back_after_s);
+        let restart_delay = seconds_to_nanos(self.scenario.nodes.back_after_s);
         self.schedule_after(restart_delay, Event::NodeStarts { node });
     }
 
@@ -324,7 +325,7 @@
             let accepted_here = state
                 .assigned
                 .is_some_and(|a| (a.node, a.incarnation) == (node, incarnation) && a.accepted_at.is_some());
-            if accepted_here && !state.over && !state.answered {
+            if accepted_here && !state.client_done && !state.answered {
                 self.schedule_after(PROCESS_END_NOTICE_DELAY, Event::ResponseAtClient { attempt, outcome });
             }
         }
