--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -9,6 +9,9 @@
 use instance::Instance;
 use linestack_simwire::{Batch, Incoming, Reply};
 
+/// The size in bytes of the buffers of standard input and output.
+const BUFFER_SIZE: usize = 1 << 16;
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -20,9 +23,10 @@
 }
 
 fn run() -> Result<(), Box<dyn Error>> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
+    let mut input = BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
     let (mut batch, mut reply) = (Batch::default(), Reply::default());
+    // By the number of the instance; none for one that has not started or was killed.
     let mut instances: Vec<Option<Instance>> = Vec::new();
     while batch.read(&mut input)? {
         for event in batch.events() {
