--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -62,9 +62,18 @@
     pub reason: String,
 }
 
+/// The time in which a fault affected a process or link.
+#[derive(Clone, Copy)]
+struct FaultInterval {
+    from: u64,
+    /// `u64::MAX` if the fault did not end.
+    to: u64,
+}
+
 /// Returns the intervals in which a fault affected each process or link, by its name.
-fn fault_intervals(lines: &[Line]) -> HashMap<String, Vec<(u64, u64)>> {
-    let mut all: HashMap<String, Vec<(u64, u64)>> = HashMap::new();
+fn fault_intervals(lines: &[Line]) -> HashMap<String, Vec<FaultInterval>> {
+    let mut all: HashMap<String, Vec<FaultInterval>> = HashMap::new();
+    // When each fault began that is not over yet, by its target and whether that is a link.
     let mut ongoing: HashMap<(String, bool), u64> = HashMap::new();
     for line in lines {
         let HistoryEvent::Did { deed, to } = &line.what else { continue };
@@ -77,15 +86,17 @@
             }
             "start" | "start-empty" | "start-older" | "start-rolled-back" | "replace" | "resume" | "heal" => {
                 if let Some(from) = ongoing.remove(&(name.clone(), is_link)) {
-                    all.entry(name).or_default().push((from, line.at));
+                    all.entry(name).or_default().push(FaultInterval { from, to: line.at });
                 }
             }
-            "reset" | "cut-at" => all.entry(name).or_default().push((line.at, line.at)),
+            "reset" | "cut-at" => {
+                all.entry(name).or_default().push(FaultInterval { from: line.at, to: line.at })
+            }
             _ => {}
         }
     }
     for ((name, _), from) in ongoing {
-        all.entry(name).or_default().push((from, u64::MAX));
+        all.entry(name).or_default().push(FaultInterval { from, to: u64::MAX });
     }
     all
 }
@@ -105,28 +116,49 @@
     found
 }
 
-fn add(found: &mut Vec<Finding>, violation: Violation, line: &Line, reason: String) {
+fn add_finding(found: &mut Vec<Finding>, violation: Violation, line: &Line, reason: String) {
     found.push(Finding { violation, at: line.at, by: line.by.clone(), reason });
 }
 
+/// The first line that shows a version as decided.
+#[derive(Clone, Copy)]
+struct Decision {
+    at: u64,
+    /// The digest of the version's content.
+    digest: u32,
+}
+
+/// Whether a proposed change was decided, or dropped, and its version.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct ChangeOutcome {
+    decided: bool,
+    version: u64,
+}
+
+/// A round of the coordinators and its leader. A higher round is newer.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Leadership<'a> {
+    round: u64,
+    leader: &'a str,
+}
+
 /// Checks policy versions, leases, and the outcomes that operators received.
 fn check_agreement(lines: &[Line], guarantees: &Guarantees, found: &mut Vec<Finding>) {
-    // For each version: the time of the first line that shows it as decided, and the digest of its content.
-    let mut decided: BTreeMap<u64, (u64, u32)> = BTreeMap::new();
-    // For each request: whether its change was decided or dropped, and the version.
-    let mut outcomes: HashMap<&str, (bool, u64)> = HashMap::new();
-    // The highest round and its leader.
-    let mut newest: (u64, &str) = (0, "");
-    // For each process run: the version and the expiry of its lease.
-    let mut leased: HashMap<(&str, u64), (u64, u64)> = HashMap::new();
+    // By version.
+    let mut decided: BTreeMap<u64, Decision> = BTreeMap::new();
+    // By request.
+    let mut outcomes: HashMap<&str, ChangeOutcome> = HashMap::new();
+    let mut newest = Leadership { round: 0, leader: "" };
+    // For each process run: the time at which its lease expires.
+    let mut lease_expiry: HashMap<(&str, u64), u64> = HashMap::new();
     let mut dropped: BTreeSet<u64> = BTreeSet::new();
     for line in lines {
         let by = line.by.as_str();
         match &line.what {
             HistoryEvent::Decided { request, version, digest } => {
-                let known = decided.entry(*version).or_insert((line.at, *digest));
-                if known.1 != *digest || dropped.contains(version) {
-                    add(
+                let known = decided.entry(*version).or_insert(Decision { at: line.at, digest: *digest });
+                if known.digest != *digest || dropped.contains(version) {
+                    add_finding(
                         found,
                         Violation::TwoOutcomes,
                         line,
@@ -134,70 +166,90 @@
                     );
                 }
                 // The initial policy has no request.
-                if !request.is_empty()
-                    && *outcomes.entry(request).or_insert((true, *version)) != (true, *version)
-                {
-                    add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
+                let outcome = ChangeOutcome { decided: true, version: *version };
+                if !request.is_empty() && *outcomes.entry(request).or_insert(outcome) != outcome {
+                    add_finding(
+                        found,
+                        Violation::TwoOutcomes,
+                        line,
+                        format!("{request} ended otherwise before"),
+                    );
                 }
             }
             HistoryEvent::Dropped { request, version, .. } => {
                 dropped.insert(*version);
-                let differs = *outcomes.entry(request).or_insert((false, *version)) != (false, *version);
+                let outcome = ChangeOutcome { decided: false, version: *version };
+                let differs = *outcomes.entry(request).or_insert(outcome) != outcome;
                 if differs || decided.contains_key(version) {
-                    add(found, Violation::TwoOutcomes, line, format!("{request} ended otherwise before"));
+                    add_finding(
+                        found,
+                        Violation::TwoOutcomes,
+                        line,
+                        format!("{request} ended otherwise before"),
+                    );
                 }
             }
-            HistoryEvent::Established { round } => newest = newest.max((*round, by)),
+            HistoryEvent::Established { round } => {
+                newest = newest.max(Leadership { round: *round, leader: by })
+            }
             HistoryEvent::Granted { round, member, version } if guarantees.strict => {
-                if (*round, by) < newest {
+                if (Leadership { round: *round, leader: by }) < newest {
                     let reason = format!(
                         "let {member} serve in round {round}, but {} speaks in {}",
-                        newest.1, newest.0
+                        newest.leader, newest.round
                     );
-                    add(found, Violation::OldCoordinator, line, reason);
+                    add_finding(found, Violation::OldCoordinator, line, reason);
                 }
                 if !decided.contains_key(version) {
-                    add(found, Violation::Undecided, line, format!("let {member} serve under {version}"));
+                    add_finding(
+                        found,
+                        Violation::Undecided,
+                        line,
+                        format!("let {member} serve under {version}"),
+                    );
                 }
             }
             HistoryEvent::Active { version, digest } => match decided.get(version) {
-                Some((_, text)) if text == digest => {}
-                Some(_) => {
-                    add(found, Violation::TwoOutcomes, line, format!("version {version} with another text"))
-                }
-                None => add(found, Violation::Undecided, line, format!("goes by version {version}")),
+                Some(decision) if decision.digest == *digest => {}
+                Some(_) => add_finding(
+                    found,
+                    Violation::TwoOutcomes,
+                    line,
+                    format!("version {version} with another text"),
+                ),
+                None => add_finding(found, Violation::Undecided, line, format!("goes by version {version}")),
             },
-            HistoryEvent::Leased { version, until } => {
-                leased.insert((by, line.life), (*version, *until));
+            HistoryEvent::Leased { until, .. } => {
+                lease_expiry.insert((by, line.life), *until);
             }
             HistoryEvent::Taken { id, version } if guarantees.strict && *version > 0 => {
-                match leased.get(&(by, line.life)) {
-                    Some((_, until)) if line.at < *until => {}
-                    Some((_, until)) => {
-                        let over = (line.at - until) / 1000;
-                        add(
+                match lease_expiry.get(&(by, line.life)) {
+                    Some(until) if line.at < *until => {}
+                    Some(until) => {
+                        let late_us = (line.at - until) / 1000;
+                        add_finding(
                             found,
                             Violation::Unfenced,
                             line,
-                            format!("took {id} {over} us after its leave was over"),
+                            format!("took {id} {late_us} us after its leave was over"),
                         );
                     }
-                    None => add(found, Violation::Unfenced, line, format!("took {id} without leave")),
+                    None => add_finding(found, Violation::Unfenced, line, format!("took {id} without leave")),
                 }
                 if !decided.contains_key(version) {
-                    add(found, Violation::Undecided, line, format!("took {id} under {version}"));
+                    add_finding(found, Violation::Undecided, line, format!("took {id} under {version}"));
                 }
-                let newer = decided.range(version + 1..).map(|(v, (at, _))| (*at, *v)).min();
-                if let Some((at, v)) = newer
+                let newer = decided.range(version + 1..).map(|(newer, decision)| (decision.at, *newer)).min();
+                if let Some((at, newer)) = newer
                     && line.at > at + guarantees.stale_version_limit_ns
                 {
-                    let late = (line.at - at) / 1_000_000;
-                    let reason = format!("took {id} under {version}, {late} ms after {v} was decided");
-                    add(found, Violation::OldVersion, line, reason);
+                    let late_ms = (line.at - at) / 1_000_000;
+                    let reason = format!("took {id} under {version}, {late_ms} ms after {newer} was decided");
+                    add_finding(found, Violation::OldVersion, line, reason);
                 }
             }
             HistoryEvent::Heard { request, outcome } => {
-                let actual = outcomes.get(request.as_str()).map(|(decided, _)| *decided);
+                let actual = outcomes.get(request.as_str()).map(|change| change.decided);
                 let wrong = match outcome.as_str() {
                     "decided" => actual != Some(true),
                     "dropped" => actual != Some(false),
@@ -206,7 +258,7 @@
                     _ => false,
                 };
                 if wrong {
-                    add(found, Violation::WrongWord, line, format!("{request}: told {outcome}"));
+                    add_finding(found, Violation::WrongWord, line, format!("{request}: told {outcome}"));
                 }
             }
             _ => {}
@@ -216,9 +268,9 @@
     for line in lines {
         if let HistoryEvent::Heard { request, outcome } = &line.what
             && outcome == "refused"
-            && outcomes.get(request.as_str()).is_some_and(|(decided, _)| *decided)
+            && outcomes.get(request.as_str()).is_some_and(|change| change.decided)
         {
-            add(found, Violation::WrongWord, line, format!("{request}: told refused, and decided"));
+            add_finding(found, Violation::WrongWord, line, format!("{request}: told refused, and decided"));
         }
     }
 }
@@ -230,6 +282,11 @@
         version: u64,
         answered: bool,
     }
+    struct Execution<'a> {
+        line: &'a Line,
+        /// The id of the submission.
+        id: &'a str,
+    }
     // By process, run of the process, and id of the submission.
     let mut accepted: HashMap<(&str, u64, &str), Accepted> = HashMap::new();
     for line in lines {
@@ -241,15 +298,20 @@
             HistoryEvent::Sent { id, version } => {
                 match accepted.get(&(line.by.as_str(), line.life, id.as_str())) {
                     Some(submission) if submission.answered => {
-                        add(found, Violation::AnsweredTwice, line, format!("sent {id} after its answer"));
+                        add_finding(
+                            found,
+                            Violation::AnsweredTwice,
+                            line,
+                            format!("sent {id} after its answer"),
+                        );
                     }
                     Some(submission) if submission.version == *version => {}
                     Some(submission) => {
                         let reason =
                             format!("{id}: taken under {}, sent under {version}", submission.version);
-                        add(found, Violation::VersionChanged, line, reason);
+                        add_finding(found, Violation::VersionChanged, line, reason);
                     }
-                    None => add(
+                    None => add_finding(
                         found,
                         Violation::VersionChanged,
                         line,
@@ -260,14 +322,14 @@
             HistoryEvent::Answered { id, version, ended } if *ended != Ended::Repeated => {
                 match accepted.get_mut(&(line.by.as_str(), line.life, id.as_str())) {
                     Some(submission) if submission.answered => {
-                        add(found, Violation::AnsweredTwice, line, format!("answered {id} twice"));
+                        add_finding(found, Violation::AnsweredTwice, line, format!("answered {id} twice"));
                     }
                     Some(submission) => {
                         submission.answered = true;
                         if submission.version != *version {
                             let reason =
                                 format!("{id}: taken under {}, answered under {version}", submission.version);
-                            add(found, Violation::VersionChanged, line, reason);
+                            add_finding(found, Violation::VersionChanged, line, reason);
                         }
                     }
                     None => {}
@@ -286,9 +348,9 @@
         .collect();
     let faults = fault_intervals(lines);
     for ((by, _, id), submission) in &accepted {
-        let excused = faults.get(*by).into_iter().flatten().any(|(_, to)| *to >= submission.line.at);
+        let excused = faults.get(*by).into_iter().flatten().any(|fault| fault.to >= submission.line.at);
         if !submission.answered && !excused && !disconnected.contains(id) {
-            add(found, Violation::Unanswered, submission.line, format!("{id} was never answered"));
+            add_finding(found, Violation::Unanswered, submission.line, format!("{id} was never answered"));
         }
     }
     // Executions that began, by the key of the job.
@@ -299,14 +361,14 @@
             _ => None,
         })
         .collect();
-    let mut began: HashMap<&str, Vec<(&Line, &str)>> = HashMap::new();
+    let mut began: HashMap<&str, Vec<Execution>> = HashMap::new();
     for line in lines {
         match &line.what {
             HistoryEvent::Took { id, key, .. } if one_shots.contains(key.as_str()) => {
-                began.entry(key).or_default().push((line, id));
+                began.entry(key).or_default().push(Execution { line, id });
             }
             HistoryEvent::PushedOver { executor } => {
-                add(
+                add_finding(
                     found,
                     Violation::PushedOver,
                     line,
@@ -314,14 +376,19 @@
                 );
             }
             HistoryEvent::Unbegun { id } => {
-                began.values_mut().for_each(|b| b.retain(|(_, other)| other != id))
+                began.values_mut().for_each(|executions| executions.retain(|execution| execution.id != id))
             }
             _ => {}
         }
     }
     if !guarantees.retried_when_unknown || guarantees.remembered {
-        for (key, began) in began.iter().filter(|(_, b)| b.len() > 1) {
-            add(found, Violation::Twice, began[1].0, format!("{key} began {} times", began.len()));
+        for (key, executions) in began.iter().filter(|(_, executions)| executions.len() > 1) {
+            add_finding(
+                found,
+                Violation::Twice,
+                executions[1].line,
+                format!("{key} began {} times", executions.len()),
+            );
         }
     }
 }
@@ -352,14 +419,16 @@
                 asked.insert(id, (line, node));
             }
             HistoryEvent::Told { id, .. } => {
-                let first = answered.insert(id);
-                (!first).then(|| add(found, Violation::AnsweredTwice, line, format!("{id} was told twice")));
+                let is_first = answered.insert(id);
+                (!is_first).then(|| {
+                    add_finding(found, Violation::AnsweredTwice, line, format!("{id} was told twice"))
+                });
             }
             HistoryEvent::Unknown { id } => {
-                let Some((from, node)) = asked.get(id.as_str()) else { continue };
-                let overlaps = |(start, end): &(u64, u64)| *start <= line.at && *end >= from.at;
+                let Some((sent, node)) = asked.get(id.as_str()) else { continue };
+                let overlaps = |fault: &FaultInterval| fault.from <= line.at && fault.to >= sent.at;
                 if !faults.get(*node).into_iter().flatten().any(overlaps) {
-                    add(
+                    add_finding(
                         found,
                         Violation::NoAnswer,
                         line,
--- a/crates/rig/src/draw.rs
+++ b/crates/rig/src/draw.rs
@@ -23,7 +23,10 @@
     };
     let (processes, links) = (plan.processes(), plan.link_names());
     let links: Vec<String> = links.into_iter().filter(|link| link.contains(">c")).collect();
-    let (mut base, mut faults): (u64, Vec<Vec<Step>>) = (1, Vec::new());
+    // The version that the next proposal builds on, if all earlier ones are decided.
+    let mut base = 1_u64;
+    // The steps that begin and end each fault.
+    let mut faults: Vec<Vec<Step>> = Vec::new();
     for number in 0..rng.random_range(2..=4) {
         let delay_ms = rng.random_range(0..400);
         if rng.random::<f64>() < 0.6 || number == 0 {
@@ -49,7 +52,7 @@
             1 => vec![crate::link::Direction::Backward],
             _ => vec![crate::link::Direction::Forward, crate::link::Direction::Backward],
         };
-        let frame = *["prepare", "promise", "accept", "accepted", "beat", "request", "reply"]
+        let frame_kind = *["prepare", "promise", "accept", "accepted", "beat", "request", "reply"]
             .choose(&mut rng)
             .unwrap_or(&"accept");
         let after_ms = rng.random_range(0..300);
@@ -61,7 +64,7 @@
             ..Step::default()
         };
         let duration_ms = rng.random_range(100..2 * plan.lease_ms);
-        let pair = match rng.random_range(0..8) {
+        let fault_steps = match rng.random_range(0..8) {
             0 => vec![step(Action::Kill, &process), end(Action::Start, &process, duration_ms)],
             1 => vec![step(Action::Pause, &process), end(Action::Resume, &process, duration_ms)],
             2 => vec![Step { directions, ..step(Action::Cut, &link) }, end(Action::Heal, &link, duration_ms)],
@@ -70,25 +73,25 @@
                 end(Action::Heal, &link, duration_ms),
             ],
             4 => vec![step(Action::Reset, &link)],
-            5 => vec![Step { request: frame.into(), ..step(Action::Repeat, &link) }],
+            5 => vec![Step { request: frame_kind.into(), ..step(Action::Repeat, &link) }],
             6 => vec![Step {
-                request: frame.into(),
+                request: frame_kind.into(),
                 bytes: rng.random_range(0..60),
                 ..step(Action::CutAt, &link)
             }],
             _ => {
                 vec![
-                    Step { request: frame.into(), ..step(Action::Hold, &link) },
+                    Step { request: frame_kind.into(), ..step(Action::Hold, &link) },
                     end(Action::Release, &link, duration_ms),
                 ]
             }
         };
-        faults.push(pair);
+        faults.push(fault_steps);
     }
     // The steps of a fault are adjacent, unless a later insertion falls between them.
-    for pair in faults {
+    for fault_steps in faults {
         let at = rng.random_range(0..=plan.steps.len());
-        for (i, step) in pair.into_iter().enumerate() {
+        for (i, step) in fault_steps.into_iter().enumerate() {
             plan.steps.insert((at + i).min(plan.steps.len()), step);
         }
     }
@@ -98,11 +101,13 @@
     plan
 }
 
-/// Removes steps one by one while `fails` returns true for the smaller plan, with at most `tries` trials.
-pub fn shrink(plan: &Plan, mut fails: impl FnMut(&Plan) -> bool, mut tries: usize) -> Plan {
+/// Tries to remove each step in turn, and leaves out those without which the plan still fails. `fails` runs a plan; it
+/// is called at most `max_trials` times.
+pub fn shrink(plan: &Plan, mut fails: impl FnMut(&Plan) -> bool, max_trials: usize) -> Plan {
     let mut smallest = plan.clone();
+    let mut trials_left = max_trials;
     let mut at = smallest.steps.len();
-    while at > 0 && tries > 0 {
+    while at > 0 && trials_left > 0 {
         at -= 1;
         let mut candidate = smallest.clone();
         let removed = candidate.steps.remove(at);
@@ -117,7 +122,7 @@
         } else if matches!(removed.action, Action::Start | Action::Resume) {
             continue;
         }
-        tries -= 1;
+        trials_left -= 1;
         if candidate.validate().is_ok() && fails(&candidate) {
             smallest = candidate;
             at = at.min(smallest.steps.len());
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -6,10 +6,17 @@
 
 /// The maximum size in bytes of a head, a body or a chunk that is read.
 pub const MAX_PART_BYTES: usize = 80 * 1024;
+/// The maximum length in bytes of the line with the size of a chunk.
+const MAX_CHUNK_SIZE_LINE_BYTES: u64 = 64;
 /// The read and write timeout of connections to and from stand-ins.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Reads a message and returns its head and its decoded body, or `None` at the end of the connection.
+///
+/// # Errors
+///
+/// The connection fails or ends within a message, or a part of the message is malformed or larger than
+/// [`MAX_PART_BYTES`].
 pub fn read_message(socket: &mut BufReader<TcpStream>) -> io::Result<Option<(String, Vec<u8>)>> {
     let mut head = String::new();
     loop {
@@ -39,7 +46,7 @@
     } else if header(&head, "transfer-encoding").is_some() {
         loop {
             let mut line = String::new();
-            socket.by_ref().take(64).read_line(&mut line)?;
+            socket.by_ref().take(MAX_CHUNK_SIZE_LINE_BYTES).read_line(&mut line)?;
             let length = usize::from_str_radix(line.trim(), 16).map_err(io::Error::other)?;
             if length > MAX_PART_BYTES {
                 return Err(io::Error::other("chunk too large"));
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -23,11 +23,11 @@
 /// coordinator may carry one connection from each node.
 const MAX_CONNECTIONS: u64 = 4096;
 /// The stack size in bytes of a forwarding thread: its read buffer and a reserve. Each connection has two such threads.
-const THREAD_STACK: usize = 256 * 1024;
+const THREAD_STACK_BYTES: usize = 256 * 1024;
 /// The size in bytes of a read buffer.
-const READ_BUFFER: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// The number of bytes that a throttled link forwards at once.
-const THROTTLED_CHUNK: usize = 64;
+const THROTTLED_CHUNK_BYTES: usize = 64;
 
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -65,14 +65,18 @@
 
 struct Proxy {
     name: String,
+    /// Whether the link carries frames.
     framed: bool,
+    /// The address to which new connections lead; without one they are refused.
     target: Mutex<Option<SocketAddr>>,
     faults: Mutex<Faults>,
     faults_changed: Condvar,
     connections: Mutex<HashMap<ConnectionNumber, SocketPair>>,
     /// Addresses of connecting sockets whose connection reached the target.
     reached: Mutex<HashSet<SocketAddr>>,
-    opened: AtomicU64,
+    /// The number of connections accepted so far.
+    accepted: AtomicU64,
+    /// The number of connections that are open now.
     open: AtomicU64,
     stop: AtomicBool,
     observer: FrameObserver,
@@ -93,8 +97,8 @@
 struct Faults {
     cut: [bool; 2],
     delay: [Duration; 2],
-    /// Bytes per second; 0 means unlimited.
-    rate: [u64; 2],
+    /// 0 means unlimited.
+    bytes_per_s: [u64; 2],
     next_frames: Vec<PendingFrameFault>,
     held: Vec<HeldFrame>,
 }
@@ -147,7 +151,7 @@
             faults_changed: Condvar::new(),
             connections: Mutex::default(),
             reached: Mutex::default(),
-            opened: AtomicU64::new(0),
+            accepted: AtomicU64::new(0),
             open: AtomicU64::new(0),
             stop: AtomicBool::new(false),
             observer,
@@ -162,17 +166,17 @@
         *lock(&self.proxy.target) = target;
     }
 
-    /// Returns whether the connection from this address ever reached the target. If not, the proxy refused it, although
-    /// only after it had been accepted.
+    /// Returns whether the connection from this address reached the target. If not, the proxy accepted it, could not
+    /// connect to the target, and reset it.
     #[must_use]
     pub fn reached_target(&self, from: SocketAddr) -> bool {
         lock(&self.proxy.reached).contains(&from)
     }
 
-    /// Returns the number of connections so far.
+    /// Returns the number of connections that processes have made over the link so far.
     #[must_use]
-    pub fn opened(&self) -> u64 {
-        self.proxy.opened.load(Ordering::Relaxed)
+    pub fn connections_made(&self) -> u64 {
+        self.proxy.accepted.load(Ordering::Relaxed)
     }
 
     fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
@@ -183,7 +187,7 @@
     /// Stops forwarding in these directions until the link is healed. Bytes are kept meanwhile, as TCP retransmits them
     /// after a network outage.
     pub fn cut(&self, directions: &[Direction]) {
-        self.change_faults(|f| directions.iter().for_each(|s| f.cut[index_of(*s)] = true));
+        self.change_faults(|faults| directions.iter().for_each(|d| faults.cut[index_of(*d)] = true));
     }
 
     /// Ends all faults. Held frames stay held.
@@ -193,17 +197,19 @@
 
     /// Delays the bytes of each read in these directions by this time.
     pub fn delay(&self, directions: &[Direction], by: Duration) {
-        self.change_faults(|f| directions.iter().for_each(|s| f.delay[index_of(*s)] = by));
+        self.change_faults(|faults| directions.iter().for_each(|d| faults.delay[index_of(*d)] = by));
     }
 
-    /// Limits these directions to `rate` bytes per second.
-    pub fn throttle(&self, directions: &[Direction], rate: u64) {
-        self.change_faults(|f| directions.iter().for_each(|s| f.rate[index_of(*s)] = rate));
+    /// Limits these directions to a number of bytes per second. 0 removes the limit.
+    pub fn throttle(&self, directions: &[Direction], bytes_per_s: u64) {
+        self.change_faults(|faults| {
+            directions.iter().for_each(|d| faults.bytes_per_s[index_of(*d)] = bytes_per_s)
+        });
     }
 
     /// Applies a fault to the next frame of a kind. Has no effect on a link that is not framed.
     pub fn fail_next_frame(&self, direction: Direction, kind: u8, fault: FrameFault) {
-        self.change_faults(|f| f.next_frames.push(PendingFrameFault { direction, kind, fault }));
+        self.change_faults(|faults| faults.next_frames.push(PendingFrameFault { direction, kind, fault }));
     }
 
     /// Forwards the held frames, each on its connection if that still exists.
@@ -245,13 +251,13 @@
                 return;
             }
             let Ok(near) = near else { continue };
-            let connection = self.opened.fetch_add(1, Ordering::Relaxed);
+            let connection = self.accepted.fetch_add(1, Ordering::Relaxed);
             if self.open.fetch_add(1, Ordering::Relaxed) >= MAX_CONNECTIONS {
                 self.open.fetch_sub(1, Ordering::Relaxed);
                 continue;
             }
             let proxy = Arc::clone(self);
-            let thread = std::thread::Builder::new().stack_size(THREAD_STACK).spawn(move || {
+            let thread = std::thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn(move || {
                 let _ = proxy.serve(connection, near);
                 proxy.open.fetch_sub(1, Ordering::Relaxed);
             });
@@ -277,7 +283,7 @@
         lock(&self.connections).insert(connection, pair);
         let (back_from, back_to) = (far.try_clone()?, near.try_clone()?);
         let proxy = Arc::clone(self);
-        let thread = std::thread::Builder::new().stack_size(THREAD_STACK);
+        let thread = std::thread::Builder::new().stack_size(THREAD_STACK_BYTES);
         let back = thread
             .spawn(move || proxy.forward_direction(connection, Direction::Backward, back_from, back_to))?;
         self.forward_direction(connection, Direction::Forward, near, far);
@@ -318,7 +324,7 @@
         from: &mut TcpStream,
         to: &mut TcpStream,
     ) -> Result<(), Disconnected> {
-        let (mut buffer, mut reader) = ([0; READ_BUFFER], Reader::default());
+        let (mut buffer, mut reader) = ([0; READ_BUFFER_BYTES], Reader::default());
         let _ = from.set_read_timeout(Some(READ_POLL));
         loop {
             if self.stopped() {
@@ -388,17 +394,17 @@
         bytes: &[u8],
         to: &mut TcpStream,
     ) -> Result<(), Disconnected> {
-        let (delay, rate) = {
+        let (delay, bytes_per_s) = {
             let faults = lock(&self.faults);
-            (faults.delay[index_of(direction)], faults.rate[index_of(direction)])
+            (faults.delay[index_of(direction)], faults.bytes_per_s[index_of(direction)])
         };
         std::thread::sleep(delay);
         self.wait_while_cut(connection, direction)?;
-        if rate == 0 {
+        if bytes_per_s == 0 {
             return to.write_all(bytes).map_err(|_| Disconnected);
         }
-        for chunk in bytes.chunks(THROTTLED_CHUNK) {
-            std::thread::sleep(Duration::from_secs_f64(chunk.len() as f64 / rate as f64));
+        for chunk in bytes.chunks(THROTTLED_CHUNK_BYTES) {
+            std::thread::sleep(Duration::from_secs_f64(chunk.len() as f64 / bytes_per_s as f64));
             if self.stopped() {
                 return Err(Disconnected);
             }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -29,7 +29,7 @@
     pub ramp: Duration,
 }
 
-/// The counts and latencies of a load.
+/// The answers to a load, by kind, and their latencies.
 #[derive(Debug)]
 pub struct LoadResult {
     /// Answers with a result.
--- a/crates/rig/src/node_process.rs
+++ b/crates/rig/src/node_process.rs
@@ -1,4 +1,4 @@
-//! A single node process, for uses that need no fleet.
+//! A single node process, with a temporary configuration file, for uses that need no fleet.
 
 use std::io::{self, BufRead as _, BufReader};
 use std::net::SocketAddr;
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -34,7 +34,7 @@
         coordinators: usize = 0,
         /// Whether a node that cannot prove that its policy is current stops accepting submissions.
         strict: bool = true,
-        /// The duration of the lease under which nodes accept submissions.
+        /// The duration in milliseconds of the lease under which nodes accept submissions.
         lease_ms: u64 = 1500,
         /// Whether nodes keep a store of outcomes by idempotency key.
         store: bool = false,
@@ -57,7 +57,7 @@
         load: Load = Load::default(),
         /// The steps, in the order in which they are carried out.
         steps: Vec<Step> = Vec::new(),
-        /// The time for which the load continues after the last step.
+        /// The time in milliseconds for which the load continues after the last step.
         tail_ms: u64 = 1000,
     }
 }
@@ -83,7 +83,7 @@
         rate: f64 = 200.0,
         /// The number of clients.
         clients: usize = 16,
-        /// The deadline of each submission.
+        /// The deadline of each submission, in milliseconds after it is sent.
         #[serde(rename = "cut-off-ms")]
         deadline_ms: u64 = 2000,
         /// The maximum number of attempts per submission.
@@ -118,7 +118,7 @@
         direction: Direction = Direction::Forward,
         /// The number of matching lines or frames to wait for since the previous step.
         count: u64 = 1,
-        /// A delay after the previous step or after the awaited event.
+        /// A delay in milliseconds after the previous step or after the awaited event.
         after_ms: u64 = 0,
         /// The action to carry out.
         #[serde(rename = "do")]
@@ -141,7 +141,7 @@
         policy: u64 = 0,
         /// Whether a proposal waits for every known member, including those that are not connected.
         all: bool = false,
-        /// The time after which an undecided proposal is dropped; 0 means never.
+        /// The time in milliseconds after which an undecided proposal is dropped; 0 means never.
         give_up_ms: u64 = 0,
         /// A fault that the process is started with (in test builds only), or the fault of an executor.
         fault: String = String::new(),
@@ -165,7 +165,7 @@
     Start,
     /// Starts processes with an empty store.
     StartEmpty,
-    /// Copies the store of a process.
+    /// Copies the store of a process, for a later start with the copy.
     Copy,
     /// Starts a process with the copy of its store.
     StartOlder,
@@ -204,7 +204,7 @@
     Hold,
     /// Passes on the held frames.
     Release,
-    /// Writes another policy into the node's own file and sends SIGHUP.
+    /// Writes another policy into a node's own file and sends SIGHUP to the node if it runs.
     Terms,
     /// Proposes a change of the policy as an operator.
     Propose,
@@ -248,7 +248,7 @@
     Invalid(String),
 }
 
-/// The target that stands for the most recent leader among the coordinators.
+/// The target that stands for the coordinator that became leader last.
 pub const LEADER: &str = "speaker";
 /// The target that stands for all processes that do not run.
 pub const DOWN: &str = "down";
@@ -267,7 +267,7 @@
 }
 
 impl Plan {
-    /// Parses and validates a plan.
+    /// Parses and validates the text of a plan file.
     ///
     /// # Errors
     ///
@@ -312,43 +312,43 @@
     /// Returns all problems, each with its key.
     pub fn validate(&self) -> Result<(), PlanError> {
         let mut errors = Vec::new();
-        let mut must = |valid: bool, key: &str, reason: &str| {
+        let mut require = |valid: bool, key: &str, reason: &str| {
             if !valid {
                 errors.push(format!("{key}: {reason}"));
             }
         };
-        must((1..=1024).contains(&self.nodes), "nodes", "from 1 to 1,024");
-        must([0, 1, 3, 5].contains(&self.coordinators), "coordinators", "0, 1, 3 or 5");
-        must((200..=60_000).contains(&self.lease_ms), "lease-ms", "from 200 to 60,000");
-        must((1..=1024).contains(&self.executors), "executors", "from 1 to 1,024");
-        must((1..=4096).contains(&self.slots), "slots", "from 1 to 4,096");
-        must(self.work_ms > 0.0 && self.work_ms < 1e5, "work-ms", "over 0, under 100,000");
-        must(self.load.rate > 0.0 && self.load.rate <= 1e5, "load.rate", "over 0, 100,000 at most");
-        must((1..=512).contains(&self.load.clients), "load.clients", "from 1 to 512");
-        must((50..=60_000).contains(&self.load.deadline_ms), "load.cut-off-ms", "from 50 to 60,000");
-        must((0.0..=1.0).contains(&self.load.one_shot_share), "load.one-shot-share", "from 0 to 1");
-        must(self.tail_ms <= 600_000, "tail-ms", "600,000 at most");
+        require((1..=1024).contains(&self.nodes), "nodes", "from 1 to 1,024");
+        require([0, 1, 3, 5].contains(&self.coordinators), "coordinators", "0, 1, 3 or 5");
+        require((200..=60_000).contains(&self.lease_ms), "lease-ms", "from 200 to 60,000");
+        require((1..=1024).contains(&self.executors), "executors", "from 1 to 1,024");
+        require((1..=4096).contains(&self.slots), "slots", "from 1 to 4,096");
+        require(self.work_ms > 0.0 && self.work_ms < 1e5, "work-ms", "over 0, under 100,000");
+        require(self.load.rate > 0.0 && self.load.rate <= 1e5, "load.rate", "over 0, 100,000 at most");
+        require((1..=512).contains(&self.load.clients), "load.clients", "from 1 to 512");
+        require((50..=60_000).contains(&self.load.deadline_ms), "load.cut-off-ms", "from 50 to 60,000");
+        require((0.0..=1.0).contains(&self.load.one_shot_share), "load.one-shot-share", "from 0 to 1");
+        require(self.tail_ms <= 600_000, "tail-ms", "600,000 at most");
         let (processes, links) = (self.processes(), self.link_names());
         for (i, step) in self.steps.iter().enumerate() {
             let key = |k: &str| format!("steps[{i}].{k}");
             let waits = [&step.line, &step.log, &step.frame].iter().filter(|w| w.is_some()).count();
-            must(waits <= 1, &key("line"), "only one of `line`, `log` and `frame` may be given");
-            must(step.count > 0, &key("count"), "at least 1");
-            must(step.after_ms <= 600_000, &key("after-ms"), "600,000 at most");
+            require(waits <= 1, &key("line"), "only one of `line`, `log` and `frame` may be given");
+            require(step.count > 0, &key("count"), "at least 1");
+            require(step.after_ms <= 600_000, &key("after-ms"), "600,000 at most");
             if let Some(by) = &step.by {
-                must(
+                require(
                     processes.iter().any(|p| name_matches(by, p)) || by == "rig",
                     &key("by"),
                     "no such process",
                 );
             }
             if let Some(frame) = &step.frame {
-                must(kind_number(frame).is_some(), &key("frame"), "no such kind of frame");
+                require(kind_number(frame).is_some(), &key("frame"), "no such kind of frame");
                 let link = step.link.as_deref().unwrap_or("*>*");
-                must(links.iter().any(|l| name_matches(link, l)), &key("way"), "no such link");
+                require(links.iter().any(|l| name_matches(link, l)), &key("way"), "no such link");
             }
             if matches!(step.action, Action::CutAt | Action::Repeat | Action::Hold) {
-                must(
+                require(
                     step.target_frame_kind().is_some(),
                     &key("request"),
                     "must be the kind of frame that the action affects",
@@ -361,22 +361,26 @@
                 _ => &processes,
             };
             for to in &step.to {
-                let placeholder = to == DOWN || (to == LEADER && self.coordinators > 0);
-                must(
-                    placeholder || names.iter().any(|n| name_matches(to, n)),
+                let is_placeholder = to == DOWN || (to == LEADER && self.coordinators > 0);
+                require(
+                    is_placeholder || names.iter().any(|n| name_matches(to, n)),
                     &key("to"),
                     "no target has this name",
                 );
             }
-            let no_target =
+            let needs_no_target =
                 matches!(step.action, Action::Nothing | Action::Propose | Action::Abort | Action::Overbook);
-            must(step.action != Action::Swap || step.to.len() == 2, &key("to"), "exactly two processes");
+            require(step.action != Action::Swap || step.to.len() == 2, &key("to"), "exactly two processes");
             let sets_fault = matches!(step.action, Action::Ail | Action::Well);
-            must(!sets_fault || step.executor_fault().is_some(), &key("fault"), "not a fault of an executor");
-            must(no_target || !step.to.is_empty(), &key("to"), "a target is required");
+            require(
+                !sets_fault || step.executor_fault().is_some(),
+                &key("fault"),
+                "not a fault of an executor",
+            );
+            require(needs_no_target || !step.to.is_empty(), &key("to"), "a target is required");
             if step.action == Action::Propose {
-                must(self.coordinators > 0, &key("do"), "there is no coordinator");
-                must(!step.request.is_empty(), &key("request"), "a name is required");
+                require(self.coordinators > 0, &key("do"), "there is no coordinator");
+                require(!step.request.is_empty(), &key("request"), "a name is required");
             }
         }
         if errors.is_empty() { Ok(()) } else { Err(PlanError::Invalid(errors.join("\n"))) }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -9,7 +9,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// The time limit of a start, of a stop, and of each wait for an event. A run that exceeds it fails.
+/// The time limit of each start, stop and wait for an event. A run that exceeds it fails.
 pub const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A process that can be started repeatedly. It is killed on drop.
@@ -20,7 +20,7 @@
     pub folder: PathBuf,
     program: PathBuf,
     arguments: Vec<String>,
-    /// The environment variables of every start.
+    /// The environment variables that every start sets.
     pub variables: Vec<(String, String)>,
     /// Additional arguments of the next start alone.
     pub next_start_arguments: Vec<String>,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Returns the folder of the persistent data, which does not contain the configuration.
+    /// Returns the path of the folder with the persistent data, which does not contain the configuration.
     #[must_use]
     pub fn store_folder(&self) -> PathBuf {
         self.folder.join("store")
     }
 
-    /// Returns the path of the log.
+    /// Returns the path of the log file.
     #[must_use]
     pub fn log_file(&self) -> PathBuf {
         self.folder.join("log")
@@ -84,7 +84,7 @@
     /// The process cannot be started, or it already runs.
     pub fn start(&mut self) -> io::Result<()> {
         if self.child.is_some() {
-            return Err(io::Error::other(format!("{} runs", self.name)));
+            return Err(io::Error::other(format!("{} is already running", self.name)));
         }
         fs::create_dir_all(self.store_folder())?;
         let log = fs::OpenOptions::new().create(true).append(true).open(self.log_file())?;
@@ -101,21 +101,23 @@
         Ok(())
     }
 
-    /// Waits until the run that began when the log had `from` bytes has logged its listen address, and returns it.
+    /// Waits until the process has logged its listen address, and returns it. `log_length` is the length of the log in
+    /// bytes when the process was started.
     ///
     /// # Errors
     ///
     /// The process ended, or did not log an address in time.
-    pub fn wait_until_listening(&mut self, from: u64) -> io::Result<SocketAddr> {
+    pub fn wait_until_listening(&mut self, log_length: u64) -> io::Result<SocketAddr> {
         let begin = Instant::now();
         loop {
             let text = fs::read(self.log_file()).unwrap_or_default();
-            let text = String::from_utf8_lossy(text.get(from as usize..).unwrap_or_default()).into_owned();
+            let text =
+                String::from_utf8_lossy(text.get(log_length as usize..).unwrap_or_default()).into_owned();
             // Only complete lines are parsed: in a line that is still being written, the address may be truncated.
-            let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
-            let listen =
-                whole.lines().find_map(|l| l.split_once("listen=")?.1.split(' ').next()?.parse().ok());
-            if let Some(address) = listen {
+            let complete = text.rsplit_once('\n').map_or("", |(complete, _)| complete);
+            let listen_address =
+                complete.lines().find_map(|l| l.split_once("listen=")?.1.split(' ').next()?.parse().ok());
+            if let Some(address) = listen_address {
                 return Ok(address);
             }
             let ended = match &mut self.child {
@@ -124,18 +126,18 @@
             };
             if ended || begin.elapsed() > PROCESS_TIMEOUT {
                 self.child = self.child.take().filter(|_| !ended);
-                let last = whole.lines().last().unwrap_or("no word");
+                let last = complete.lines().last().unwrap_or("its log is empty");
                 return Err(io::Error::other(format!("{} does not listen: {last}", self.name)));
             }
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Returns the text after `key`, up to the next space, in the log of the run that began when it had `from` bytes.
+    /// Returns the text after `key`, up to the next space, in the log after its first `log_length` bytes.
     #[must_use]
-    pub fn log_value(&self, key: &str, from: u64) -> Option<String> {
+    pub fn log_value(&self, key: &str, log_length: u64) -> Option<String> {
         let text = fs::read(self.log_file()).unwrap_or_default();
-        let text = String::from_utf8_lossy(text.get(from as usize..).unwrap_or_default()).into_owned();
+        let text = String::from_utf8_lossy(text.get(log_length as usize..).unwrap_or_default()).into_owned();
         text.lines().find_map(|l| l.split_once(key)?.1.split(' ').next().map(str::to_owned))
     }
 
@@ -145,7 +147,9 @@
     ///
     /// The process does not run.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
-        let Some(child) = &self.child else { return Err(io::Error::other(format!("{} is down", self.name))) };
+        let Some(child) = &self.child else {
+            return Err(io::Error::other(format!("{} is not running", self.name)));
+        };
         let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
         Ok(kill_process(pid.ok_or(io::Error::other("no such process"))?, signal)?)
     }
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use super::Rig;
-use super::setup::{Earlier, store_of};
+use super::setup::{EarlierStore, outcome_store_of};
 use crate::link::{FrameFault, Link};
 use crate::monotonic;
 use crate::plan::{Action, DOWN, LEADER, Step, name_matches};
@@ -28,7 +28,7 @@
         match step.action {
             action if action.targets_links() => self.act_on_links(step),
             action if action.targets_executors() => self.act_on_executors(step),
-            Action::Overbook => self.overbook(step),
+            Action::Overbook => self.set_list_delay(step),
             Action::Abort => self.abort(step),
             Action::Propose => return self.propose(step),
             Action::Swap => return self.swap_stores(&step.to),
@@ -39,48 +39,48 @@
     }
 
     /// Records an action and its target in the history.
-    pub(super) fn note(&self, action: &str, to: &str) {
-        self.write("rig", HistoryEvent::Did { deed: action.to_owned(), to: to.to_owned() });
+    pub(super) fn record_action(&self, action: &str, to: &str) {
+        self.record("rig", HistoryEvent::Did { deed: action.to_owned(), to: to.to_owned() });
     }
 
-    /// Writes a line into the history on behalf of a process.
-    pub(super) fn write(&self, by: &str, what: HistoryEvent) {
+    /// Records an event in the history under the name of a process.
+    pub(super) fn record(&self, by: &str, what: HistoryEvent) {
         let _ = self.history.send(Line::new(monotonic(), by, 0, what));
     }
 
     fn act_on_links(&self, step: &Step) {
         for (name, link) in &self.links {
             if step.to.iter().any(|to| name_matches(to, name)) {
-                self.note(&name_of(step.action), name);
+                self.record_action(&name_of(step.action), name);
                 act_on_link(step, link);
             }
         }
     }
 
     /// Sets the time that discovery takes for each request for the list.
-    fn overbook(&self, step: &Step) {
-        self.note(&name_of(Action::Overbook), "d");
-        self.fleet.set_list_delay(Duration::from_millis(step.ms));
+    fn set_list_delay(&self, step: &Step) {
+        self.record_action(&name_of(Action::Overbook), "d");
+        self.stand_ins.set_list_delay(Duration::from_millis(step.ms));
     }
 
     fn act_on_executors(&self, step: &Step) {
-        for place in 0..self.plan.executors as usize {
-            let name = format!("e{place}");
+        for index in 0..self.plan.executors as usize {
+            let name = format!("e{index}");
             if !step.to.iter().any(|to| name_matches(to, &name)) {
                 continue;
             }
-            self.note(&name_of(step.action), &name);
+            self.record_action(&name_of(step.action), &name);
             if step.action == Action::Renew {
-                self.renew_executor(place, &name);
+                self.renew_executor(index, &name);
             } else if let Some(kind) = step.executor_fault() {
-                self.fleet.set_executor_fault(place, kind, step.size, step.action == Action::Ail);
+                self.stand_ins.set_executor_fault(index, kind, step.size, step.action == Action::Ail);
             }
         }
     }
 
     /// Replaces an executor by a cold one and resets its connections.
-    fn renew_executor(&self, place: usize, name: &str) {
-        self.fleet.replace_executor(place);
+    fn renew_executor(&self, index: usize, name: &str) {
+        self.stand_ins.replace_executor(index);
         let pattern = format!("*>{name}");
         let links = self.links.iter().filter(|(link, _)| name_matches(&pattern, link));
         links.for_each(|(_, link)| link.reset());
@@ -88,17 +88,18 @@
 
     fn act_on_processes(&mut self, step: &Step) -> io::Result<()> {
         let names = self.target_processes(step);
-        // An action applies to all its targets as nearly at once as possible: starts follow together below.
+        // An action applies to all its targets as nearly at once as possible, so the processes are started together
+        // below.
         for name in &names {
             // An action that takes effect at once is recorded first, so that its effects never precede it in the
             // history.
-            let noted_first = matches!(step.action, Action::Kill | Action::Pause | Action::Stop);
-            if noted_first {
-                self.note(&name_of(step.action), name);
+            let recorded_first = matches!(step.action, Action::Kill | Action::Pause | Action::Stop);
+            if recorded_first {
+                self.record_action(&name_of(step.action), name);
             }
             self.act_on_process(step, name)?;
-            if !noted_first {
-                self.note(&name_of(step.action), name);
+            if !recorded_first {
+                self.record_action(&name_of(step.action), name);
             }
         }
         if !is_start(step.action) {
@@ -107,7 +108,7 @@
         if step.action == Action::StartEmpty && self.plan.store {
             self.init_lost_stores(&names)?;
         }
-        if step.expect_failure { self.start_refused(&names) } else { self.start(&names) }
+        if step.expect_failure { self.start_expecting_failure(&names) } else { self.start(&names) }
     }
 
     /// Returns the processes that a step targets. A start skips processes that already run.
@@ -134,7 +135,7 @@
             Action::Start | Action::StartEmpty | Action::StartOlder | Action::StartRolledBack => {
                 prepare_start(step, self.process(name)?)
             }
-            Action::Terms => self.change_file(name, step.policy),
+            Action::Terms => self.change_node_file(name, step.policy),
             _ => Ok(()),
         }
     }
@@ -149,7 +150,7 @@
     }
 
     /// Writes another policy into a node's own file, and sends SIGHUP to the node if it runs.
-    fn change_file(&mut self, name: &str, number: u64) -> io::Result<()> {
+    fn change_node_file(&mut self, name: &str, number: u64) -> io::Result<()> {
         let mut settings = self.policy(number);
         let process = self.process(name)?;
         let path = process.folder.join("node.json");
@@ -165,17 +166,19 @@
     /// Creates new stores, which record that an earlier store was lost, for nodes that start with an empty one.
     fn init_lost_stores(&self, names: &[String]) -> io::Result<()> {
         for name in names.iter().filter(|name| name.starts_with('n')) {
-            self.init_store(&store_of(&self.processes[name]), Earlier::Lost)?;
+            self.init_store(&outcome_store_of(&self.processes[name]), EarlierStore::Lost)?;
         }
         Ok(())
     }
 
     /// Swaps the stores of two processes that do not run.
     fn swap_stores(&self, to: &[String]) -> io::Result<()> {
-        let [a, b] = to else { return Err(io::Error::other("two change places")) };
+        let [a, b] = to else { return Err(io::Error::other("a swap needs exactly two processes")) };
         let store =
             |name: &String| self.processes.get(name).filter(|p| !p.is_running()).map(Process::store_folder);
-        let (Some(a), Some(b)) = (store(a), store(b)) else { return Err(io::Error::other("both are down")) };
+        let (Some(a), Some(b)) = (store(a), store(b)) else {
+            return Err(io::Error::other("a swap needs two processes that do not run"));
+        };
         let temporary = a.with_file_name("swapped");
         fs::rename(&a, &temporary)?;
         fs::rename(&b, &a)?;
@@ -218,7 +221,7 @@
     if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| status.success()) {
         return Ok(());
     }
-    Err(io::Error::other(format!("{} did not end with 0", process.name)))
+    Err(io::Error::other(format!("{} did not exit with code 0 after SIGTERM", process.name)))
 }
 
 /// Waits until a process has ended by itself with an exit code other than 0.
@@ -226,7 +229,7 @@
     if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| !status.success()) {
         return Ok(());
     }
-    Err(io::Error::other(format!("{} did not end by itself", process.name)))
+    Err(io::Error::other(format!("{} did not exit by itself with a failure", process.name)))
 }
 
 /// Returns the path of the copy of a process's store.
--- a/crates/rig/src/run/mod.rs
+++ b/crates/rig/src/run/mod.rs
@@ -65,22 +65,25 @@
     folder: PathBuf,
     fleet_name: String,
     /// Stand-in executors and discovery.
-    fleet: StandInFleet,
+    stand_ins: StandInFleet,
     /// The links by name, such as `n0>c1`.
     links: BTreeMap<String, Arc<Link>>,
     processes: BTreeMap<String, Process>,
     /// The listen addresses of the running processes.
     addresses: HashMap<String, SocketAddr>,
+    /// What was observed since the previous step.
     observations: Arc<Observations>,
-    tails: LogTails,
+    /// The parts of the processes' logs and histories that have been read.
+    log_tails: LogTails,
+    /// The number of connections made over the links.
     opened: Arc<OpenedConnections>,
     /// Receives the lines that the rig itself writes into the merged history.
     history: Sender<Line>,
-    /// The initial settings of the fleet.
+    /// The settings of policy 1, with which the fleet starts.
     first_policy: Value,
     /// The threads of operators' commands that may still run.
     operators: Vec<JoinHandle<()>>,
-    /// The number of the policy in each node's own file, where it is not the first.
+    /// By node: the number of the policy in its own file, if that is not the first policy.
     file_policies: HashMap<String, u64>,
 }
 
@@ -93,8 +96,8 @@
     pub nodes: Vec<String>,
 }
 
-/// The results of the load and the steps.
-struct PlayResult {
+/// The results of the steps, and the samples taken while they ran.
+struct StepResults {
     /// The time at which each step was completed, or the error of a step.
     steps: io::Result<Vec<u64>>,
     samples: Vec<Sample>,
@@ -125,27 +128,27 @@
     let mut rig = Rig::set_up(plan, program, folder, history.clone())?;
     rig.start(&plan.processes())?;
     rig.wait_until_serving()?;
-    on_started(&rig.reachable_at());
-    let began = monotonic();
-    let PlayResult { steps, samples } = rig.play(&observer(&history, "clients"));
-    let (done, mut faults) = match steps {
+    on_started(&rig.endpoints());
+    let load_began_at = monotonic();
+    let StepResults { steps, samples } = rig.run_under_load(&observer(&history, "clients"));
+    let (steps_done_at, mut faults) = match steps {
         Ok(done) => (done, Vec::new()),
         Err(error) => (Vec::new(), vec![error.to_string()]),
     };
-    faults.extend(rig.end()?);
-    let lines = rig.collect(&received, &mut faults);
+    faults.extend(rig.stop_all()?);
+    let lines = rig.collect_history(&received, &mut faults);
     let mut findings = find_violations(&lines, &guarantees(plan));
     findings.truncate(MAX_FINDINGS);
     let late_after = plan.load.deadline_ms * NANOS_PER_MS / 2;
-    let seconds = per_second(&lines, &samples, began, late_after);
+    let seconds = per_second(&lines, &samples, load_began_at, late_after);
     Ok(Outcome {
         duplicates: count_duplicates(&lines),
         findings,
         lines,
         seconds,
         faults,
-        steps_done_at: done,
-        load_began_at: began,
+        steps_done_at,
+        load_began_at,
     })
 }
 
@@ -168,20 +171,20 @@
     Arc::new(move |what| drop(lock(&history).send(Line::new(monotonic(), by, 0, what))))
 }
 
-/// Returns whether `wanted` accepts the name of the end to which a link leads.
+/// Returns whether `wanted` accepts the name of the target of a link, such as `c1` of `n0>c1`.
 fn leads_to(link: &str, wanted: impl Fn(&str) -> bool) -> bool {
-    link.split_once('>').is_some_and(|(_, end)| wanted(end))
+    link.split_once('>').is_some_and(|(_, target)| wanted(target))
 }
 
 impl Rig<'_> {
     /// Carries out the plan's steps under load, and samples the counters.
-    fn play(&mut self, observer: &Observer) -> PlayResult {
+    fn run_under_load(&mut self, observer: &Observer) -> StepResults {
         let plan = self.plan;
         let client_links: Vec<Arc<Link>> =
             (0..plan.nodes).map(|n| Arc::clone(&self.links[&format!("k>n{n}")])).collect();
         let nodes: Vec<&Link> = client_links.iter().map(|link| &**link).collect();
         let (stop, samples) = (AtomicBool::new(false), Mutex::new(Vec::new()));
-        let (list_calls, opened) = (Arc::clone(&self.fleet.list_calls), Arc::clone(&self.opened));
+        let (list_calls, opened) = (Arc::clone(&self.stand_ins.list_calls), Arc::clone(&self.opened));
         let steps = std::thread::scope(|scope| {
             for number in 0..plan.load.clients {
                 let (nodes, stop) = (&nodes, &stop);
@@ -189,16 +192,16 @@
                     .spawn(move || clients::run_client(number, &plan.load, plan.seed, nodes, stop, observer));
             }
             scope.spawn(|| seconds::take_samples(&samples, &list_calls, &opened, &stop));
-            let steps = self.play_steps();
+            let steps = self.run_steps();
             stop.store(true, Ordering::Relaxed);
             self.observations.stop();
             steps
         });
         let samples = std::mem::take(&mut *lock(&samples));
-        PlayResult { steps, samples }
+        StepResults { steps, samples }
     }
 
-    fn reachable_at(&self) -> Endpoints {
+    fn endpoints(&self) -> Endpoints {
         let addresses = |start: &str| -> Vec<String> {
             let links = self.links.iter().filter(|(name, _)| name.starts_with(start));
             links.map(|(_, link)| link.address.to_string()).collect()
--- a/crates/rig/src/run/observations.rs
+++ b/crates/rig/src/run/observations.rs
@@ -13,8 +13,8 @@
 use crate::plan::name_matches;
 use crate::process::PROCESS_TIMEOUT;
 
-/// The interval at which a held frame checks whether the run has ended.
-const HELD_FRAME_POLL: Duration = Duration::from_millis(20);
+/// The interval at which a link that was stopped by an awaited frame checks whether the run has ended.
+const STOPPED_LINK_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The observations, shared with the links.
 #[derive(Default)]
@@ -27,6 +27,7 @@
 /// The observations since the previous step was completed.
 #[derive(Default)]
 pub(super) struct StepObservations {
+    /// The number of frames that have passed, by link, direction and kind.
     frames: HashMap<PassedFrame, u64>,
     /// The kinds of the new history lines.
     pub(super) history: Vec<SeenLine>,
@@ -34,8 +35,9 @@
     pub(super) logs: Vec<SeenLine>,
     /// The frames that the current step waits for, if any.
     awaited: Option<AwaitedFrames>,
-    /// Whether the awaited frames have passed. Their link then forwards nothing until the step is completed.
-    step_in_progress: bool,
+    /// Whether the awaited frames have passed and the step's action is not completed. Their link forwards nothing
+    /// meanwhile.
+    action_in_progress: bool,
 }
 
 /// A log line, or the kind of a history line, of a process.
@@ -68,14 +70,14 @@
         if !observed.awaited_frames_passed() {
             return;
         }
-        observed.step_in_progress = true;
+        observed.action_in_progress = true;
         self.changed.notify_all();
         let begin = Instant::now();
-        while observed.step_in_progress
+        while observed.action_in_progress
             && !self.stop.load(Ordering::Relaxed)
             && begin.elapsed() < PROCESS_TIMEOUT
         {
-            let waited = self.changed.wait_timeout(observed, HELD_FRAME_POLL);
+            let waited = self.changed.wait_timeout(observed, STOPPED_LINK_POLL_INTERVAL);
             observed = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -119,6 +121,7 @@
 /// The position up to which each log and history has been read.
 #[derive(Default)]
 pub(super) struct LogTails {
+    /// By file: the number of bytes that have been read.
     read: HashMap<PathBuf, u64>,
 }
 
@@ -133,8 +136,8 @@
         open.seek(io::SeekFrom::Start(*read))?;
         let mut bytes = Vec::new();
         open.read_to_end(&mut bytes)?;
-        let whole = bytes.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
-        *read += whole as u64;
-        Ok(String::from_utf8_lossy(&bytes[..whole]).lines().map(str::to_owned).collect())
+        let complete = bytes.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
+        *read += complete as u64;
+        Ok(String::from_utf8_lossy(&bytes[..complete]).lines().map(str::to_owned).collect())
     }
 }
--- a/crates/rig/src/run/operator.rs
+++ b/crates/rig/src/run/operator.rs
@@ -38,7 +38,7 @@
         if step.give_up_ms > 0 {
             command.args(["--give-up-ms", &step.give_up_ms.to_string()]);
         }
-        self.note("propose", &step.request);
+        self.record_action("propose", &step.request);
         self.run_operator(command, step.request.clone());
         Ok(())
     }
@@ -47,7 +47,7 @@
     pub(super) fn abort(&mut self, step: &Step) {
         let mut command = self.fleet_command();
         command.args(["abort", &step.request]);
-        self.note("abort", &step.request);
+        self.record_action("abort", &step.request);
         self.run_operator(command, format!("abort of {}", step.request));
     }
 
@@ -85,7 +85,7 @@
         let numbers: Vec<&str> = lost.iter().map(|name| name.trim_start_matches('c')).collect();
         let foundation = self.folder.join("foundation");
         let file = self.folder.join(from).join("coordinator.toml");
-        self.note("refound", from);
+        self.record_action("refound", from);
         let mut command = Command::new(&self.program);
         command.arg("coordinate").arg(file).arg("--refound").arg(&foundation);
         let output = command.args(["--lost", &numbers.join(",")]).output()?;
@@ -96,9 +96,9 @@
             let process = self.process(name)?;
             fs::remove_dir_all(process.store_folder())?;
             process.next_start_arguments = vec!["--refounded".into(), foundation.display().to_string()];
-            self.note("start-empty", name);
+            self.record_action("start-empty", name);
         }
-        self.note("start", from);
+        self.record_action("start", from);
         self.start(&names)
     }
 }
--- a/crates/rig/src/run/processes.rs
+++ b/crates/rig/src/run/processes.rs
@@ -16,7 +16,9 @@
 impl Rig<'_> {
     /// Returns a process of the plan by its name.
     pub(super) fn process(&mut self, name: &str) -> io::Result<&mut Process> {
-        self.processes.get_mut(name).ok_or_else(|| io::Error::other("no such process"))
+        self.processes
+            .get_mut(name)
+            .ok_or_else(|| io::Error::other(format!("the plan has no process {name}")))
     }
 
     /// Starts processes, then waits until each listens. If one fails, the others still run.
@@ -26,27 +28,29 @@
     }
 
     /// Starts processes, all of which are expected to fail before they listen.
-    pub(super) fn start_refused(&mut self, names: &[String]) -> io::Result<()> {
+    pub(super) fn start_expecting_failure(&mut self, names: &[String]) -> io::Result<()> {
         let failed = self.start_some(names)?;
         if failed.len() == names.len() {
             return Ok(());
         }
-        Err(io::Error::other(format!("of {names:?} only these failed: {failed:?}")))
+        Err(io::Error::other(format!(
+            "all of {names:?} should fail to start, but only these did: {failed:?}"
+        )))
     }
 
     /// Starts processes, and returns the errors of those that failed.
     fn start_some(&mut self, names: &[String]) -> io::Result<Vec<String>> {
-        let mut began = Vec::new();
+        let mut started = Vec::new();
         for name in names {
             let process = self.process(name)?;
             let log_length = fs::metadata(process.log_file()).map_or(0, |m| m.len());
             process.start()?;
             // The address of the previous run is no longer valid.
             self.set_address(name, None);
-            began.push((name, log_length));
+            started.push((name, log_length));
         }
         let mut failed = Vec::new();
-        for (name, log_length) in began {
+        for (name, log_length) in started {
             match self.process(name)?.wait_until_listening(log_length) {
                 Ok(address) => self.process_listens(name, address, log_length),
                 Err(error) => failed.push(error.to_string()),
@@ -55,15 +59,16 @@
         Ok(failed)
     }
 
+    /// A process listens: sets its address as the target of the links to it.
     fn process_listens(&mut self, name: &str, address: SocketAddr, log_length: u64) {
         self.set_address(name, Some(address));
         self.set_peer_address(name, log_length);
         if self.plan.coordinators == 0 {
-            self.write_active(name);
+            self.record_active_policy(name);
         }
     }
 
-    /// Sets the address of a process, or that it has none, as the target of all links to it.
+    /// Records the address of a process, or that it has none, and makes it the target of all links to the process.
     fn set_address(&mut self, name: &str, address: Option<SocketAddr>) {
         match address {
             Some(address) => self.addresses.insert(name.to_owned(), address),
@@ -79,8 +84,8 @@
         self.set_targets(&format!("p{}", name.trim_start_matches('n')), address);
     }
 
-    fn set_targets(&self, end: &str, address: Option<SocketAddr>) {
-        let links = self.links.iter().filter(|(name, _)| leads_to(name, |other| other == end));
+    fn set_targets(&self, target: &str, address: Option<SocketAddr>) {
+        let links = self.links.iter().filter(|(name, _)| leads_to(name, |other| other == target));
         links.for_each(|(_, link)| link.set_target(address));
     }
 
@@ -91,7 +96,7 @@
             let name = format!("n{number}");
             while !self.is_healthy(&name) {
                 if begin.elapsed() > PROCESS_TIMEOUT {
-                    return Err(io::Error::other(format!("{name} does not serve")));
+                    return Err(io::Error::other(format!("{name} is not healthy")));
                 }
                 std::thread::sleep(POLL_INTERVAL);
             }
@@ -104,9 +109,10 @@
         crate::http::get_status(*address, "/healthz", HEALTH_TIMEOUT).is_ok_and(|status| status == 200)
     }
 
-    /// Stops all processes, nodes first. Returns the faults: nodes that did not settle, processes that had ended by
-    /// themselves, and processes that did not end cleanly.
-    pub(super) fn end(&mut self) -> io::Result<Vec<String>> {
+    /// Waits for the operators' commands and, if there are coordinators, until the nodes have settled. Then stops all
+    /// processes, nodes first. Returns the faults: nodes that did not settle, processes that had ended by themselves, and
+    /// processes that did not end cleanly.
+    pub(super) fn stop_all(&mut self) -> io::Result<Vec<String>> {
         let mut faults = Vec::new();
         for operator in self.operators.drain(..) {
             let _ = operator.join();
--- a/crates/rig/src/run/recovery.rs
+++ b/crates/rig/src/run/recovery.rs
@@ -8,17 +8,18 @@
 use super::{Outcome, Second};
 
 /// The time in nanoseconds for which full service must last without interruption.
-const WINDOW: u64 = 5_000_000_000;
+const WINDOW_NS: u64 = 5_000_000_000;
 /// The distance in nanoseconds between the starts of successive windows.
-const WINDOW_STEP: u64 = 100_000_000;
-/// In full service, the rate and the 99th percentile are within this share of their values before the kill.
-const TOLERANCE: f64 = 0.05;
+const WINDOW_STEP_NS: u64 = 100_000_000;
+/// In full service, the rate of satisfied submissions is at most this share below its value before the kill, and the
+/// 99th percentile of latencies at most this share above.
+const RELATIVE_TOLERANCE: f64 = 0.05;
 /// The additional allowance in milliseconds for the precision of the machine's timers.
 const TIMER_TOLERANCE_MS: f64 = 5.0;
 const NANOS_PER_S: f64 = 1e9;
 const NANOS_PER_MS: f64 = 1e6;
 /// The suffix of the ids of first attempts; see [`crate::clients`].
-const FIRST_TRY: &str = "-0";
+const FIRST_ATTEMPT_SUFFIX: &str = "-0";
 
 /// The recovery of a fleet: its service before the kill, and the time until it was back in full service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -43,7 +44,7 @@
     took_ms: f64,
 }
 
-struct FirstTry {
+struct FirstAttempt {
     at: u64,
     satisfied: bool,
 }
@@ -51,7 +52,7 @@
 /// The answers and first attempts of a run as clients recorded them.
 struct ClientView {
     answers: Vec<Answer>,
-    first_tries: Vec<FirstTry>,
+    first_attempts: Vec<FirstAttempt>,
 }
 
 /// The service over a window of time.
@@ -64,35 +65,35 @@
 impl Service {
     /// Returns whether the service is as good as before, within the tolerances.
     fn is_full(self, before: Self) -> bool {
-        let rate_holds = self.satisfied_per_s >= before.satisfied_per_s * (1.0 - TOLERANCE);
-        rate_holds && self.p99_ms <= before.p99_ms * (1.0 + TOLERANCE) + TIMER_TOLERANCE_MS
+        let rate_holds = self.satisfied_per_s >= before.satisfied_per_s * (1.0 - RELATIVE_TOLERANCE);
+        rate_holds && self.p99_ms <= before.p99_ms * (1.0 + RELATIVE_TOLERANCE) + TIMER_TOLERANCE_MS
     }
 }
 
 impl ClientView {
     fn of(lines: &[Line]) -> Self {
         let mut asked: HashMap<&str, u64> = HashMap::new();
-        let mut first_tries: HashMap<&str, FirstTry> = HashMap::new();
+        let mut first_attempts: HashMap<&str, FirstAttempt> = HashMap::new();
         let mut answers = Vec::new();
         for line in lines {
             match &line.what {
                 HistoryEvent::Asked { id, .. } => {
                     asked.insert(id, line.at);
-                    if id.ends_with(FIRST_TRY) {
-                        first_tries.insert(id, FirstTry { at: line.at, satisfied: false });
+                    if id.ends_with(FIRST_ATTEMPT_SUFFIX) {
+                        first_attempts.insert(id, FirstAttempt { at: line.at, satisfied: false });
                     }
                 }
                 HistoryEvent::Told { id, status: 200 } => {
                     let from = asked.get(id.as_str()).copied().unwrap_or(line.at);
                     answers.push(Answer { at: line.at, took_ms: (line.at - from) as f64 / NANOS_PER_MS });
-                    if let Some(first) = first_tries.get_mut(id.as_str()) {
+                    if let Some(first) = first_attempts.get_mut(id.as_str()) {
                         first.satisfied = true;
                     }
                 }
                 _ => {}
             }
         }
-        Self { answers, first_tries: first_tries.into_values().collect() }
+        Self { answers, first_attempts: first_attempts.into_values().collect() }
     }
 
     /// Returns the service from one time up to another.
@@ -109,8 +110,8 @@
 
     /// Returns the number of unsatisfied first attempts from one time up to another.
     fn missed(&self, from: u64, to: u64) -> usize {
-        let missed = |first: &&FirstTry| !first.satisfied && (from..to).contains(&first.at);
-        self.first_tries.iter().filter(missed).count()
+        let missed = |first: &&FirstAttempt| !first.satisfied && (from..to).contains(&first.at);
+        self.first_attempts.iter().filter(missed).count()
     }
 }
 
@@ -132,10 +133,11 @@
         // A start step is completed when all processes that it started listen.
         let up = self.steps_done_at.iter().copied().filter(|at| *at >= started).min().unwrap_or(started);
         let view = ClientView::of(&self.lines);
-        let before = view.service(killed.saturating_sub(WINDOW).max(self.load_began_at), killed);
+        let before = view.service(killed.saturating_sub(WINDOW_NS).max(self.load_began_at), killed);
         let end = view.answers.last()?.at;
-        let mut windows = (0..).map(|step| up + step * WINDOW_STEP).take_while(|from| from + WINDOW <= end);
-        let full_from = windows.find(|from| view.service(*from, from + WINDOW).is_full(before));
+        let mut windows =
+            (0..).map(|step| up + step * WINDOW_STEP_NS).take_while(|from| from + WINDOW_NS <= end);
+        let full_from = windows.find(|from| view.service(*from, from + WINDOW_NS).is_full(before));
         let missed = view.missed(killed, full_from.unwrap_or(end));
         let (peak, steady) = self.connections_around(killed);
         Some(Recovery {
--- a/crates/rig/src/run/seconds.rs
+++ b/crates/rig/src/run/seconds.rs
@@ -13,7 +13,7 @@
 /// The interval at which counters are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The number of seconds after which nothing is counted.
+/// The number of seconds from the start of the load after which nothing is counted.
 const MAX_SECONDS: usize = 3600;
 
 const NANOS_PER_S: u64 = 1_000_000_000;
@@ -87,14 +87,15 @@
 
 /// The counts of each second from the start of the load up to the last event.
 struct Seconds {
-    began: u64,
+    /// The start of the load.
+    load_began_at: u64,
     seconds: Vec<Second>,
 }
 
 impl Seconds {
     /// Applies `add` to the counts of the second that contains a time.
     fn count(&mut self, at: u64, add: impl FnOnce(&mut Second)) {
-        let index = (at.saturating_sub(self.began) / NANOS_PER_S) as usize;
+        let index = (at.saturating_sub(self.load_began_at) / NANOS_PER_S) as usize;
         if index >= MAX_SECONDS {
             return;
         }
@@ -104,18 +105,18 @@
         add(&mut self.seconds[index]);
     }
 
-    fn count_lines(&mut self, lines: &[Line], late_after: u64) {
+    fn count_lines(&mut self, lines: &[Line], late_after_ns: u64) {
         let mut asked: HashMap<&str, u64> = HashMap::new();
-        let began = self.began;
-        for line in lines.iter().filter(|line| line.at >= began) {
+        let load_began_at = self.load_began_at;
+        for line in lines.iter().filter(|line| line.at >= load_began_at) {
             match &line.what {
                 HistoryEvent::Asked { id, .. } => {
                     asked.insert(id, line.at);
                     self.count(line.at, |s| s.asked += 1);
                 }
                 HistoryEvent::Told { id, status } => {
-                    let took = asked.get(id.as_str()).map_or(0, |from| line.at - from);
-                    self.count(line.at, |s| count_answer(s, *status, took > late_after));
+                    let took_ns = asked.get(id.as_str()).map_or(0, |from| line.at - from);
+                    self.count(line.at, |s| count_answer(s, *status, took_ns > late_after_ns));
                 }
                 HistoryEvent::Unknown { .. } => self.count(line.at, |s| s.unknown += 1),
                 HistoryEvent::Unsent { .. } => self.count(line.at, |s| s.unsent += 1),
@@ -149,10 +150,15 @@
     }
 }
 
-/// Returns the counts of each second from `began` on. `late_after` is in nanoseconds.
-pub(super) fn per_second(lines: &[Line], samples: &[Sample], began: u64, late_after: u64) -> Vec<Second> {
-    let mut seconds = Seconds { began, seconds: Vec::new() };
-    seconds.count_lines(lines, late_after);
+/// Returns the counts of each second from the start of the load. An answer is late after `late_after_ns`.
+pub(super) fn per_second(
+    lines: &[Line],
+    samples: &[Sample],
+    load_began_at: u64,
+    late_after_ns: u64,
+) -> Vec<Second> {
+    let mut seconds = Seconds { load_began_at, seconds: Vec::new() };
+    seconds.count_lines(lines, late_after_ns);
     seconds.count_samples(samples);
     seconds.seconds
 }
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -22,17 +22,17 @@
 use crate::process::Process;
 use crate::stand_ins::StandInFleet;
 
-/// The time in seconds for which nodes remember submissions.
-const REMEMBER_S: u64 = 600;
+/// The time in seconds for which nodes store the outcomes of submissions.
+const OUTCOME_RETENTION_S: u64 = 600;
 
-/// Coordinators hold leadership for a lease divided by this, but for at least [`MIN_HOLD_MS`].
-const LEASES_PER_HOLD: u64 = 4;
+/// The time for which a coordinator holds leadership is a lease divided by this, but at least [`MIN_HOLD_MS`].
+const HOLDS_PER_LEASE: u64 = 4;
 const MIN_HOLD_MS: u64 = 100;
 
 /// The number of the initial policy of a fleet.
 const FIRST_POLICY: u64 = 1;
 
-/// Returns the scenario of the stand-ins for a plan.
+/// Returns the scenario that the stand-ins of a plan follow.
 #[must_use]
 pub fn scenario(plan: &Plan) -> Scenario {
     let product = |name: &str, repeats| Product {
@@ -81,19 +81,19 @@
         folder: &Path,
         history: Sender<Line>,
     ) -> io::Result<Self> {
-        let fleet = StandInFleet::start_observed(&scenario(plan), Some(observer(&history, "executors")))?;
+        let stand_ins = StandInFleet::start_observed(&scenario(plan), Some(observer(&history, "executors")))?;
         let mut rig = Self {
             plan,
             program: program.to_owned(),
             folder: folder.to_owned(),
             fleet_name: unique_fleet_name(),
-            first_policy: fleet.configuration("any", 1)["settings"].clone(),
-            fleet,
+            first_policy: stand_ins.configuration("any", 1)["settings"].clone(),
+            stand_ins,
             links: BTreeMap::new(),
             processes: BTreeMap::new(),
             addresses: HashMap::new(),
             observations: Arc::default(),
-            tails: LogTails::default(),
+            log_tails: LogTails::default(),
             opened: Arc::default(),
             history,
             operators: Vec::new(),
@@ -109,15 +109,17 @@
         Ok(rig)
     }
 
+    /// Opens all links of the plan. Links to executors lead to the stand-ins; the others get their targets later.
     fn open_links(&mut self) -> io::Result<()> {
         for name in self.plan.link_names() {
             let framed = leads_to(&name, |end| end.starts_with('c'));
             let observations: Arc<Observations> = Arc::clone(&self.observations);
-            let observer = move |link: &str, side, kind| observations.frame_passed(link, side, kind);
+            let observer =
+                move |link: &str, direction, kind| observations.frame_passed(link, direction, kind);
             let link = Link::open(&name, framed, Arc::new(observer))?;
             self.links.insert(name, Arc::new(link));
         }
-        for (number, address) in self.fleet.executors.iter().enumerate() {
+        for (number, address) in self.stand_ins.executors.iter().enumerate() {
             for node in 0..self.plan.nodes {
                 self.links[&format!("n{node}>e{number}")].set_target(Some(*address));
             }
@@ -125,6 +127,7 @@
         Ok(())
     }
 
+    /// Creates a node's process with its configuration files, and its store if the plan has stores.
     fn set_up_node(&mut self, number: usize) -> io::Result<()> {
         let plan = self.plan;
         let name = format!("n{number}");
@@ -133,11 +136,11 @@
         let file = self.node_file(&name, number)?;
         write_file(&mut process, "PROXY_CONFIG", "node.json", &file.to_string())?;
         if plan.store {
-            let store = store_of(&process);
+            let store = outcome_store_of(&process);
             let content = json!({"store": {"folder": store, "same-by": "idempotency-key",
-                "remember-s": REMEMBER_S}});
+                "remember-s": OUTCOME_RETENTION_S}});
             write_toml(&mut process, "PROXY_STORE", "store.toml", &content)?;
-            self.init_store(&store, Earlier::None)?;
+            self.init_store(&store, EarlierStore::None)?;
         }
         if plan.peers {
             let ask = self.peer_addresses(number);
@@ -166,8 +169,8 @@
         let link_to = |executor| self.links[&format!("{name}>e{executor}")].address;
         let executors: Vec<SocketAddr> = (0..self.plan.executors).map(link_to).collect();
         let discovery = &self.links[&format!("{name}>d")];
-        discovery.set_target(Some(self.fleet.discovery_with(&executors)?));
-        let mut file = self.fleet.configuration(name, number as u64 + 1);
+        discovery.set_target(Some(self.stand_ins.discovery_with(&executors)?));
+        let mut file = self.stand_ins.configuration(name, number as u64 + 1);
         file["discovery"] = json!(discovery.address.to_string());
         Ok(file)
     }
@@ -185,6 +188,7 @@
         (0..self.plan.coordinators).map(|number| address(number).unwrap_or_default()).collect()
     }
 
+    /// Creates a coordinator's process with its configuration file.
     fn set_up_coordinator(&mut self, number: usize) -> io::Result<()> {
         let name = format!("c{number}");
         let folder = self.folder.join(&name);
@@ -198,7 +202,7 @@
         let lease_ms = self.plan.lease_ms;
         let content = json!({"coordinator": {"fleet": self.fleet_name, "number": number, "listen": "127.0.0.1:0",
             "peers": self.coordinators_for(&name), "folder": process.store_folder(), "first-policy": first_policy,
-            "lease-ms": lease_ms, "hold-ms": (lease_ms / LEASES_PER_HOLD).max(MIN_HOLD_MS),
+            "lease-ms": lease_ms, "hold-ms": (lease_ms / HOLDS_PER_LEASE).max(MIN_HOLD_MS),
             "history": folder.join("history")}});
         fs::write(&path, toml::to_string(&content).map_err(io::Error::other)?)?;
         self.processes.insert(name, process);
@@ -206,9 +210,9 @@
     }
 
     /// Creates a node's store, as an operator does.
-    pub(super) fn init_store(&self, folder: &Path, earlier: Earlier) -> io::Result<()> {
+    pub(super) fn init_store(&self, folder: &Path, earlier: EarlierStore) -> io::Result<()> {
         let mut command = Command::new(&self.program);
-        command.args(["store", "init"]).args((earlier == Earlier::Lost).then_some("--lost")).arg(folder);
+        command.args(["store", "init"]).args((earlier == EarlierStore::Lost).then_some("--lost")).arg(folder);
         let output = command.output()?;
         if output.status.success() {
             return Ok(());
@@ -233,14 +237,14 @@
 
 /// Whether there was a store before the one that is created.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Earlier {
+pub(super) enum EarlierStore {
     None,
     /// An earlier store, which is lost.
     Lost,
 }
 
-/// Returns the folder of a node's embedded store.
-pub(super) fn store_of(process: &Process) -> PathBuf {
+/// Returns the folder of a node's store of outcomes.
+pub(super) fn outcome_store_of(process: &Process) -> PathBuf {
     process.store_folder().join("kept")
 }
 
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -12,24 +12,24 @@
 use crate::plan::{Step, name_matches};
 use crate::process::PROCESS_TIMEOUT;
 
-/// The log message of a node without coordinators that adopts other settings.
-const SETTINGS_TAKEN_OVER: &str = "settings taken over";
+/// The log message of a node without coordinators when it adopts other settings.
+const SETTINGS_ADOPTED_MESSAGE: &str = "settings taken over";
 
 impl Rig<'_> {
     /// Carries out all steps, continues the load for the plan's tail, and returns the time at which each step was
     /// completed.
-    pub(super) fn play_steps(&mut self) -> io::Result<Vec<u64>> {
+    pub(super) fn run_steps(&mut self) -> io::Result<Vec<u64>> {
         let plan = self.plan;
-        let mut done = Vec::new();
+        let mut done_at = Vec::new();
         for step in &plan.steps {
             self.wait_for(step)?;
             let result = self.carry_out(step);
             self.observations.step_done();
             result?;
-            done.push(monotonic());
+            done_at.push(monotonic());
         }
         self.observe_for(Duration::from_millis(plan.tail_ms))?;
-        Ok(done)
+        Ok(done_at)
     }
 
     /// Waits for the event of a step, and then for its delay.
@@ -51,7 +51,10 @@
             }
             if begin.elapsed() > PROCESS_TIMEOUT {
                 let awaited = step.line.as_ref().or(step.log.as_ref()).or(step.frame.as_ref());
-                return Err(io::Error::other(format!("{:?} never came for {:?}", awaited, step.action)));
+                return Err(io::Error::other(format!(
+                    "the step {:?} waited in vain for {:?}",
+                    step.action, awaited
+                )));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -81,17 +84,18 @@
     fn count_connections(&self) {
         let opened = &self.opened;
         let counters = [(&opened.to_nodes, "n"), (&opened.to_executors, "e"), (&opened.to_coordinators, "c")];
-        for (counter, start) in counters {
-            let links = self.links.iter().filter(|(name, _)| leads_to(name, |end| end.starts_with(start)));
-            counter.store(links.map(|(_, link)| link.opened()).sum(), Ordering::Relaxed);
+        for (counter, prefix) in counters {
+            let links =
+                self.links.iter().filter(|(name, _)| leads_to(name, |target| target.starts_with(prefix)));
+            counter.store(links.map(|(_, link)| link.connections_made()).sum(), Ordering::Relaxed);
         }
     }
 
     fn read_log(&mut self, name: &str) -> io::Result<()> {
-        for text in self.tails.new_lines(&self.processes[name].log_file())? {
+        for text in self.log_tails.new_lines(&self.processes[name].log_file())? {
             // Nodes without coordinators have no history: only their log shows that they adopt other settings.
-            if self.plan.coordinators == 0 && text.contains(SETTINGS_TAKEN_OVER) {
-                self.write_active(name);
+            if self.plan.coordinators == 0 && text.contains(SETTINGS_ADOPTED_MESSAGE) {
+                self.record_active_policy(name);
             }
             let line = SeenLine { process: name.to_owned(), text };
             self.observations.with(|observed| observed.logs.push(line));
@@ -100,7 +104,7 @@
     }
 
     fn read_history(&mut self, name: &str) -> io::Result<()> {
-        for line in self.tails.new_lines(&self.processes[name].folder.join("history"))? {
+        for line in self.log_tails.new_lines(&self.processes[name].folder.join("history"))? {
             let line = SeenLine { process: name.to_owned(), text: kind_of(&line).to_owned() };
             self.observations.with(|observed| observed.history.push(line));
         }
@@ -108,9 +112,9 @@
     }
 
     /// Records in the history that a node applies the settings of its own file.
-    pub(super) fn write_active(&self, name: &str) {
+    pub(super) fn record_active_policy(&self, name: &str) {
         let version = self.file_policies.get(name).copied().unwrap_or(1);
-        self.write(name, HistoryEvent::Active { version, digest: 0 });
+        self.record(name, HistoryEvent::Active { version, digest: 0 });
     }
 }
 
--- a/crates/rig/src/stand_ins.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -16,24 +16,45 @@
 use crate::load::MAX_CLIENTS;
 use crate::lock;
 
-/// For each job that is not answered yet: the connection for its answer, and its id.
-type PendingAnswers = HashMap<JobId, (TcpStream, String)>;
+/// The longest time for which an executor's timer thread sleeps before it checks whether the stand-in stops.
+const MAX_TIMER_WAIT_NS: u64 = 100_000_000;
+/// The shortest time for which an executor's timer thread sleeps when no job is done.
+const MIN_TIMER_WAIT_NS: u64 = 20_000;
 
-/// The state of a stand-in executor, shared by the threads of its connections and of its timers.
+/// The longest time for which a watch of discovery sleeps before it writes an empty line, or stops.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// A job that is not answered yet.
+struct PendingAnswer {
+    /// The connection for the answer.
+    socket: TcpStream,
+    /// The id of the request.
+    id: String,
+}
+
+/// The model of an executor, and the answers that it owes.
+struct ExecutorState {
+    model: ExecutorModel,
+    pending: HashMap<JobId, PendingAnswer>,
+}
+
+/// A stand-in executor, shared by the threads of its connections and its timer thread.
 struct Executor {
-    model: Mutex<(ExecutorModel, PendingAnswers)>,
+    state: Mutex<ExecutorState>,
+    /// Notified when a job was offered or cancelled, or a fault changed.
     changed: Condvar,
-    next_ticket: AtomicU64,
+    next_job: AtomicU64,
     start: Instant,
     stop: Arc<AtomicBool>,
     observer: Option<Observer>,
 }
 
 /// Receives an event for each execution that an executor accepted, for each that it dropped before it had begun, and
-/// for each that exceeded its cold capacity.
+/// for each that overloaded it while it was cold.
 pub type Observer = Arc<dyn Fn(HistoryEvent) + Send + Sync>;
 
 impl Executor {
+    /// Returns the time in nanoseconds on the clock of the model, which is never 0.
     fn now(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64 + 1
     }
@@ -47,7 +68,7 @@
         })
     }
 
-    /// Returns a whole answer with the state of a job.
+    /// Returns the text of an HTTP response with the state of a job.
     fn answer(model: &mut ExecutorModel, now: u64, id: &str, state: &str) -> String {
         let load = Self::load(model, now);
         let load = if load.is_empty() { load } else { format!(",\"load\":{load}") };
@@ -60,18 +81,19 @@
     /// Answers jobs when they are done, until the stand-in stops.
     fn run_timers(&self) {
         while !self.stop.load(Ordering::Relaxed) {
-            let mut guard = lock(&self.model);
+            let mut guard = lock(&self.state);
             let now = self.now();
-            let (done, next) = guard.0.advance(now);
+            let (done, next) = guard.model.advance(now);
             let mut answers = Vec::with_capacity(done.len());
-            for ticket in done {
-                if let Some((socket, id)) = guard.1.remove(&ticket) {
-                    let answer = Self::answer(&mut guard.0, now, &id, "done");
+            for job in done {
+                if let Some(PendingAnswer { socket, id }) = guard.pending.remove(&job) {
+                    let answer = Self::answer(&mut guard.model, now, &id, "done");
                     answers.push((socket, answer));
                 }
             }
             if answers.is_empty() {
-                let wait = next.map_or(100_000_000, |at| at.saturating_sub(now)).clamp(20_000, 100_000_000);
+                let wait = next.map_or(MAX_TIMER_WAIT_NS, |at| at.saturating_sub(now));
+                let wait = wait.clamp(MIN_TIMER_WAIT_NS, MAX_TIMER_WAIT_NS);
                 drop(self.changed.wait_timeout(guard, Duration::from_nanos(wait)));
             } else {
                 drop(guard);
@@ -82,13 +104,15 @@
         }
     }
 
+    /// Serves the requests of a connection one after the other. A job whose connection ends before its answer is
+    /// cancelled.
     fn serve(&self, socket: TcpStream) -> io::Result<()> {
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(PEER_TIMEOUT))?;
         socket.set_write_timeout(Some(PEER_TIMEOUT))?;
         let mut reader = BufReader::new(socket.try_clone()?);
         let mut socket = socket;
-        let mut pending = None;
+        let mut last_queued = None;
         let end = loop {
             let (head, body) = match read_message(&mut reader) {
                 Ok(Some(message)) => message,
@@ -96,9 +120,9 @@
                 Err(error) => break Err(error),
             };
             if head.starts_with("GET") {
-                let mut guard = lock(&self.model);
-                if guard.0.is_responsive() {
-                    let load = Self::load(&mut guard.0, self.now());
+                let mut guard = lock(&self.state);
+                if guard.model.is_responsive() {
+                    let load = Self::load(&mut guard.model, self.now());
                     drop(guard);
                     let length = load.len();
                     write!(socket, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{load}")?;
@@ -106,26 +130,26 @@
                 continue;
             }
             let id = header(&head, "req-id").unwrap_or("").to_owned();
-            let kind = header(&head, "req-kind").unwrap_or("").to_owned();
-            let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
-            let mut guard = lock(&self.model);
+            let product = header(&head, "req-kind").unwrap_or("").to_owned();
+            let job = self.next_job.fetch_add(1, Ordering::Relaxed);
+            let mut guard = lock(&self.state);
             let now = self.now();
-            let answer = match guard.0.offer(now, ticket, &kind) {
+            let answer = match guard.model.offer(now, job, &product) {
                 Offer::Queued => {
                     if let Some(observer) = &self.observer {
-                        let (executor, key) = (guard.0.name().to_owned(), String::from_utf8_lossy(&body));
-                        if guard.0.record_cold_job(now, &kind) {
+                        let (executor, key) = (guard.model.name().to_owned(), String::from_utf8_lossy(&body));
+                        if guard.model.record_cold_job(now, &product) {
                             observer(HistoryEvent::PushedOver { executor: executor.clone() });
                         }
                         observer(HistoryEvent::Took { id: id.clone(), key: key.into_owned(), executor });
                     }
-                    guard.1.insert(ticket, (socket.try_clone()?, id));
-                    pending = Some(ticket);
+                    guard.pending.insert(job, PendingAnswer { socket: socket.try_clone()?, id });
+                    last_queued = Some(job);
                     None
                 }
                 Offer::Lost => None,
-                Offer::Overloaded => Some(Self::answer(&mut guard.0, now, &id, "returned")),
-                Offer::Failed => Some(Self::answer(&mut guard.0, now, &id, "failed")),
+                Offer::Overloaded => Some(Self::answer(&mut guard.model, now, &id, "returned")),
+                Offer::Failed => Some(Self::answer(&mut guard.model, now, &id, "failed")),
             };
             drop(guard);
             match answer {
@@ -133,10 +157,10 @@
                 None => self.changed.notify_one(),
             }
         };
-        if let Some(ticket) = pending {
-            let mut guard = lock(&self.model);
-            if let Some((_, id)) = guard.1.remove(&ticket) {
-                let unbegun = guard.0.cancel(self.now(), ticket);
+        if let Some(job) = last_queued {
+            let mut guard = lock(&self.state);
+            if let Some(PendingAnswer { id, .. }) = guard.pending.remove(&job) {
+                let unbegun = guard.model.cancel(self.now(), job);
                 if let Some(observer) = self.observer.as_ref().filter(|_| unbegun) {
                     observer(HistoryEvent::Unbegun { id });
                 }
@@ -149,27 +173,27 @@
 
 /// Listens on a loopback port that the system chooses, and serves each connection in its own thread, at most
 /// [`MAX_CLIENTS`] at a time.
-fn accept(
+fn listen_and_serve(
     stop: &Arc<AtomicBool>,
     serve: impl Fn(TcpStream) -> io::Result<()> + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let (stop, serve, count) = (Arc::clone(stop), Arc::new(serve), Arc::new(AtomicU64::new(0)));
+    let (stop, serve, open) = (Arc::clone(stop), Arc::new(serve), Arc::new(AtomicU64::new(0)));
     std::thread::spawn(move || {
         for socket in listener.incoming() {
             if stop.load(Ordering::Relaxed) {
                 return;
             }
             let Ok(socket) = socket else { continue };
-            if count.fetch_add(1, Ordering::Relaxed) >= MAX_CLIENTS as u64 {
-                count.fetch_sub(1, Ordering::Relaxed);
+            if open.fetch_add(1, Ordering::Relaxed) >= MAX_CLIENTS as u64 {
+                open.fetch_sub(1, Ordering::Relaxed);
                 continue;
             }
-            let (serve, count) = (Arc::clone(&serve), Arc::clone(&count));
+            let (serve, open) = (Arc::clone(&serve), Arc::clone(&open));
             std::thread::spawn(move || {
                 let _ = serve(socket);
-                count.fetch_sub(1, Ordering::Relaxed);
+                open.fetch_sub(1, Ordering::Relaxed);
             });
         }
     });
@@ -178,68 +202,90 @@
 
 /// The stand-in executors and discovery of a scenario, which run on loopback until this is dropped.
 pub struct StandInFleet {
-    /// The address of the first discovery, whose list has the executors' own addresses.
+    /// The address of the first discovery server, whose list has the executors' own addresses.
     pub discovery: SocketAddr,
     /// The address of each executor.
     pub executors: Vec<SocketAddr>,
-    states: Vec<Arc<Executor>>,
+    stand_ins: Vec<Arc<Executor>>,
     scenario: Scenario,
     stop: Arc<AtomicBool>,
     executor_list: Arc<ExecutorList>,
-    /// The addresses of all discoveries.
+    /// The addresses of all discovery servers.
     discoveries: Mutex<Vec<SocketAddr>>,
     /// The number of requests for the list so far.
     pub list_calls: Arc<AtomicU64>,
 }
 
-/// The state of discovery: the current version, and each entry of the list with the version of its last change.
+/// The list of executors, shared by all discovery servers of a fleet.
 struct ExecutorList {
-    entries: Mutex<(u64, Vec<(u64, Value)>)>,
+    list: Mutex<VersionedList>,
+    /// Notified when the list changes.
     changed: Condvar,
-    /// The time that a request takes, and when the next one can begin: discovery serves requests one at a time.
-    request_queue: Mutex<(Duration, Instant)>,
+    request_queue: Mutex<RequestQueue>,
+}
+
+/// The entries of the list. Each change has a version of its own.
+struct VersionedList {
+    version: u64,
+    entries: Vec<VersionedEntry>,
+}
+
+/// An entry of the list, and the version of its last change.
+struct VersionedEntry {
+    version: u64,
+    /// The entry as discovery writes it, with the executor's own address.
+    json: Value,
 }
 
-/// A request that would wait longer is rejected with 503.
+/// Requests for the list, which are served one at a time.
+struct RequestQueue {
+    /// The time that each request takes.
+    service_time: Duration,
+    /// When the last waiting request will have been served.
+    free_at: Instant,
+}
+
+/// A request for the list that would have to wait longer for its turn is rejected with status 503.
 const MAX_QUEUE_DELAY: Duration = Duration::from_secs(1);
 
 impl ExecutorList {
-    /// Returns the current version and all entries that changed after the given one, with the addresses that the
-    /// node is to use.
-    fn since(&self, after: u64, addresses: &[SocketAddr]) -> (u64, Vec<Value>) {
-        let entries = lock(&self.entries);
-        let changed = entries.1.iter().zip(addresses).filter(|((at, _), _)| *at > after);
-        let visible = changed.map(|((_, entry), address)| {
-            let mut entry = entry.clone();
-            entry["address"] = json!(address.to_string());
-            entry
+    /// Returns the current version and all entries that changed after version `after`, with these addresses in place
+    /// of the executors' own.
+    fn changes_after(&self, after: u64, addresses: &[SocketAddr]) -> (u64, Vec<Value>) {
+        let list = lock(&self.list);
+        let changed = list.entries.iter().zip(addresses).filter(|(entry, _)| entry.version > after);
+        let with_addresses = changed.map(|(entry, address)| {
+            let mut json = entry.json.clone();
+            json["address"] = json!(address.to_string());
+            json
         });
-        (entries.0, visible.collect())
+        (list.version, with_addresses.collect())
     }
 
-    /// Changes an entry under a new version and wakes the watches.
-    fn change(&self, place: usize, change: impl FnOnce(&mut Value)) {
-        let mut entries = lock(&self.entries);
-        entries.0 += 1;
-        let version = entries.0;
-        if let Some(line) = entries.1.get_mut(place) {
-            change(&mut line.1);
-            line.0 = version;
+    /// Changes the entry of an executor under a new version and wakes the watches.
+    fn change(&self, executor: usize, change: impl FnOnce(&mut Value)) {
+        let mut list = lock(&self.list);
+        list.version += 1;
+        let version = list.version;
+        if let Some(entry) = list.entries.get_mut(executor) {
+            change(&mut entry.json);
+            entry.version = version;
         }
-        drop(entries);
+        drop(list);
         self.changed.notify_all();
     }
 
-    /// Waits until a request has been served. Returns false if it would have to wait too long for its turn.
-    fn wait_for_turn(&self) -> bool {
+    /// Waits for the turn of a request, and for the time that it takes. Returns false at once if its turn would come
+    /// too late.
+    fn wait_until_served(&self) -> bool {
         let mut queue = lock(&self.request_queue);
-        let at = queue.1.max(Instant::now());
-        let wait = at.saturating_duration_since(Instant::now());
+        let begins_at = queue.free_at.max(Instant::now());
+        let wait = begins_at.saturating_duration_since(Instant::now());
         if wait > MAX_QUEUE_DELAY {
             return false;
         }
-        queue.1 = at + queue.0;
-        let wait = wait + queue.0;
+        queue.free_at = begins_at + queue.service_time;
+        let wait = wait + queue.service_time;
         drop(queue);
         std::thread::sleep(wait);
         true
@@ -274,39 +320,43 @@
     pub fn start_observed(scenario: &Scenario, observer: Option<Observer>) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let count: u32 = scenario.executors.iter().map(|e| e.count).sum();
-        let (mut states, mut executors, mut endpoints) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut stand_ins, mut executors, mut endpoints) = (Vec::new(), Vec::new(), Vec::new());
         for index in 0..count as usize {
             let model = ExecutorModel::new(scenario, index);
             let entry = json!({"name": model.name(), "zone": format!("z{}", model.zone()), "type": model.kind(),
                 "group": model.group(), "status": "active", "weight": 1.0, "since_ms": 0});
             let executor = Arc::new(Executor {
-                model: Mutex::new((model, HashMap::new())),
+                state: Mutex::new(ExecutorState { model, pending: HashMap::new() }),
                 changed: Condvar::new(),
-                next_ticket: AtomicU64::new(1),
+                next_job: AtomicU64::new(1),
                 start: Instant::now(),
                 stop: Arc::clone(&stop),
                 observer: observer.clone(),
             });
             let serving = Arc::clone(&executor);
-            let address = accept(&stop, move |socket| serving.serve(socket))?;
+            let address = listen_and_serve(&stop, move |socket| serving.serve(socket))?;
             let timed = Arc::clone(&executor);
             std::thread::spawn(move || timed.run_timers());
             let mut entry = entry;
             entry["address"] = json!(address.to_string());
             endpoints.push(entry);
             executors.push(address);
-            states.push(executor);
+            stand_ins.push(executor);
         }
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let first_version = |json: Value| VersionedEntry { version: 1, json };
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         let executor_list = ExecutorList {
-            entries: Mutex::new((1, endpoints.into_iter().map(|entry| (1, entry)).collect())),
+            list: Mutex::new(VersionedList {
+                version: 1,
+                entries: endpoints.into_iter().map(first_version).collect(),
+            }),
             changed: Condvar::new(),
-            request_queue: Mutex::new((Duration::ZERO, Instant::now())),
+            request_queue: Mutex::new(RequestQueue { service_time: Duration::ZERO, free_at: Instant::now() }),
         };
         let mut fleet = Self {
-            discovery: nowhere,
+            discovery: unset,
             executors,
-            states,
+            stand_ins,
             scenario: scenario.clone(),
             stop,
             executor_list: Arc::new(executor_list),
@@ -317,7 +367,7 @@
         Ok(fleet)
     }
 
-    /// Starts a discovery whose list has these addresses in place of the executors' own, and returns its address.
+    /// Starts a discovery server whose list has these addresses in place of the executors' own. Returns its address.
     ///
     /// # Errors
     ///
@@ -326,20 +376,20 @@
         let (executor_list, addresses) = (Arc::clone(&self.executor_list), addresses.to_vec());
         let stop = Arc::clone(&self.stop);
         let calls = Arc::clone(&self.list_calls);
-        let discovery = accept(&self.stop, move |socket| {
+        let discovery = listen_and_serve(&self.stop, move |socket| {
             socket.set_read_timeout(Some(PEER_TIMEOUT))?;
             let mut reader = BufReader::new(socket.try_clone()?);
             let mut socket = socket;
             while let Some((head, _)) = read_message(&mut reader)? {
                 calls.fetch_add(1, Ordering::Relaxed);
-                if !executor_list.wait_for_turn() {
+                if !executor_list.wait_until_served() {
                     socket
                         .write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")?;
                     break;
                 }
                 let after =
                     head.split_once("&after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
-                let (mut version, entries) = executor_list.since(after.unwrap_or(0), &addresses);
+                let (mut version, entries) = executor_list.changes_after(after.unwrap_or(0), &addresses);
                 let message = |version: u64, whole: bool, entries: Vec<Value>| {
                     json!({"index": version, "snapshot": whole, "endpoints": entries}).to_string()
                 };
@@ -355,13 +405,13 @@
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{first}\n\r\n"
                 )?;
                 while !stop.load(Ordering::Relaxed) {
-                    let current = lock(&executor_list.entries);
-                    if current.0 == version {
-                        drop(executor_list.changed.wait_timeout(current, Duration::from_secs(1)));
+                    let current = lock(&executor_list.list);
+                    if current.version == version {
+                        drop(executor_list.changed.wait_timeout(current, HEARTBEAT_INTERVAL));
                     } else {
                         drop(current);
                     }
-                    let (newer, entries) = executor_list.since(version, &addresses);
+                    let (newer, entries) = executor_list.changes_after(version, &addresses);
                     version = newer;
                     let line =
                         if entries.is_empty() { String::new() } else { message(version, false, entries) };
@@ -376,63 +426,65 @@
 
     /// Sets the time that discovery takes for each request for the list. Requests are served one at a time.
     pub fn set_list_delay(&self, delay: Duration) {
-        lock(&self.executor_list.request_queue).0 = delay;
+        lock(&self.executor_list.request_queue).service_time = delay;
     }
 
     /// Replaces an executor's process by a cold one without active jobs. Connections over a proxied link are left for
     /// the caller to break.
-    pub fn replace_executor(&self, place: usize) {
-        let Some(executor) = self.states.get(place) else { return };
-        let mut guard = lock(&executor.model);
-        let mut model = ExecutorModel::new(&self.scenario, place);
+    pub fn replace_executor(&self, index: usize) {
+        let Some(executor) = self.stand_ins.get(index) else { return };
+        let mut guard = lock(&executor.state);
+        let mut model = ExecutorModel::new(&self.scenario, index);
         model.mark_started(executor.now());
-        guard.0 = model;
-        for (socket, _) in guard.1.drain().map(|(_, pending)| pending) {
+        guard.model = model;
+        for PendingAnswer { socket, .. } in guard.pending.drain().map(|(_, pending)| pending) {
             let _ = socket.shutdown(std::net::Shutdown::Both);
         }
         drop(guard);
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        self.executor_list.change(place, |line| line["since_ms"] = json!(unix.as_secs_f64() * 1e3));
+        let since_epoch =
+            std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        self.executor_list.change(index, |entry| entry["since_ms"] = json!(since_epoch.as_secs_f64() * 1e3));
     }
 
     /// Sets the status that discovery reports for an executor: `active`, `draining` or `left`.
-    pub fn set_status(&self, place: usize, status: &str) {
-        self.executor_list.change(place, |line| line["status"] = json!(status));
+    pub fn set_status(&self, index: usize, status: &str) {
+        self.executor_list.change(index, |entry| entry["status"] = json!(status));
     }
 
     /// Begins or ends a fault at one executor.
-    pub fn set_executor_fault(&self, place: usize, kind: linestack_world::Fault, size: f64, begins: bool) {
-        let Some(executor) = self.states.get(place) else { return };
+    pub fn set_executor_fault(&self, index: usize, kind: linestack_world::Fault, size: f64, begins: bool) {
+        let Some(executor) = self.stand_ins.get(index) else { return };
         let now = executor.now();
-        lock(&executor.model).0.set_fault(now, kind, size, begins);
+        lock(&executor.state).model.set_fault(now, kind, size, begins);
         executor.changed.notify_one();
     }
 
     /// Begins or ends a fault at the first executors that make up its share of the fleet. Returns their number.
-    pub fn set_fault(&self, t: &FaultSpec, begins: bool) -> usize {
-        let count = ((self.states.len() as f64 * t.part).round() as usize).clamp(1, self.states.len());
-        (0..count).for_each(|place| self.set_executor_fault(place, t.kind, t.size, begins));
+    pub fn set_fault(&self, fault: &FaultSpec, begins: bool) -> usize {
+        let count =
+            ((self.stand_ins.len() as f64 * fault.part).round() as usize).clamp(1, self.stand_ins.len());
+        (0..count).for_each(|index| self.set_executor_fault(index, fault.kind, fault.size, begins));
         count
     }
 
-    /// Carries out the scenario's faults at their times, counted from now.
+    /// Begins and ends the scenario's faults at their times, counted from now, in threads of their own.
     pub fn run_faults(self: &Arc<Self>) {
-        for t in self.scenario.faults.clone() {
+        for fault in self.scenario.faults.clone() {
             let fleet = Arc::clone(self);
             std::thread::spawn(move || {
-                std::thread::sleep(Duration::from_secs_f64(t.at_s));
-                fleet.set_fault(&t, true);
-                std::thread::sleep(Duration::from_secs_f64(t.for_s));
-                fleet.set_fault(&t, false);
+                std::thread::sleep(Duration::from_secs_f64(fault.at_s));
+                fleet.set_fault(&fault, true);
+                std::thread::sleep(Duration::from_secs_f64(fault.for_s));
+                fleet.set_fault(&fault, false);
             });
         }
     }
 
-    /// Returns the configuration file of a node.
+    /// Returns the content of a node's configuration file. `seed` is the seed of its dispatch decisions.
     #[must_use]
     pub fn configuration(&self, name: &str, seed: u64) -> Value {
         let s = &self.scenario;
-        let effect = |r: RepeatPolicy| match r {
+        let effect = |policy: RepeatPolicy| match policy {
             RepeatPolicy::Idempotent => "pure",
             RepeatPolicy::Stamped => "token",
             RepeatPolicy::OneShot => "side_effect",
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,5 @@
-//! One simulated node: a dispatcher, and the maps between the ids in the simulator's protocol and the dispatcher's indices.
+//! One simulated node: a dispatcher, and the maps between the ids in the simulator's protocol and the
+//! dispatcher's indices.
 
 use std::collections::HashMap;
 
