--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -13,14 +13,16 @@
 
 use crate::history::{ClientConnectionId, Event, MissingAnswer, Recorder};
 use crate::network::{has_bytes, is_closed, reset};
-use crate::nodes::NodeDirectory;
+use crate::nodes::{ChosenNode, NodeDirectory};
 use crate::settings::{Class, RunSettings, TENANT};
 
 /// How long after its deadline a client still waits for an answer before it records silence.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// A reused connection that is closed this soon after a request was being closed as the request arrived.
-const CLOSE_RACE: Duration = Duration::from_millis(150);
+/// A reused connection that is closed this soon after a request counts as closed before the request was read.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(150);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The share of requests before which the client moves to another node.
+const MOVE_SHARE: f64 = 0.05;
 /// The share of requests whose client disconnects before the answer.
 const LEAVE_SHARE: f64 = 0.06;
 /// The share of sends that pipeline several requests.
@@ -54,16 +56,18 @@
     number: usize,
     rng: Pcg64Mcg,
     context: Arc<ClientContext>,
-    count: u64,
-    open: Option<Open>,
+    /// The number of requests that it has made.
+    request_count: u64,
+    open: Option<OpenConnection>,
 }
 
 /// An open connection to a node.
-struct Open {
+struct OpenConnection {
     reader: BufReader<TcpStream>,
     node: usize,
     life: u64,
     client_connection: ClientConnectionId,
+    /// Whether an answer has arrived on it.
     used: bool,
 }
 
@@ -73,9 +77,15 @@
     text: String,
 }
 
+/// What a client receives for a request.
 enum Answer {
-    Complete { status: u16, result: String, closes: bool },
-    Ended,
+    /// `closes` says that the node closes the connection after it.
+    Complete {
+        status: u16,
+        result: String,
+        closes: bool,
+    },
+    Closed,
     Silence,
     Garbled,
 }
@@ -85,7 +95,7 @@
     #[must_use]
     pub fn new(number: usize, seed: u64, context: Arc<ClientContext>) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64) << 20);
-        Self { number, rng, context, count: 0, open: None }
+        Self { number, rng, context, request_count: 0, open: None }
     }
 
     /// Sends requests at this average interval until the run is over.
@@ -105,10 +115,11 @@
         }
     }
 
-    fn request(&mut self) -> Request {
-        self.count += 1;
+    /// Makes a request of a random class.
+    fn next_request(&mut self) -> Request {
+        self.request_count += 1;
         let class = Class::ALL[self.rng.random_range(0..Class::ALL.len())];
-        let id = format!("{:x}-{:x}", self.number, self.count);
+        let id = format!("{:x}-{:x}", self.number, self.request_count);
         let (deadline, name) = (self.context.settings.deadline_ms, class.name());
         let length = id.len() + 2;
         let text = format!(
@@ -118,8 +129,9 @@
         Request { id, class, text }
     }
 
-    /// Returns a writable connection, or none if no node accepts one now.
-    fn connection(&mut self) -> Option<&mut Open> {
+    /// Returns the open connection, or a new one if it is closed or the client moves to another node. Returns none if no
+    /// node accepts a connection.
+    fn connection(&mut self) -> Option<&mut OpenConnection> {
         if self.open.as_ref().is_some_and(|open| is_closed(open.reader.get_ref())) {
             self.open = None;
         }
@@ -129,8 +141,7 @@
                 .record(Event::UnexpectedBytes { client_connection: open.client_connection });
             self.open = None;
         }
-        // Now and then a client moves to another node.
-        if self.rng.random_bool(0.05) {
+        if self.rng.random_bool(MOVE_SHARE) {
             self.open = None;
         }
         if self.open.is_none() {
@@ -139,18 +150,18 @@
         self.open.as_mut()
     }
 
-    fn connect(&mut self) -> io::Result<Open> {
-        let choice: f64 = self.rng.random();
-        let none = || io::Error::other("no node takes clients");
-        let (node, life, address) = self.context.directory.choose(choice).ok_or_else(none)?;
+    fn connect(&mut self) -> io::Result<OpenConnection> {
+        let point: f64 = self.rng.random();
+        let no_node = || io::Error::other("no node accepts clients");
+        let ChosenNode { node, life, address } = self.context.directory.choose(point).ok_or_else(no_node)?;
         let socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         socket.set_nodelay(true)?;
         socket.set_write_timeout(Some(ANSWER_TIMEOUT))?;
         let client_connection = next_client_connection();
-        Ok(Open { reader: BufReader::new(socket), node, life, client_connection, used: false })
+        Ok(OpenConnection { reader: BufReader::new(socket), node, life, client_connection, used: false })
     }
 
-    fn record_sent(&self, request: &Request, open: &Open, behind: usize) {
+    fn record_sent(&self, request: &Request, open: &OpenConnection, behind: usize) {
         self.context.recorder.record(Event::RequestSent {
             id: request.id.clone(),
             node: open.node,
@@ -165,7 +176,7 @@
 
     /// Sends one request and waits for its answer, or disconnects if `leaves`.
     fn send(&mut self, leaves: bool) {
-        let request = self.request();
+        let request = self.next_request();
         loop {
             if self.connection().is_none() {
                 return;
@@ -180,9 +191,9 @@
                 return self.leave(&request, &open);
             }
             let answer = read_answer(&mut open.reader, self.answer_timeout());
-            let closed =
-                matches!(answer, Answer::Ended) && self.context.directory.is_alive(open.node, open.life);
-            let close_race = reused && closed && sent_at.elapsed() < CLOSE_RACE;
+            let node_closed =
+                matches!(answer, Answer::Closed) && self.context.directory.is_alive(open.node, open.life);
+            let close_race = reused && node_closed && sent_at.elapsed() < CLOSE_RACE_WINDOW;
             if close_race && !self.context.finished.load(Ordering::Relaxed) {
                 // The request is sent again on a new connection.
                 continue;
@@ -199,7 +210,7 @@
         Duration::from_millis(self.context.settings.deadline_ms) + ANSWER_TIMEOUT
     }
 
-    fn leave(&mut self, request: &Request, open: &Open) {
+    fn leave(&mut self, request: &Request, open: &OpenConnection) {
         let deadline = Duration::from_millis(self.context.settings.deadline_ms);
         std::thread::sleep(deadline.mul_f64(self.rng.random_range(0.0..0.5)));
         self.context.recorder.record(Event::ClientLeft { id: request.id.clone() });
@@ -215,7 +226,7 @@
             Answer::Complete { status, result, .. } => {
                 Event::Answered { id, status: *status, result: result.clone() }
             }
-            Answer::Ended => Event::Unanswered { id, how: MissingAnswer::Closed },
+            Answer::Closed => Event::Unanswered { id, how: MissingAnswer::Closed },
             Answer::Silence => Event::Unanswered { id, how: MissingAnswer::Silence },
             Answer::Garbled => Event::Unanswered { id, how: MissingAnswer::Garbled },
         };
@@ -225,7 +236,7 @@
 
     /// Sends several requests at once and waits for all answers, in their order.
     fn send_pipelined(&mut self, count: usize) {
-        let requests: Vec<Request> = (0..count).map(|_| self.request()).collect();
+        let requests: Vec<Request> = (0..count).map(|_| self.next_request()).collect();
         if self.connection().is_none() {
             return;
         }
@@ -266,11 +277,11 @@
                 _ => Answer::Garbled,
             }
         }
-        Ok(None) => Answer::Ended,
+        Ok(None) => Answer::Closed,
         Err(e) => match e.kind() {
             io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => Answer::Silence,
             io::ErrorKind::Other => Answer::Garbled,
-            _ => Answer::Ended,
+            _ => Answer::Closed,
         },
     }
 }
--- a/crates/soak/src/crowd.rs
+++ b/crates/soak/src/crowd.rs
@@ -53,28 +53,29 @@
     /// Opens the connections of a crowd and holds them for a span.
     pub fn hold(self, crowd: CrowdSize, span: Duration) {
         let runner = Arc::new(self);
-        let mut kept = Vec::new();
+        let mut held = Vec::new();
         let mut watchers = Vec::new();
         for number in 0..crowd.half + crowd.unread + crowd.idle {
+            let reads_half = number >= crowd.half && number < crowd.half + crowd.unread;
             // A client that gets no connection or no answer is left out.
-            let Ok(client) = runner.connect(number >= crowd.half && number < crowd.half + crowd.unread)
-            else {
+            let Ok(client) = runner.connect(reads_half) else {
                 continue;
             };
             if number < crowd.half {
                 let runner = Arc::clone(&runner);
                 watchers.push(std::thread::spawn(move || runner.stop_halfway(client, span)));
             } else {
-                kept.push(client);
+                held.push(client);
             }
         }
         std::thread::sleep(span);
-        drop(kept);
+        drop(held);
         for watcher in watchers {
             let _ = watcher.join();
         }
     }
 
+    /// Returns the text of a new request.
     fn request(&self) -> String {
         let number = REQUESTS.fetch_add(1, Ordering::Relaxed);
         let (id, class, deadline) = (format!("crowd-{number}"), Class::Look.name(), self.deadline_ms);
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -12,10 +12,14 @@
 use crate::history::{Event, Recorder};
 use crate::network::{is_closed, reset};
 
+/// The time without changes after which a watch sends an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// The interval at which a watch checks whether it must end or become silent.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-const CHUNK_BYTES: usize = 97;
+/// The time limit for reading a request and for each write.
+const SOCKET_TIMEOUT: Duration = Duration::from_secs(10);
+/// The size of the pieces in which nodes with an odd index get a list.
+const PIECE_BYTES: usize = 97;
 
 /// The current faults of discovery, shared by all its listeners.
 #[derive(Debug, Default)]
@@ -23,7 +27,7 @@
     /// The number of current outages, which may overlap.
     outages: AtomicU64,
     /// The sum of the current delays of answers.
-    slow_ms: AtomicU64,
+    delay_ms: AtomicU64,
     /// The number of resets of all watches. A watch that began at a lower number must be reset.
     resets: AtomicU64,
     /// The number of times that all watches were silenced. A watch that began at a lower number must become silent.
@@ -44,12 +48,12 @@
 
     /// Delays each answer by `ms` more, until [`DiscoveryFaults::end_slowdown`].
     pub fn begin_slowdown(&self, ms: u64) {
-        self.slow_ms.fetch_add(ms, Ordering::SeqCst);
+        self.delay_ms.fetch_add(ms, Ordering::SeqCst);
     }
 
     /// Ends a delay of `ms`.
     pub fn end_slowdown(&self, ms: u64) {
-        self.slow_ms.fetch_sub(ms, Ordering::SeqCst);
+        self.delay_ms.fetch_sub(ms, Ordering::SeqCst);
     }
 
     /// Resets all watches that are open now.
@@ -109,18 +113,20 @@
             return Ok(());
         }
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(Duration::from_secs(10)))?;
-        socket.set_write_timeout(Some(Duration::from_secs(10)))?;
+        socket.set_read_timeout(Some(SOCKET_TIMEOUT))?;
+        socket.set_write_timeout(Some(SOCKET_TIMEOUT))?;
         let (resets, silencings) = (
             discovery_faults.resets.load(Ordering::SeqCst),
             discovery_faults.silencings.load(Ordering::SeqCst),
         );
         let Some((head, _)) = read_message(&mut BufReader::new(socket.try_clone()?))? else { return Ok(()) };
-        std::thread::sleep(Duration::from_millis(discovery_faults.slow_ms.load(Ordering::SeqCst)));
+        std::thread::sleep(Duration::from_millis(discovery_faults.delay_ms.load(Ordering::SeqCst)));
         let after = head.split_once("&after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
         self.watch(&socket, life, after, resets, silencings)
     }
 
+    /// Sends the changes after a version, or the whole list without one, and then each change until the watch must end.
+    /// `resets` and `silencings` are the counts of [`DiscoveryFaults`] when the request arrived.
     fn watch(
         &self,
         socket: &TcpStream,
@@ -130,13 +136,13 @@
         silencings: u64,
     ) -> io::Result<()> {
         let discovery_faults = &self.discovery_faults;
-        let (mut version, list) = self.executor_list.since(after);
+        let (mut version, list) = self.executor_list.changes_after(after);
         let mut writer = socket;
         writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
         self.send(writer, life, version, &list)?;
         let mut last_line = Instant::now();
         loop {
-            self.executor_list.wait(version, POLL_INTERVAL);
+            self.executor_list.wait_for_change(version, POLL_INTERVAL);
             if self.finished.load(Ordering::Relaxed) || is_closed(socket) {
                 return Ok(());
             }
@@ -148,7 +154,7 @@
                 self.recorder.record(Event::WatchSilenced { node: self.node, life });
                 return self.stay_silent(socket);
             }
-            let (newer, list) = self.executor_list.since(Some(version));
+            let (newer, list) = self.executor_list.changes_after(Some(version));
             if newer != version {
                 version = newer;
                 self.send(writer, life, version, &list)?;
@@ -168,11 +174,11 @@
         version: u64,
         list: &serde_json::Value,
     ) -> io::Result<()> {
-        let odd = self.node % 2 == 1;
-        let text = if odd { format!("{list:#}\n") } else { format!("{list}\n") };
+        let in_pieces = self.node % 2 == 1;
+        let text = if in_pieces { format!("{list:#}\n") } else { format!("{list}\n") };
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
-        if odd {
-            for piece in chunk.as_bytes().chunks(CHUNK_BYTES) {
+        if in_pieces {
+            for piece in chunk.as_bytes().chunks(PIECE_BYTES) {
                 writer.write_all(piece)?;
             }
         } else {
@@ -182,6 +188,7 @@
         Ok(())
     }
 
+    /// Keeps the connection open without sending anything.
     fn stay_silent(&self, socket: &TcpStream) -> io::Result<()> {
         while !self.finished.load(Ordering::Relaxed) && !is_closed(socket) {
             std::thread::sleep(POLL_INTERVAL);
--- a/crates/soak/src/executor_list.rs
+++ b/crates/soak/src/executor_list.rs
@@ -27,6 +27,7 @@
     pub status: Status,
     /// When its process started, in Unix milliseconds; 0 for long ago.
     pub since_ms: f64,
+    /// The version of the list in which it last changed.
     version: u64,
 }
 
@@ -52,6 +53,8 @@
         Self { list, changed: Condvar::new(), recorder }
     }
 
+    /// Changes the list under a new version and records the change. `edit` returns the position of the changed entry, or none
+    /// if there is nothing to change. `started` is when a new process of the executor started, if one did.
     fn edit(
         &self,
         executor: usize,
@@ -60,9 +63,9 @@
     ) {
         let mut list = lock(&self.list);
         let version = list.version + 1;
-        let Some(place) = edit(&mut list.entries) else { return };
+        let Some(position) = edit(&mut list.entries) else { return };
         list.version = version;
-        let entry = &mut list.entries[place];
+        let entry = &mut list.entries[position];
         entry.version = version;
         if started.is_some() {
             entry.since_ms = unix_ms();
@@ -84,27 +87,27 @@
     /// Sets the status of an executor.
     pub fn set_status(&self, executor: usize, status: Status) {
         self.edit(executor, None, |entries| {
-            let place = entries.iter().position(|entry| entry.executor == executor)?;
-            entries[place].status = status;
-            Some(place)
+            let position = entries.iter().position(|entry| entry.executor == executor)?;
+            entries[position].status = status;
+            Some(position)
         });
     }
 
     /// Lists an executor with a new process at the same address.
-    pub fn restarted(&self, executor: usize, started: Nanos) {
+    pub fn mark_restarted(&self, executor: usize, started: Nanos) {
         self.edit(executor, Some(started), |entries| {
             entries.iter().position(|entry| entry.executor == executor)
         });
     }
 
     /// Replaces the executor `old` by `new`, at another address but under the same name.
-    pub fn replaced(&self, old: usize, new: usize, address: SocketAddr, started: Nanos) {
+    pub fn replace(&self, old: usize, new: usize, address: SocketAddr, started: Nanos) {
         self.recorder.record(Event::Listed { version: 0, executor: old, status: Status::Left, started: 0 });
         self.edit(new, Some(started), |entries| {
-            let place = entries.iter().position(|entry| entry.executor == old)?;
-            let entry = &mut entries[place];
+            let position = entries.iter().position(|entry| entry.executor == old)?;
+            let entry = &mut entries[position];
             (entry.executor, entry.address, entry.status) = (new, address, Status::Active);
-            Some(place)
+            Some(position)
         });
     }
 
@@ -122,7 +125,7 @@
 
     /// Returns the version of the list and, as JSON, the entries that changed after a version; all entries without one.
     #[must_use]
-    pub fn since(&self, after: Option<u64>) -> (u64, Value) {
+    pub fn changes_after(&self, after: Option<u64>) -> (u64, Value) {
         let list = lock(&self.list);
         let changed = list.entries.iter().filter(|entry| after.is_none_or(|after| entry.version > after));
         let endpoints: Vec<Value> = changed.map(endpoint).collect();
@@ -130,7 +133,7 @@
     }
 
     /// Waits until the list is newer than this version, at most for `limit`.
-    pub fn wait(&self, version: u64, limit: Duration) {
+    pub fn wait_for_change(&self, version: u64, limit: Duration) {
         let list: MutexGuard<'_, List> = lock(&self.list);
         if list.version == version {
             drop(self.changed.wait_timeout(list, limit));
@@ -146,6 +149,7 @@
     }
 }
 
+/// Returns an entry as discovery writes it.
 fn endpoint(entry: &Entry) -> Value {
     let status = match entry.status {
         Status::Active => "active",
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -62,8 +62,9 @@
         }
     }
 
+    /// Injects one fault, and waits until it is over. An error is recorded in the history.
     fn inject(&self, fault: &Fault) {
-        let done = match fault {
+        let result = match fault {
             Fault::StopNode { node, back_after_ms, shim, .. } => {
                 self.nodes.stop(*node, Some(Duration::from_millis(*back_after_ms)), shim)
             }
@@ -72,7 +73,7 @@
             }
             Fault::PauseNode { node, for_ms, .. } => self.nodes.pause(*node, Duration::from_millis(*for_ms)),
             Fault::Reload { nodes, twice, bad_first, .. } => self.reload(nodes, *twice, *bad_first),
-            Fault::Signals { node, series, after_ms, back_after_ms, .. } => self.signals(
+            Fault::Signals { node, series, after_ms, back_after_ms, .. } => self.send_signals(
                 *node,
                 *series,
                 Duration::from_millis(*after_ms),
@@ -83,7 +84,7 @@
                 Ok(())
             }
         };
-        if let Err(reason) = done {
+        if let Err(reason) = result {
             self.recorder.record(Event::DriverAction { action: format!("failed: {fault:?}: {reason}") });
         }
     }
@@ -102,7 +103,7 @@
     }
 
     /// Sends a sequence of signals to a node. Each sequence stops the node, which is then started again.
-    fn signals(
+    fn send_signals(
         &self,
         node: usize,
         series: SignalSequence,
@@ -198,6 +199,7 @@
         self.executors.get(executor).end(entry.address);
     }
 
+    /// Replaces an active executor by one at another address, and ends the old process a little later.
     fn replace(&self, executor: usize, same_name: bool) {
         let Some(old) = self.executor_list.entry(executor) else { return };
         if old.status != Status::Active {
@@ -210,7 +212,7 @@
             return;
         }
         if same_name {
-            self.executor_list.replaced(executor, index, address, monotonic());
+            self.executor_list.replace(executor, index, address, monotonic());
         } else {
             let entry = Entry::new(index, format!("e{index}"), address, old.zone, old.group);
             self.executor_list.add(entry, Some(monotonic()));
@@ -220,6 +222,7 @@
         self.executors.get(executor).end(old.address);
     }
 
+    /// Ends an executor's process and starts it again at the same address.
     fn restart(&self, executor: usize, down_ms: u64) {
         let Some(entry) = self.executor_list.entry(executor) else { return };
         let own = self.executors.get(executor);
@@ -231,7 +234,7 @@
             std::thread::sleep(Duration::from_millis(10));
         }
         if entry.status == Status::Active {
-            self.executor_list.restarted(executor, monotonic());
+            self.executor_list.mark_restarted(executor, monotonic());
         }
     }
 }
--- a/crates/soak/src/judge/drains.rs
+++ b/crates/soak/src/judge/drains.rs
@@ -1,8 +1,8 @@
 //! Checks drains: an executor that drains or has left gets nothing new once the node knows of it and the grace period is over.
 
-use super::{Facts, NodeProcess, OBSERVATION_SLACK, Rule, Violation, ms};
+use super::{Facts, NodeProcess, OBSERVATION_SLACK, Rule, Violation, whole_millis};
 use crate::history::{Event, Nanos, NodeEvent, Status};
-use crate::millis;
+use crate::millis_to_nanos;
 
 /// Whatever else failed, a node must know a change once discovery has had it, and has been reachable, for this long.
 const KNOWN_WITHIN: Nanos = 6_000_000_000;
@@ -12,33 +12,39 @@
 /// A span in which an executor was listed as leaving or left, until it was listed as active again.
 struct LeavingSpan {
     executor: usize,
+    /// The version of the list with the change; 0 if the next change of the list includes it.
     version: u64,
     at: Nanos,
     until: Nanos,
 }
 
 pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
-    let leavings = leavings(facts);
+    let leaving_spans = leaving_spans(facts);
     for (id, request) in &facts.requests {
         let Some(process) = facts.process(request) else { continue };
         for execution in &request.executions {
-            let here = leavings.iter().filter(|leaving| leaving.executor == execution.executor);
-            for leaving in here.filter(|leaving| (leaving.at..leaving.until).contains(&execution.first_byte))
+            let here = leaving_spans.iter().filter(|leaving| leaving.executor == execution.executor);
+            for leaving in
+                here.filter(|leaving| (leaving.at..leaving.until).contains(&execution.first_byte_at))
             {
                 let Some(known_from) = known_from(facts, process, leaving) else { continue };
-                let last = known_from
-                    + millis(facts.case.settings.drain_grace_ms)
+                let last_allowed = known_from
+                    + millis_to_nanos(facts.case.settings.drain_grace_ms)
                     + SOCKET_SLACK
                     + OBSERVATION_SLACK;
-                if execution.first_byte > last {
+                if execution.first_byte_at > last_allowed {
                     let description = format!(
                         "{id}: node {} life {} sent to executor {} {} ms after it was told that it leaves",
                         request.node,
                         request.life,
                         leaving.executor,
-                        ms(execution.first_byte - known_from)
+                        whole_millis(execution.first_byte_at - known_from)
                     );
-                    violations.push(Violation { rule: Rule::Drained, at: execution.first_byte, description });
+                    violations.push(Violation {
+                        rule: Rule::Drained,
+                        at: execution.first_byte_at,
+                        description,
+                    });
                     break;
                 }
             }
@@ -46,7 +52,8 @@
     }
 }
 
-fn leavings(facts: &Facts<'_>) -> Vec<LeavingSpan> {
+/// Returns the spans in which executors were listed as leaving or left, in the order of their starts.
+fn leaving_spans(facts: &Facts<'_>) -> Vec<LeavingSpan> {
     let mut all: Vec<LeavingSpan> = Vec::new();
     for entry in facts.case.history {
         let Event::Listed { version, executor, status, .. } = &entry.event else { continue };
@@ -66,7 +73,7 @@
 fn known_from(facts: &Facts<'_>, process: &NodeProcess, leaving: &LeavingSpan) -> Option<Nanos> {
     let version = if leaving.version == 0 { version_after(facts, leaving.at)? } else { leaving.version };
     let sent = process.lists_sent.iter().find(|(_, listed)| *listed >= version).map(|(at, _)| *at);
-    let started = process.when(|node_event| matches!(node_event, NodeEvent::Started { .. }))?;
+    let started = process.time_of(|node_event| matches!(node_event, NodeEvent::Started { .. }))?;
     // A change that discovery had for this long before the process started counts from the start of the process.
     let at_latest = reachable_from(facts, leaving.at).map(|from| (from + KNOWN_WITHIN).max(started));
     let pushed = (facts.case.settings.pushed && leaving.at < started).then_some(started);
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -1,4 +1,4 @@
-//! Checks a history against the invariants of `docs/invariants.md`, one function per rule. The judge sees only what was
+//! Checks a history against the invariants of `docs/invariants.md`. The judge sees only what was
 //! observed from outside the program and knows nothing of how the program implements a rule.
 
 mod answers;
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::history::{ClientConnectionId, Entry, Event, ExecutorConnectionId, Nanos, NodeEvent};
-use crate::millis;
+use crate::millis_to_nanos;
 use crate::plan::Plan;
-use crate::run::{Location, RunRecord};
+use crate::run::{ExecutorCapacity, Location, RunRecord};
 use crate::settings::{Class, RunSettings};
 
 /// An invariant, under the name that it has in `docs/invariants.md`.
@@ -75,8 +75,8 @@
     pub settings: &'a RunSettings,
     /// The zone and group of each executor, by index.
     pub locations: &'a [Location],
-    /// The slots of each executor and the average duration of its jobs in milliseconds, by index.
-    pub capacities: &'a [(usize, f64)],
+    /// The capacity of each executor, by index.
+    pub capacities: &'a [ExecutorCapacity],
 }
 
 impl<'a> Case<'a> {
@@ -97,7 +97,7 @@
 pub struct Verdict {
     /// All violations, ordered by time.
     pub violations: Vec<Violation>,
-    /// Apparent violations while the driver itself was delayed. They are not counted.
+    /// Apparent violations around a delay of the driver itself. They are not counted.
     pub doubtful: Vec<Violation>,
     /// Totals of the run.
     pub counts: Counts,
@@ -134,12 +134,15 @@
     pub(crate) node: usize,
     pub(crate) life: u64,
     pub(crate) client_connection: ClientConnectionId,
-    pub(crate) asked: Nanos,
+    pub(crate) sent_at: Nanos,
     pub(crate) deadline: Nanos,
-    pub(crate) first: bool,
-    pub(crate) behind: usize,
-    pub(crate) ends: Vec<(Nanos, Event)>,
-    pub(crate) left: Option<Nanos>,
+    pub(crate) first_on_connection: bool,
+    /// The number of unanswered requests that were sent before it on its connection.
+    pub(crate) requests_before: usize,
+    /// The events [`Event::Answered`] and [`Event::Unanswered`] of the request, with their times.
+    pub(crate) endings: Vec<(Nanos, Event)>,
+    /// When its client disconnected before the answer.
+    pub(crate) client_left_at: Option<Nanos>,
     pub(crate) executions: Vec<Execution>,
 }
 
@@ -148,23 +151,28 @@
 pub(crate) struct Execution {
     pub(crate) executor: usize,
     pub(crate) connection: ExecutorConnectionId,
-    pub(crate) first_byte: Nanos,
-    pub(crate) received: Nanos,
+    pub(crate) first_byte_at: Nanos,
+    /// When the request had arrived completely.
+    pub(crate) received_at: Nanos,
     pub(crate) deadline_header_ms: Option<u64>,
     pub(crate) declined: bool,
-    pub(crate) finished: Option<Nanos>,
+    /// When it was answered, or its connection was gone.
+    pub(crate) ended_at: Option<Nanos>,
 }
 
 /// The observations of one process of a node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeProcess {
     pub(crate) events: Vec<(Nanos, NodeEvent)>,
+    /// The versions of the list that discovery sent to it, with their times.
     pub(crate) lists_sent: Vec<(Nanos, u64)>,
+    /// When its watch last became permanently silent.
     pub(crate) watch_silenced: Option<Nanos>,
 }
 
 impl NodeProcess {
-    pub(crate) fn when(&self, matches: impl Fn(&NodeEvent) -> bool) -> Option<Nanos> {
+    /// Returns when the first event that `matches` accepts happened.
+    pub(crate) fn time_of(&self, matches: impl Fn(&NodeEvent) -> bool) -> Option<Nanos> {
         self.events.iter().find(|(_, node_event)| matches(node_event)).map(|(at, _)| *at)
     }
 
@@ -178,7 +186,7 @@
     }
 
     /// Returns for how long in total the process was paused between two times.
-    pub(crate) fn paused(&self, from: Nanos, until: Nanos) -> Nanos {
+    pub(crate) fn paused_time(&self, from: Nanos, until: Nanos) -> Nanos {
         let mut paused = 0;
         let mut since = None;
         for (at, node_event) in &self.events {
@@ -199,14 +207,16 @@
 pub(crate) struct Facts<'a> {
     pub(crate) case: &'a Case<'a>,
     pub(crate) requests: BTreeMap<String, Request>,
+    /// By the index of the node and the number of its process.
     pub(crate) processes: HashMap<(usize, u64), NodeProcess>,
-    pub(crate) calm: Option<Nanos>,
+    /// When all faults were over.
+    pub(crate) calm_since: Option<Nanos>,
 }
 
 /// Checks all rules against the history of a run.
 #[must_use]
 pub fn judge(case: &Case<'_>) -> Verdict {
-    let facts = Facts::gather(case);
+    let facts = Facts::from_case(case);
     let mut violations = Vec::new();
     answers::judge(&facts, &mut violations);
     executions::judge(&facts, &mut violations);
@@ -229,8 +239,8 @@
 }
 
 impl<'a> Facts<'a> {
-    fn gather(case: &'a Case<'a>) -> Self {
-        let mut facts = Self { case, requests: BTreeMap::new(), processes: HashMap::new(), calm: None };
+    fn from_case(case: &'a Case<'a>) -> Self {
+        let mut facts = Self { case, requests: BTreeMap::new(), processes: HashMap::new(), calm_since: None };
         for entry in case.history {
             facts.record(entry.at, &entry.event);
         }
@@ -245,27 +255,28 @@
                     node: *node,
                     life: *life,
                     client_connection: *client_connection,
-                    asked: at,
+                    sent_at: at,
                     deadline: 0,
-                    first: *first,
-                    behind: *behind,
-                    ends: Vec::new(),
-                    left: None,
+                    first_on_connection: *first,
+                    requests_before: *behind,
+                    endings: Vec::new(),
+                    client_left_at: None,
                     executions: Vec::new(),
                 });
                 // A request is sent again if the node closed its connection as the request arrived; the last attempt counts.
                 (request.node, request.life, request.client_connection) = (*node, *life, *client_connection);
-                (request.asked, request.first, request.behind) = (at, *first, *behind);
-                request.deadline = at + millis(*deadline_ms);
+                (request.sent_at, request.first_on_connection, request.requests_before) =
+                    (at, *first, *behind);
+                request.deadline = at + millis_to_nanos(*deadline_ms);
             }
             Event::Answered { id, .. } | Event::Unanswered { id, .. } => {
                 if let Some(request) = self.requests.get_mut(id) {
-                    request.ends.push((at, event.clone()));
+                    request.endings.push((at, event.clone()));
                 }
             }
             Event::ClientLeft { id } => {
                 if let Some(request) = self.requests.get_mut(id) {
-                    request.left = Some(at);
+                    request.client_left_at = Some(at);
                 }
             }
             Event::Received { id, executor, connection, first_byte, deadline_header_ms } => {
@@ -273,11 +284,11 @@
                     request.executions.push(Execution {
                         executor: *executor,
                         connection: *connection,
-                        first_byte: *first_byte,
-                        received: at,
+                        first_byte_at: *first_byte,
+                        received_at: at,
                         deadline_header_ms: *deadline_header_ms,
                         declined: false,
-                        finished: None,
+                        ended_at: None,
                     });
                 }
             }
@@ -288,7 +299,7 @@
             }
             Event::ExecutionEnded { id, connection } => {
                 if let Some(execution) = self.execution(id, *connection) {
-                    execution.finished = Some(at);
+                    execution.ended_at = Some(at);
                 }
             }
             Event::ListSent { node, life, version } => {
@@ -300,16 +311,18 @@
             Event::Node { node, life, node_event } => {
                 self.processes.entry((*node, *life)).or_default().events.push((at, node_event.clone()));
             }
-            Event::Calm => self.calm = Some(at),
+            Event::Calm => self.calm_since = Some(at),
             _ => {}
         }
     }
 
+    /// Returns the last execution of a request on a connection.
     fn execution(&mut self, id: &str, connection: ExecutorConnectionId) -> Option<&mut Execution> {
         let executions = &mut self.requests.get_mut(id)?.executions;
         executions.iter_mut().rev().find(|execution| execution.connection == connection)
     }
 
+    /// Returns the process to which a request was sent, if anything was observed of it.
     pub(crate) fn process(&self, request: &Request) -> Option<&NodeProcess> {
         self.processes.get(&(request.node, request.life))
     }
@@ -317,9 +330,9 @@
     fn counts(&self) -> Counts {
         let mut counts = Counts { asked: self.requests.len(), ..Counts::default() };
         for request in self.requests.values() {
-            counts.left += usize::from(request.left.is_some());
+            counts.left += usize::from(request.client_left_at.is_some());
             counts.executions += request.executions.len();
-            for (_, end) in &request.ends {
+            for (_, end) in &request.endings {
                 match end {
                     Event::Answered { status: 200, .. } => counts.served += 1,
                     Event::Answered { status: 429 | 503, .. } => counts.refused += 1,
@@ -334,7 +347,7 @@
     }
 }
 
-/// Converts nanoseconds to whole milliseconds, for messages.
-pub(crate) fn ms(span: Nanos) -> u64 {
+/// Converts nanoseconds to milliseconds, rounded down.
+pub(crate) fn whole_millis(span: Nanos) -> u64 {
     span / 1_000_000
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -32,6 +32,6 @@
 
 /// Converts milliseconds to nanoseconds.
 #[must_use]
-pub(crate) fn millis(ms: u64) -> u64 {
+pub(crate) fn millis_to_nanos(ms: u64) -> u64 {
     ms * 1_000_000
 }
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -15,7 +15,7 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-use crate::generator::BREAKS;
+use crate::generator::BROKEN_CONNECTIONS_RULE;
 use crate::history::{Event, NodeEvent, Recorder};
 use crate::lock;
 use crate::network::Network;
@@ -25,15 +25,16 @@
 /// The longest wait for a started node to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// The time after which clients no longer choose a node that got SIGTERM.
-const STOP_NOTICED: Duration = Duration::from_millis(300);
+const STOP_NOTICE_DELAY: Duration = Duration::from_millis(300);
 /// The time after which clients no longer choose a node that got SIGKILL.
-const KILL_NOTICED: Duration = Duration::from_millis(1_000);
+const KILL_NOTICE_DELAY: Duration = Duration::from_millis(1_000);
 /// SIGKILL is sent this long after the longest deadline, counted from SIGTERM.
 const KILL_AFTER: Duration = Duration::from_millis(700);
-/// A program that has just started has no signal handlers yet, and a signal would end it.
-const HANDLERS_INSTALLED: Duration = Duration::from_millis(100);
-/// A process reads its configuration within this time after its start; an invalid one then ends it, as intended.
-const CONFIGURATION_READ: Duration = Duration::from_secs(1);
+/// The time after a start in which no SIGHUP is sent: the program has no signal handlers yet, and the signal would end it.
+const HANDLER_INSTALL_TIME: Duration = Duration::from_millis(100);
+/// The time after a start in which no invalid configuration is written: a process that reads one at its start exits, as
+/// intended.
+const CONFIGURATION_READ_TIME: Duration = Duration::from_secs(1);
 /// Messages that report a bug; no log may contain them.
 const BUG_MESSAGES: [&str; 2] = ["invariant broken", "panicked"];
 
@@ -46,23 +47,26 @@
 #[derive(Debug)]
 struct NodeState {
     address: SocketAddr,
-    open: AtomicBool,
+    /// Whether clients choose it.
+    accepts_clients: AtomicBool,
     /// Its process was killed, or has not been started.
     dead: AtomicBool,
     /// The shim breaks its connections.
-    breaks: AtomicBool,
+    breaks_connections: AtomicBool,
+    /// The number of its current process, which counts its starts.
     life: Arc<AtomicU64>,
 }
 
 impl NodeDirectory {
-    /// Returns the node at a point from 0 to 1 among those that accept clients.
+    /// Returns the node at a point from 0 to 1 among those that accept clients, or none if no node does.
     #[must_use]
-    pub fn choose(&self, choice: f64) -> Option<(usize, u64, SocketAddr)> {
-        let open: Vec<usize> =
-            (0..self.states.len()).filter(|state| self.states[*state].open.load(Ordering::SeqCst)).collect();
-        let node = *open.get((choice * open.len() as f64) as usize)?;
+    pub fn choose(&self, point: f64) -> Option<ChosenNode> {
+        let open: Vec<usize> = (0..self.states.len())
+            .filter(|node| self.states[*node].accepts_clients.load(Ordering::SeqCst))
+            .collect();
+        let node = *open.get((point * open.len() as f64) as usize)?;
         let state = &self.states[node];
-        Some((node, state.life.load(Ordering::SeqCst), state.address))
+        Some(ChosenNode { node, life: state.life.load(Ordering::SeqCst), address: state.address })
     }
 
     /// Returns whether this process of a node still runs without broken connections, so that a closed connection was closed by
@@ -70,17 +74,29 @@
     #[must_use]
     pub fn is_alive(&self, node: usize, life: u64) -> bool {
         let state = &self.states[node];
-        let stays = !state.dead.load(Ordering::SeqCst) && !state.breaks.load(Ordering::SeqCst);
-        stays && state.life.load(Ordering::SeqCst) == life
+        let is_reliable =
+            !state.dead.load(Ordering::SeqCst) && !state.breaks_connections.load(Ordering::SeqCst);
+        is_reliable && state.life.load(Ordering::SeqCst) == life
     }
 
     /// Returns how many nodes accept clients.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.states.iter().filter(|state| state.open.load(Ordering::SeqCst)).count()
+    pub fn open_count(&self) -> usize {
+        self.states.iter().filter(|state| state.accepts_clients.load(Ordering::SeqCst)).count()
     }
 }
 
+/// The node that a client has chosen.
+#[derive(Clone, Copy, Debug)]
+pub struct ChosenNode {
+    /// The index of the node.
+    pub node: usize,
+    /// The number of its current process.
+    pub life: u64,
+    /// The address on which it listens for clients.
+    pub address: SocketAddr,
+}
+
 /// The configuration that all nodes of a run share.
 pub struct NodeSetup {
     /// The path of the program.
@@ -104,6 +120,7 @@
     setup: NodeSetup,
     directory: Arc<NodeDirectory>,
     nodes: Vec<Mutex<Node>>,
+    /// Set when the run ends: starts no longer wait until the node is ready.
     ending: AtomicBool,
 }
 
@@ -129,9 +146,9 @@
     pub fn new(setup: NodeSetup, count: usize) -> Self {
         let state = |node: usize| NodeState {
             address: setup.network.node_address(node),
-            open: AtomicBool::new(false),
+            accepts_clients: AtomicBool::new(false),
             dead: AtomicBool::new(true),
-            breaks: AtomicBool::new(false),
+            breaks_connections: AtomicBool::new(false),
             life: Arc::default(),
         };
         let directory = Arc::new(NodeDirectory { states: (0..count).map(state).collect() });
@@ -186,12 +203,12 @@
         fs::rename(&new, &file)
     }
 
-    /// Starts a node, with this shim plan if it is not empty, and lets clients choose it once it is ready.
+    /// Starts a node, with a shim plan unless that is empty, and lets clients choose it once it is ready.
     ///
     /// # Errors
     ///
     /// The process can't be started.
-    pub fn start(&self, node: usize, plan: &str) -> io::Result<()> {
+    pub fn start(&self, node: usize, shim_plan: &str) -> io::Result<()> {
         let mut own = lock(&self.nodes[node]);
         if own.process.is_running() {
             // Another fault at the same time has already started the node.
@@ -203,19 +220,21 @@
         self.write_configuration(node, &configuration.to_string())?;
         let file = self.configuration_file(node).display().to_string();
         let mut variables = vec![("PROXY_CONFIG".to_owned(), file)];
-        if !plan.is_empty() {
+        if !shim_plan.is_empty() {
             let log = folder.join("shim.log");
             variables.push((shim::PRELOAD_VARIABLE.to_owned(), shim::library_path()?.display().to_string()));
-            variables.push((shim::PLAN_VARIABLE.to_owned(), format!("{plan}; log={}", log.display())));
+            variables.push((shim::PLAN_VARIABLE.to_owned(), format!("{shim_plan}; log={}", log.display())));
         }
         own.process.variables = variables;
         let life = self.directory.states[node].life.fetch_add(1, Ordering::SeqCst) + 1;
         own.process.start()?;
         own.started = Some(Instant::now());
         self.directory.states[node].dead.store(false, Ordering::SeqCst);
-        self.directory.states[node].breaks.store(plan.contains(BREAKS), Ordering::SeqCst);
+        self.directory.states[node]
+            .breaks_connections
+            .store(shim_plan.contains(BROKEN_CONNECTIONS_RULE), Ordering::SeqCst);
         drop(own);
-        self.record(node, NodeEvent::Started { shim: plan.to_owned() });
+        self.record(node, NodeEvent::Started { shim: shim_plan.to_owned() });
         self.wait_until_ready(node, life);
         Ok(())
     }
@@ -230,7 +249,7 @@
             if get_status(state.address, "/healthz", Duration::from_millis(500))
                 .is_ok_and(|status| status == 200)
             {
-                state.open.store(true, Ordering::SeqCst);
+                state.accepts_clients.store(true, Ordering::SeqCst);
                 return self.record(node, NodeEvent::Ready);
             }
             self.check_exit_and_log(node);
@@ -242,7 +261,7 @@
     pub fn check_exit_and_log(&self, node: usize) {
         let mut own = lock(&self.nodes[node]);
         if let Ok(Some(status)) = own.process.poll_exit() {
-            self.directory.states[node].open.store(false, Ordering::SeqCst);
+            self.directory.states[node].accepts_clients.store(false, Ordering::SeqCst);
             self.record(node, NodeEvent::Ended { code: status.code() });
         }
         self.read_log(node, &mut own);
@@ -251,10 +270,10 @@
     fn read_log(&self, node: usize, own: &mut Node) {
         let text = fs::read(own.process.log_file()).unwrap_or_default();
         let new = String::from_utf8_lossy(text.get(own.log_checked..).unwrap_or_default()).into_owned();
-        let whole = new.rfind('\n').map_or(0, |end| end + 1);
-        own.log_checked += whole;
+        let complete = new.rfind('\n').map_or(0, |end| end + 1);
+        own.log_checked += complete;
         for line in
-            new[..whole].lines().filter(|line| BUG_MESSAGES.iter().any(|message| line.contains(message)))
+            new[..complete].lines().filter(|line| BUG_MESSAGES.iter().any(|message| line.contains(message)))
         {
             self.record(node, NodeEvent::ErrorLogged { line: line.to_owned() });
         }
@@ -265,7 +284,7 @@
     /// # Errors
     ///
     /// A signal can't be sent, or the node can't be started.
-    pub fn stop(&self, node: usize, back_after: Option<Duration>, plan: &str) -> io::Result<()> {
+    pub fn stop(&self, node: usize, back_after: Option<Duration>, shim_plan: &str) -> io::Result<()> {
         {
             let own = lock(&self.nodes[node]);
             if !own.process.is_running() || own.process.paused {
@@ -274,7 +293,7 @@
             self.record(node, NodeEvent::Stopped);
             own.process.signal(Signal::TERM)?;
         }
-        self.wait_for_exit(node, Instant::now(), back_after, plan)
+        self.wait_for_exit(node, Instant::now(), back_after, shim_plan)
     }
 
     /// Sends SIGTERM to a node while it is paused, and resumes it after `paused`.
@@ -324,12 +343,12 @@
         node: usize,
         start: Instant,
         back_after: Option<Duration>,
-        plan: &str,
+        shim_plan: &str,
     ) -> io::Result<()> {
         let limit = self.setup.deadline + KILL_AFTER;
         while start.elapsed() < limit {
-            if start.elapsed() > STOP_NOTICED {
-                self.directory.states[node].open.store(false, Ordering::SeqCst);
+            if start.elapsed() > STOP_NOTICE_DELAY {
+                self.directory.states[node].accepts_clients.store(false, Ordering::SeqCst);
             }
             self.check_exit_and_log(node);
             if !lock(&self.nodes[node]).process.is_running() {
@@ -337,7 +356,7 @@
             }
             std::thread::sleep(POLL_INTERVAL / 4);
         }
-        self.directory.states[node].open.store(false, Ordering::SeqCst);
+        self.directory.states[node].accepts_clients.store(false, Ordering::SeqCst);
         if lock(&self.nodes[node]).process.is_running() {
             self.directory.states[node].dead.store(true, Ordering::SeqCst);
             self.record(node, NodeEvent::Killed);
@@ -345,7 +364,7 @@
         }
         let Some(back_after) = back_after else { return Ok(()) };
         std::thread::sleep(back_after);
-        self.start(node, plan)
+        self.start(node, shim_plan)
     }
 
     /// Sends SIGKILL to a node and starts it again after `back_after`.
@@ -353,7 +372,7 @@
     /// # Errors
     ///
     /// The signal can't be sent, or the node can't be started.
-    pub fn kill(&self, node: usize, back_after: Duration, plan: &str) -> io::Result<()> {
+    pub fn kill(&self, node: usize, back_after: Duration, shim_plan: &str) -> io::Result<()> {
         {
             let mut own = lock(&self.nodes[node]);
             if !own.process.is_running() {
@@ -363,10 +382,10 @@
             self.record(node, NodeEvent::Killed);
             own.process.kill()?;
         }
-        std::thread::sleep(KILL_NOTICED.min(back_after));
-        self.directory.states[node].open.store(false, Ordering::SeqCst);
-        std::thread::sleep(back_after.saturating_sub(KILL_NOTICED));
-        self.start(node, plan)
+        std::thread::sleep(KILL_NOTICE_DELAY.min(back_after));
+        self.directory.states[node].accepts_clients.store(false, Ordering::SeqCst);
+        std::thread::sleep(back_after.saturating_sub(KILL_NOTICE_DELAY));
+        self.start(node, shim_plan)
     }
 
     /// Pauses a node for a span.
@@ -399,7 +418,7 @@
     /// The configuration can't be written, or the signal can't be sent.
     pub fn reload(&self, node: usize, valid: bool) -> io::Result<()> {
         let mut own = lock(&self.nodes[node]);
-        if !valid && own.started_within(CONFIGURATION_READ) {
+        if !valid && own.started_within(CONFIGURATION_READ_TIME) {
             return Ok(());
         }
         if valid {
@@ -409,7 +428,7 @@
         } else {
             self.write_configuration(node, "{\"name\": \"n\", \"discovery\": 7}")?;
         }
-        if own.process.is_running() && !own.started_within(HANDLERS_INSTALLED) {
+        if own.process.is_running() && !own.started_within(HANDLER_INSTALL_TIME) {
             self.record(node, NodeEvent::Reloaded);
             own.process.signal(Signal::HUP)?;
         }
@@ -421,7 +440,7 @@
     pub fn wait_until_all_ready(&self, timeout: Duration) -> bool {
         let start = Instant::now();
         while start.elapsed() < timeout {
-            if self.directory.open() == self.nodes.len() {
+            if self.directory.open_count() == self.nodes.len() {
                 return true;
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -450,9 +469,9 @@
         self.nodes.len()
     }
 
-    /// Returns the path of a node's log.
+    /// Returns the path of a node's log file.
     #[must_use]
-    pub fn log(folder: &Path, node: usize) -> PathBuf {
+    pub fn log_file(folder: &Path, node: usize) -> PathBuf {
         folder.join(format!("n{node}")).join("log")
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -149,7 +149,7 @@
 #[derive(Debug, Error)]
 pub enum PlanError {
     /// The text is no valid plan.
-    #[error("the plan is not understood: {0}")]
+    #[error("the text is not a valid plan: {0}")]
     Form(#[from] toml::de::Error),
     /// The plan can't be written.
     #[error("the plan can't be written: {0}")]
@@ -189,14 +189,14 @@
     }
 
     fn validate(&self) -> Result<(), PlanError> {
-        let within = |key: &'static str, value: usize, most: usize| {
-            let reason = format!("{value} is not from 1 to {most}");
-            if (1..=most).contains(&value) { Ok(()) } else { Err(PlanError::Key { key, reason }) }
+        let check_range = |key: &'static str, value: usize, max: usize| {
+            let reason = format!("{value} is not from 1 to {max}");
+            if (1..=max).contains(&value) { Ok(()) } else { Err(PlanError::Key { key, reason }) }
         };
-        within("nodes", self.nodes, MAX_COUNT)?;
-        within("executors", self.executors, MAX_COUNT)?;
-        within("clients", self.clients, MAX_COUNT)?;
-        within("bad-clients", self.bad_clients + 1, MAX_COUNT + 1)?;
+        check_range("nodes", self.nodes, MAX_COUNT)?;
+        check_range("executors", self.executors, MAX_COUNT)?;
+        check_range("clients", self.clients, MAX_COUNT)?;
+        check_range("bad-clients", self.bad_clients + 1, MAX_COUNT + 1)?;
         for fault in &self.faults {
             let (nodes, executor) = match fault {
                 Fault::StopNode { node, .. }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -22,12 +22,13 @@
 use crate::plan::Plan;
 use crate::settings::ZONES;
 
-/// The number of executors in a cell.
-const CELL_SIZE: usize = 3;
+/// The number of executors in a group.
+const GROUP_SIZE: usize = 3;
+/// The longest wait for all nodes to be ready at the start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// The longest wait for all nodes to be ready after the last fault.
 const RESTART_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time after the last fault after which no executor is cold or ejected any more.
+/// The wait after the last fault until no executor is cold or ejected any more.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 /// The longest wait at the end for answers that are outstanding.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(6_500);
@@ -43,7 +44,7 @@
     System {
         /// What failed.
         what: &'static str,
-        /// The error of the system.
+        /// The error of the system call.
         reason: io::Error,
     },
     /// Some nodes did not become ready before the first fault.
@@ -58,11 +59,12 @@
 
 /// All executors of a run, including those that were replaced.
 pub struct Executors {
+    /// By index.
     pub(crate) all: Mutex<Vec<Arc<Executor>>>,
     /// The zone and group of each executor, by index.
     pub(crate) locations: Mutex<Vec<Location>>,
     seed: u64,
-    idle: Duration,
+    idle_timeout: Duration,
     recorder: Arc<Recorder>,
     finished: Arc<AtomicBool>,
 }
@@ -72,7 +74,7 @@
     pub(crate) fn add(&self, location: Location) -> Arc<Executor> {
         let mut all = crate::lock(&self.all);
         let (recorder, finished) = (Arc::clone(&self.recorder), Arc::clone(&self.finished));
-        let executor = Executor::new(all.len(), self.seed, self.idle, recorder, finished);
+        let executor = Executor::new(all.len(), self.seed, self.idle_timeout, recorder, finished);
         all.push(Arc::clone(&executor));
         crate::lock(&self.locations).push(location);
         executor
@@ -84,11 +86,14 @@
         Arc::clone(&crate::lock(&self.all)[index])
     }
 
-    /// Returns the slots of each executor and the average duration of its jobs in milliseconds, by which the capacity of a
-    /// cold executor is calculated.
+    /// Returns the capacity of each executor, by index.
     #[must_use]
-    pub fn capacities(&self) -> Vec<(usize, f64)> {
-        crate::lock(&self.all).iter().map(|executor| (executor.slots, executor.work_ms)).collect()
+    pub fn capacities(&self) -> Vec<ExecutorCapacity> {
+        let capacity = |executor: &Arc<Executor>| ExecutorCapacity {
+            slots: executor.slots,
+            mean_job_ms: executor.mean_job_ms,
+        };
+        crate::lock(&self.all).iter().map(capacity).collect()
     }
 }
 
@@ -96,12 +101,21 @@
 pub struct RunRecord {
     /// All events, ordered by time.
     pub history: Vec<HistoryEntry>,
-    /// The slots of each executor and the average duration of its jobs in milliseconds.
-    pub capacities: Vec<(usize, f64)>,
+    /// The capacity of each executor, by index.
+    pub capacities: Vec<ExecutorCapacity>,
     /// The zone and group of each executor, by index.
     pub locations: Vec<Location>,
 }
 
+/// The capacity of a warm executor, from which the judge calculates that of a cold one.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ExecutorCapacity {
+    /// The number of jobs that it executes at once.
+    pub slots: usize,
+    /// The average duration of a job, in milliseconds.
+    pub mean_job_ms: f64,
+}
+
 /// The zone and group of an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
@@ -118,7 +132,7 @@
 /// The run could not be started. Violations of rules are no errors here.
 pub fn run(plan: &Plan, program: &Path, folder: &Path) -> Result<RunRecord, RunError> {
     let system = |what: &'static str| move |reason: io::Error| RunError::System { what, reason };
-    fs::create_dir_all(folder).map_err(system("folder"))?;
+    fs::create_dir_all(folder).map_err(system("cannot create the folder of the run"))?;
     let (recorder, finished) = (Arc::new(Recorder::default()), Arc::new(AtomicBool::new(false)));
     let network = Network::next();
     let executor_list = Arc::new(ExecutorList::new(Arc::clone(&recorder)));
@@ -127,14 +141,14 @@
         all: Mutex::default(),
         locations: Mutex::default(),
         seed: plan.seed,
-        idle: Duration::from_millis(plan.settings.idle_ms),
+        idle_timeout: Duration::from_millis(plan.settings.idle_ms),
         recorder: Arc::clone(&recorder),
         finished: Arc::clone(&finished),
     });
     for index in 0..plan.executors {
-        let location = Location { zone: index % ZONES.len(), group: index / CELL_SIZE };
+        let location = Location { zone: index % ZONES.len(), group: index / GROUP_SIZE };
         let (executor, address) = (executors.add(location), network.executor_address(index, 0));
-        executor.listen(address).map_err(system("executor"))?;
+        executor.listen(address).map_err(system("an executor cannot listen"))?;
         executor_list
             .add(Entry::new(index, format!("e{index}"), address, location.zone, location.group), None);
     }
@@ -143,7 +157,7 @@
         folder: folder.to_owned(),
         network,
         settings: plan.settings.node_settings(plan.nodes),
-        known: executor_list.since(None).1,
+        known: executor_list.changes_after(None).1,
         deadline: Duration::from_millis(plan.settings.deadline_ms),
         recorder: Arc::clone(&recorder),
     };
@@ -158,13 +172,15 @@
                 recorder: Arc::clone(&recorder),
                 finished: Arc::clone(&finished),
             };
-            discovery.start(network.discovery_address(node, number)).map_err(system("discovery"))?;
+            discovery
+                .start(network.discovery_address(node, number))
+                .map_err(system("discovery cannot listen"))?;
         }
     }
-    delay_monitor::start(&recorder, &finished).map_err(system("delay monitor"))?;
+    delay_monitor::start(&recorder, &finished).map_err(system("the delay monitor cannot listen"))?;
     start_all(plan, &nodes);
     if !nodes.wait_until_all_ready(START_TIMEOUT) {
-        let ready = nodes.directory().open();
+        let ready = nodes.directory().open_count();
         finished.store(true, Ordering::SeqCst);
         nodes.end();
         return Err(RunError::Start { ready, all: plan.nodes });
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -2,7 +2,7 @@
 
 use linestack_soak::history::{Entry, Event, Misbehavior, MissingAnswer, NodeEvent, Status};
 use linestack_soak::judge::{Case, Rule, judge};
-use linestack_soak::run::Location;
+use linestack_soak::run::{ExecutorCapacity, Location};
 use linestack_soak::settings::{Class, RunSettings};
 use rstest::rstest;
 
@@ -120,7 +120,7 @@
             history: &self.entries,
             settings: &settings,
             locations: &[location(0, 0), location(1, 1), location(0, 0)],
-            capacities: &[(4, 20.0); 3],
+            capacities: &[ExecutorCapacity { slots: 4, mean_job_ms: 20.0 }; 3],
         };
         judge(&case).violations.into_iter().map(|violation| violation.rule).collect()
     }
