--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn answers() {
+fn missing_late_repeated_and_foreign_answers_are_violations() {
     let mut history = HistoryBuilder::new();
     assert_eq!(history.sent(Class::Look).unanswered(SENT + 300 * MS).violated_rules(), [Rule::Answer]);
     let mut history = HistoryBuilder::new();
@@ -186,15 +186,20 @@
 #[case::keyed_elsewhere(Class::TopUp, 1, 100, &[Rule::Twice])]
 #[case::keyed_too_late(Class::TopUp, 2, 1_800, &[Rule::Twice])]
 #[case::pure(Class::Look, 1, 100, &[])]
-fn repeats(#[case] class: Class, #[case] second: usize, #[case] after_ms: u64, #[case] wanted: &[Rule]) {
+fn repeats_are_judged_by_effect_group_and_window(
+    #[case] class: Class,
+    #[case] second_executor: usize,
+    #[case] after_ms: u64,
+    #[case] expected: &[Rule],
+) {
     let (first, again) = (SENT + 10 * MS, SENT + (10 + after_ms) * MS);
     let mut history = HistoryBuilder::new();
     history.sent(class).received(first, 0).execution_ended(first, first + 20 * MS);
     history
-        .received_with_deadline(again, second, None)
+        .received_with_deadline(again, second_executor, None)
         .execution_ended(again, again + 10 * MS)
         .answered(SENT + 1_000 * MS, 502);
-    assert_eq!(history.violated_rules(), wanted);
+    assert_eq!(history.violated_rules(), expected);
 }
 
 #[test]
@@ -212,7 +217,7 @@
 }
 
 #[test]
-fn parallel_and_excess_executions() {
+fn parallel_and_excess_executions_are_violations() {
     let (first, again) = (SENT + 10 * MS, SENT + 200 * MS);
     let mut history = HistoryBuilder::new();
     history.sent(Class::Look).received(first, 0).received(again, 1).execution_ended(first, again + 300 * MS);
@@ -235,7 +240,11 @@
 // The change was never sent to the node: it counts as known 6 s after discovery had it.
 #[case::never_written(14_500, 6_300, &[])]
 #[case::never_written_and_far_too_late(13_000, 6_900, &[Rule::Drained])]
-fn drains(#[case] listed_at_ms: u64, #[case] after_ms: u64, #[case] wanted: &[Rule]) {
+fn executions_at_a_draining_executor_are_violations_after_the_grace(
+    #[case] listed_at_ms: u64,
+    #[case] after_ms: u64,
+    #[case] expected: &[Rule],
+) {
     let mut history = HistoryBuilder::new();
     let listed = listed_at_ms * MS;
     history.listed(S, 1, 0, Status::Active).listed(listed, 2, 0, Status::Leaving);
@@ -247,14 +256,17 @@
         .sent_at(received - MS, Class::Look)
         .received_with_deadline(received, 0, None)
         .execution_ended(received, received + MS);
-    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), expected);
 }
 
 // A change that discovery had 6 s before a process started counts as known from its start; a more recent one doesn't.
 #[rstest]
 #[case::old(10_000, &[Rule::Drained])]
 #[case::young(16_500, &[])]
-fn drains_before_a_start(#[case] listed_at_ms: u64, #[case] wanted: &[Rule]) {
+fn a_drain_before_a_start_counts_as_known_from_the_start_if_discovery_had_it_long_enough(
+    #[case] listed_at_ms: u64,
+    #[case] expected: &[Rule],
+) {
     let mut history = HistoryBuilder::default();
     history.listed(S, 1, 0, Status::Active).listed(listed_at_ms * MS, 2, 0, Status::Leaving);
     history.node(18 * S, NodeEvent::Started { shim: String::new() }).node(18_100 * MS, NodeEvent::Ready);
@@ -263,7 +275,7 @@
         .sent_at(received - MS, Class::Look)
         .received_with_deadline(received, 0, None)
         .execution_ended(received, received + MS);
-    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), expected);
 }
 
 #[test]
@@ -281,29 +293,29 @@
 }
 
 #[test]
-fn clients_that_left() {
+fn an_execution_that_begins_after_its_client_left_is_a_violation() {
     let left = SENT + 100 * MS;
-    for (after_ms, wanted) in [(150, [].as_slice()), (300, &[Rule::ForNobody])] {
+    for (after_ms, expected) in [(150, [].as_slice()), (300, &[Rule::ForNobody])] {
         let received = left + after_ms * MS;
         let mut history = HistoryBuilder::new();
         history.sent(Class::Look).at(left, Event::ClientLeft { id: "a".into() });
         assert_eq!(
             history.received(received, 0).execution_ended(received, received + MS).violated_rules(),
-            wanted
+            expected
         );
     }
 }
 
 #[test]
-fn deadlines_and_places() {
+fn late_deadlines_wrong_zones_and_malformed_requests_are_violations() {
     let received = SENT + 400 * MS;
-    for (sent_ms, wanted) in [(800, [].as_slice()), (900, &[Rule::Deadline])] {
+    for (sent_ms, expected) in [(800, [].as_slice()), (900, &[Rule::Deadline])] {
         let mut history = HistoryBuilder::new();
         history
             .sent(Class::Look)
             .received_with_deadline(received, 0, Some(sent_ms))
             .execution_ended(received, received + MS);
-        assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
+        assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), expected);
     }
     let mut history = HistoryBuilder::new();
     history.sent(Class::Local).received(received, 1).execution_ended(received, received + MS);
@@ -314,9 +326,9 @@
 }
 
 #[test]
-fn cold_executors() {
+fn a_cold_executor_that_gets_more_than_its_limit_is_a_violation() {
     // The limit is 2.5 x 0.3 x 4 slots x 1 s / 20 ms = 150 requests, plus an allowance of 2 x sqrt(150) + 2.
-    for (count, wanted) in [(160_u64, [].as_slice()), (200, &[Rule::Cold])] {
+    for (count, expected) in [(160_u64, [].as_slice()), (200, &[Rule::Cold])] {
         let mut history = HistoryBuilder::new();
         let started = 10 * S;
         history.at(started, Event::Listed { version: 2, executor: 0, status: Status::Active, started });
@@ -327,24 +339,24 @@
         }
         let violated_rules: Vec<Rule> =
             history.violated_rules().into_iter().filter(|rule| *rule == Rule::Cold).collect();
-        assert_eq!(violated_rules, wanted, "{count}");
+        assert_eq!(violated_rules, expected, "{count}");
     }
 }
 
 #[test]
-fn bad_clients() {
+fn a_late_reaction_to_a_misbehaving_client_is_a_violation() {
     let misbehaved = Event::Misbehaved { client_connection: 7, node: 0, life: 1, how: Misbehavior::Half };
-    for (after_ms, wanted) in [(2_900, [].as_slice()), (3_500, &[Rule::BadClient])] {
+    for (after_ms, expected) in [(2_900, [].as_slice()), (3_500, &[Rule::BadClient])] {
         let mut history = HistoryBuilder::new();
         history
             .at(SENT, misbehaved.clone())
             .at(SENT + after_ms * MS, Event::MisbehaviorAnswered { client_connection: 7 });
-        assert_eq!(history.violated_rules(), wanted);
+        assert_eq!(history.violated_rules(), expected);
     }
 }
 
 #[test]
-fn processes() {
+fn crashes_failed_exits_and_slow_starts_are_violations() {
     let ended = |code| NodeEvent::Ended { code };
     assert_eq!(HistoryBuilder::new().node(SENT, ended(Some(0))).violated_rules(), [Rule::Crash]);
     let line = NodeEvent::ErrorLogged { line: "panicked".into() };
@@ -372,30 +384,33 @@
 #[case::reloads_keep_it_from_ending(&[NodeEvent::Reloaded, NodeEvent::Reloaded, NodeEvent::Stopped, NodeEvent::Killed], &[Rule::Exit])]
 #[case::stopped_while_paused(&[NodeEvent::Paused, NodeEvent::Stopped, NodeEvent::Resumed, NodeEvent::Ended { code: Some(1) }], &[Rule::Exit])]
 #[case::correct(&[NodeEvent::Reloaded, NodeEvent::Reloaded, NodeEvent::Stopped, NodeEvent::Ended { code: Some(0) }], &[])]
-fn signals_in_sequence(#[case] events: &[NodeEvent], #[case] wanted: &[Rule]) {
+fn signals_in_sequence_neither_end_a_process_nor_keep_it_from_exiting(
+    #[case] events: &[NodeEvent],
+    #[case] expected: &[Rule],
+) {
     let mut history = HistoryBuilder::new();
     for (number, node_event) in (0..).zip(events) {
         let killed = if *node_event == NodeEvent::Killed { 2 * S } else { 0 };
         history.node(SENT + number * 100 * MS + killed, node_event.clone());
     }
-    assert_eq!(history.violated_rules(), wanted);
+    assert_eq!(history.violated_rules(), expected);
 }
 
 // SIGKILL soon after SIGTERM leaves a process no time to answer; a later SIGKILL does.
 #[rstest]
 #[case::at_once(100, &[])]
 #[case::later(800, &[Rule::Answer])]
-fn a_kill_after_sigterm(#[case] after_ms: u64, #[case] wanted: &[Rule]) {
+fn a_kill_soon_after_sigterm_excuses_missing_answers(#[case] after_ms: u64, #[case] expected: &[Rule]) {
     let mut history = HistoryBuilder::new();
     history.sent(Class::Look).node(SENT + MS, NodeEvent::Stopped);
     let killed = SENT + (1 + after_ms) * MS;
     history.node(killed, NodeEvent::Killed).unanswered(killed + MS);
-    assert_eq!(history.violated_rules(), wanted);
+    assert_eq!(history.violated_rules(), expected);
 }
 
 // A crowd occupies all connections of a node: a waiting client is answered too late, or a half request gets no reaction.
 #[test]
-fn a_crowd() {
+fn late_answers_and_reactions_in_a_crowd_are_violations() {
     let mut history = HistoryBuilder::new();
     let held = Event::Misbehaved { client_connection: 9, node: 0, life: 1, how: Misbehavior::Half };
     history.at(SENT - 500 * MS, held).at(SENT + 7 * S, Event::Calm);
@@ -407,7 +422,7 @@
 #[rstest]
 #[case::pushed(true, &[Rule::Drained])]
 #[case::asked_for(false, &[])]
-fn a_start_in_an_outage(#[case] pushed: bool, #[case] wanted: &[Rule]) {
+fn a_process_that_starts_in_an_outage_knows_pushed_changes(#[case] pushed: bool, #[case] expected: &[Rule]) {
     let mut history = HistoryBuilder { pushed, ..HistoryBuilder::default() };
     history.listed(S, 1, 0, Status::Active).listed(15 * S, 2, 0, Status::Leaving);
     history.at(16 * S, Event::Discovery { reachable: false });
@@ -418,11 +433,11 @@
         .received_with_deadline(received, 0, None)
         .execution_ended(received, received + MS);
     history.at(28 * S, Event::Discovery { reachable: true });
-    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), wanted);
+    assert_eq!(history.answered(received + 2 * MS, 200).violated_rules(), expected);
 }
 
 #[test]
-fn requests_are_served_after_all_faults() {
+fn too_few_served_requests_after_all_faults_are_a_violation() {
     let mut history = HistoryBuilder::new();
     history.at(10 * S, Event::Calm);
     for number in 0..60 {
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -1,8 +1,8 @@
 //! Scenarios: the parameters of a simulation. Every field has a default, so that a scenario file contains
 //! only what differs from it.
 
-mod check;
 mod settings;
+mod validation;
 
 use linestack_core::Nanos;
 use serde::{Deserialize, Serialize};
