--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -44,7 +44,8 @@
     Unsent,
 }
 
-/// Runs one client until `stop` is set. It sends one submission at a time to randomly chosen nodes, at a fixed rate.
+/// Runs one client until `stop` is set. It sends one submission at a time to randomly chosen nodes, at no
+/// more than its share of the rate of the load.
 pub fn run_client(
     number: usize,
     load: &Load,
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -25,7 +25,7 @@
 
 /// Returns the time of the machine's monotonic clock in nanoseconds. All processes on the machine share this clock.
 #[must_use]
-pub fn monotonic() -> u64 {
+pub fn monotonic_nanos() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec.unsigned_abs() * 1_000_000_000 + now.tv_nsec.unsigned_abs()
 }
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -12,7 +12,7 @@
 use super::Rig;
 use super::setup::{EarlierStore, outcome_store_of};
 use crate::link::{FrameFault, Link};
-use crate::monotonic;
+use crate::monotonic_nanos;
 use crate::plan::{Action, DOWN, LEADER, Step, name_matches};
 use crate::process::{PROCESS_TIMEOUT, Process, copy_folder};
 
@@ -45,7 +45,7 @@
 
     /// Records an event in the history under the name of a process.
     pub(super) fn record(&self, by: &str, what: HistoryEvent) {
-        let _ = self.history.send(Line::new(monotonic(), by, 0, what));
+        let _ = self.history.send(Line::new(monotonic_nanos(), by, 0, what));
     }
 
     fn act_on_links(&self, step: &Step) {
--- a/crates/rig/src/run/mod.rs
+++ b/crates/rig/src/run/mod.rs
@@ -40,7 +40,7 @@
 use crate::plan::Plan;
 use crate::process::Process;
 use crate::stand_ins::{Observer, StandInFleet};
-use crate::{clients, lock, monotonic};
+use crate::{clients, lock, monotonic_nanos};
 
 pub use self::outcome::Outcome;
 pub use self::recovery::Recovery;
@@ -51,7 +51,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The allowance in nanoseconds for clock drift and for delays on a busy machine.
-const CLOCK_AND_MACHINE_SLACK: u64 = 250_000_000;
+const CLOCK_AND_MACHINE_SLACK_NS: u64 = 250_000_000;
 
 /// The maximum number of findings in an outcome.
 const MAX_FINDINGS: usize = 100;
@@ -129,7 +129,7 @@
     rig.start(&plan.processes())?;
     rig.wait_until_serving()?;
     on_started(&rig.endpoints());
-    let load_began_at = monotonic();
+    let load_began_at = monotonic_nanos();
     let StepResults { steps, samples } = rig.run_under_load(&observer(&history, "clients"));
     let (steps_done_at, mut faults) = match steps {
         Ok(done) => (done, Vec::new()),
@@ -139,8 +139,8 @@
     let lines = rig.collect_history(&received, &mut faults);
     let mut findings = find_violations(&lines, &guarantees(plan));
     findings.truncate(MAX_FINDINGS);
-    let late_after = plan.load.deadline_ms * NANOS_PER_MS / 2;
-    let seconds = per_second(&lines, &samples, load_began_at, late_after);
+    let late_after_ns = plan.load.deadline_ms * NANOS_PER_MS / 2;
+    let seconds = per_second(&lines, &samples, load_began_at, late_after_ns);
     Ok(Outcome {
         duplicates: count_duplicates(&lines),
         findings,
@@ -158,7 +158,7 @@
     Guarantees {
         coordinated,
         // A lease that was granted just before the decision, and the allowance.
-        stale_version_limit_ns: plan.lease_ms * NANOS_PER_MS + CLOCK_AND_MACHINE_SLACK,
+        stale_version_limit_ns: plan.lease_ms * NANOS_PER_MS + CLOCK_AND_MACHINE_SLACK_NS,
         strict: coordinated && plan.strict,
         remembered: plan.store && plan.load.same_node,
         retried_when_unknown: plan.load.retry_when_unknown,
@@ -168,7 +168,7 @@
 /// Returns an observer that writes events into the merged history under a name.
 fn observer(history: &Sender<Line>, by: &'static str) -> Observer {
     let history = Mutex::new(history.clone());
-    Arc::new(move |what| drop(lock(&history).send(Line::new(monotonic(), by, 0, what))))
+    Arc::new(move |what| drop(lock(&history).send(Line::new(monotonic_nanos(), by, 0, what))))
 }
 
 /// Returns whether `wanted` accepts the name of the target of a link, such as `c1` of `n0>c1`.
--- a/crates/rig/src/run/operator.rs
+++ b/crates/rig/src/run/operator.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::Rig;
-use crate::monotonic;
+use crate::monotonic_nanos;
 use crate::plan::Step;
 use crate::process::PROCESS_TIMEOUT;
 
@@ -57,7 +57,7 @@
         self.operators.push(std::thread::spawn(move || {
             let outcome = outcome_of(command.output());
             let what = HistoryEvent::Heard { request, outcome };
-            let _ = history.send(Line::new(monotonic(), "operator", 0, what));
+            let _ = history.send(Line::new(monotonic_nanos(), "operator", 0, what));
         }));
     }
 
--- a/crates/rig/src/run/seconds.rs
+++ b/crates/rig/src/run/seconds.rs
@@ -8,7 +8,7 @@
 use linestack_history::{HistoryEvent, Line};
 use serde::Serialize;
 
-use crate::{lock, monotonic};
+use crate::{lock, monotonic_nanos};
 
 /// The interval at which counters are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
@@ -74,7 +74,7 @@
 ) {
     while !stop.load(Ordering::Relaxed) {
         let sample = Sample {
-            at: monotonic(),
+            at: monotonic_nanos(),
             list_calls: list_calls.load(Ordering::Relaxed),
             to_nodes: opened.to_nodes.load(Ordering::Relaxed),
             to_executors: opened.to_executors.load(Ordering::Relaxed),
--- a/crates/rig/src/run/timeline.rs
+++ b/crates/rig/src/run/timeline.rs
@@ -8,7 +8,7 @@
 
 use super::observations::{AwaitedFrames, SeenLine, StepObservations};
 use super::{POLL_INTERVAL, Rig, leads_to};
-use crate::monotonic;
+use crate::monotonic_nanos;
 use crate::plan::{Step, name_matches};
 use crate::process::PROCESS_TIMEOUT;
 
@@ -26,7 +26,7 @@
             let result = self.carry_out(step);
             self.observations.step_done();
             result?;
-            done_at.push(monotonic());
+            done_at.push(monotonic_nanos());
         }
         self.observe_for(Duration::from_millis(plan.tail_ms))?;
         Ok(done_at)
--- a/crates/soak/src/executor.rs
+++ b/crates/soak/src/executor.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use linestack_rig::http::{header, read_message};
-use linestack_rig::monotonic;
+use linestack_rig::monotonic_nanos;
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -220,7 +220,7 @@
         loop {
             match reader.fill_buf() {
                 Ok([]) => return Ok(None),
-                Ok(_) => return Ok(Some(monotonic())),
+                Ok(_) => return Ok(Some(monotonic_nanos())),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
                 Err(e) => return Err(e),
             }
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use linestack_rig::monotonic;
+use linestack_rig::monotonic_nanos;
 
 use crate::crowd::{CrowdRunner, CrowdSize};
 use crate::discovery::DiscoveryFaults;
@@ -212,10 +212,10 @@
             return;
         }
         if same_name {
-            self.executor_list.replace(executor, index, address, monotonic());
+            self.executor_list.replace(executor, index, address, monotonic_nanos());
         } else {
             let entry = Entry::new(index, format!("e{index}"), address, old.zone, old.group);
-            self.executor_list.add(entry, Some(monotonic()));
+            self.executor_list.add(entry, Some(monotonic_nanos()));
             self.executor_list.set_status(executor, Status::Left);
         }
         std::thread::sleep(EXIT_DELAY);
@@ -234,7 +234,7 @@
             std::thread::sleep(Duration::from_millis(10));
         }
         if entry.status == Status::Active {
-            self.executor_list.mark_restarted(executor, monotonic());
+            self.executor_list.mark_restarted(executor, monotonic_nanos());
         }
     }
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -194,7 +194,7 @@
 impl Recorder {
     /// Records an event at the current time.
     pub fn record(&self, event: Event) {
-        self.record_at(linestack_rig::monotonic(), event);
+        self.record_at(linestack_rig::monotonic_nanos(), event);
     }
 
     /// Records an event at the given time.
