--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -13,10 +13,12 @@
 use crate::lock;
 
 /// The interval at which a connection that waits for the end of a cut checks whether it was closed.
-const CUT_POLL: Duration = Duration::from_millis(20);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The same interval for a connection that waits for bytes. It is longer because a broken connection wakes its reader,
 /// and there are thousands of connections.
-const READ_POLL: Duration = Duration::from_millis(250);
+const READ_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The time limit for the connection that wakes the listening thread when the link is dropped.
+const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
 /// The time limit for connecting to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The maximum number of connections on one link at a time; connections beyond it are closed at once. A link to a
@@ -129,7 +131,7 @@
         self.proxy.faults_changed.notify_all();
         self.reset();
         // Wakes the listening thread.
-        let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(100));
+        let _ = TcpStream::connect_timeout(&self.address, WAKE_TIMEOUT);
     }
 }
 
@@ -325,7 +327,7 @@
         to: &mut TcpStream,
     ) -> Result<(), Disconnected> {
         let (mut buffer, mut reader) = ([0; READ_BUFFER_BYTES], Reader::default());
-        let _ = from.set_read_timeout(Some(READ_POLL));
+        let _ = from.set_read_timeout(Some(READ_POLL_INTERVAL));
         loop {
             if self.stopped() {
                 return Err(Disconnected);
@@ -420,7 +422,7 @@
             if self.stopped() || !lock(&self.connections).contains_key(&connection) {
                 return Err(Disconnected);
             }
-            let waited = self.faults_changed.wait_timeout(faults, CUT_POLL);
+            let waited = self.faults_changed.wait_timeout(faults, CUT_POLL_INTERVAL);
             faults = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         if self.stopped() { Err(Disconnected) } else { Ok(()) }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -16,6 +16,13 @@
 /// The maximum number of clients of a load, and of connections to a stand-in.
 pub const MAX_CLIENTS: usize = 4096;
 
+/// The time limit for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay of a client after a connection attempt that failed.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The stack size in bytes of a client's thread.
+const THREAD_STACK_BYTES: usize = 128 * 1024;
+
 /// The parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
@@ -75,7 +82,7 @@
     let mut threads = Vec::new();
     for client in 0..plan.clients {
         let (scenario, to, plan) = (Arc::clone(&scenario), to[client % to.len()], plan.clone());
-        let thread = std::thread::Builder::new().stack_size(128 * 1024);
+        let thread = std::thread::Builder::new().stack_size(THREAD_STACK_BYTES);
         threads.push(
             thread.spawn(move || run_client(&scenario, to, &plan, client, seed, begin, count_from, end))?,
         );
@@ -133,14 +140,14 @@
         }
         let sent = if interval.is_some() { due - interval.unwrap_or_default() } else { Instant::now() };
         if socket.is_none() {
-            let new = TcpStream::connect_timeout(&to, Duration::from_secs(1)).and_then(|socket| {
+            let new = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).and_then(|socket| {
                 socket.set_nodelay(true)?;
                 socket.set_read_timeout(Some(PEER_TIMEOUT))?;
                 Ok(BufReader::new(socket))
             });
             let Ok(new) = new else {
                 result.broken += 1;
-                std::thread::sleep(Duration::from_millis(10));
+                std::thread::sleep(CONNECT_RETRY_DELAY);
                 continue;
             };
             socket = Some(new);
--- a/crates/rig/src/stand_ins.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -21,6 +21,9 @@
 /// The shortest time for which an executor's timer thread sleeps when no job is done.
 const MIN_TIMER_WAIT_NS: u64 = 20_000;
 
+/// The time limit for the connection that wakes a listening thread when the stand-ins are dropped.
+const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
+
 /// The longest time for which a watch of discovery sleeps before it writes an empty line, or stops.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -297,7 +300,7 @@
         self.stop.store(true, Ordering::Relaxed);
         // Wakes the threads that wait for the next connection.
         for address in self.executors.iter().chain(lock(&self.discoveries).iter()) {
-            let _ = TcpStream::connect_timeout(address, Duration::from_millis(100));
+            let _ = TcpStream::connect_timeout(address, WAKE_TIMEOUT);
         }
     }
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -10,7 +10,7 @@
 use linestack_simwire::{Batch, Incoming, Reply};
 
 /// The size in bytes of the buffers of standard input and output.
-const BUFFER_SIZE: usize = 1 << 16;
+const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
     match run() {
@@ -23,8 +23,8 @@
 }
 
 fn run() -> Result<(), Box<dyn Error>> {
-    let mut input = BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     let (mut batch, mut reply) = (Batch::default(), Reply::default());
     // By the number of the instance; none for one that has not started or was killed.
     let mut instances: Vec<Option<Instance>> = Vec::new();
--- a/crates/soak/src/executor.rs
+++ b/crates/soak/src/executor.rs
@@ -19,6 +19,8 @@
 
 /// The interval at which a working executor checks whether its client has disconnected or its process has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// The time limit for the connection that wakes a listener when its process ends.
+const WAKE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long the rest of a request may take once its first byte has arrived.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 /// The interval at which an idle connection checks whether it must close.
@@ -144,7 +146,7 @@
             reset(&socket);
         }
         // Wakes the listener, which then closes its socket.
-        let _ = TcpStream::connect_timeout(&address, Duration::from_millis(200));
+        let _ = TcpStream::connect_timeout(&address, WAKE_TIMEOUT);
     }
 
     /// Sets the share of requests that a fault affects from now on; 0 ends the fault.
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -20,6 +20,11 @@
 /// How long an executor that has left still answers its current requests before its process ends.
 const EXIT_DELAY: Duration = Duration::from_millis(1_500);
 
+/// The time limit for each connection of an idle flood.
+const FLOOD_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// The interval at which a restarted executor tries again to listen.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
 /// Injects faults into the parts of a run.
 pub struct FaultInjector {
     /// The nodes.
@@ -171,7 +176,7 @@
             Fault::WatchesReset { .. } => self.discovery_faults.reset_watches(),
             Fault::IdleFlood { node, connections, for_ms, .. } => {
                 let address = self.network.node_address(*node);
-                let connect = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200));
+                let connect = || std::net::TcpStream::connect_timeout(&address, FLOOD_CONNECT_TIMEOUT);
                 let idle: Vec<_> = (0..*connections).map_while(|_| connect().ok()).collect();
                 sleep(for_ms);
                 drop(idle);
@@ -231,7 +236,7 @@
         // The previous listener may still be closing.
         let start = Instant::now();
         while own.listen(entry.address).is_err() && start.elapsed() < EXIT_DELAY {
-            std::thread::sleep(Duration::from_millis(10));
+            std::thread::sleep(LISTEN_RETRY_INTERVAL);
         }
         if entry.status == Status::Active {
             self.executor_list.mark_restarted(executor, monotonic_nanos());
--- a/crates/soak/src/judge/answers.rs
+++ b/crates/soak/src/judge/answers.rs
@@ -3,13 +3,14 @@
 use super::{Facts, NodeProcess, OBSERVATION_SLACK, Request, Rule, Violation, whole_millis};
 use crate::generator::BROKEN_CONNECTIONS_RULE;
 use crate::history::{Event, Misbehavior, MissingAnswer, Nanos, NodeEvent};
-use crate::millis_to_nanos;
 
 /// An answer that comes up to this long after the deadline earns no payoff, but violates no rule.
 const LATE_ANSWER_LIMIT: Nanos = 500_000_000;
 /// SIGKILL later than this after SIGTERM does not excuse an unanswered request. The documentation of the protocol sets
 /// the time.
 const KILL_EXCUSED_WITHIN: Nanos = 700_000_000;
+/// Tolerance, in addition to [`OBSERVATION_SLACK`], for the time at which a misbehaving client observes the reaction.
+const REACTION_SLACK: Nanos = 100_000_000;
 /// A client that misbehaves gets an error, or its connection is closed, within this time.
 const MISBEHAVIOR_ANSWER_LIMIT: Nanos = 3_000_000_000;
 
@@ -111,7 +112,7 @@
         let answered = facts.case.history.iter().find(|later| later.event == answer).map(|later| later.at);
         let process = facts.processes.get(&(*node, *life));
         let paused = process.map_or(0, |process| process.paused_time(entry.at, answered.unwrap_or(last)));
-        let due = entry.at + MISBEHAVIOR_ANSWER_LIMIT + paused + OBSERVATION_SLACK + millis_to_nanos(100);
+        let due = entry.at + MISBEHAVIOR_ANSWER_LIMIT + paused + OBSERVATION_SLACK + REACTION_SLACK;
         let gone = process.and_then(|process| {
             process.time_of(|node_event| matches!(node_event, NodeEvent::Killed | NodeEvent::Ended { .. }))
         });
--- a/crates/soak/src/judge/cold.rs
+++ b/crates/soak/src/judge/cold.rs
@@ -8,7 +8,7 @@
 use crate::settings::{COLD_CAPACITY_SHARE, OVERLOAD_FACTOR, OVERLOAD_WINDOW_MS, SLOW_START_MS};
 
 /// Below a limit of this many requests, the allowance for random variation is wider.
-const SMALL_LIMIT: f64 = 30.0;
+const SMALL_LIMIT_REQUESTS: f64 = 30.0;
 
 pub(super) fn judge(facts: &Facts<'_>, violations: &mut Vec<Violation>) {
     for entry in facts.case.history {
@@ -56,7 +56,8 @@
         let age_share = (at - started) as f64 / cold as f64;
         let capacity_share = COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * age_share;
         let limit = OVERLOAD_FACTOR * capacity_share * slots as f64 * OVERLOAD_WINDOW_MS / mean_job_ms;
-        let allowance = if limit < SMALL_LIMIT { 3.0 * limit.sqrt() + 3.0 } else { 2.0 * limit.sqrt() + 2.0 };
+        let allowance =
+            if limit < SMALL_LIMIT_REQUESTS { 3.0 * limit.sqrt() + 3.0 } else { 2.0 * limit.sqrt() + 2.0 };
         if sent as f64 > limit + allowance {
             return Some(Overload { at: *at, sent, limit: limit + allowance });
         }
--- a/crates/soak/src/judge/drains.rs
+++ b/crates/soak/src/judge/drains.rs
@@ -5,7 +5,7 @@
 use crate::millis_to_nanos;
 
 /// Whatever else failed, a node must know a change once discovery has had it, and has been reachable, for this long.
-const KNOWN_WITHIN: Nanos = 6_000_000_000;
+const MAX_KNOWLEDGE_DELAY: Nanos = 6_000_000_000;
 /// Tolerance added to time limits that are observed on sockets.
 const SOCKET_SLACK: Nanos = 50_000_000;
 
@@ -75,13 +75,13 @@
     let sent = process.lists_sent.iter().find(|(_, listed)| *listed >= version).map(|(at, _)| *at);
     let started = process.time_of(|node_event| matches!(node_event, NodeEvent::Started { .. }))?;
     // A change that discovery had for this long before the process started counts from the start of the process.
-    let at_latest = reachable_from(facts, leaving.at).map(|from| (from + KNOWN_WITHIN).max(started));
+    let at_latest = reachable_from(facts, leaving.at).map(|from| (from + MAX_KNOWLEDGE_DELAY).max(started));
     let pushed = (facts.case.settings.pushed && leaving.at < started).then_some(started);
     // A change that a silent watch missed counts from when the watch fell silent, if discovery stayed reachable for another.
     let unbroken = |silenced: &Nanos| reachable_from(facts, *silenced) == Some(*silenced);
-    let missed = |silenced: &Nanos| (*silenced..*silenced + KNOWN_WITHIN).contains(&leaving.at);
+    let missed = |silenced: &Nanos| (*silenced..*silenced + MAX_KNOWLEDGE_DELAY).contains(&leaving.at);
     let silent =
-        process.watch_silenced.filter(missed).filter(unbroken).map(|silenced| silenced + KNOWN_WITHIN);
+        process.watch_silenced.filter(missed).filter(unbroken).map(|silenced| silenced + MAX_KNOWLEDGE_DELAY);
     [sent, at_latest, pushed, silent].into_iter().flatten().min()
 }
 
@@ -95,13 +95,13 @@
         .find(|version| *version > 0)
 }
 
-/// Returns the time at or after `at` from which discovery could be reached without interruption for [`KNOWN_WITHIN`].
+/// Returns the time at or after `at` from which discovery could be reached without interruption for [`MAX_KNOWLEDGE_DELAY`].
 fn reachable_from(facts: &Facts<'_>, at: Nanos) -> Option<Nanos> {
     let mut outages = 0_usize;
     let mut from = Some(at);
     for entry in facts.case.history {
         let Event::Discovery { reachable } = entry.event else { continue };
-        if from.is_some_and(|from| entry.at >= from + KNOWN_WITHIN) {
+        if from.is_some_and(|from| entry.at >= from + MAX_KNOWLEDGE_DELAY) {
             break;
         }
         outages = if reachable { outages.saturating_sub(1) } else { outages + 1 };
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -22,6 +22,8 @@
 
 /// The interval at which a started node is checked for readiness.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time limit for the answer to a readiness check.
+const READINESS_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest wait for a started node to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// The time after which clients no longer choose a node that got SIGTERM.
@@ -246,7 +248,7 @@
             if state.life.load(Ordering::SeqCst) != life {
                 return;
             }
-            if get_status(state.address, "/healthz", Duration::from_millis(500))
+            if get_status(state.address, "/healthz", READINESS_CHECK_TIMEOUT)
                 .is_ok_and(|status| status == 200)
             {
                 state.accepts_clients.store(true, Ordering::SeqCst);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -32,7 +32,10 @@
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 /// The longest wait at the end for answers that are outstanding.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(6_500);
+/// The interval at which the last answers are waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The time limit for a connection that wakes a listener at the end.
+const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
 /// The number of discovery servers per node, which configurations name in turn.
 const DISCOVERY_SERVERS: u16 = 2;
 
@@ -251,7 +254,7 @@
 
 /// Wakes all listeners, which then see that the run is over and close their sockets.
 fn wake_listeners(plan: &Plan, network: Network, executors: &Executors, executor_list: &ExecutorList) {
-    let wake = |address| drop(std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)));
+    let wake = |address| drop(std::net::TcpStream::connect_timeout(&address, WAKE_TIMEOUT));
     for node in 0..plan.nodes {
         (0..DISCOVERY_SERVERS).for_each(|number| wake(network.discovery_address(node, number)));
     }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -11,13 +11,13 @@
 const MIN_CPU_OF_SLOW_NODE_US: f64 = 50.0;
 
 /// The maximum fraction of a node's processor time that others take.
-const MAX_CPU_TAKEN: f64 = 0.95;
+const MAX_CPU_SHARE_TAKEN: f64 = 0.95;
 
 /// The cost of a connection under the changed settings.
 const SWITCHED_CONNECTION_COST: f64 = 0.08;
 
 /// The minimum number of clients per second of a flood.
-const MIN_FLOOD_RATE: f64 = 1e-3;
+const MIN_FLOOD_CLIENTS_PER_S: f64 = 1e-3;
 
 impl World<'_> {
     /// Applies [`Fault::NodeKill`](crate::Fault::NodeKill).
@@ -50,7 +50,7 @@
     /// processor time, so that each input takes correspondingly longer.
     pub(super) fn node_slow(&mut self, spec: &FaultSpec, targets: &[usize], phase: FaultPhase) {
         let normal_us = self.scenario.nodes.cpu_us;
-        let share_left = 1.0 - spec.size.min(MAX_CPU_TAKEN);
+        let share_left = 1.0 - spec.size.min(MAX_CPU_SHARE_TAKEN);
         let cpu_per_input = match phase {
             FaultPhase::Begins => normal_us.max(MIN_CPU_OF_SLOW_NODE_US) * 1e3 / share_left,
             FaultPhase::Ends => normal_us * 1e3,
@@ -95,7 +95,7 @@
         if state.process.as_ref().is_some_and(|process| !process.is_at_client_limit()) {
             self.give_input(node, incarnation, Input::ClientConnected { client });
         }
-        let gap = seconds_to_nanos(1.0 / spec.size.max(MIN_FLOOD_RATE));
+        let gap = seconds_to_nanos(1.0 / spec.size.max(MIN_FLOOD_CLIENTS_PER_S));
         self.schedule_after(gap, Event::FloodConnects { fault, node });
     }
 }
