--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -230,12 +230,12 @@
     /// Ends an executor's process and starts it again at the same address.
     fn restart(&self, executor: usize, down_ms: u64) {
         let Some(entry) = self.executor_list.entry(executor) else { return };
-        let own = self.executors.get(executor);
-        own.end(entry.address);
+        let restarted = self.executors.get(executor);
+        restarted.end(entry.address);
         std::thread::sleep(Duration::from_millis(down_ms));
         // The previous listener may still be closing.
         let start = Instant::now();
-        while own.listen(entry.address).is_err() && start.elapsed() < EXIT_DELAY {
+        while restarted.listen(entry.address).is_err() && start.elapsed() < EXIT_DELAY {
             std::thread::sleep(LISTEN_RETRY_INTERVAL);
         }
         if entry.status == Status::Active {
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -211,14 +211,14 @@
     ///
     /// The process can't be started.
     pub fn start(&self, node: usize, shim_plan: &str) -> io::Result<()> {
-        let mut own = lock(&self.nodes[node]);
-        if own.process.is_running() {
+        let mut locked = lock(&self.nodes[node]);
+        if locked.process.is_running() {
             // Another fault at the same time has already started the node.
             return Ok(());
         }
-        let folder = own.process.folder.clone();
+        let folder = locked.process.folder.clone();
         fs::create_dir_all(&folder)?;
-        let configuration = self.configuration(node, own.discovery);
+        let configuration = self.configuration(node, locked.discovery);
         self.write_configuration(node, &configuration.to_string())?;
         let file = self.configuration_file(node).display().to_string();
         let mut variables = vec![("PROXY_CONFIG".to_owned(), file)];
@@ -227,15 +227,15 @@
             variables.push((shim::PRELOAD_VARIABLE.to_owned(), shim::library_path()?.display().to_string()));
             variables.push((shim::PLAN_VARIABLE.to_owned(), format!("{shim_plan}; log={}", log.display())));
         }
-        own.process.variables = variables;
+        locked.process.variables = variables;
         let life = self.directory.states[node].life.fetch_add(1, Ordering::SeqCst) + 1;
-        own.process.start()?;
-        own.started = Some(Instant::now());
+        locked.process.start()?;
+        locked.started = Some(Instant::now());
         self.directory.states[node].dead.store(false, Ordering::SeqCst);
         self.directory.states[node]
             .breaks_connections
             .store(shim_plan.contains(BROKEN_CONNECTIONS_RULE), Ordering::SeqCst);
-        drop(own);
+        drop(locked);
         self.record(node, NodeEvent::Started { shim: shim_plan.to_owned() });
         self.wait_until_ready(node, life);
         Ok(())
@@ -261,19 +261,19 @@
 
     /// Records whether a node has exited, and the bugs that its log reports.
     pub fn check_exit_and_log(&self, node: usize) {
-        let mut own = lock(&self.nodes[node]);
-        if let Ok(Some(status)) = own.process.poll_exit() {
+        let mut locked = lock(&self.nodes[node]);
+        if let Ok(Some(status)) = locked.process.poll_exit() {
             self.directory.states[node].accepts_clients.store(false, Ordering::SeqCst);
             self.record(node, NodeEvent::Ended { code: status.code() });
         }
-        self.read_log(node, &mut own);
+        self.read_log(node, &mut locked);
     }
 
-    fn read_log(&self, node: usize, own: &mut Node) {
-        let text = fs::read(own.process.log_file()).unwrap_or_default();
-        let new = String::from_utf8_lossy(text.get(own.log_checked..).unwrap_or_default()).into_owned();
+    fn read_log(&self, node: usize, locked: &mut Node) {
+        let text = fs::read(locked.process.log_file()).unwrap_or_default();
+        let new = String::from_utf8_lossy(text.get(locked.log_checked..).unwrap_or_default()).into_owned();
         let complete = new.rfind('\n').map_or(0, |end| end + 1);
-        own.log_checked += complete;
+        locked.log_checked += complete;
         for line in
             new[..complete].lines().filter(|line| BUG_MESSAGES.iter().any(|message| line.contains(message)))
         {
@@ -288,12 +288,12 @@
     /// A signal can't be sent, or the node can't be started.
     pub fn stop(&self, node: usize, back_after: Option<Duration>, shim_plan: &str) -> io::Result<()> {
         {
-            let own = lock(&self.nodes[node]);
-            if !own.process.is_running() || own.process.paused {
+            let locked = lock(&self.nodes[node]);
+            if !locked.process.is_running() || locked.process.paused {
                 return Ok(());
             }
             self.record(node, NodeEvent::Stopped);
-            own.process.signal(Signal::TERM)?;
+            locked.process.signal(Signal::TERM)?;
         }
         self.wait_for_exit(node, Instant::now(), back_after, shim_plan)
     }
@@ -305,22 +305,22 @@
     /// A signal can't be sent, or the node can't be started.
     pub fn stop_while_paused(&self, node: usize, paused: Duration, back_after: Duration) -> io::Result<()> {
         {
-            let mut own = lock(&self.nodes[node]);
-            if !own.process.is_running() || own.process.paused {
+            let mut locked = lock(&self.nodes[node]);
+            if !locked.process.is_running() || locked.process.paused {
                 return Ok(());
             }
-            own.process.set_paused(true)?;
+            locked.process.set_paused(true)?;
             self.record(node, NodeEvent::Paused);
             self.record(node, NodeEvent::Stopped);
-            own.process.signal(Signal::TERM)?;
+            locked.process.signal(Signal::TERM)?;
         }
         let start = Instant::now();
         std::thread::sleep(paused);
         {
-            let mut own = lock(&self.nodes[node]);
-            if own.process.is_running() && own.process.paused {
+            let mut locked = lock(&self.nodes[node]);
+            if locked.process.is_running() && locked.process.paused {
                 self.record(node, NodeEvent::Resumed);
-                own.process.set_paused(false)?;
+                locked.process.set_paused(false)?;
             }
         }
         self.wait_for_exit(node, start, Some(back_after), "")
@@ -376,13 +376,13 @@
     /// The signal can't be sent, or the node can't be started.
     pub fn kill(&self, node: usize, back_after: Duration, shim_plan: &str) -> io::Result<()> {
         {
-            let mut own = lock(&self.nodes[node]);
-            if !own.process.is_running() {
+            let mut locked = lock(&self.nodes[node]);
+            if !locked.process.is_running() {
                 return Ok(());
             }
             self.directory.states[node].dead.store(true, Ordering::SeqCst);
             self.record(node, NodeEvent::Killed);
-            own.process.kill()?;
+            locked.process.kill()?;
         }
         std::thread::sleep(KILL_NOTICE_DELAY.min(back_after));
         self.directory.states[node].accepts_clients.store(false, Ordering::SeqCst);
@@ -397,18 +397,18 @@
     /// A signal can't be sent.
     pub fn pause(&self, node: usize, span: Duration) -> io::Result<()> {
         {
-            let mut own = lock(&self.nodes[node]);
-            if !own.process.is_running() || own.process.paused {
+            let mut locked = lock(&self.nodes[node]);
+            if !locked.process.is_running() || locked.process.paused {
                 return Ok(());
             }
-            own.process.set_paused(true)?;
+            locked.process.set_paused(true)?;
             self.record(node, NodeEvent::Paused);
         }
         std::thread::sleep(span);
-        let mut own = lock(&self.nodes[node]);
-        if own.process.is_running() && own.process.paused {
+        let mut locked = lock(&self.nodes[node]);
+        if locked.process.is_running() && locked.process.paused {
             self.record(node, NodeEvent::Resumed);
-            own.process.set_paused(false)?;
+            locked.process.set_paused(false)?;
         }
         Ok(())
     }
@@ -419,20 +419,20 @@
     ///
     /// The configuration can't be written, or the signal can't be sent.
     pub fn reload(&self, node: usize, valid: bool) -> io::Result<()> {
-        let mut own = lock(&self.nodes[node]);
-        if !valid && own.started_within(CONFIGURATION_READ_TIME) {
+        let mut locked = lock(&self.nodes[node]);
+        if !valid && locked.started_within(CONFIGURATION_READ_TIME) {
             return Ok(());
         }
         if valid {
-            own.discovery = 1 - own.discovery;
-            let configuration = self.configuration(node, own.discovery);
+            locked.discovery = 1 - locked.discovery;
+            let configuration = self.configuration(node, locked.discovery);
             self.write_configuration(node, &configuration.to_string())?;
         } else {
             self.write_configuration(node, "{\"name\": \"n\", \"discovery\": 7}")?;
         }
-        if own.process.is_running() && !own.started_within(HANDLER_INSTALL_TIME) {
+        if locked.process.is_running() && !locked.started_within(HANDLER_INSTALL_TIME) {
             self.record(node, NodeEvent::Reloaded);
-            own.process.signal(Signal::HUP)?;
+            locked.process.signal(Signal::HUP)?;
         }
         Ok(())
     }
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -133,7 +133,7 @@
     }
 
     /// Counts a breach, and keeps its details unless there are too many already.
-    pub(crate) fn breach(&mut self, rule: Rule, now: Nanos, detail: String) {
+    pub(crate) fn record_breach(&mut self, rule: Rule, now: Nanos, detail: String) {
         self.breach_count += 1;
         if self.breaches.len() < MAX_DESCRIBED_BREACHES {
             self.breaches.push(Breach { rule, at_s: now as f64 / 1e9, detail });
@@ -182,7 +182,11 @@
     /// A node gave a final answer.
     pub(crate) fn answered(&mut self, attempt: usize, answer: &Answer, now: Nanos) {
         let Some(submission) = self.submissions.get_mut(&attempt) else {
-            return self.breach(Rule::AnsweredTwice, now, format!("{attempt}: not taken, or long over"));
+            return self.record_breach(
+                Rule::AnsweredTwice,
+                now,
+                format!("{attempt}: not taken, or long over"),
+            );
         };
         let is_second = submission.answered.replace(now).is_some();
         let is_late = now > submission.deadline + self.tolerance && !submission.excused;
@@ -190,15 +194,17 @@
         let repeat_is_harmful = submission.repeats != RepeatPolicy::Idempotent && may_have_run;
         let has_result = submission.has_result;
         if is_second {
-            self.breach(Rule::AnsweredTwice, now, format!("{attempt}"));
+            self.record_breach(Rule::AnsweredTwice, now, format!("{attempt}"));
         }
         if is_late {
-            self.breach(Rule::Lost, now, format!("{attempt}: answered after its cut-off"));
+            self.record_breach(Rule::Lost, now, format!("{attempt}: answered after its cut-off"));
         }
         match answer {
-            Answer::Completed(_) if !has_result => self.breach(Rule::MadeUp, now, format!("{attempt}")),
+            Answer::Completed(_) if !has_result => {
+                self.record_breach(Rule::MadeUp, now, format!("{attempt}"))
+            }
             Answer::Dismissed(_) if repeat_is_harmful => {
-                self.breach(Rule::DismissedMayHaveRun, now, format!("{attempt}"));
+                self.record_breach(Rule::DismissedMayHaveRun, now, format!("{attempt}"));
             }
             _ => {}
         }
@@ -219,10 +225,10 @@
         {
             let ago_s = (now - listed.at) as f64 / 1e9;
             let detail = format!("{attempt} to {executor}, told {ago_s:.2} s before");
-            self.breach(Rule::SentToDrained, now, detail);
+            self.record_breach(Rule::SentToDrained, now, detail);
         }
         let Some(submission) = self.submissions.get_mut(&attempt) else {
-            return self.breach(Rule::SentAfterAnswer, now, format!("{attempt}: long over"));
+            return self.record_breach(Rule::SentAfterAnswer, now, format!("{attempt}: long over"));
         };
         let answered = submission.answered.is_some();
         let earlier: Vec<_> =
@@ -230,14 +236,14 @@
         submission.sent.push(SentExecution { connection, group, at: now, run_status: RunStatus::MayHaveRun });
         let (repeats, dedup_window) = (submission.repeats, submission.dedup_window);
         if answered {
-            self.breach(Rule::SentAfterAnswer, now, format!("{attempt}"));
+            self.record_breach(Rule::SentAfterAnswer, now, format!("{attempt}"));
         }
         match (repeats, earlier.first()) {
             (RepeatPolicy::OneShot, Some(_)) => {
-                self.breach(Rule::ResentMayHaveRun, now, format!("{attempt}"));
+                self.record_breach(Rule::ResentMayHaveRun, now, format!("{attempt}"));
             }
             (RepeatPolicy::Stamped, Some(first)) if first.group != group || now > first.at + dedup_window => {
-                self.breach(Rule::OutsideGroup, now, format!("{attempt}"));
+                self.record_breach(Rule::OutsideGroup, now, format!("{attempt}"));
             }
             _ => {}
         }
@@ -256,7 +262,7 @@
         let Some(submission) = self.submissions.get_mut(&attempt) else { return };
         submission.runs += 1;
         if submission.runs > 1 && submission.repeats != RepeatPolicy::Idempotent {
-            self.breach(Rule::RanTwice, now, format!("{attempt}"));
+            self.record_breach(Rule::RanTwice, now, format!("{attempt}"));
         }
     }
 
@@ -285,7 +291,7 @@
         if overloaded {
             let total = recent.total();
             let detail = format!("{executor}: {total:.2} s of work in a window, bears {max_work_s:.2}");
-            self.breach(Rule::ColdPushedOver, now, detail);
+            self.record_breach(Rule::ColdPushedOver, now, detail);
         }
         overloaded
     }
@@ -307,7 +313,7 @@
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in overdue {
-            self.breach(Rule::Lost, now, format!("{attempt}: no answer"));
+            self.record_breach(Rule::Lost, now, format!("{attempt}: no answer"));
             self.excuse(attempt);
         }
         self.submissions.retain(|_, submission| now < submission.deadline + RETENTION_AFTER_DEADLINE);
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -222,7 +222,7 @@
         let paused = self.nodes[node].busy_until > self.now;
         let same_process = self.nodes[node].incarnation == incarnation;
         if reason == GiveUp::DeadlinePassed && !paused && read_in_time && same_process {
-            self.judge.breach(Rule::Lost, self.now, format!("{attempt}: its client gave up"));
+            self.judge.record_breach(Rule::Lost, self.now, format!("{attempt}: its client gave up"));
         }
         self.judge.excuse(attempt);
     }
--- a/crates/world/src/world/effects.rs
+++ b/crates/world/src/world/effects.rs
@@ -33,7 +33,9 @@
             Effect::Probe { connection } => self.send_probe(id(connection)),
             Effect::CloseConnection { connection } => self.close_connection(id(connection)),
             Effect::RequestList => self.request_list(node, incarnation),
-            Effect::InvariantBroken(message) => self.judge.breach(Rule::Invariant, self.now, message.into()),
+            Effect::InvariantBroken(message) => {
+                self.judge.record_breach(Rule::Invariant, self.now, message.into())
+            }
             Effect::Report(_) | Effect::Stage(_) | Effect::Refused { .. } => {}
             Effect::Persist { record, ticket } => {
                 let sync = millis_to_nanos(self.scenario.nodes.sync_ms);
