--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -234,7 +234,7 @@
 ///
 /// An argument or a plan is invalid, or a process could not be started.
 pub fn run_command(command: &Command, json: bool) -> Fallible<ExitCode> {
-    let program = |given: &Option<PathBuf>| given.clone().map_or_else(NodeProcess::program, Ok);
+    let program = |given: &Option<PathBuf>| given.clone().map_or_else(NodeProcess::program_path, Ok);
     match command {
         Command::Run { plan, program: given, keep, seeds } => {
             let (plan, program) = (read_plan(plan)?, program(given)?);
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -27,7 +27,7 @@
     /// Runs the scenario and returns whether it meets the criterion. An invalid scenario does not.
     #[must_use]
     pub fn is_met_by(self, scenario: &Scenario) -> bool {
-        if scenario.check().is_err() {
+        if scenario.validate().is_err() {
             return false;
         }
         match self {
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -95,7 +95,7 @@
         }],
         ..Scenario::default()
     };
-    let program = NodeProcess::program()?;
+    let program = NodeProcess::program_path()?;
     let fleet = Arc::new(StandInFleet::start(&s)?);
     let nodes = [1, 2].map(|i| NodeProcess::start(&program, &fleet.configuration(&format!("n{i}"), i)));
     let nodes = nodes.into_iter().collect::<Result<Vec<_>, _>>()?;
@@ -104,7 +104,7 @@
         "two nodes, five executors with four slots each; 150 requests per second; one executor hangs from 3 s to 5 s"
     );
     println!("{LOAD_TABLE_HEAD}");
-    fleet.play_troubles();
+    fleet.run_faults();
     // The load fails if no request was satisfied before, during or after the fault.
     let mut failed = false;
     for (name, span) in [("before (3 s)", 3.0), ("hanging (2 s)", 2.0), ("after (3 s)", 3.0)] {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -302,7 +302,7 @@
                 .is_ok_and(|t| t.get("nodes").is_some_and(|n| n.is_integer()));
             let page = if is_plan {
                 let plan = fleet::read_plan(scenario)?;
-                report::fleet_page(&plan, &fleet::run_plan(&plan, &NodeProcess::program()?, None)?)?
+                report::fleet_page(&plan, &fleet::run_plan(&plan, &NodeProcess::program_path()?, None)?)?
             } else {
                 let s = scenario_file::read(scenario)?;
                 report::simulation_page(
@@ -319,7 +319,7 @@
         }
         Command::Serve { scenario, span } => {
             let fleet = Arc::new(StandInFleet::start(&scenario_file::read(scenario)?)?);
-            fleet.play_troubles();
+            fleet.run_faults();
             println!("discovery {}", fleet.discovery);
             fleet.executors.iter().for_each(|e| println!("executor {e}"));
             std::thread::sleep(Duration::from_secs_f64(span.clamp(0.0, MAX_SERVE_S)));
@@ -334,10 +334,10 @@
         }
         Command::Fill { workers, slots, clients, work_ms, span, ramp } => {
             let s = large_executors(*workers, *slots, *work_ms);
-            s.check()?;
+            s.validate()?;
             let plan = load_plan(*clients, None, *span, *ramp)?;
             let fleet = StandInFleet::start(&s)?;
-            let node = NodeProcess::start(&NodeProcess::program()?, &fleet.configuration("n0", 1))?;
+            let node = NodeProcess::start(&NodeProcess::program_path()?, &fleet.configuration("n0", 1))?;
             let direct = load::load(&s, &fleet.executors, &plan, seed_from_clock())?;
             let through = load::load(&s, &[node.address], &plan, seed_from_clock())?;
             println!(
@@ -360,7 +360,7 @@
                 hung_after: span(*hung_after)?,
                 via: via.split_whitespace().map(str::to_owned).collect(),
             };
-            let program = program.clone().map_or_else(NodeProcess::program, Ok)?;
+            let program = program.clone().map_or_else(NodeProcess::program_path, Ok)?;
             run_starts(&program, &plan)
         }
         Command::Demo => run_demo(),
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -9,7 +9,7 @@
     Action, Decide, DedupScope, DispatchConfig, Ending, Event, Health, Job, ListKind, Outcome, RepeatPolicy,
     Report, Submission, Worker, WorkerEntry,
 };
-use linestack_world::{GroundTruth, NodeSetup, SimulatedNode, production_node};
+use linestack_world::{ExecutorTruth, GroundTruth, NodeSetup, SimulatedNode, production_node};
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -51,7 +51,7 @@
             self,
             setup.settings.dispatch.clone(),
             setup.node,
-            Arc::clone(&setup.truth),
+            Arc::clone(&setup.ground_truth),
         );
         setup.build_with(Box::new(dispatcher))
     }
@@ -199,7 +199,7 @@
                     let executor = executor_of_worker.get(w as usize).copied().flatten();
                     let state = executor.and_then(|e| truth.executors.get(e));
                     // Free slots count as negative load. Executors that are down come last.
-                    state.map_or(f64::MAX, |(up, free, capacity)| {
+                    state.map_or(f64::MAX, |ExecutorTruth { available: up, free_slots: free, capacity }| {
                         if *up {
                             (self.workers[w as usize].slots_since_report - free) / capacity.max(MIN_CAPACITY)
                         } else {
--- a/crates/lab/src/scale/coordinators.rs
+++ b/crates/lab/src/scale/coordinators.rs
@@ -62,7 +62,7 @@
             let file_name = file.to_string_lossy().into_owned();
             let mut process = Process::new(&name, process_folder, program, &["coordinate", &file_name]);
             let config = json!({"coordinator": {"fleet": FLEET_ID, "number": number, "listen": address.to_string(),
-                "peers": peers, "folder": process.store(), "first-policy": first_policy,
+                "peers": peers, "folder": process.store_folder(), "first-policy": first_policy,
                 "lease-ms": members.lease_ms, "hold-ms": members.hold_ms}});
             std::fs::write(&file, toml::to_string(&config).map_err(io::Error::other)?)?;
             process.next_start_arguments = vec!["--first".to_owned()];
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -92,7 +92,7 @@
     let scale = file::read(&arguments.file, &machine)?;
     let program = match (&arguments.program, &scale.members) {
         (Some(program), _) => program.clone(),
-        (None, Some(_)) => NodeProcess::program()?,
+        (None, Some(_)) => NodeProcess::program_path()?,
         (None, None) => PathBuf::new(),
     };
     let stop = Stop::after(scale.time_limit);
--- a/crates/lab/src/scale/nodes.rs
+++ b/crates/lab/src/scale/nodes.rs
@@ -61,7 +61,7 @@
             std::fs::write(&node_file, node_config.to_string())?;
             let mut process = Process::new(&name, process_folder, program, &[]);
             let fleet_config = json!({"fleet": {"id": FLEET_ID, "member": name, "coordinators": coordinators,
-                "folder": process.store()}});
+                "folder": process.store_folder()}});
             std::fs::write(&fleet_file, toml::to_string(&fleet_config).map_err(io::Error::other)?)?;
             let variable = |key: &str, path: &Path| (key.to_owned(), path.to_string_lossy().into_owned());
             process.variables =
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -44,7 +44,7 @@
         let why = error.message().replace('\n', "; ");
         ScenarioFileError::Malformed { path: path.to_owned(), line, why }
     })?;
-    scenario.check().map_err(|errors| {
+    scenario.validate().map_err(|errors| {
         let with_place = |error: &str| {
             let key = error.split(':').next().unwrap_or("");
             let line = line_of_key(text, key).map_or(String::new(), |l| format!("{l}:"));
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -60,7 +60,7 @@
 ///
 /// A plan is invalid or could not be run.
 pub fn soak(arguments: &Arguments) -> Fallible<ExitCode> {
-    let program = arguments.program.clone().map_or_else(NodeProcess::program, Ok)?;
+    let program = arguments.program.clone().map_or_else(NodeProcess::program_path, Ok)?;
     let limit = Duration::try_from_secs_f64(arguments.time_limit)?;
     let started = Instant::now();
     let (mut runs, mut failed) = (0, 0);
--- a/crates/rig/src/run/actions.rs
+++ b/crates/rig/src/run/actions.rs
@@ -10,9 +10,9 @@
 use serde_json::Value;
 
 use super::Rig;
-use super::setup::{Earlier, store_of};
+use super::setup::{EarlierStore, outcome_store_of};
 use crate::link::{FrameFault, Link};
-use crate::monotonic;
+use crate::monotonic_nanos;
 use crate::plan::{Action, DOWN, LEADER, Step, name_matches};
 use crate::process::{PROCESS_TIMEOUT, Process, copy_folder};
 
@@ -28,7 +28,7 @@
         match step.action {
             action if action.targets_links() => self.act_on_links(step),
             action if action.targets_executors() => self.act_on_executors(step),
-            Action::Overbook => self.overbook(step),
+            Action::Overbook => self.set_list_delay(step),
             Action::Abort => self.abort(step),
             Action::Propose => return self.propose(step),
             Action::Swap => return self.swap_stores(&step.to),
@@ -39,48 +39,48 @@
     }
 
     /// Records an action and its target in the history.
-    pub(super) fn note(&self, action: &str, to: &str) {
-        self.write("rig", HistoryEvent::Did { deed: action.to_owned(), to: to.to_owned() });
+    pub(super) fn record_action(&self, action: &str, to: &str) {
+        self.record("rig", HistoryEvent::Did { deed: action.to_owned(), to: to.to_owned() });
     }
 
-    /// Writes a line into the history on behalf of a process.
-    pub(super) fn write(&self, by: &str, what: HistoryEvent) {
-        let _ = self.history.send(Line::new(monotonic(), by, 0, what));
+    /// Records an event in the history under the name of a process.
+    pub(super) fn record(&self, by: &str, what: HistoryEvent) {
+        let _ = self.history.send(Line::new(monotonic_nanos(), by, 0, what));
     }
 
     fn act_on_links(&self, step: &Step) {
         for (name, link) in &self.links {
             if step.to.iter().any(|to| name_matches(to, name)) {
-                self.note(&name_of(step.action), name);
+                self.record_action(&name_of(step.action), name);
                 act_on_link(step, link);
             }
         }
     }
 
     /// Sets the time that discovery takes for each request for the list.
-    fn overbook(&self, step: &Step) {
-        self.note(&name_of(Action::Overbook), "d");
-        self.fleet.set_list_delay(Duration::from_millis(step.ms));
+    fn set_list_delay(&self, step: &Step) {
+        self.record_action(&name_of(Action::Overbook), "d");
+        self.stand_ins.set_list_delay(Duration::from_millis(step.ms));
     }
 
     fn act_on_executors(&self, step: &Step) {
-        for place in 0..self.plan.executors as usize {
-            let name = format!("e{place}");
+        for index in 0..self.plan.executors as usize {
+            let name = format!("e{index}");
             if !step.to.iter().any(|to| name_matches(to, &name)) {
                 continue;
             }
-            self.note(&name_of(step.action), &name);
+            self.record_action(&name_of(step.action), &name);
             if step.action == Action::Renew {
-                self.renew_executor(place, &name);
+                self.renew_executor(index, &name);
             } else if let Some(kind) = step.executor_fault() {
-                self.fleet.set_executor_fault(place, kind, step.size, step.action == Action::Ail);
+                self.stand_ins.set_executor_fault(index, kind, step.size, step.action == Action::Ail);
             }
         }
     }
 
     /// Replaces an executor by a cold one and resets its connections.
-    fn renew_executor(&self, place: usize, name: &str) {
-        self.fleet.replace_executor(place);
+    fn renew_executor(&self, index: usize, name: &str) {
+        self.stand_ins.replace_executor(index);
         let pattern = format!("*>{name}");
         let links = self.links.iter().filter(|(link, _)| name_matches(&pattern, link));
         links.for_each(|(_, link)| link.reset());
@@ -88,17 +88,18 @@
 
     fn act_on_processes(&mut self, step: &Step) -> io::Result<()> {
         let names = self.target_processes(step);
-        // An action applies to all its targets as nearly at once as possible: starts follow together below.
+        // An action applies to all its targets as nearly at once as possible, so the processes are started together
+        // below.
         for name in &names {
             // An action that takes effect at once is recorded first, so that its effects never precede it in the
             // history.
-            let noted_first = matches!(step.action, Action::Kill | Action::Pause | Action::Stop);
-            if noted_first {
-                self.note(&name_of(step.action), name);
+            let recorded_first = matches!(step.action, Action::Kill | Action::Pause | Action::Stop);
+            if recorded_first {
+                self.record_action(&name_of(step.action), name);
             }
             self.act_on_process(step, name)?;
-            if !noted_first {
-                self.note(&name_of(step.action), name);
+            if !recorded_first {
+                self.record_action(&name_of(step.action), name);
             }
         }
         if !is_start(step.action) {
@@ -107,7 +108,7 @@
         if step.action == Action::StartEmpty && self.plan.store {
             self.init_lost_stores(&names)?;
         }
-        if step.expect_failure { self.start_refused(&names) } else { self.start(&names) }
+        if step.expect_failure { self.start_expecting_failure(&names) } else { self.start(&names) }
     }
 
     /// Returns the processes that a step targets. A start skips processes that already run.
@@ -115,9 +116,9 @@
         let resolve = |to: &String| if to == LEADER { self.leader() } else { to.clone() };
         let to: Vec<String> = step.to.iter().map(resolve).collect();
         let is_target = |name: &str, process: &Process| {
-            to.iter().any(|to| name_matches(to, name) || (to == DOWN && !process.running()))
+            to.iter().any(|to| name_matches(to, name) || (to == DOWN && !process.is_running()))
         };
-        let wanted = |process: &Process| !is_start(step.action) || !process.running();
+        let wanted = |process: &Process| !is_start(step.action) || !process.is_running();
         let processes = self.processes.iter();
         processes.filter(|(n, p)| is_target(n, p) && wanted(p)).map(|(n, _)| n.clone()).collect()
     }
@@ -125,8 +126,8 @@
     fn act_on_process(&mut self, step: &Step, name: &str) -> io::Result<()> {
         match step.action {
             Action::Kill => self.process(name)?.kill(),
-            Action::Pause => self.process(name)?.pause(true),
-            Action::Resume => self.process(name)?.pause(false),
+            Action::Pause => self.process(name)?.set_paused(true),
+            Action::Resume => self.process(name)?.set_paused(false),
             Action::Stop => stop(self.process(name)?),
             Action::Copy => copy_store(self.process(name)?),
             Action::Replace => self.replace(name),
@@ -134,7 +135,7 @@
             Action::Start | Action::StartEmpty | Action::StartOlder | Action::StartRolledBack => {
                 prepare_start(step, self.process(name)?)
             }
-            Action::Terms => self.change_file(name, step.policy),
+            Action::Terms => self.change_node_file(name, step.policy),
             _ => Ok(()),
         }
     }
@@ -143,13 +144,13 @@
     fn replace(&mut self, name: &str) -> io::Result<()> {
         let replacement = self.request_replacement(name.trim_start_matches('c'))?;
         let process = self.process(name)?;
-        fs::remove_dir_all(process.store())?;
+        fs::remove_dir_all(process.store_folder())?;
         process.next_start_arguments = vec!["--replacement".into(), replacement.to_string()];
         Ok(())
     }
 
     /// Writes another policy into a node's own file, and sends SIGHUP to the node if it runs.
-    fn change_file(&mut self, name: &str, number: u64) -> io::Result<()> {
+    fn change_node_file(&mut self, name: &str, number: u64) -> io::Result<()> {
         let mut settings = self.policy(number);
         let process = self.process(name)?;
         let path = process.folder.join("node.json");
@@ -159,22 +160,25 @@
         fs::write(&path, file.to_string())?;
         self.file_policies.insert(name.to_owned(), number);
         let process = self.process(name)?;
-        if process.running() { process.signal(Signal::HUP) } else { Ok(()) }
+        if process.is_running() { process.signal(Signal::HUP) } else { Ok(()) }
     }
 
     /// Creates new stores, which record that an earlier store was lost, for nodes that start with an empty one.
     fn init_lost_stores(&self, names: &[String]) -> io::Result<()> {
         for name in names.iter().filter(|name| name.starts_with('n')) {
-            self.init_store(&store_of(&self.processes[name]), Earlier::Lost)?;
+            self.init_store(&outcome_store_of(&self.processes[name]), EarlierStore::Lost)?;
         }
         Ok(())
     }
 
     /// Swaps the stores of two processes that do not run.
     fn swap_stores(&self, to: &[String]) -> io::Result<()> {
-        let [a, b] = to else { return Err(io::Error::other("two change places")) };
-        let store = |name: &String| self.processes.get(name).filter(|p| !p.running()).map(Process::store);
-        let (Some(a), Some(b)) = (store(a), store(b)) else { return Err(io::Error::other("both are down")) };
+        let [a, b] = to else { return Err(io::Error::other("a swap needs exactly two processes")) };
+        let store =
+            |name: &String| self.processes.get(name).filter(|p| !p.is_running()).map(Process::store_folder);
+        let (Some(a), Some(b)) = (store(a), store(b)) else {
+            return Err(io::Error::other("a swap needs two processes that do not run"));
+        };
         let temporary = a.with_file_name("swapped");
         fs::rename(&a, &temporary)?;
         fs::rename(&b, &a)?;
@@ -217,7 +221,7 @@
     if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| status.success()) {
         return Ok(());
     }
-    Err(io::Error::other(format!("{} did not end with 0", process.name)))
+    Err(io::Error::other(format!("{} did not exit with code 0 after SIGTERM", process.name)))
 }
 
 /// Waits until a process has ended by itself with an exit code other than 0.
@@ -225,7 +229,7 @@
     if process.wait_or_kill(PROCESS_TIMEOUT)?.is_some_and(|status| !status.success()) {
         return Ok(());
     }
-    Err(io::Error::other(format!("{} did not end by itself", process.name)))
+    Err(io::Error::other(format!("{} did not exit by itself with a failure", process.name)))
 }
 
 /// Returns the path of the copy of a process's store.
@@ -236,16 +240,16 @@
 fn copy_store(process: &Process) -> io::Result<()> {
     let older = copy_of_store(process);
     let _ = fs::remove_dir_all(&older);
-    copy_folder(&process.store(), &older)
+    copy_folder(&process.store_folder(), &older)
 }
 
 /// Prepares the store and the injected fault for the start of a process.
 fn prepare_start(step: &Step, process: &mut Process) -> io::Result<()> {
     if matches!(step.action, Action::StartEmpty | Action::StartOlder) {
-        fs::remove_dir_all(process.store())?;
+        fs::remove_dir_all(process.store_folder())?;
     }
     if matches!(step.action, Action::StartOlder | Action::StartRolledBack) {
-        copy_folder(&copy_of_store(process), &process.store())?;
+        copy_folder(&copy_of_store(process), &process.store_folder())?;
     }
     process.variables.retain(|(key, _)| key != FAULT_VARIABLE);
     if !step.fault.is_empty() {
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use linestack_rig::monotonic;
+use linestack_rig::monotonic_nanos;
 
 use crate::crowd::{CrowdRunner, CrowdSize};
 use crate::discovery::DiscoveryFaults;
@@ -20,6 +20,11 @@
 /// How long an executor that has left still answers its current requests before its process ends.
 const EXIT_DELAY: Duration = Duration::from_millis(1_500);
 
+/// The time limit for each connection of an idle flood.
+const FLOOD_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// The interval at which a restarted executor tries again to listen.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
 /// Injects faults into the parts of a run.
 pub struct FaultInjector {
     /// The nodes.
@@ -62,8 +67,9 @@
         }
     }
 
+    /// Injects one fault, and waits until it is over. An error is recorded in the history.
     fn inject(&self, fault: &Fault) {
-        let done = match fault {
+        let result = match fault {
             Fault::StopNode { node, back_after_ms, shim, .. } => {
                 self.nodes.stop(*node, Some(Duration::from_millis(*back_after_ms)), shim)
             }
@@ -72,7 +78,7 @@
             }
             Fault::PauseNode { node, for_ms, .. } => self.nodes.pause(*node, Duration::from_millis(*for_ms)),
             Fault::Reload { nodes, twice, bad_first, .. } => self.reload(nodes, *twice, *bad_first),
-            Fault::Signals { node, series, after_ms, back_after_ms, .. } => self.signals(
+            Fault::Signals { node, series, after_ms, back_after_ms, .. } => self.send_signals(
                 *node,
                 *series,
                 Duration::from_millis(*after_ms),
@@ -83,7 +89,7 @@
                 Ok(())
             }
         };
-        if let Err(reason) = done {
+        if let Err(reason) = result {
             self.recorder.record(Event::DriverAction { action: format!("failed: {fault:?}: {reason}") });
         }
     }
@@ -102,7 +108,7 @@
     }
 
     /// Sends a sequence of signals to a node. Each sequence stops the node, which is then started again.
-    fn signals(
+    fn send_signals(
         &self,
         node: usize,
         series: SignalSequence,
@@ -170,7 +176,7 @@
             Fault::WatchesReset { .. } => self.discovery_faults.reset_watches(),
             Fault::IdleFlood { node, connections, for_ms, .. } => {
                 let address = self.network.node_address(*node);
-                let connect = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200));
+                let connect = || std::net::TcpStream::connect_timeout(&address, FLOOD_CONNECT_TIMEOUT);
                 let idle: Vec<_> = (0..*connections).map_while(|_| connect().ok()).collect();
                 sleep(for_ms);
                 drop(idle);
@@ -198,6 +204,7 @@
         self.executors.get(executor).end(entry.address);
     }
 
+    /// Replaces an active executor by one at another address, and ends the old process a little later.
     fn replace(&self, executor: usize, same_name: bool) {
         let Some(old) = self.executor_list.entry(executor) else { return };
         if old.status != Status::Active {
@@ -210,28 +217,29 @@
             return;
         }
         if same_name {
-            self.executor_list.replaced(executor, index, address, monotonic());
+            self.executor_list.replace(executor, index, address, monotonic_nanos());
         } else {
             let entry = Entry::new(index, format!("e{index}"), address, old.zone, old.group);
-            self.executor_list.add(entry, Some(monotonic()));
+            self.executor_list.add(entry, Some(monotonic_nanos()));
             self.executor_list.set_status(executor, Status::Left);
         }
         std::thread::sleep(EXIT_DELAY);
         self.executors.get(executor).end(old.address);
     }
 
+    /// Ends an executor's process and starts it again at the same address.
     fn restart(&self, executor: usize, down_ms: u64) {
         let Some(entry) = self.executor_list.entry(executor) else { return };
-        let own = self.executors.get(executor);
-        own.end(entry.address);
+        let restarted = self.executors.get(executor);
+        restarted.end(entry.address);
         std::thread::sleep(Duration::from_millis(down_ms));
         // The previous listener may still be closing.
         let start = Instant::now();
-        while own.listen(entry.address).is_err() && start.elapsed() < EXIT_DELAY {
-            std::thread::sleep(Duration::from_millis(10));
+        while restarted.listen(entry.address).is_err() && start.elapsed() < EXIT_DELAY {
+            std::thread::sleep(LISTEN_RETRY_INTERVAL);
         }
         if entry.status == Status::Active {
-            self.executor_list.restarted(executor, monotonic());
+            self.executor_list.mark_restarted(executor, monotonic_nanos());
         }
     }
 }
--- a/crates/world/src/world/faults/nodes.rs
+++ b/crates/world/src/world/faults/nodes.rs
@@ -3,7 +3,7 @@
 use linestack_core::Input;
 use rand::Rng as _;
 
-use crate::scenario::{FaultSpec, seconds};
+use crate::scenario::{FaultSpec, seconds_to_nanos};
 use crate::world::World;
 use crate::world::event::{Event, FaultPhase};
 
@@ -11,13 +11,13 @@
 const MIN_CPU_OF_SLOW_NODE_US: f64 = 50.0;
 
 /// The maximum fraction of a node's processor time that others take.
-const MAX_CPU_TAKEN: f64 = 0.95;
+const MAX_CPU_SHARE_TAKEN: f64 = 0.95;
 
 /// The cost of a connection under the changed settings.
 const SWITCHED_CONNECTION_COST: f64 = 0.08;
 
 /// The minimum number of clients per second of a flood.
-const MIN_FLOOD_RATE: f64 = 1e-3;
+const MIN_FLOOD_CLIENTS_PER_S: f64 = 1e-3;
 
 impl World<'_> {
     /// Applies [`Fault::NodeKill`](crate::Fault::NodeKill).
@@ -33,13 +33,13 @@
     pub(super) fn node_roll(&mut self, spec: &FaultSpec, targets: &[usize]) {
         let gap_s = spec.for_s / targets.len() as f64;
         for (index, &node) in targets.iter().enumerate() {
-            self.schedule_after(seconds(gap_s * index as f64), Event::NodeStops { node });
+            self.schedule_after(seconds_to_nanos(gap_s * index as f64), Event::NodeStops { node });
         }
     }
 
     /// Applies [`Fault::NodePause`](crate::Fault::NodePause).
     pub(super) fn node_pause(&mut self, spec: &FaultSpec, targets: &[usize]) {
-        let until = self.now + seconds(spec.for_s);
+        let until = self.now + seconds_to_nanos(spec.for_s);
         for &node in targets {
             self.nodes[node].busy_until = until;
             self.nodes[node].paused_until = until;
@@ -50,7 +50,7 @@
     /// processor time, so that each input takes correspondingly longer.
     pub(super) fn node_slow(&mut self, spec: &FaultSpec, targets: &[usize], phase: FaultPhase) {
         let normal_us = self.scenario.nodes.cpu_us;
-        let share_left = 1.0 - spec.size.min(MAX_CPU_TAKEN);
+        let share_left = 1.0 - spec.size.min(MAX_CPU_SHARE_TAKEN);
         let cpu_per_input = match phase {
             FaultPhase::Begins => normal_us.max(MIN_CPU_OF_SLOW_NODE_US) * 1e3 / share_left,
             FaultPhase::Ends => normal_us * 1e3,
@@ -85,7 +85,7 @@
     /// A client that sends nothing connects to a node. The next one is scheduled while the flood lasts.
     pub(in crate::world) fn flood_connects(&mut self, fault: usize, node: usize) {
         let spec = &self.scenario.faults[fault];
-        if self.now >= seconds(spec.at_s + spec.for_s) {
+        if self.now >= seconds_to_nanos(spec.at_s + spec.for_s) {
             return;
         }
         let client = self.next_flood_client;
@@ -95,7 +95,7 @@
         if state.process.as_ref().is_some_and(|process| !process.is_at_client_limit()) {
             self.give_input(node, incarnation, Input::ClientConnected { client });
         }
-        let gap = seconds(1.0 / spec.size.max(MIN_FLOOD_RATE));
+        let gap = seconds_to_nanos(1.0 / spec.size.max(MIN_FLOOD_CLIENTS_PER_S));
         self.schedule_after(gap, Event::FloodConnects { fault, node });
     }
 }
