--- a/crates/accord/src/config.rs
+++ b/crates/accord/src/config.rs
@@ -2,7 +2,8 @@
 
 use crate::state::{CoordinatorId, Nanos};
 
-/// Validates a policy change: takes the active policy text and the proposed one, and returns one line for each error.
+/// Validates a policy change: takes the active policy text and the proposed one, in this order, and returns one line for
+/// each error.
 pub type PolicyCheck = fn(&str, &str) -> Result<(), Vec<String>>;
 
 /// The configuration of one coordinator.
@@ -12,11 +13,11 @@
     pub id: CoordinatorId,
     /// The number of coordinators, including this one.
     pub coordinators: u8,
-    /// How long a follower refuses to elect another leader after a heartbeat.
+    /// For how long after a heartbeat a follower votes for no other candidate.
     pub hold: Nanos,
     /// The duration of a member's lease.
     pub lease: Nanos,
-    /// The maximum difference between the rates of two clocks, in thousandths.
+    /// The maximum relative difference between the rates of two clocks, in thousandths.
     pub drift: u64,
     /// Validates a proposed policy.
     pub check: PolicyCheck,
--- a/crates/accord/src/coordinator/change.rs
+++ b/crates/accord/src/coordinator/change.rs
@@ -35,6 +35,7 @@
 }
 
 impl Coordinator {
+    /// Validates an operator's proposal, and queues it to be written.
     pub(super) fn propose(&mut self, now: Nanos, operator: ReplyTo, proposal: Proposal) {
         let config = self.config;
         let Role::Leader(leadership) = &mut self.role else { return };
@@ -53,6 +54,7 @@
         self.write_next(now);
     }
 
+    /// Queues the end of the pending change, if it has this name.
     pub(super) fn abort(&mut self, now: Nanos, operator: ReplyTo, request: String) {
         let Role::Leader(leadership) = &mut self.role else { return };
         let outcome = leadership.known_outcome(&request).unwrap_or(Reply::Unknown);
@@ -78,7 +80,7 @@
         Some(Reply::Pending { version: pending.policy.version })
     }
 
-    /// Returns the name of the change that is proposed, being written, or pending.
+    /// Returns the name of the change that is queued, being written, or pending.
     fn unfinished_change(&self) -> Option<&String> {
         let proposed = self.proposed.as_ref().map(|proposed| &proposed.change);
         let written = self.in_flight.as_ref().and_then(|write| write.state.pending.as_ref());
@@ -189,6 +191,7 @@
         Some(self.pending_since.at.saturating_add(pending.give_up_after?))
     }
 
+    /// Records when the change that is pending after the commit became pending.
     pub(super) fn track_pending(&mut self, now: Nanos, commit: &Commit) {
         if let Some(version) = commit.pending_version()
             && version != self.pending_since.version
@@ -197,6 +200,7 @@
         }
     }
 
+    /// Completes the proposal that the commit contains, and returns the reply to its operator.
     pub(super) fn settle_proposal(&mut self, commit: &Commit) -> Option<Response> {
         let pending = commit.pending_version();
         let proposed = self.proposed.take_if(|proposed| pending == Some(proposed.change.policy.version))?;
--- a/crates/accord/src/coordinator/election.rs
+++ b/crates/accord/src/coordinator/election.rs
@@ -11,7 +11,7 @@
 use super::role::{Candidacy, LeaderLease, Promise, Role};
 
 impl Coordinator {
-    /// Returns when this coordinator starts an election unless it hears from a leader. The times are staggered by id, so
+    /// Returns when this coordinator starts an election unless it receives a message of a leader. The times are staggered by id, so
     /// that candidates do not outbid each other forever.
     pub(super) fn election_due(&self) -> Nanos {
         self.leader_lease.until + self.config.hold / 4 * Nanos::from(self.config.id)
@@ -71,7 +71,7 @@
         let sessions = std::mem::take(&mut self.former_sessions);
         let leadership = Leadership::new(ballot, now, now + grace, sessions);
         self.role = Role::Leader(Box::new(leadership));
-        // The state may or may not be committed: it is written again before it takes effect.
+        // The state may or may not be committed, so it is written again under the new ballot before it takes effect.
         self.replicate(now, state);
     }
 
--- a/crates/accord/src/coordinator/leadership.rs
+++ b/crates/accord/src/coordinator/leadership.rs
@@ -1,4 +1,4 @@
-//! The state of a leader: the write in progress, the followers, the members' sessions, and the writes to come.
+//! The state of a leader: the write in progress, the followers, the members' sessions, and the changes to be written next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,6 +38,7 @@
     pub(super) proposed: Option<ProposedChange>,
     /// The name of the change to be aborted.
     pub(super) abort: Option<String>,
+    /// When the pending change became pending, for its timeout.
     pub(super) pending_since: PendingSince,
 }
 
@@ -117,6 +118,7 @@
         self.accepted_revision.get(&follower).is_none_or(|accepted| *accepted < revision)
     }
 
+    /// Records that a follower has acknowledged the reading `at` of this coordinator's clock.
     pub(super) fn acknowledge(&mut self, follower: CoordinatorId, at: Nanos) {
         let acknowledged = self.acknowledged_at.entry(follower).or_default();
         *acknowledged = (*acknowledged).max(at);
--- a/crates/accord/src/coordinator/lease.rs
+++ b/crates/accord/src/coordinator/lease.rs
@@ -114,7 +114,8 @@
         let new_session = || Session::unreported(now, via, renew);
         let session = self.sessions.entry(name.to_owned()).or_insert_with(new_session);
         if session.incarnation != renew.incarnation {
-            // Another run has requested the name in the meantime: only the end of the lease belongs to this run.
+            // The session is of another run that has requested the name in the meantime. Only the end of the lease in it
+            // belongs to this run.
             let lease_until = session.lease_until;
             *session = Session { lease_until, ..new_session() };
         }
@@ -154,7 +155,7 @@
         session
     }
 
-    /// Creates a session without a lease, to which the member's report is yet to be applied.
+    /// Creates a session without a lease. The rest of the member's report is applied by [`Session::update`].
     fn unreported(now: Nanos, via: Option<CoordinatorId>, renew: &Renew) -> Self {
         Self {
             incarnation: renew.incarnation,
--- a/crates/accord/src/coordinator/membership.rs
+++ b/crates/accord/src/coordinator/membership.rs
@@ -57,11 +57,11 @@
     /// Replaces a coordinator that does not respond, at an operator's request.
     pub(super) fn replace_coordinator(&mut self, now: Nanos, operator: ReplyTo, coordinator: CoordinatorId) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        let silence = self.config.hold * REPLACE_AFTER_HOLDS;
+        let min_silence = self.config.hold * REPLACE_AFTER_HOLDS;
         let is_another = coordinator < self.config.coordinators && coordinator != self.config.id;
         let error = if !is_another {
             "not another coordinator of this fleet"
-        } else if leadership.acknowledged_within(now, silence, coordinator) {
+        } else if leadership.acknowledged_within(now, min_silence, coordinator) {
             "it responded recently, or this leader was elected too recently to know"
         } else {
             leadership.replacement = Some(Replacement { operator, coordinator });
@@ -101,7 +101,8 @@
         for (name, run) in &self.joining {
             state.members.insert(name.clone(), *run);
         }
-        // A member that has returned in the meantime stays registered; the operator has to repeat the request.
+        // A member that has renewed its lease in the meantime stays registered. Its removal is dropped without a reply, so
+        // the operator has to repeat the request.
         let sessions = &self.sessions;
         let is_live = |name: &String| sessions.get(name).is_some_and(|session| session.is_live(now));
         self.removals.retain(|removal| !is_live(&removal.member));
@@ -113,10 +114,12 @@
         }
     }
 
+    /// Drops the queued registrations that the commit contains.
     pub(super) fn settle_joins(&mut self, commit: &Commit) {
         self.joining.retain(|name, run| commit.state.members.get(name) != Some(run));
     }
 
+    /// Completes the replacement that the commit contains, and returns the reply to its operator.
     pub(super) fn settle_replacement(&mut self, commit: &Commit) -> Option<Response> {
         let replacement = self.replacement.take_if(|replacement| commit.replaces(replacement.coordinator))?;
         // The predecessor's acknowledgements do not count for the replacement.
@@ -126,6 +129,7 @@
         Some(Response { to: replacement.operator, reply: Reply::Replaced { seat } })
     }
 
+    /// Completes the removals that the commit contains, and returns the replies to their operators.
     pub(super) fn settle_removals(&mut self, commit: &Commit) -> Vec<Response> {
         let is_removed = |removal: &mut Removal| !commit.state.members.contains_key(&removal.member);
         let removed: Vec<Removal> = self.removals.extract_if(.., is_removed).collect();
--- a/crates/accord/src/coordinator/mod.rs
+++ b/crates/accord/src/coordinator/mod.rs
@@ -32,7 +32,7 @@
 use self::lease::Session;
 use self::role::{LeaderLease, Promise, Replica, ReplyTo, Role};
 
-/// A coordinator. Only the [`Record`] is kept across restarts of the process.
+/// A coordinator. Only the [`Record`] is preserved across restarts of the process.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     config: ConsensusConfig,
@@ -44,7 +44,7 @@
     leader_lease: LeaderLease,
     /// The highest round in any message so far.
     highest_round: u32,
-    /// The sessions from an earlier term as the leader, kept for a re-election.
+    /// The sessions from an earlier term as the leader, which are used again after a re-election.
     former_sessions: BTreeMap<String, Session>,
     /// The highest write count that each replica has reported.
     observed_writes: BTreeMap<Replica, u64>,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Returns the record with its write counted, if it has to be persisted.
+    /// Counts the write and returns the record, if the record has to be persisted.
     fn changed_record(&mut self) -> Option<Record> {
         if !std::mem::take(&mut self.record_changed) {
             return None;
@@ -157,7 +157,7 @@
         Some(self.record.clone())
     }
 
-    /// Adds the write counts to messages, by which a rolled-back record is detected.
+    /// Fills in the seats and write counts of outgoing messages, by which a rolled-back record is detected.
     fn add_write_counts(&self, outputs: &mut [Output]) {
         for output in outputs {
             if let Output::Send { to, envelope } = output {
@@ -194,7 +194,7 @@
             return self.halt();
         }
         if envelope.seat < self.record.state.seat(from) {
-            // The sender was replaced. The committed state will tell it so.
+            // The sender was replaced. It learns this from the committed state.
             return;
         }
         let sender = Replica { id: from, seat: envelope.seat };
@@ -260,7 +260,8 @@
             || (self.config.injects(InjectedFault::StaleLeader) && self.committed_state().is_some())
     }
 
-    /// Forwards a request to the leader. A request is forwarded only once: if its receiver is not the leader, it replies so.
+    /// Forwards a request to the leader. A request is forwarded only once: a receiver that is not the leader replies
+    /// [`Reply::NoLeader`].
     fn forward(&mut self, now: Nanos, client: ReplyTo, request: Request) {
         match self.leader_lease.holder {
             Some(leader) if client.via.is_none() && now < self.leader_lease.until => {
@@ -271,7 +272,7 @@
     }
 
     fn send(&mut self, to: CoordinatorId, message: PeerMessage) {
-        // `add_write_counts` fills in the counts.
+        // `add_write_counts` fills in the seats and counts.
         let envelope =
             Envelope { write_count: 0, observed_write_count: 0, observed_seat: 0, seat: 0, message };
         self.outputs.push(Output::Send { to, envelope });
--- a/crates/accord/src/coordinator/replication.rs
+++ b/crates/accord/src/coordinator/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: Paxos phase 2 by the leader, and the heartbeats that keep it in office.
+//! Replication: Paxos phase 2, and the heartbeats by which the leader maintains its leadership.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +14,8 @@
     pub(super) fn tick_as_leader(&mut self, now: Nanos) {
         let Role::Leader(leadership) = &self.role else { return };
         let lost_quorum = now >= leadership.valid_until(&self.config);
-        let had_time_to_establish = now >= leadership.elected_at + self.config.hold;
-        if lost_quorum && had_time_to_establish && !self.config.injects(InjectedFault::StaleLeader) {
+        let first_hold_is_over = now >= leadership.elected_at + self.config.hold;
+        if lost_quorum && first_hold_is_over && !self.config.injects(InjectedFault::StaleLeader) {
             return self.step_down(now);
         }
         if now >= leadership.next_heartbeat {
@@ -57,6 +57,7 @@
         }
     }
 
+    /// Handles the leader's request to accept `state`. `at` is the leader's clock, which the reply echoes.
     pub(super) fn on_accept(
         &mut self,
         now: Nanos,
@@ -100,6 +101,7 @@
         }
     }
 
+    /// Handles a follower's acceptance. `at` is this coordinator's clock when it sent the state.
     pub(super) fn on_accepted(
         &mut self,
         now: Nanos,
@@ -118,12 +120,14 @@
         }
     }
 
+    /// Handles a leader's heartbeat. `at` is the leader's clock, which the acknowledgement echoes.
     pub(super) fn on_heartbeat(&mut self, now: Nanos, from: CoordinatorId, ballot: Ballot, at: Nanos) {
         if self.follow(now, from, ballot) && !self.record.learning {
             self.send(from, PeerMessage::HeartbeatAck { ballot, at });
         }
     }
 
+    /// Handles a follower's acknowledgement. `at` is this coordinator's clock when it sent the heartbeat.
     pub(super) fn on_heartbeat_ack(&mut self, from: Replica, ballot: Ballot, at: Nanos) {
         let Role::Leader(leadership) = &mut self.role else { return };
         if leadership.ballot != ballot {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Follows this leader for the next `hold`, unless a higher ballot was promised. Returns whether it does.
+    /// Follows this leader for the next `hold`, unless a higher ballot was promised. Returns whether this coordinator follows.
     fn follow(&mut self, now: Nanos, leader: CoordinatorId, ballot: Ballot) -> bool {
         self.observe_round(ballot);
         if ballot < self.record.promised {
--- a/crates/accord/src/coordinator/role.rs
+++ b/crates/accord/src/coordinator/role.rs
@@ -14,7 +14,7 @@
     Follower,
     /// Requests promises from the others.
     Candidate(Candidacy),
-    /// Was elected.
+    /// Was elected by a quorum.
     Leader(Box<Leadership>),
 }
 
@@ -36,10 +36,10 @@
     pub(super) seat: u32,
 }
 
-/// The time until which this coordinator votes for no other leader than the one it last heard from.
+/// The time until which this coordinator votes for no other leader than `holder`.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct LeaderLease {
-    /// The leader, if it is known.
+    /// The leader or the candidate that this coordinator supports, if there is one.
     pub(super) holder: Option<CoordinatorId>,
     pub(super) until: Nanos,
 }
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -16,10 +16,10 @@
     /// The highest write count that the sender has received from the receiver.
     #[serde(rename = "seen")]
     pub observed_write_count: u64,
-    /// The seat of the receiver that reported `observed_write_count`.
+    /// The seat that the receiver had when it reported `observed_write_count`.
     #[serde(rename = "of")]
     pub observed_seat: u32,
-    /// The seat of the sender.
+    /// The seat of the sender; see [`State::seat`].
     pub seat: u32,
     /// The message itself.
     #[serde(rename = "peer")]
@@ -141,7 +141,7 @@
     pub active: u64,
     /// The version of the change that the member has staged, 0 for none.
     pub staged: u64,
-    /// The version of a change that the member can't apply, and the policy key that prevents it.
+    /// The version of a change that the member can't apply, and the policy key that prevents it, in this order.
     pub declined: Option<(u64, String)>,
     /// The stage of the member's start, as shown to operators; empty if there is none to report.
     #[serde(default)]
@@ -202,7 +202,7 @@
     /// The policy, the pending change or the membership has changed: the member must renew its lease now.
     #[serde(rename = "nudge")]
     RenewNow,
-    /// This coordinator knows no leader; the client tries another coordinator, or retries later.
+    /// This coordinator knows of no leader; the client tries another coordinator, or retries later.
     #[serde(rename = "nobody")]
     NoLeader,
     /// The member was refused, for this reason.
@@ -269,7 +269,7 @@
     pub version: u64,
     /// The digest of the active policy's text.
     pub digest: u32,
-    /// The name and the version of the pending change.
+    /// The name and the version of the pending change, in this order.
     pub pending: Option<(String, u64)>,
     /// All registered members.
     pub members: Vec<MemberStatus>,
@@ -290,7 +290,7 @@
     pub active: Option<u64>,
     /// The version of the change that the member has staged, 0 for none.
     pub staged: u64,
-    /// The version of a change that the member can't apply, and the policy key that prevents it.
+    /// The version of a change that the member can't apply, and the policy key that prevents it, in this order.
     pub declined: Option<(u64, String)>,
     /// The stage of the member's start, as shown to operators.
     #[serde(default)]
--- a/crates/accord/src/state.rs
+++ b/crates/accord/src/state.rs
@@ -18,7 +18,7 @@
 pub const MAX_MEMBERS: usize = 2048;
 /// The maximum length of the name of a member or a change, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The maximum number of changes whose outcome is kept.
+/// The maximum number of changes whose outcome is stored.
 pub const MAX_ENDED_CHANGES: usize = 64;
 
 /// A leader's term. A later leader has a higher ballot.
@@ -165,7 +165,8 @@
 /// The persistent data of a coordinator. It must never be lost or rolled back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Counts the writes of this record. Other coordinators remember the count, so that an older copy is detected.
+    /// Counts the writes of this record. Other coordinators store the count that they observed last, so that a record that
+    /// was rolled back is detected.
     #[serde(rename = "mark")]
     pub write_count: u64,
     /// The seat of this coordinator: the number of coordinators that had its id before.
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -48,6 +48,15 @@
     pub member: Option<member::InjectedFault>,
 }
 
+/// A decided version.
+#[derive(Clone, Copy, Hash)]
+pub struct Decision {
+    pub at: Nanos,
+    /// The digest of the policy's text.
+    pub digest: u32,
+}
+
+/// The coordinators, members and network, and what is needed to check the invariants.
 #[derive(Clone)]
 pub struct World {
     pub now: Nanos,
@@ -58,8 +67,9 @@
     pub connected_to: Vec<CoordinatorId>,
     /// The messages in transit.
     pub network: Vec<SentMessage>,
-    /// The time at which each version was decided, and its digest.
-    pub decided: BTreeMap<u64, (Nanos, u32)>,
+    /// The decision of each version, by the version.
+    pub decided: BTreeMap<u64, Decision>,
+    /// The outcome of each version that was dropped, by the version.
     pub dropped: BTreeMap<u64, String>,
     pub faults: Faults,
     /// All replies to operators.
@@ -188,8 +198,8 @@
         match entry {
             AuditEntry::Decided { version, digest, .. } => {
                 let first = !self.decided.contains_key(&version);
-                let known = self.decided.entry(version).or_insert((self.now, digest));
-                if known.1 != digest {
+                let known = self.decided.entry(version).or_insert(Decision { at: self.now, digest });
+                if known.digest != digest {
                     self.violation = Some(format!("version {version} has two texts"));
                 }
                 if self.dropped.contains_key(&version) {
@@ -219,9 +229,9 @@
         let (now, mut outputs) = (self.now, Vec::new());
         self.members[m].handle(now, input, &mut outputs);
         // Changes are stored and activated without delay.
-        let mut at = 0;
-        while at < outputs.len() {
-            match outputs[at].clone() {
+        let mut next = 0;
+        while next < outputs.len() {
+            match outputs[next].clone() {
                 MemberOutput::Send(renew) => {
                     let to = Destination::Coordinator(self.connected_to[m]);
                     self.send(
@@ -244,7 +254,7 @@
                 }
                 MemberOutput::Serve { .. } | MemberOutput::Notify(_) => {}
             }
-            at += 1;
+            next += 1;
         }
         self.check_invariants();
     }
@@ -291,15 +301,15 @@
             if !self.decided.contains_key(&version) {
                 self.violation = Some(format!("member {m} serves under {version}, which was not decided"));
             }
-            for (newer, (at, _)) in self.decided.range(version + 1..) {
-                if self.now > at + LEASE {
+            for (newer, decision) in self.decided.range(version + 1..) {
+                if self.now > decision.at + LEASE {
                     self.violation = Some(format!("member {m} serves under {version}, long after {newer}"));
                 }
             }
         }
     }
 
-    /// Returns when the next tick of a running coordinator or member is due.
+    /// Returns when the next tick of a running coordinator or member is due, except for members that are `paused`.
     pub fn next_due(&self, paused: &[bool]) -> Nanos {
         let coordinators = self.coordinators.iter().flatten().map(Coordinator::next_due);
         let members =
@@ -311,7 +321,7 @@
             .clamp(self.now + 1, self.now + LEASE)
     }
 
-    /// Advances the time, and ticks the coordinators and members that are due.
+    /// Advances the time, and ticks the coordinators and members that are due, except for members that are `paused`.
     pub fn advance_to(&mut self, to: Nanos, paused: &[bool]) {
         self.now = to;
         for c in 0..self.coordinators.len() {
@@ -328,8 +338,8 @@
     }
 
     /// Delivers all messages in order until this much time has passed.
-    pub fn run_for(&mut self, span: Nanos) {
-        let end = self.now + span;
+    pub fn run_for(&mut self, duration: Nanos) {
+        let end = self.now + duration;
         while self.now < end && self.violation.is_none() {
             for sent in std::mem::take(&mut self.network) {
                 self.deliver(sent);
--- a/crates/accord/tests/search.rs
+++ b/crates/accord/tests/search.rs
@@ -59,8 +59,9 @@
 }
 
 /// Returns all states that can follow: any message is delivered, with or without a duplicate left in the network; a
-/// coordinator crashes or restarts; time advances to the next due tick, or by the duration of a lease.
-fn successors(world: &World, crashes: bool) -> Vec<World> {
+/// coordinator crashes, unless it is the last one that runs, or restarts; time advances to the next due tick, or by the
+/// duration of a lease.
+fn successors(world: &World) -> Vec<World> {
     let mut all = Vec::new();
     let mut seen = Vec::new();
     for (at, sent) in world.network.iter().enumerate() {
@@ -79,7 +80,7 @@
         let mut other = world.clone();
         match &world.coordinators[c] {
             None => other.start(c),
-            Some(_) if crashes && world.coordinators.iter().flatten().count() > 1 => other.crash(c),
+            Some(_) if world.coordinators.iter().flatten().count() > 1 => other.crash(c),
             Some(_) => continue,
         }
         all.push(other);
@@ -102,7 +103,7 @@
 fn all_orders_of_events(#[case] name: &str, #[case] world: World, #[case] depth: usize) {
     let depth = std::env::var("SEARCH_DEPTH").map_or(depth, |d| d.parse().unwrap());
     let mut seen = HashMap::new();
-    // Depth-first: only the states along one path are kept, because all of them would not fit into memory.
+    // The search is depth-first and holds only the states along one path, because all of them would not fit into memory.
     let mut path = vec![vec![world]];
     while let Some(worlds) = path.last_mut() {
         let Some(world) = worlds.pop() else {
@@ -112,13 +113,28 @@
         assert_eq!(world.violation, None);
         let left = depth + 1 - path.len();
         if left > 0 && seen.insert(world.hash(), left).is_none_or(|before| before < left) {
-            path.push(successors(&world, true));
+            path.push(successors(&world));
         }
     }
     println!("{name}: {} states to depth {depth}", seen.len());
     assert!(seen.len() > 300, "too few states were searched");
 }
 
+/// The route of a message, by the numbers of coordinators and members.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+enum Route {
+    BetweenCoordinators {
+        from: usize,
+        to: usize,
+    },
+    /// The requests of a member, to any coordinator.
+    FromMember(usize),
+    /// The replies to a member, from any coordinator.
+    ToMember(usize),
+    /// An operator's requests to a coordinator.
+    FromOperator(usize),
+}
+
 /// Runs random steps with message loss, duplication, pauses, partitions and crashes. At the end all coordinators run, the
 /// partitions and pauses are over, and the fleet has time to settle.
 fn random_walk(seed: u64, faults: Faults, steps: usize) -> World {
@@ -129,14 +145,13 @@
         world.run_for(4 * LEASE);
     }
     let mut paused = vec![false; members];
-    // Blocked routes: a pair of coordinators, 10 and a member for its requests, 20 and a member for replies to it.
     let mut blocked = HashSet::new();
     let mut requests = 0;
     for _ in 0..steps {
         if world.violation.is_some() {
             return world;
         }
-        // If many messages wait, they are delivered before time advances, so that not all of them are outdated.
+        // With more than eight messages in transit only deliveries are drawn, so that not all of them become outdated.
         let draw = if world.network.len() > 8 { rng.u32(0..600) } else { rng.u32(0..1000) };
         match draw {
             0..600 if !world.network.is_empty() => {
@@ -146,14 +161,14 @@
                 let sent = if is_duplicate { world.network[at].clone() } else { world.network.remove(at) };
                 let route = match (&sent.to, &sent.message) {
                     (common::Destination::Coordinator(c), common::Message::Envelope(from, _)) => {
-                        (*from as usize, *c as usize)
+                        Route::BetweenCoordinators { from: *from as usize, to: *c as usize }
                     }
                     (
                         common::Destination::Coordinator(_),
                         common::Message::Request(ClientSession::Member(m), _),
-                    ) => (10, m.parse().unwrap()),
-                    (common::Destination::Coordinator(c), _) => (30, *c as usize),
-                    (common::Destination::Member(m), _) => (20, *m),
+                    ) => Route::FromMember(m.parse().unwrap()),
+                    (common::Destination::Coordinator(c), _) => Route::FromOperator(*c as usize),
+                    (common::Destination::Member(m), _) => Route::ToMember(*m),
                 };
                 let is_paused = matches!(&sent.to, common::Destination::Member(m) if paused[*m]);
                 if is_paused {
@@ -172,12 +187,17 @@
                     // The coordinator is cut off from all others, but not from members.
                     4 => {
                         let c = rng.usize(..count);
-                        blocked.extend((0..count).flat_map(|d| [(c, d), (d, c)]));
+                        blocked.extend((0..count).flat_map(|other| {
+                            [
+                                Route::BetweenCoordinators { from: c, to: other },
+                                Route::BetweenCoordinators { from: other, to: c },
+                            ]
+                        }));
                         continue;
                     }
-                    0 => (10, rng.usize(..members)),
-                    1 => (20, rng.usize(..members)),
-                    _ => (rng.usize(..count), rng.usize(..count)),
+                    0 => Route::FromMember(rng.usize(..members)),
+                    1 => Route::ToMember(rng.usize(..members)),
+                    _ => Route::BetweenCoordinators { from: rng.usize(..count), to: rng.usize(..count) },
                 };
                 if !blocked.remove(&route) {
                     blocked.insert(route);
