--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -27,15 +27,16 @@
         &self.outputs
     }
 
-    fn grant(at: u64, version: u64, with: Option<u64>, change: Option<u64>) -> Grant {
+    /// A grant in answer to the request sent at `at`, with the versions of the policy and of the change that it carries.
+    fn grant(at: u64, version: u64, policy_version: Option<u64>, change_version: Option<u64>) -> Grant {
         let incarnation = Incarnation { store_id: 1, run_number: 2 };
         Grant {
             incarnation,
             requested_at: at,
             duration: LEASE_DURATION,
             version,
-            policy: with.map(policy),
-            change: change.map(policy),
+            policy: policy_version.map(policy),
+            change: change_version.map(policy),
         }
     }
 
@@ -78,7 +79,7 @@
     assert_eq!(fixture.granted(1_200, Fixture::grant(1_000, 1, None, None)), []);
 }
 
-// A change is reported as stored only once it is durable, and is activated only once it is decided.
+// A change is reported as staged only once it is durable, and is activated only once it is decided.
 #[test]
 fn a_change_is_durable_before_it_is_reported_and_decided_before_it_is_active() {
     let mut fixture = Fixture::new(1);
