--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -28,7 +28,9 @@
 use crate::persistence::StoreRecord;
 use clock::{Alarm, Clock};
 use linestack_core::{ClientId, ConnectionId, Core, Effect, Input, Refusal};
-use linestack_peers::{ExecutorObservation, Observation, PeerSnapshot, SnapshotError, usable_observations};
+use linestack_peers::{
+    ExecutorObservation, Observation, PeerSnapshot, SnapshotError, SnapshotTimes, usable_observations,
+};
 use linestack_recovery::StoredOutcome;
 use linestack_recovery::start::Stage;
 
@@ -330,7 +332,7 @@
         usable_observations(
             snapshot,
             own_name,
-            (queried_at, self.clock.now()),
+            SnapshotTimes { requested_at: queried_at, received_at: self.clock.now() },
             max_age,
             local_knowledge,
             state.core.ready_workers(),
--- a/crates/peers/tests/learn.rs
+++ b/crates/peers/tests/learn.rs
@@ -2,7 +2,7 @@
 
 use linestack_peers::{
     ExecutorObservation, FORMAT_VERSION, LoadFigures, LocalKnowledge, MAX_EXECUTORS, Nanos, Observation,
-    PeerSnapshot, SnapshotError, usable_observations,
+    PeerSnapshot, SnapshotError, SnapshotTimes, usable_observations,
 };
 use rstest::rstest;
 
@@ -17,14 +17,15 @@
     PeerSnapshot { format_version: FORMAT_VERSION, sender: "n1".into(), observations }
 }
 
-/// Takes a snapshot that was received 50 ms after it was requested. Of the six ready executors the node itself observed
-/// `met` 100 ms ago; `gone` and `unknown` are not ready.
+/// Returns what the node `n0` may use of a snapshot that was received 50 ms after it was requested. Of the six ready
+/// executors, `n0` itself observed `met` 100 ms ago; `gone` and `unknown` are not ready.
 fn usable(snapshot: &PeerSnapshot) -> Result<Vec<Observation>, SnapshotError> {
     let local = |name: &str| LocalKnowledge {
         ready: name != "gone" && name != "unknown",
         seen: (name == "met").then_some(9_900 * MS),
     };
-    usable_observations(snapshot, "n0", (9_950 * MS, 10_000 * MS), 1000 * MS, local, 6)
+    let times = SnapshotTimes { requested_at: 9_950 * MS, received_at: 10_000 * MS };
+    usable_observations(snapshot, "n0", times, 1000 * MS, local, 6)
 }
 
 #[rstest]
