--- a/crates/node/src/fleet/coordinate/storage.rs
+++ b/crates/node/src/fleet/coordinate/storage.rs
@@ -64,7 +64,7 @@
 
 /// Creates a store with this record.
 fn create(config: &config::CoordinatorConfig, record: Record) -> Result<(Disk, Record), StoreError> {
-    let store = RecordStore::open(&config.folder, &owner(config), true)?;
+    let store = RecordStore::create(&config.folder, &owner(config))?;
     let mut disk = Disk { store, incarnation: Incarnation { store_id: random_u64(), run_number: 1 } };
     disk.persist(&record)?;
     Ok((disk, record))
@@ -72,7 +72,7 @@
 
 /// Opens the existing store.
 fn reopen(config: &config::CoordinatorConfig) -> Result<(Disk, Record), StoreError> {
-    let store = RecordStore::open(&config.folder, &owner(config), false)?;
+    let store = RecordStore::open(&config.folder, &owner(config))?;
     let Some(Stored { mut incarnation, record }) = store.load()? else { return Err(StoreError::Missing) };
     incarnation.run_number += 1;
     let mut disk = Disk { store, incarnation };
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -30,8 +30,6 @@
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 /// The shortest time between two log lines of the same kind.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// The number of consecutive starts that may die while they read the store, before its files are quarantined.
-const MAX_FAILED_STARTS: u32 = 3;
 
 /// The state of a member that must survive a restart.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -61,12 +59,12 @@
     /// The store belongs to another process, is damaged, or can't be written.
     pub fn open(fleet: FleetConfig) -> Result<Self, StoreError> {
         let owner = format!("member {} of {}", fleet.member, fleet.id);
-        let open = |folder: &Path| match RecordStore::open(folder, &owner, false) {
-            Err(StoreError::Missing) => RecordStore::open(folder, &owner, true),
+        let open = |folder: &Path| match RecordStore::open(folder, &owner) {
+            Err(StoreError::Missing) => RecordStore::create(folder, &owner),
             other => other,
         };
         let mut store = open(&fleet.folder)?;
-        if start_attempts::record_attempt(&fleet.folder)? >= MAX_FAILED_STARTS {
+        if start_attempts::record_attempt(&fleet.folder)? >= start_attempts::MAX_FAILED_STARTS {
             // The member starts with an empty store as a new run, and learns everything from the coordinators again.
             drop(store);
             let quarantine = start_attempts::quarantine_files(&fleet.folder, |name| name.ends_with(".redb"))?;
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -1,5 +1,5 @@
 //! Durable storage of a single record, in a folder that one process locks at a time. The record is JSON with a format
-//! version, kept in an embedded database.
+//! version, stored in an embedded database.
 
 use std::fs::{self, File, TryLockError};
 use std::io;
@@ -12,10 +12,12 @@
 use thiserror::Error;
 
 /// The version of the format of the stored record.
-const VERSION: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
+/// The only table of the database.
 const TABLE: TableDefinition<u8, &[u8]> = TableDefinition::new("record");
-const RECORD: u8 = 0;
-const FILE: &str = "state.redb";
+/// The key of the only record in the table.
+const RECORD_KEY: u8 = 0;
+const FILE_NAME: &str = "state.redb";
 
 /// Why a record can't be opened, loaded or saved.
 #[derive(Debug, Error)]
@@ -34,10 +36,10 @@
         "the file is not the one that was written here: it was copied or restored, and may be older than promises made since"
     )]
     Copied,
-    /// The record has another format version.
-    #[error("format version {0}, but this program reads version {VERSION}")]
+    /// The record has this other format version.
+    #[error("format version {0}, but this program reads version {FORMAT_VERSION}")]
     FormatVersion(u32),
-    /// The record belongs to another process, which is given.
+    /// The record belongs to this other process.
     #[error("the store belongs to {0}, not to this process")]
     WrongOwner(String),
     /// The record, the database, or the file that a first record is made from can't be read.
@@ -57,31 +59,54 @@
     }
 }
 
-/// The identity of a file: its device, its inode number, and its creation time in nanoseconds, 0 where the file system
-/// does not tell it. The creation time is needed because inode numbers are reused.
-pub(crate) type FileIdentity = (u64, u64, u64);
+/// The identity of a file, stored as an array of the three numbers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
+pub struct FileIdentity {
+    /// The number of the device.
+    pub device: u64,
+    /// The inode number, which may be reused after the file was deleted.
+    pub inode: u64,
+    /// The creation time in nanoseconds, which distinguishes files with the same inode number; 0 if the file system does
+    /// not report it.
+    pub created_at: u64,
+}
+
+impl From<(u64, u64, u64)> for FileIdentity {
+    fn from((device, inode, created_at): (u64, u64, u64)) -> Self {
+        Self { device, inode, created_at }
+    }
+}
 
-/// Whether both identities are of one file. Where the creation time is known, the device is not compared, because a
-/// restart of the machine may give the device another number.
+impl From<FileIdentity> for (u64, u64, u64) {
+    fn from(identity: FileIdentity) -> Self {
+        (identity.device, identity.inode, identity.created_at)
+    }
+}
+
+/// Returns whether both identities are of the same file. Where the creation time is known, the device is not compared,
+/// because a restart of the machine may give the device another number.
 #[must_use]
 pub fn same_file(one: &FileIdentity, other: &FileIdentity) -> bool {
-    (one.1, one.2) == (other.1, other.2) && (one.2 > 0 || one.0 == other.0)
+    (one.inode, one.created_at) == (other.inode, other.created_at)
+        && (one.created_at > 0 || one.device == other.device)
 }
 
 /// Reads the identity of a file.
 pub(crate) fn file_identity(path: &Path) -> io::Result<FileIdentity> {
     let meta = fs::metadata(path)?;
     let created = meta.created().ok().and_then(|at| at.duration_since(std::time::UNIX_EPOCH).ok());
-    Ok((meta.dev(), meta.ino(), created.map_or(0, |at| at.as_nanos() as u64)))
+    let created_at = created.map_or(0, |at| at.as_nanos() as u64);
+    Ok(FileIdentity { device: meta.dev(), inode: meta.ino(), created_at })
 }
 
-/// The record with what identifies it. The names of the fields in the file are the format.
+/// The stored record with its format version, owner and file. The names of the fields in the file are the format.
 #[derive(Serialize, Deserialize)]
 struct StoredRecord<T> {
     #[serde(rename = "form")]
     format_version: u32,
     owner: String,
-    /// The file that this was written to, by which a copy is detected.
+    /// The file that the record was written to, by which a copy is detected.
     file: FileIdentity,
     record: T,
 }
@@ -100,22 +125,36 @@
     file: FileIdentity,
     /// Locked for as long as the store is open.
     _lock: File,
-    /// How many writes are left before one fails, if a test injects that.
-    writes_left: Option<u32>,
+    /// The number of writes that succeed before all others fail; `None` unless a test injects this fault.
+    successful_writes_left: Option<u32>,
 }
 
-/// Returns the number of writes after which they fail, if a test has injected a fault such as `disk-full-after=3`.
-fn fails_after() -> Option<u32> {
+/// Returns the number of writes that succeed before all others fail, if a test injects a fault such as
+/// `disk-full-after=3`.
+fn injected_write_limit() -> Option<u32> {
     super::injected_fault()?.strip_prefix("disk-full-after=")?.parse().ok()
 }
 
 impl RecordStore {
-    /// Opens the existing store, or creates one if `new`. `owner` names the process that the record belongs to.
+    /// Opens an existing store. `owner` names the process that the record belongs to.
     ///
     /// # Errors
     ///
-    /// The folder is locked or not accessible, there is no store, or there is one although `new`.
-    pub fn open(folder: &Path, owner: &str, new: bool) -> Result<Self, StoreError> {
+    /// The folder is locked or not accessible, or there is no store in it.
+    pub fn open(folder: &Path, owner: &str) -> Result<Self, StoreError> {
+        Self::open_or_create(folder, owner, false)
+    }
+
+    /// Creates a store without a record. `owner` names the process that the record will belong to.
+    ///
+    /// # Errors
+    ///
+    /// The folder is locked or not accessible, or there is a store in it already.
+    pub fn create(folder: &Path, owner: &str) -> Result<Self, StoreError> {
+        Self::open_or_create(folder, owner, true)
+    }
+
+    fn open_or_create(folder: &Path, owner: &str, new: bool) -> Result<Self, StoreError> {
         fs::create_dir_all(folder)?;
         let lock = File::create(folder.join("lock"))?;
         match lock.try_lock() {
@@ -123,7 +162,7 @@
             Err(TryLockError::WouldBlock) => return Err(StoreError::Locked),
             Err(TryLockError::Error(error)) => return Err(error.into()),
         }
-        let path = folder.join(FILE);
+        let path = folder.join(FILE_NAME);
         match (path.exists(), new) {
             (false, false) => return Err(StoreError::Missing),
             (true, true) => return Err(StoreError::AlreadyExists),
@@ -136,10 +175,10 @@
         }
         let file = file_identity(&path)?;
         let owner = owner.to_owned();
-        Ok(Self { database, owner, file, _lock: lock, writes_left: fails_after() })
+        Ok(Self { database, owner, file, _lock: lock, successful_writes_left: injected_write_limit() })
     }
 
-    /// Loads the record that was saved last, if there is one.
+    /// Loads the record that was saved last; `None` if none was saved.
     ///
     /// # Errors
     ///
@@ -151,10 +190,10 @@
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             Err(error) => return Err(redb::Error::from(error).into()),
         };
-        let Some(bytes) = table.get(RECORD).map_err(redb::Error::from)? else { return Ok(None) };
+        let Some(bytes) = table.get(RECORD_KEY).map_err(redb::Error::from)? else { return Ok(None) };
         let damaged = |e: serde_json::Error| StoreError::Damaged(e.to_string());
         let FormatVersion { format_version } = serde_json::from_slice(bytes.value()).map_err(damaged)?;
-        if format_version != VERSION {
+        if format_version != FORMAT_VERSION {
             return Err(StoreError::FormatVersion(format_version));
         }
         let stored: StoredRecord<T> = serde_json::from_slice(bytes.value()).map_err(damaged)?;
@@ -171,22 +210,26 @@
     ///
     /// # Errors
     ///
-    /// The record may or may not be durable; the caller must rely on neither.
+    /// The record may or may not be durable.
     pub fn save<T: Serialize>(&mut self, record: &T) -> Result<(), StoreError> {
-        if let Some(left) = &mut self.writes_left {
+        if let Some(left) = &mut self.successful_writes_left {
             if *left == 0 {
                 return Err(io::Error::from(io::ErrorKind::StorageFull).into());
             }
             *left -= 1;
         }
-        let stored =
-            StoredRecord { format_version: VERSION, owner: self.owner.clone(), file: self.file, record };
+        let stored = StoredRecord {
+            format_version: FORMAT_VERSION,
+            owner: self.owner.clone(),
+            file: self.file,
+            record,
+        };
         let bytes = serde_json::to_vec(&stored).map_err(|e| StoreError::Damaged(e.to_string()))?;
         let write = self.database.begin_write().map_err(redb::Error::from)?;
         write
             .open_table(TABLE)
             .map_err(redb::Error::from)?
-            .insert(RECORD, bytes.as_slice())
+            .insert(RECORD_KEY, bytes.as_slice())
             .map_err(redb::Error::from)?;
         write.commit().map_err(redb::Error::from)?;
         Ok(())
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -185,10 +185,10 @@
     let (mut known, mut request_whole) = (known, false);
     if let Some(stages) = &stages {
         let stored_list = store.as_ref().and_then(|store| store.list(stages.list_max_age));
-        let list_is_fresh = stored_list.as_ref().is_some_and(|(_, fresh)| *fresh);
-        if let Some((list, _)) = stored_list {
+        let list_is_fresh = stored_list.as_ref().is_some_and(|stored| stored.is_fresh);
+        if let Some(stored) = stored_list {
             // The current discovery may not know the stored list's version, so the complete list is requested.
-            (known, request_whole) = (Some(list), true);
+            (known, request_whole) = (Some(stored.list), true);
         }
         // A list of unknown age is used only once discovery has sent one or has failed to answer.
         let old_endpoints = known.take_if(|_| !list_is_fresh).map_or_else(Vec::new, |list| list.endpoints);
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -491,7 +491,7 @@
             }
             Effect::Persist { record, ticket } => {
                 if let Some(store_records) = &self.store_records {
-                    let _ = store_records.send(StoreRecord::Outcome(record, ticket));
+                    let _ = store_records.send(StoreRecord::Outcome { record, ticket });
                 }
             }
             Effect::Stage(stage) => {
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -1,5 +1,9 @@
 //! The store of a node: a thread that writes records durably in group commits, and the state that is restored from them
 //! when the node starts again. Off unless PROXY_STORE names a configuration file.
+//!
+//! The store holds the outcomes of one-shots, which are submissions that must not be executed twice, and the list of
+//! executors. If a store is lost, the one that replaces it is marked, so that the node does not execute a one-shot that it
+//! may have executed before.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -27,14 +31,14 @@
 /// The kind of the record that names the node that the store belongs to.
 const KIND_OWNER: u8 = 4;
 /// The kind of the record that marks the store as the replacement of one that was lost.
-const KIND_LOST: u8 = 5;
-/// The number of consecutive starts that may die while they read the store, before its files are quarantined.
-const MAX_FAILED_STARTS: u32 = 3;
-/// The largest number of records in one commit.
-const GROUP_SIZE: usize = 512;
+const KIND_REPLACES_LOST: u8 = 5;
+/// The maximum number of records in one commit.
+const MAX_GROUP_SIZE: usize = 512;
 // The largest result must fit into a record, because a record that is too large would fail the store.
 const _: () = assert!(http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES < MAX_RECORD_LENGTH);
-/// Stored outcomes may take one part in this many of the program's memory.
+/// The bytes of a record that are left for the key of the list.
+const LIST_KEY_ROOM_BYTES: usize = 64;
+/// Stored outcomes may use one part in this many of the program's memory.
 const OUTCOMES_MEMORY_DIVISOR: usize = 8;
 
 /// The request header by which repeated submissions of a one-shot are recognized.
@@ -53,7 +57,7 @@
 pub enum WhenFailed {
     /// The node dismisses one-shots, and handles everything else as before.
     Dismiss,
-    /// The node answers the submissions that it has taken, and ends.
+    /// The node answers the submissions that it has accepted, and stops.
     Stop,
 }
 
@@ -75,9 +79,9 @@
     pub folder: PathBuf,
     /// The header by which repeated submissions are recognized.
     pub dedup_key: DedupKey,
-    /// How long outcomes are remembered.
+    /// How long outcomes are stored, in seconds.
     pub remember_s: u64,
-    /// How much of the disk the store may use.
+    /// How much of the disk the store may use, in MiB.
     pub budget_mb: u64,
     /// When commits are synced.
     pub sync: Sync,
@@ -127,7 +131,7 @@
 ///
 /// # Errors
 ///
-/// The file can't be read, or its first fault, with its key.
+/// Returns why the file can't be read, or its first error, with its key.
 pub fn read_config(path: &Path) -> Result<Config, String> {
     let error = |reason: String| format!("{}: {reason}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| error(e.to_string()))?;
@@ -149,57 +153,73 @@
 
 /// A record to be written to the store.
 pub enum StoreRecord {
-    /// The outcome of a one-shot, and the reducer's ticket if it waits for the record to be durable.
-    Outcome(OutcomeRecord, Option<PersistTicket>),
+    /// The outcome of a one-shot.
+    Outcome {
+        /// The outcome with its key and time.
+        record: OutcomeRecord,
+        /// The reducer's ticket, if it waits for the record to be durable.
+        ticket: Option<PersistTicket>,
+    },
     /// The current list of executors.
     List(List),
     /// Discovery has confirmed that the list is current.
     ListConfirmed,
 }
 
-/// The node that the store belongs to, and the identity of the lock file in its folder, by which a copy is detected.
+/// The owner of a store. The names of the fields in the record are the format.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
+    /// The name of the node that the store belongs to.
     node: String,
-    place: FileIdentity,
+    /// The lock file in the store's folder, by which a copy of the folder is detected.
+    #[serde(rename = "place")]
+    lock_file: FileIdentity,
 }
 
-/// The time at which something was stored.
+/// The stored form of a [`BootTimestamp`].
 #[derive(Serialize, Deserialize)]
-struct Stamp {
+struct StoredTimestamp {
     boot: u128,
     at: u64,
 }
 
-impl Stamp {
+impl StoredTimestamp {
+    /// Returns the current time as JSON.
     fn now() -> Vec<u8> {
         let BootTimestamp { boot, at } = staged_start::boot_timestamp();
         serde_json::to_vec(&Self { boot, at }).unwrap_or_default()
     }
 }
 
-/// The opened store of a node, with what was read from it.
+/// The opened store of a node, with the records that were read from it.
 pub struct NodeStore {
     store: Store<Folder>,
     config: Config,
-    /// The time from which the node goes on, just after that of the newest outcome.
+    /// The store's time at this start: just after that of the newest outcome.
     time: StoreTime,
     outcomes: Vec<OutcomeRecord>,
     list: Option<List>,
     /// When discovery last confirmed the list.
     list_confirmed: Option<BootTimestamp>,
-    /// The store replaces one that was lost, so it is not known what the node had sent before.
-    lost: bool,
+    /// Whether the store replaces one that was lost, so that it is unknown what the node has executed before.
+    replaces_lost: bool,
+}
+
+/// The stored list of executors.
+pub struct StoredList {
+    pub list: List,
+    /// Whether discovery has confirmed the list recently enough for it to be used at once.
+    pub is_fresh: bool,
 }
 
 /// Returns the operation that marks the store as the replacement of one that was lost.
-fn lost_mark() -> Op {
-    Op::Put { kind: KIND_LOST, key: b"lost".to_vec(), value: Vec::new(), at: 0 }
+fn mark_as_replacement() -> Op {
+    Op::Put { kind: KIND_REPLACES_LOST, key: b"lost".to_vec(), value: Vec::new(), at: 0 }
 }
 
 /// Returns the operation that makes the store belong to this node.
-fn owner_mark(node: &str, place: FileIdentity) -> Op {
-    let value = serde_json::to_vec(&Owner { node: node.to_owned(), place }).unwrap_or_default();
+fn set_owner(node: &str, lock_file: FileIdentity) -> Op {
+    let value = serde_json::to_vec(&Owner { node: node.to_owned(), lock_file }).unwrap_or_default();
     Op::Put { kind: KIND_OWNER, key: b"owner".to_vec(), value, at: 0 }
 }
 
@@ -217,30 +237,32 @@
     /// There is no store, another process has locked it, it is damaged, or it belongs to another node. The message tells
     /// the operator what to do.
     pub fn open(config: Config, node: &str) -> Result<Self, String> {
-        let place = config.folder.display().to_string();
+        let shown_path = config.folder.display().to_string();
         let message = |error: &StoreError| {
             let remedy = match error {
-                StoreError::Missing => format!("; `linestack store init {place}` creates one"),
-                StoreError::Damaged { .. } => format!("; `linestack store verify {place}` shows the damage"),
+                StoreError::Missing => format!("; `linestack store init {shown_path}` creates one"),
+                StoreError::Damaged { .. } => {
+                    format!("; `linestack store verify {shown_path}` shows the damage")
+                }
                 _ => String::new(),
             };
-            format!("store.folder: {place}: {error}{remedy}")
+            format!("store.folder: {shown_path}: {error}{remedy}")
         };
         let path = config.folder.clone();
         let folder = Folder::open(&path).map_err(|e| message(&e.into()))?;
         let limits = || limits(config.remember_s * 1_000_000_000, config.budget_mb, config.sync);
         let failed_starts = start_attempts::record_attempt(&path).map_err(|e| message(&e.into()))?;
-        let (mut store, mut outcomes) = if failed_starts >= MAX_FAILED_STARTS {
+        let (mut store, mut outcomes) = if failed_starts >= start_attempts::MAX_FAILED_STARTS {
             let is_content = |name: &str| name != "lock" && name != "tries";
             let quarantine =
                 start_attempts::quarantine_files(&path, is_content).map_err(|e| message(&e.into()))?;
             tracing::error!(
                 aside = %quarantine.display(),
-                "repeated starts died while reading the store; it was set aside and a new one created"
+                "repeated starts crashed while reading the store; its files were moved aside and a new store was created"
             );
             let mut store =
                 Store::open(folder, limits(), true, crate::fleet::random_u64()).map_err(|e| message(&e))?;
-            store.commit(&[lost_mark()], 0).map_err(|e| message(&e))?;
+            store.commit(&[mark_as_replacement()], 0).map_err(|e| message(&e))?;
             (store, Vec::new())
         } else {
             let opened = Store::open(folder, limits(), false, 0);
@@ -252,10 +274,10 @@
             (store, outcomes)
         };
         start_attempts::clear_attempts(&path);
-        let identity = file_identity(&path.join("lock")).map_err(|e| message(&e.into()))?;
+        let lock_file = file_identity(&path.join("lock")).map_err(|e| message(&e.into()))?;
         match only_record(&store, KIND_OWNER).map(|text| serde_json::from_slice::<Owner>(&text).ok()) {
-            None => store.commit(&[owner_mark(node, identity)], 0).map_err(|e| message(&e))?,
-            Some(Some(owner)) if owner.node == node && same_file(&owner.place, &identity) => {}
+            None => store.commit(&[set_owner(node, lock_file)], 0).map_err(|e| message(&e))?,
+            Some(Some(owner)) if owner.node == node && same_file(&owner.lock_file, &lock_file) => {}
             Some(owner) => {
                 let reason = match owner {
                     Some(owner) if owner.node == node => {
@@ -265,29 +287,29 @@
                     None => "its owner can't be read".to_owned(),
                 };
                 return Err(format!(
-                    "store.folder: {place}: {reason}; `linestack store adopt {place}` takes it over"
+                    "store.folder: {shown_path}: {reason}; `linestack store adopt {shown_path}` takes it over"
                 ));
             }
         }
         outcomes.sort_by_key(|k| k.at);
         let list = only_record(&store, KIND_LIST).and_then(|text| List::read(&text).ok());
-        let stamp: Option<Stamp> =
+        let timestamp: Option<StoredTimestamp> =
             only_record(&store, KIND_LIST_CONFIRMED).and_then(|text| serde_json::from_slice(&text).ok());
-        let list_confirmed = stamp.map(|Stamp { boot, at }| BootTimestamp { boot, at });
-        let lost = only_record(&store, KIND_LOST).is_some();
+        let list_confirmed = timestamp.map(|StoredTimestamp { boot, at }| BootTimestamp { boot, at });
+        let replaces_lost = only_record(&store, KIND_REPLACES_LOST).is_some();
         // The wall clock is not used: the store's time advances only while a node runs.
         let time = outcomes.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
-        Ok(Self { store, config, time, outcomes, list, list_confirmed, lost })
+        Ok(Self { store, config, time, outcomes, list, list_confirmed, replaces_lost })
     }
 
-    /// Returns the stored list, unless it is empty, and whether discovery confirmed it less than `within` nanoseconds ago,
-    /// so that it counts as fresh.
+    /// Returns the stored list, unless it is empty. The list is fresh if discovery has confirmed it less than `max_age`
+    /// nanoseconds ago.
     #[must_use]
-    pub fn list(&self, within: u64) -> Option<(List, bool)> {
+    pub fn list(&self, max_age: u64) -> Option<StoredList> {
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
-        let age = self.list_confirmed.and_then(|stamp| stamp.age(&staged_start::boot_timestamp()));
+        let age = self.list_confirmed.and_then(|confirmed| confirmed.age(&staged_start::boot_timestamp()));
         tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
-        Some((list, is_fresh(age, within)))
+        Some(StoredList { list, is_fresh: is_fresh(age, max_age) })
     }
 
     /// Restores the outcomes into the reducer. `memory` is the memory that the program may use, in bytes.
@@ -298,10 +320,11 @@
         outcomes.expire(self.time);
         tracing::info!(known = outcomes.len(), folder = %self.config.folder.display(), "store read");
         let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
-        // Clients of the process before this one notice at once that it is gone, and retry within their own deadlines. So
-        // after the longest deadline no client retries a submission that the lost store may have known.
-        let incomplete_until = if self.lost { now + longest_deadline + LOST_SLACK } else { 0 };
-        if self.lost {
+        // Clients of the process before this one notice at once that it has ended, and retry within their own deadlines.
+        // So after the longest deadline no client retries a submission whose outcome was in the lost store.
+        let incomplete_until =
+            if self.replaces_lost { now + longest_deadline + LOST_STORE_SLACK_NS } else { 0 };
+        if self.replaces_lost {
             tracing::error!(
                 "an earlier store was lost; one-shots are aborted until all its executions are over"
             );
@@ -330,13 +353,13 @@
 
 /// After a store was lost, one-shots are aborted for the longest deadline plus this time, which allows for delays of
 /// clients and networks.
-const LOST_SLACK: Nanos = 1_000_000_000;
+const LOST_STORE_SLACK_NS: Nanos = 1_000_000_000;
 /// The shortest time between two writes of [`KIND_LIST_CONFIRMED`].
 const LIST_CONFIRMED_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads all stored outcomes.
 fn read_outcomes(store: &Store<Folder>) -> Result<Vec<OutcomeRecord>, StoreError> {
-    // The key of a record at which a test makes the process die.
+    // A fault that a test injects: the process aborts when it reads a record whose key begins with this.
     let fatal_key =
         crate::fleet::injected_fault().and_then(|f| f.strip_prefix("dies-reading=").map(str::to_owned));
     let mut outcomes = Vec::new();
@@ -348,7 +371,7 @@
             std::process::abort();
         }
         if entry.kind == KIND_OUTCOME {
-            // An outcome in a newer format can't be read; the submission may have run.
+            // An outcome in a newer format can't be decoded, so the submission counts as one that may have run.
             let outcome = StoredOutcome::from_bytes(&value).unwrap_or(StoredOutcome::MayHaveRun);
             outcomes.push(OutcomeRecord { key: entry.key.into(), outcome, at: entry.at });
         }
@@ -372,20 +395,20 @@
                 .as_mut()
                 .is_some_and(|failure| failure.try_recover(&mut node_store.store, encoder.newest_time))
             {
-                tracing::info!("store takes records again");
+                tracing::info!("store accepts records again");
                 failure = None;
                 node.handle_input(Input::StoreRecovered);
             }
             let mut ops: Vec<Op> = group.iter().filter_map(|record| encoder.encode(record)).collect();
-            if node_store.lost && failure.is_none() && node.outcomes_complete() {
-                node_store.lost = false;
-                ops.push(Op::Remove { kind: KIND_LOST, key: b"lost".to_vec() });
+            if node_store.replaces_lost && failure.is_none() && node.outcomes_complete() {
+                node_store.replaces_lost = false;
+                ops.push(Op::Remove { kind: KIND_REPLACES_LOST, key: b"lost".to_vec() });
             }
             if !ops.is_empty()
                 && failure.is_none()
                 && let Err(error) = node_store.store.commit(&ops, encoder.newest_time)
             {
-                tracing::error!(why = %error, "store failed; one-shots are dismissed until it takes records again");
+                tracing::error!(why = %error, "store failed; one-shots are dismissed until it accepts records again");
                 failure = Some(Failure::new());
                 if node_store.config.when_failed == WhenFailed::Stop {
                     let _ = signal_hook::low_level::raise(signal_hook::consts::SIGTERM);
@@ -393,12 +416,12 @@
             }
             for record in group {
                 match record {
-                    StoreRecord::Outcome(_, Some(ticket)) => {
+                    StoreRecord::Outcome { ticket: Some(ticket), .. } => {
                         node.handle_input(Input::Persisted { ticket, durable: failure.is_none() });
                     }
-                    StoreRecord::Outcome(outcome, None) => {
+                    StoreRecord::Outcome { record, ticket: None } => {
                         if let Some(failure) = &mut failure {
-                            failure.defer(&outcome);
+                            failure.defer(&record);
                         }
                     }
                     StoreRecord::List(_) | StoreRecord::ListConfirmed => {}
@@ -408,9 +431,9 @@
     }
 }
 
-/// Waits for the next records to be written together: all that arrived during the commit before, up to [`GROUP_SIZE`].
-/// While the store has failed the group may be empty, when it is time to try the disk again. Returns `None` once all
-/// senders are gone.
+/// Waits for the next records to be committed together: all that arrived during the previous commit, up to
+/// [`MAX_GROUP_SIZE`]. While the store fails, an empty group is returned when a retry is due. Returns `None` once all senders
+/// are dropped.
 fn next_group(records: &Receiver<StoreRecord>, failure: Option<&Failure>) -> Option<Vec<StoreRecord>> {
     let first = match failure {
         None => records.recv().ok()?,
@@ -420,14 +443,14 @@
             Err(RecvTimeoutError::Disconnected) => return None,
         },
     };
-    Some(std::iter::once(first).chain(records.try_iter().take(GROUP_SIZE - 1)).collect())
+    Some(std::iter::once(first).chain(records.try_iter().take(MAX_GROUP_SIZE - 1)).collect())
 }
 
 fn put(kind: u8, key: &[u8], value: Vec<u8>, at: StoreTime) -> Op {
     Op::Put { kind, key: key.to_vec(), value, at }
 }
 
-/// Turns records into operations of the store.
+/// Converts records into operations of the store.
 struct RecordEncoder {
     /// The latest time of an outcome so far.
     newest_time: StoreTime,
@@ -436,16 +459,16 @@
 }
 
 impl RecordEncoder {
-    /// Returns the operation for a record, or `None` if it is not to be written.
+    /// Returns the operation for a record, or `None` if the record is not written.
     fn encode(&mut self, record: &StoreRecord) -> Option<Op> {
         match record {
-            StoreRecord::Outcome(record, _) => {
+            StoreRecord::Outcome { record, .. } => {
                 self.newest_time = self.newest_time.max(record.at);
                 Some(put(KIND_OUTCOME, &record.key, record.outcome.to_bytes(), record.at))
             }
             StoreRecord::List(list) => {
                 let text = list.write();
-                if text.len() + 64 < MAX_RECORD_LENGTH {
+                if text.len() + LIST_KEY_ROOM_BYTES < MAX_RECORD_LENGTH {
                     return Some(put(KIND_LIST, b"list", text, self.newest_time));
                 }
                 tracing::warn!(bytes = text.len(), "the list is too long to be stored");
@@ -458,7 +481,7 @@
             }
             StoreRecord::ListConfirmed => {
                 self.list_confirmed = Some(Instant::now());
-                Some(put(KIND_LIST_CONFIRMED, b"heard", Stamp::now(), self.newest_time))
+                Some(put(KIND_LIST_CONFIRMED, b"heard", StoredTimestamp::now(), self.newest_time))
             }
         }
     }
@@ -468,37 +491,37 @@
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// The longest pause between two retries.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// The largest number of outcomes that are held in memory while the store fails. For any others the store still says that
-/// they may have run.
-const MAX_DEFERRED: usize = 4096;
+/// The maximum number of outcomes that are held in memory while the store fails. Further outcomes are dropped: in the
+/// store, their submissions remain recorded as ones that may have run.
+const MAX_DEFERRED_OUTCOMES: usize = 4096;
 
 /// The state while the store fails.
 struct Failure {
     retry_pause: Duration,
-    last_try: Instant,
+    last_retry: Instant,
     /// Outcomes that arrived since, to be written when the store works again.
     deferred: Vec<Op>,
 }
 
 impl Failure {
     fn new() -> Self {
-        Self { retry_pause: MIN_RETRY_PAUSE, last_try: Instant::now(), deferred: Vec::new() }
+        Self { retry_pause: MIN_RETRY_PAUSE, last_retry: Instant::now(), deferred: Vec::new() }
     }
 
-    /// Holds an outcome until the store works again.
+    /// Holds an outcome in memory until the store works again.
     fn defer(&mut self, record: &OutcomeRecord) {
-        if self.deferred.len() < MAX_DEFERRED {
+        if self.deferred.len() < MAX_DEFERRED_OUTCOMES {
             self.deferred.push(put(KIND_OUTCOME, &record.key, record.outcome.to_bytes(), record.at));
         }
     }
 
     /// Tries to write the deferred outcomes, if the pause is over. Returns whether the store works again.
     fn try_recover(&mut self, store: &mut Store<Folder>, now: StoreTime) -> bool {
-        if self.last_try.elapsed() < self.retry_pause {
+        if self.last_retry.elapsed() < self.retry_pause {
             return false;
         }
         let resumed = store.resume().and_then(|()| store.commit(&self.deferred, now));
-        (self.last_try, self.retry_pause) = (Instant::now(), (2 * self.retry_pause).min(MAX_RETRY_PAUSE));
+        (self.last_retry, self.retry_pause) = (Instant::now(), (2 * self.retry_pause).min(MAX_RETRY_PAUSE));
         resumed.is_ok()
     }
 }
@@ -535,7 +558,7 @@
 ///
 /// # Errors
 ///
-/// A message for the operator.
+/// Returns a message for the operator.
 pub fn run(command: &Command) -> Result<(), String> {
     let unlimited = || limits(u64::MAX, 1 << 20, Sync::Group);
     let seed = crate::fleet::random_u64();
@@ -546,7 +569,7 @@
             let mut store =
                 Store::open(folder(path)?, unlimited(), true, seed).map_err(|e| message(path, &e))?;
             if *lost {
-                store.commit(&[lost_mark()], 0).map_err(|e| message(path, &e))?;
+                store.commit(&[mark_as_replacement()], 0).map_err(|e| message(path, &e))?;
             }
             println!("{}: created", path.display());
         }
@@ -554,7 +577,7 @@
             let mut store =
                 Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
             let mut ops = vec![Op::Remove { kind: KIND_OWNER, key: b"owner".to_vec() }];
-            ops.extend((!moved).then(lost_mark));
+            ops.extend((!moved).then(mark_as_replacement));
             store.commit(&ops, 0).map_err(|e| message(path, &e))?;
             println!("{}: belongs to the node that starts with it next", path.display());
         }
@@ -589,7 +612,7 @@
             let mut store =
                 Store::open(folder(path)?, unlimited(), false, seed).map_err(|e| message(path, &e))?;
             let before = store.stats().bytes;
-            // No record expires here, because how long records are retained is configured at the node.
+            // No record expires here, because the retention time is in the node's configuration, which is not read.
             store.compact(0).and_then(|()| store.checkpoint()).map_err(|e| message(path, &e))?;
             println!("{}: {before} bytes before, {} now", path.display(), store.stats().bytes);
         }
@@ -609,8 +632,8 @@
             }
             let (mut store, lost) =
                 repair(folder(path)?, unlimited(), seed).map_err(|e| message(path, &e))?;
-            // Whole files may be missing without a trace.
-            store.commit(&[lost_mark()], 0).map_err(|e| message(path, &e))?;
+            // Missing files can't be detected, so the store always counts as the replacement of a lost one.
+            store.commit(&[mark_as_replacement()], 0).map_err(|e| message(path, &e))?;
             println!("{}: {} records", path.display(), store.stats().records);
             if lost.is_empty() {
                 println!("no known record was lost");
@@ -625,7 +648,7 @@
     Ok(())
 }
 
-/// Formats the damaged places, one a line.
+/// Formats the damaged ranges, one a line.
 fn format_damage(damage: &[Damage]) -> String {
     let lines: Vec<String> =
         damage.iter().map(|d| format!("  {} at byte {}: {}", d.file, d.offset, d.reason)).collect();
