--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -317,7 +317,7 @@
                     } else {
                         until
                     };
-                    self.node.end_lease_after_sleep(suspended + SUSPEND_TOLERANCE_NS);
+                    self.node.end_lease_after_suspension(suspended + SUSPEND_TOLERANCE_NS);
                     self.node.handle_input(CoreInput::Lease { until });
                 }
             }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -5,13 +5,13 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest body that is accepted.
+/// The maximum length of a body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The longest head that is accepted.
+/// The maximum length of a head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most headers that a head may have.
+/// The maximum number of headers in a head.
 const MAX_HEADERS: usize = 64;
-/// The longest line with a chunk's size, and the longest trailer line.
+/// The maximum length of a line with a chunk's size, and of a trailer line.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
 /// Why a request is rejected, or a response cannot be parsed.
@@ -19,6 +19,7 @@
 pub struct HttpError {
     /// The status to answer a request with.
     pub status: u16,
+    /// The reason, for the log.
     pub reason: &'static str,
 }
 
@@ -29,7 +30,9 @@
 /// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// The body has this many bytes.
     Length(usize),
+    /// The body is in the chunked transfer encoding.
     Chunked,
     /// The body ends with the connection.
     Close,
@@ -40,6 +43,7 @@
 pub struct Request {
     /// The head's length in bytes.
     pub length: usize,
+    /// Set in every parsed head.
     pub framing: Option<Framing>,
     /// Whether the client wants the connection closed after the response.
     pub close: bool,
@@ -47,12 +51,19 @@
     pub expects_continue: bool,
     pub method: Range<usize>,
     pub path: Range<usize>,
+    /// The value of `Host`.
     pub host: Option<Range<usize>>,
+    /// The value of `Req-Id`.
     pub id: Option<Range<usize>>,
+    /// The value of `Req-Kind`, which names the product.
     pub kind: Option<Range<usize>>,
+    /// The value of `Req-Owner`, which names the tenant.
     pub owner: Option<Range<usize>>,
+    /// The value of `Req-Deadline-Ms`.
     pub deadline: Option<Range<usize>>,
+    /// The value of `Idempotency-Key`.
     pub stamp: Option<Range<usize>>,
+    /// The value of `Req-Extra`, which has the figures of the resources that the submission needs.
     pub extra: Option<Range<usize>>,
 }
 
@@ -65,9 +76,9 @@
     pub framing: Framing,
     /// Whether the connection ends after this response.
     pub close: bool,
-    /// Whether the executor turned the request away without processing it.
+    /// Whether the executor declined the request without processing it (`Srv-Declined`).
     pub declined: bool,
-    /// The load report in the header.
+    /// The load report in the header `Srv-Load`.
     pub load: Option<String>,
 }
 
@@ -123,7 +134,7 @@
         start..start + part.len()
     };
     // A path that an executor may parse differently is not forwarded: executors close the connection on a request
-    // that they cannot parse, which also fails whatever else waits on that connection.
+    // that they cannot parse, and other requests on that connection would fail too.
     if !parsed.path.is_some_and(|p| p.starts_with('/') && p.bytes().all(|b| b.is_ascii_graphic())) {
         return Err(http_error(400, "bad path"));
     }
@@ -210,24 +221,27 @@
     Ok(Some(head))
 }
 
-/// Decodes a body from the bytes received, piece by piece.
+/// Decodes a body from the received bytes, piece by piece.
 #[derive(Debug)]
 pub struct BodyDecoder(BodyState);
 
 #[derive(Debug)]
 enum BodyState {
-    /// This many bytes are still to come.
+    /// This many bytes are not received yet.
     Remaining(usize),
     UntilClose,
+    /// The line with the size of the next chunk is expected.
     ChunkSize,
-    /// This many bytes of the current chunk are still to come.
+    /// This many bytes of the current chunk are not received yet.
     Chunk(u64),
+    /// The end of the line after a chunk is expected.
     ChunkEnd,
-    /// This many bytes of the trailer have arrived.
+    /// This many bytes of the trailer were received.
     Trailer(usize),
 }
 
 impl BodyDecoder {
+    /// Creates a decoder for a body with this framing.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
@@ -318,7 +332,7 @@
 }
 
 impl WriteQueue {
-    /// The most pieces in one call.
+    /// The maximum number of pieces in one call.
     const MAX_SLICES: usize = 16;
 
     /// Appends a piece; an empty one is left out.
@@ -335,6 +349,7 @@
         self.pieces[self.next..].iter().map(Bytes::len).sum()
     }
 
+    /// Returns whether everything is written.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.next == self.pieces.len()
@@ -371,8 +386,7 @@
     }
 }
 
-/// Returns whether the input begins with a complete request, or with something invalid that has to be answered with an
-/// error.
+/// Returns whether the input begins with a complete request, or with an invalid one, which is answered with an error.
 #[must_use]
 pub fn has_request(input: &[u8]) -> bool {
     if input.is_empty() {
@@ -389,7 +403,7 @@
     }
 }
 
-/// Returns the figure with this name in a load report in text form, such as `TEXT inflight=7, queue=2`.
+/// Returns the figure with this name in a text of the form `inflight=7, queue=2`, which may begin with `TEXT`.
 #[must_use]
 pub fn text_figure(text: &str, name: &str) -> Option<f32> {
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
--- a/crates/node/src/net/arrivals.rs
+++ b/crates/node/src/net/arrivals.rs
@@ -1,15 +1,15 @@
-//! Records when bytes arrived that a connection has read ahead. A client's deadline counts from the arrival of the last
-//! byte of its request, and a pipelined request may have waited for its turn since then.
+//! Records the arrival times of the bytes that a connection has read ahead. A client's deadline counts from the arrival of
+//! the last byte of its request, which may be long before a pipelined request is processed.
 
 use std::collections::VecDeque;
 
 use linestack_dispatch::types::Nanos;
 
-/// The most reads whose times are kept apart. The bytes of later reads count as having arrived with the last of these,
-/// earlier than they did, so that no executor is given a longer deadline than its client has left.
+/// The maximum number of reads whose times are recorded separately. The bytes of later reads count as having arrived with
+/// the last of these, earlier than they did, so that no executor is given a longer deadline than its client has left.
 const MAX_MARKS: usize = 64;
-/// Reads that follow one another within this time count as one.
-const MERGE_WINDOW: Nanos = 1_000_000;
+/// Reads within this time after the first of them count as one.
+const MERGE_WINDOW_NS: Nanos = 1_000_000;
 
 /// All bytes up to the position `end` had arrived at the time `at`.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 }
 
 impl ArrivalTimes {
-    /// Records that so many bytes arrived at `now`.
+    /// Records that this many bytes arrived at `now`.
     pub fn record_read(&mut self, bytes: usize, now: Nanos) {
         if bytes == 0 {
             return;
@@ -36,13 +36,12 @@
         let end = self.received;
         let full = self.marks.len() >= MAX_MARKS;
         match self.marks.back_mut() {
-            Some(last) if full || now.saturating_sub(last.at) < MERGE_WINDOW => last.end = end,
+            Some(last) if full || now.saturating_sub(last.at) < MERGE_WINDOW_NS => last.end = end,
             _ => self.marks.push_back(Mark { end, at: now }),
         }
     }
 
-    /// Returns when the last consumed byte arrived, where the last `unconsumed` bytes that were read are not consumed
-    /// yet.
+    /// Returns when the last consumed byte arrived. All bytes that were read are consumed except the last `unconsumed`.
     pub fn arrival_of_consumed(&mut self, unconsumed: usize, now: Nanos) -> Nanos {
         let consumed = self.received.saturating_sub(unconsumed as u64);
         while self.marks.front().is_some_and(|mark| mark.end < consumed) {
--- a/crates/node/src/net/clients/answer.rs
+++ b/crates/node/src/net/clients/answer.rs
@@ -5,15 +5,15 @@
 
 use crate::http::WriteQueue;
 
-/// Encodes a response with a text body. With `last`, the connection closes after it.
-pub(super) fn text_response(status: u16, text: &str, last: bool) -> WriteQueue {
+/// Encodes a response with a text body. `close_after` tells the client that the connection closes after it.
+pub(super) fn text_response(status: u16, text: &str, close_after: bool) -> WriteQueue {
     let mut out = WriteQueue::default();
     let length = text.len();
     out.push(Bytes::from(format!(
         "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n",
         reason_phrase(status)
     )));
-    out.push(if last { CONNECTION_CLOSE } else { b"" });
+    out.push(if close_after { CONNECTION_CLOSE } else { b"" });
     out.push(&b"\r\n"[..]);
     out.push(Bytes::from(text.to_owned()));
     out
@@ -22,19 +22,19 @@
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 const CONNECTION_CLOSE: &[u8] = b"Connection: close\r\n";
 
-/// Encodes a response without a body. With `last`, the connection closes after it.
-pub(super) fn empty_response(status: u16, last: bool) -> WriteQueue {
+/// Encodes a response without a body. `close_after` tells the client that the connection closes after it.
+pub(super) fn empty_response(status: u16, close_after: bool) -> WriteQueue {
     let mut out = WriteQueue::default();
     out.push(Bytes::from(format!("HTTP/1.1 {status} {}\r\nContent-Length: 0\r\n", reason_phrase(status))));
-    out.push(if last { CONNECTION_CLOSE } else { b"" });
+    out.push(if close_after { CONNECTION_CLOSE } else { b"" });
     out.push(&b"\r\n"[..]);
     out
 }
 
-/// Encodes the answer to a submission. With `last`, the connection closes after it.
-pub(super) fn encode_answer(answer: Answer, last: bool) -> WriteQueue {
+/// Encodes the answer to a submission. `close_after` tells the client that the connection closes after it.
+pub(super) fn encode_answer(answer: Answer, close_after: bool) -> WriteQueue {
     let mut out = WriteQueue::default();
-    let connection_header = if last { CONNECTION_CLOSE } else { b"" };
+    let connection_header = if close_after { CONNECTION_CLOSE } else { b"" };
     match answer {
         Answer::Completed(result) => {
             out.push(&b"HTTP/1.1 200 OK\r\n"[..]);
@@ -50,7 +50,7 @@
             }
             out.push(&b"\r\n"[..]);
         }
-        Answer::DuplicateId => return empty_response(409, !connection_header.is_empty()),
+        Answer::DuplicateId => return empty_response(409, close_after),
         Answer::Aborted => {
             out.push(&b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n"[..]);
             out.push(connection_header);
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -24,25 +24,28 @@
 use request::{Incoming, RequestAction, read_request};
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// The pause before the next accept when no descriptor or no room for clients is left.
+/// The pause before the next accept when no file descriptor is left or the limit of clients is reached.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// After accepting this many connections in a row the listener pauses, so that the accepted ones are read: only what they
-/// have sent distinguishes them from a flood of silent connections.
+/// After accepting this many connections in a row the listener pauses, so that the accepted ones are read: only the bytes
+/// that they have sent distinguish clients from a flood of idle connections.
 const ACCEPT_BURST: u32 = 8;
 /// If an accept blocked for at least this long, the listener's queue was empty before.
 const MIN_ACCEPT_WAIT: Nanos = NANOS_PER_MS / 2;
-/// At most one log line that clients can cause, such as a rejected request, is written per interval, in nanoseconds.
-pub(crate) const REJECTION_LOG_INTERVAL: u64 = 1_000 * NANOS_PER_MS;
+/// The shortest time between two log lines that clients can cause, such as that of a rejected request.
+pub(crate) const REJECTION_LOG_INTERVAL_NS: Nanos = 1_000 * NANOS_PER_MS;
 
 /// A message to a client connection's coroutine.
 pub(crate) enum Message {
-    Answer { answer: Answer, last: bool },
+    /// Send the answer to the current submission, and close the connection then if `close_after`.
+    Answer { answer: Answer, close_after: bool },
+    /// Close the connection once the requests that were received are answered.
     CloseIfIdle,
+    /// Close the connection, because the client has timed out or is evicted. A submission that the reducer has accepted
+    /// meanwhile is answered first.
     Drop,
 }
 
-/// Starts a coroutine that accepts clients for as long as the program runs.
-/// Returns the address that it listens on.
+/// Starts a coroutine that accepts clients for as long as the program runs. Returns the address that it listens on.
 pub fn accept(node: &Arc<Node>, listen: SocketAddr) -> io::Result<SocketAddr> {
     // `may` sets SO_REUSEPORT, so a second node at the same address would silently take some of the first one's clients.
     // Binding a socket without that option first reports that the address is in use.
@@ -55,7 +58,7 @@
     let node = Arc::clone(node);
     spawn(move || {
         let mut burst = 0;
-        let mut last = 0;
+        let mut last_accept = 0;
         // The last time at which the listener's queue is known to have been empty.
         let mut queue_empty_at = node.clock.now();
         loop {
@@ -70,8 +73,8 @@
                     if now - called_at >= MIN_ACCEPT_WAIT {
                         queue_empty_at = now;
                     }
-                    burst = if now - last < YIELD_PAUSE.as_nanos() as u64 { burst + 1 } else { 1 };
-                    last = now;
+                    burst = if now - last_accept < YIELD_PAUSE.as_nanos() as u64 { burst + 1 } else { 1 };
+                    last_accept = now;
                     let (client, mailbox) = node.register_client();
                     node.handle_input(Input::ClientConnected { client });
                     let node_of_client = Arc::clone(&node);
@@ -81,7 +84,7 @@
                         node.alarm.sleep(YIELD_PAUSE);
                     }
                 }
-                // No descriptor is left, or the client has closed already; others may still wait in the queue.
+                // No file descriptor is left, or the client has closed already; others may still wait in the queue.
                 Err(error) => {
                     if node.may_log() {
                         tracing::warn!(why = %error, "accept failed");
@@ -96,19 +99,17 @@
 
 /// The state of a client's connection.
 enum State {
+    /// A request is being received, or the connection is idle.
     Reading {
+        /// The request, once its head is complete.
         head: Option<Box<Incoming>>,
         body: BytesMut,
     },
-    /// The submission is with the reducer.
-    Waiting {
-        last: bool,
-        size: usize,
-    },
-    Answering {
-        out: WriteQueue,
-        last: bool,
-    },
+    /// The reducer has the submission, whose body has `size` bytes. The client has requested to close the connection after
+    /// the answer if `close_after`.
+    Waiting { close_after: bool, size: usize },
+    /// An answer is being written, after which the connection is closed if `close_after`.
+    Answering { out: WriteQueue, close_after: bool },
     /// The last answer is written. Further bytes are read and dropped, since a close over unread bytes would reset the
     /// connection, and the reset could overtake the answer.
     Lingering,
@@ -181,9 +182,9 @@
     let mut first_arrival = Some(earliest_connect);
     let mut input = BytesMut::new();
     let mut state = State::reading();
-    // Close once the requests that were read are answered.
+    // Whether the connection is to be closed once the requests that were read are answered.
     let mut close = false;
-    // Bytes after `input` were dropped.
+    // Whether bytes after `input` were dropped.
     let mut truncated = false;
     let mut continue_response = WriteQueue::default();
     let mut arrivals = ArrivalTimes::default();
@@ -192,18 +193,18 @@
         let mut dropped = false;
         while let Some(message) = mailbox.next() {
             match message {
-                // The client is out of time or evicted. Bytes that came just before are read first, since a request
-                // among them is owed an answer. A submission that the reducer has accepted meanwhile is answered in any
+                // The client has timed out or is evicted. Bytes that arrived just before are read first, since a request
+                // among them must be answered. A submission that the reducer has accepted meanwhile is answered in any
                 // case.
                 Message::Drop => (dropped, close) = (true, true),
-                // A request may have come meanwhile; it is answered first.
+                // A request may have arrived meanwhile; it is answered first.
                 Message::CloseIfIdle => close = true,
-                Message::Answer { answer, last } => {
-                    // A complete request that was read behind this one is owed an answer too, unless the client asked
-                    // for the connection to close.
-                    let last = matches!(state, State::Waiting { last: true, .. })
-                        || ((last || close) && !http::has_request(&input));
-                    state = State::Answering { out: encode_answer(answer, last), last };
+                Message::Answer { answer, close_after } => {
+                    // A complete request that was read after this one must be answered too, unless the client has
+                    // requested that the connection is closed.
+                    let close_after = matches!(state, State::Waiting { close_after: true, .. })
+                        || ((close_after || close) && !http::has_request(&input));
+                    state = State::Answering { out: encode_answer(answer, close_after), close_after };
                 }
             }
         }
@@ -238,7 +239,7 @@
             // completely are answered, and then the connection is closed.
             (truncated, close) = (true, true);
         }
-        // Many large requests that are never completed would exhaust the memory, and with it end the process.
+        // Many large requests that are never completed would exhaust the memory and so end the process.
         if !reservation.resize(input.len() + state.size()) && matches!(state, State::Reading { .. }) {
             input = BytesMut::new();
             state = reject(node, client, HttpError { status: 503, reason: "no memory left for requests" });
@@ -249,8 +250,8 @@
                     let request_started = head.is_some() || !input.is_empty();
                     if !request_started {
                         if close {
-                            // After a full close, bytes that cross it would reset the connection, and the client could
-                            // lose an answer that is still in transit.
+                            // Only the sending side is closed: after a full close, bytes that the client has just sent
+                            // would reset the connection, and the client could lose an answer that is still in transit.
                             if shut_down_write(node, client, socket).is_err() {
                                 return;
                             }
@@ -282,7 +283,7 @@
                         Ok(true) => {
                             let Some(incoming) = head.take() else { break };
                             match incoming.action {
-                                RequestAction::Execute(mut submission, last) => {
+                                RequestAction::Execute { mut submission, close_after } => {
                                     let size = body.len();
                                     let now = node.clock.now();
                                     let waited =
@@ -291,21 +292,23 @@
                                     if let Some(request) = Arc::get_mut(&mut submission.request) {
                                         request.body = body.split().freeze();
                                     }
-                                    state = State::Waiting { last, size };
+                                    state = State::Waiting { close_after, size };
                                     node.handle_input(Input::Submitted { client, submission });
                                 }
-                                RequestAction::Respond(out, last) => state = State::Answering { out, last },
+                                RequestAction::Respond { response, close_after } => {
+                                    state = State::Answering { out: response, close_after };
+                                }
                             }
                         }
                         Err(error) => state = reject(node, client, error),
                     }
                 }
                 State::Waiting { .. } => break,
-                State::Answering { out, last } => {
+                State::Answering { out, close_after } => {
                     match write_after(&mut continue_response, out, socket.inner_mut()) {
                         Ok(false) => break,
                         Err(_) => return,
-                        Ok(true) if *last => {
+                        Ok(true) if *close_after => {
                             if shut_down_write(node, client, socket).is_err() {
                                 return;
                             }
@@ -315,7 +318,7 @@
                         Ok(true) => {
                             state = State::reading();
                             if input.is_empty() {
-                                // An idle connection keeps no buffer.
+                                // An idle connection holds no buffer.
                                 input = BytesMut::new();
                             }
                             node.handle_input(Input::ClientPhase { client, phase: Phase::Idle });
@@ -346,7 +349,7 @@
     Ok(continue_response.write(socket)? && answer.write(socket)?)
 }
 
-/// Ends the sending side of the connection; the client gets some time to close its own.
+/// Closes the sending side of the connection. The reducer limits the time for the client to close its side.
 fn shut_down_write(node: &Arc<Node>, client: ClientId, socket: &TcpStream) -> io::Result<()> {
     socket.shutdown(Shutdown::Write)?;
     node.handle_input(Input::ClientPhase { client, phase: Phase::Closing });
@@ -356,8 +359,8 @@
 /// Rejects a request and returns the state that sends the error.
 fn reject(node: &Arc<Node>, client: ClientId, error: HttpError) -> State {
     if node.may_log() {
-        tracing::warn!(status = error.status, why = error.reason, "request turned down");
+        tracing::warn!(status = error.status, why = error.reason, "request rejected");
     }
     node.handle_input(Input::RequestRejected { client });
-    State::Answering { out: empty_response(error.status, true), last: true }
+    State::Answering { out: empty_response(error.status, true), close_after: true }
 }
--- a/crates/node/src/net/clients/reading.rs
+++ b/crates/node/src/net/clients/reading.rs
@@ -7,17 +7,17 @@
 
 use crate::http;
 
-/// The number of unprocessed bytes above which no more are kept: one head and one body of the longest kind.
+/// The number of unprocessed bytes above which no more are stored: the longest head and the longest body.
 pub(super) const READ_AHEAD_BYTES: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
 /// What is done with bytes in excess of those that may be read ahead. The variants are ordered by how much is dropped.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Overflow {
-    /// They stay in the socket, and an end of the connection behind them is not noticed.
+    /// They stay in the socket, and an end of the connection after them is not detected.
     LeaveInSocket,
-    /// They are dropped, so that an end of the connection behind them is noticed.
+    /// They are dropped, so that an end of the connection after them is detected.
     DropExcess,
-    /// All bytes from now on are dropped, and those read before are kept.
+    /// All bytes from now on are dropped, but not those read before.
     DropNew,
     /// All bytes are dropped, those read before too.
     DropAll,
@@ -46,7 +46,7 @@
             input.clear();
         }
         let full = input.len() > READ_AHEAD_BYTES;
-        // A client that never stops sending must not keep other connections from being read.
+        // A client that never stops sending must not prevent other connections from being read.
         if received > READ_AHEAD_BYTES || (full && overflow == Overflow::LeaveInSocket) {
             return Ok(ReadStatus::MoreAvailable);
         }
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -51,81 +51,74 @@
     Ok(complete)
 }
 
-/// How a request is answered; the flag is whether the connection closes after the answer.
+/// How a request is answered. `close_after` is whether the connection closes after the answer.
 pub(super) enum RequestAction {
     /// By the execution of a submission.
-    Execute(NewSubmission, bool),
+    Execute { submission: NewSubmission, close_after: bool },
     /// At once, with this response.
-    Respond(WriteQueue, bool),
+    Respond { response: WriteQueue, close_after: bool },
 }
 
 /// Selects the action by the request's method and path.
 fn route(node: &Node, request: &Request, head_text: &Bytes) -> Result<RequestAction, HttpError> {
-    let last = request.close;
+    let close_after = request.close;
+    let respond = |response| Ok(RequestAction::Respond { response, close_after });
     match (&head_text[request.method.clone()], &head_text[request.path.clone()]) {
-        (b"GET", b"/healthz")
-            if node.stored_outcome(b"").is_some_and(|(store_works, _)| !store_works) && node.ready() =>
-        {
-            Ok(RequestAction::Respond(
-                text_response(200, "the store has failed: one-shots are dismissed\n", last),
-                last,
-            ))
+        (b"GET", b"/healthz") if node.has_failed_store() && node.ready() => {
+            respond(text_response(200, "the store has failed: one-shots are dismissed\n", close_after))
         }
-        (b"GET", path) if path.starts_with(SUBMISSIONS_PATH) && node.stored_outcome(b"").is_some() => {
-            let outcome =
-                node.stored_outcome(&path[SUBMISSIONS_PATH.len()..]).and_then(|(_, outcome)| outcome);
-            let out = match outcome {
+        (b"GET", path) if path.starts_with(SUBMISSIONS_PATH) && node.has_store() => {
+            respond(match node.stored_outcome(&path[SUBMISSIONS_PATH.len()..]) {
                 Some(outcome) => {
-                    text_response(200, &format!("{{\"fate\":\"{}\"}}\n", outcome.as_str()), last)
+                    text_response(200, &format!("{{\"fate\":\"{}\"}}\n", outcome.as_str()), close_after)
                 }
-                None => text_response(404, "{\"fate\":\"not known\"}\n", last),
-            };
-            Ok(RequestAction::Respond(out, last))
+                None => text_response(404, "{\"fate\":\"not known\"}\n", close_after),
+            })
         }
         (b"GET", b"/healthz") if node.stage().is_some_and(|s| s < Stage::Full) => {
             let Some(stage) = node.stage() else {
-                return Ok(RequestAction::Respond(empty_response(503, last), last));
+                return respond(empty_response(503, close_after));
             };
             let text = format!("starting: {}: {}\n", stage.as_str(), stage.waits_for());
-            Ok(RequestAction::Respond(text_response(if node.ready() { 200 } else { 503 }, &text, last), last))
+            respond(text_response(if node.ready() { 200 } else { 503 }, &text, close_after))
         }
         (b"GET", b"/healthz") if !node.outcomes_complete() && node.ready() => {
             let text = "an earlier store was lost: one-shots are aborted until what it sent is over\n";
-            Ok(RequestAction::Respond(text_response(200, text, last), last))
+            respond(text_response(200, text, close_after))
         }
-        (b"GET", b"/healthz") => {
-            Ok(RequestAction::Respond(empty_response(if node.ready() { 200 } else { 503 }, last), last))
+        (b"GET", b"/healthz") => respond(empty_response(if node.ready() { 200 } else { 503 }, close_after)),
+        (b"GET", _) => respond(empty_response(404, close_after)),
+        (b"POST", _) => {
+            Ok(RequestAction::Execute { submission: submission(node, request, head_text)?, close_after })
         }
-        (b"GET", _) => Ok(RequestAction::Respond(empty_response(404, last), last)),
-        (b"POST", _) => Ok(RequestAction::Execute(submission(node, request, head_text)?, last)),
         _ => Err(HttpError { status: 405, reason: "POST only" }),
     }
 }
 
-/// Parses the head of a submission. Its body is still to come.
+/// Parses the head of a submission. Its body is not received yet.
 fn submission(node: &Node, request: &Request, head_text: &Bytes) -> Result<NewSubmission, HttpError> {
-    let bad = |reason| HttpError { status: 400, reason };
+    let bad_request = |reason| HttpError { status: 400, reason };
     let part =
         |range: &Option<Range<usize>>| range.clone().map(|r| head_text.slice(r)).filter(|t| !t.is_empty());
     let position = |names: &[String], name: &Bytes| names.iter().position(|n| n.as_bytes() == &name[..]);
-    let id = part(&request.id).ok_or(bad("no Req-Id"))?;
-    let kind = part(&request.kind).ok_or(bad("no Req-Kind"))?;
-    let product = position(&node.names.products, &kind).ok_or(bad("unknown Req-Kind"))?;
+    let id = part(&request.id).ok_or(bad_request("no Req-Id"))?;
+    let kind = part(&request.kind).ok_or(bad_request("no Req-Kind"))?;
+    let product = position(&node.names.products, &kind).ok_or(bad_request("unknown Req-Kind"))?;
     let tenant = if node.names.tenants.is_empty() {
         0
     } else {
-        let owner = part(&request.owner).ok_or(bad("no Req-Owner"))?;
-        position(&node.names.tenants, &owner).ok_or(bad("unknown Req-Owner"))?
+        let owner = part(&request.owner).ok_or(bad_request("no Req-Owner"))?;
+        position(&node.names.tenants, &owner).ok_or(bad_request("unknown Req-Owner"))?
     };
     let stamp = part(&request.stamp);
-    // Without a key a repeat could not be recognised and dropped.
+    // Without an idempotency key, a repeated execution could not be recognized and dropped.
     if stamp.is_none() && node.stamped.get(product).copied().unwrap_or(false) {
-        return Err(bad("no Idempotency-Key"));
+        return Err(bad_request("no Idempotency-Key"));
     }
-    let deadline = part(&request.deadline).ok_or(bad("no Req-Deadline-Ms"))?;
+    let deadline = part(&request.deadline).ok_or(bad_request("no Req-Deadline-Ms"))?;
     let digits = std::str::from_utf8(&deadline).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     let deadline = digits.and_then(|d| d.parse::<u64>().ok());
-    let deadline = deadline.ok_or(bad("bad Req-Deadline-Ms"))?.min(MAX_DEADLINE_MS);
+    let deadline = deadline.ok_or(bad_request("bad Req-Deadline-Ms"))?.min(MAX_DEADLINE_MS);
     let extra = part(&request.extra);
     let extra = extra.as_deref().and_then(|e| std::str::from_utf8(e).ok()).unwrap_or("");
     let figure = |names: [&str; 2]| {
@@ -141,8 +134,8 @@
         body: Bytes::new(),
     };
     Ok(NewSubmission {
-        product: u8::try_from(product).map_err(|_| bad("unknown Req-Kind"))?,
-        tenant: u16::try_from(tenant).map_err(|_| bad("unknown Req-Owner"))?,
+        product: u8::try_from(product).map_err(|_| bad_request("unknown Req-Kind"))?,
+        tenant: u16::try_from(tenant).map_err(|_| bad_request("unknown Req-Owner"))?,
         timeout: deadline * NANOS_PER_MS,
         slots: figure(["slots", "needs"]).filter(|s| *s > 0.0).unwrap_or(1.0),
         memory: figure(["memory", "memNeeded"]).unwrap_or(0.0),
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -10,8 +10,8 @@
 
 use super::lock;
 
-/// A monotonic clock that begins at the Unix time of the node's start, so that the start times of executors, which are
-/// given in Unix time, can be compared with it. Later changes of the system's clock do not affect it.
+/// A monotonic clock that starts at the Unix time of the node's start, so that the start times of executors, which are in
+/// Unix time, can be compared with it. Later changes of the system's clock do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
@@ -41,18 +41,19 @@
     }
 }
 
-/// Wakes coroutines at given times, from its own thread. The timers of `may` are not used: they treat a timeout of less than a
-/// millisecond as none at all, and lose a timeout that expires while the coroutine is still being suspended. In both
-/// cases the coroutine would wait for ever, and the node's timeouts would stop working.
+/// Wakes coroutines at given times, from its own thread. The timers of `may` are not used: they treat a timeout of less
+/// than a millisecond as none, and lose a timeout that expires while the coroutine is still being suspended. In both cases
+/// the coroutine would never be resumed, and the node's timeouts would stop working.
 struct Waker {
     waiting: Mutex<BinaryHeap<Reverse<Wake>>>,
     /// Notified when a wake is added that is due before all others.
-    earlier: Condvar,
+    earlier_wake: Condvar,
 }
 
+/// A coroutine to be woken at a given time.
 struct Wake {
     at: Nanos,
-    sleeper: Coroutine,
+    coroutine: Coroutine,
 }
 
 impl PartialEq for Wake {
@@ -77,7 +78,7 @@
 
 impl Waker {
     fn start(clock: Clock) -> Arc<Self> {
-        let waker = Arc::new(Self { waiting: Mutex::default(), earlier: Condvar::new() });
+        let waker = Arc::new(Self { waiting: Mutex::default(), earlier_wake: Condvar::new() });
         let thread = Arc::clone(&waker);
         std::thread::spawn(move || thread.run(clock));
         waker
@@ -89,21 +90,21 @@
             let now = clock.now();
             while waiting.peek().is_some_and(|Reverse(wake)| wake.at <= now) {
                 if let Some(Reverse(wake)) = waiting.pop() {
-                    wake.sleeper.unpark();
+                    wake.coroutine.unpark();
                 }
             }
             let wait = waiting.peek().map_or(MAX_WAIT, |Reverse(wake)| Duration::from_nanos(wake.at - now));
-            let woken = self.earlier.wait_timeout(waiting, wait.min(MAX_WAIT));
+            let woken = self.earlier_wake.wait_timeout(waiting, wait.min(MAX_WAIT));
             waiting = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    fn schedule(&self, at: Nanos, sleeper: Coroutine) {
+    fn schedule(&self, at: Nanos, coroutine: Coroutine) {
         let mut waiting = lock(&self.waiting);
         let earliest = waiting.peek().is_none_or(|Reverse(wake)| at < wake.at);
-        waiting.push(Reverse(Wake { at, sleeper }));
+        waiting.push(Reverse(Wake { at, coroutine }));
         if earliest {
-            self.earlier.notify_one();
+            self.earlier_wake.notify_one();
         }
     }
 }
@@ -115,23 +116,24 @@
 pub struct Alarm {
     clock: Clock,
     state: Mutex<AlarmState>,
-    sleeper: OnceLock<Coroutine>,
+    /// The coroutine that runs the reducer's timers, once it has called [`Alarm::wait`].
+    timer_coroutine: OnceLock<Coroutine>,
     waker: Arc<Waker>,
 }
 
 struct AlarmState {
     /// When the next timer is due.
     due: Nanos,
-    /// The earliest time for which a wake is scheduled and has not come yet.
+    /// The earliest time for which a wake is scheduled; `Nanos::MAX` if there is none in the future.
     scheduled: Nanos,
 }
 
 impl Alarm {
-    /// Makes an alarm and starts its thread.
+    /// Creates an alarm and starts its thread.
     #[must_use]
     pub fn start(clock: Clock) -> Self {
         let state = Mutex::new(AlarmState { due: 0, scheduled: Nanos::MAX });
-        Self { clock, state, sleeper: OnceLock::new(), waker: Waker::start(clock) }
+        Self { clock, state, timer_coroutine: OnceLock::new(), waker: Waker::start(clock) }
     }
 
     /// Sets the time at which the next timer is due.
@@ -143,16 +145,16 @@
 
     fn schedule_wake(&self, state: &mut AlarmState) {
         if state.due < state.scheduled
-            && let Some(sleeper) = self.sleeper.get()
+            && let Some(coroutine) = self.timer_coroutine.get()
         {
             state.scheduled = state.due;
-            self.waker.schedule(state.due, sleeper.clone());
+            self.waker.schedule(state.due, coroutine.clone());
         }
     }
 
     /// Waits until a timer is due. Only one coroutine may wait here.
     pub fn wait(&self) {
-        self.sleeper.get_or_init(coroutine::current);
+        self.timer_coroutine.get_or_init(coroutine::current);
         while !self.is_due() {
             coroutine::park();
         }
@@ -176,9 +178,9 @@
         while self.clock.now() < until {
             coroutine::park();
         }
-        // If a wake comes while `may` is parking a coroutine, `may` resumes the coroutine from within its own call of
+        // If the wake occurs while `may` is parking the coroutine, `may` resumes the coroutine from within its own call of
         // `park`. If the coroutine ended there, that call would wait for itself, and no coroutine would run any more.
-        // After a yield the coroutine runs from the scheduler's queue.
+        // After a yield the coroutine runs from the scheduler's queue instead.
         coroutine::yield_now();
     }
 }
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -1,7 +1,8 @@
-//! Opens connections to other machines, and tells local failures from remote ones.
+//! Opens connections to other machines, and distinguishes local failures from remote ones.
 //!
-//! A failure on this machine (no descriptor, port, buffer or route) says nothing about the remote one. Such an attempt
-//! is repeated with a short, jittered backoff for as long as the caller can wait, and reported as local after that.
+//! A failure on this machine (no file descriptor, port, buffer or route) does not mean that the remote host has failed. Such
+//! an attempt is repeated with a short, jittered backoff for as long as the caller can wait, and reported as local after
+//! that.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,10 +26,10 @@
 /// Why no connection was opened. No byte was sent.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine lacked a resource for as long as the connection was tried. Nothing is known about the remote host.
+    /// This machine lacked a resource during all attempts. The state of the remote host is unknown.
     #[error("not attempted: this machine lacks a resource: {0}")]
     Local(io::Error),
-    /// This machine had no route for as long as the connection was tried. Which side is at fault is unknown.
+    /// This machine had no route during all attempts. Which side is at fault is unknown.
     #[error("no route: {0}")]
     NoRoute(io::Error),
     /// The remote host could not be reached, or refused the connection.
@@ -39,7 +40,7 @@
     Cancelled,
 }
 
-/// The waits between attempts: each is up to twice as long as the one before, and half of it is random.
+/// The pauses between attempts: their upper limit doubles each time, and half of each is random.
 struct Backoff {
     pause: Duration,
     rng: fastrand::Rng,
@@ -58,9 +59,10 @@
 }
 
 /// Connects within `timeout`. After a local failure, or if the remote host is unreachable, attempts are repeated for
-/// three quarters of that time, so that the caller learns of the failure before its own limit ends the wait. Without
-/// the retries, a loss of the network for milliseconds would look like the failure of every executor and put them all
-/// out of service. `seed` is for the backoff's random part; `wanted` is asked before each further attempt.
+/// three quarters of that time, so that the caller learns of the failure before its own timeout. Without the retries, a
+/// loss of the network for milliseconds would look like the failure of every executor and put them all out of service.
+/// `seed` is for the backoff's random part; `wanted` is called before each further attempt and returns whether the caller
+/// still wants the connection.
 ///
 /// # Errors
 ///
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -19,18 +19,18 @@
 
 /// The longest time for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest time between two messages on a watch. While nothing changes discovery sends an empty line every 2 s, and
-/// it may queue a request for 3 s. A watch that brings neither a complete list nor a heartbeat for longer counts as
-/// dead, even if its connection looks open and bytes arrive. The node is also expected to know a change 6 s after
-/// discovery has it, or 4 s after the discovery address changed. The reducer's `MAX_LIST_CALL_DELAY` depends on this value.
-const MESSAGE_TIMEOUT: Nanos = 3_000_000_000;
-/// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT`], so that the node still
+/// A watch that receives neither a complete list nor a heartbeat for this time has failed, even if its connection is open
+/// and bytes arrive. While nothing changes, discovery sends a heartbeat every 2 s, and it may queue a request for 3 s. A node
+/// must know a change within 6 s after discovery does, and within 4 s after the discovery address changed. The reducer's
+/// `MAX_LIST_CALL_DELAY` depends on this value.
+const MESSAGE_TIMEOUT_NS: Nanos = 3_000_000_000;
+/// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT_NS`], so that the node still
 /// receives the status if discovery rejects the request after queueing it for 3 s.
-const FIRST_MESSAGE_TIMEOUT: Nanos = 3_250_000_000;
-/// The time after a change of the discovery address during which a failed watch is requested again after [`RETRY_PAUSE`].
-pub(crate) const DISCOVERY_CHANGE_RETRY: Nanos = 4_000_000_000;
-/// The pause before a watch is requested again without the reducer: after a change of the discovery address, or after a
-/// failure on this machine.
+const FIRST_MESSAGE_TIMEOUT_NS: Nanos = 3_250_000_000;
+/// The time after a change of the discovery address during which a failed watch is retried after [`RETRY_PAUSE`].
+pub(crate) const DISCOVERY_CHANGE_RETRY_NS: Nanos = 4_000_000_000;
+/// The pause before a watch is retried without the reducer: after a change of the discovery address, or after a failure on
+/// this machine.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why a watch on discovery ended.
@@ -54,18 +54,19 @@
     Replaced,
 }
 
-/// The complete list, or the entries that changed.
+/// The complete list of executors, or the entries that changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
     /// The list's version.
     pub index: u64,
     /// Whether this is the complete list.
     pub whole: bool,
+    /// The entries.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// The list as it is received. Its entries stay text at first: parsing the whole list as a tree could overflow a
-/// coroutine's stack where values are nested a hundred levels deep.
+/// The list as it is received. Its entries are parsed one by one: a tree of values nested a hundred levels deep could
+/// overflow a coroutine's stack.
 #[derive(Deserialize)]
 struct RawList<'a> {
     index: u64,
@@ -139,7 +140,7 @@
     pub fn read(text: &[u8]) -> Result<Self, serde_json::Error> {
         let raw: RawList = parse_object(text)?;
         let endpoints = raw.endpoints.into_iter().filter_map(|entry| {
-            let parsed = parse_object(entry.get().as_bytes()).ok().and_then(endpoint);
+            let parsed = parse_object(entry.get().as_bytes()).ok().and_then(to_endpoint);
             if parsed.is_none() {
                 tracing::warn!("invalid entry in the list of executors is left out");
             }
@@ -149,7 +150,8 @@
     }
 }
 
-fn endpoint(raw: RawEndpoint) -> Option<Endpoint> {
+/// Converts an entry of the list; `None` if its address is invalid and needed.
+fn to_endpoint(raw: RawEndpoint) -> Option<Endpoint> {
     let health = match raw.status.as_str() {
         "active" => Health::Ready,
         "left" => Health::Gone,
@@ -158,7 +160,7 @@
     };
     let address = match raw.address.parse::<SocketAddr>() {
         Ok(address) => address,
-        // The address of an executor that is gone is not used.
+        // The address of an executor that has left is not used.
         Err(_) if health == Health::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         Err(_) => return None,
     };
@@ -179,7 +181,7 @@
 pub(crate) fn watch(node: &Arc<Node>, generation: u64) {
     loop {
         let called_at = node.clock.now();
-        // When the last message came from discovery.
+        // When the last message from discovery was received; `called_at` if none was.
         let mut last_message = called_at;
         let Err(error) = follow(node, generation, &mut last_message);
         let retry_now = {
@@ -190,16 +192,16 @@
             tracing::warn!(why = %error, "new discovery does not answer yet");
             node.alarm.sleep(RETRY_PAUSE);
         } else if matches!(error, WatchError::Connect(ConnectError::Local(_) | ConnectError::NoRoute(_))) {
-            // A retry costs discovery nothing, and the failure says nothing about it: a change may be waiting there.
+            // The failure is on this machine. A retry costs discovery nothing, and discovery may have a change to report.
             if node.may_log() {
                 tracing::warn!(why = %error, "discovery cannot be reached from this machine");
             }
             node.alarm.sleep(RETRY_PAUSE);
         } else {
-            // After messages, a connection that visibly ends has delivered everything that discovery had sent.
-            let complete = last_message > called_at
+            // A connection on which messages arrived and that ended visibly has delivered all that discovery sent.
+            let nothing_missed = last_message > called_at
                 && matches!(error, WatchError::Ended | WatchError::ConnectionBroken(_));
-            let silent_for = if complete { 0 } else { node.clock.now().saturating_sub(last_message) };
+            let silent_for = if nothing_missed { 0 } else { node.clock.now().saturating_sub(last_message) };
             if node.watch_ended(generation, silent_for, matches!(error, WatchError::Status(_))) {
                 tracing::warn!(why = %error, "watch ended");
             }
@@ -208,7 +210,7 @@
     }
 }
 
-/// Returns discovery's address and the known version of the list, while this is still the current watch.
+/// Returns discovery's address and the known version of the list, if this is still the current watch.
 fn watch_target(node: &Node, generation: u64) -> Result<(SocketAddr, Option<u64>), WatchError> {
     let watch = lock(&node.watch);
     if watch.generation == generation {
@@ -236,18 +238,18 @@
         if watch.generation != generation {
             return Err(WatchError::Replaced);
         }
-        // The handle is used to shut down a replaced watch, which would otherwise end only at its next message.
+        // By this handle a replaced watch is shut down, which would otherwise end only at its next message.
         watch.socket = socket.inner().try_clone().ok();
     }
-    socket.set_write_timeout(Some(Duration::from_nanos(MESSAGE_TIMEOUT))).map_err(watch_error)?;
+    socket.set_write_timeout(Some(Duration::from_nanos(MESSAGE_TIMEOUT_NS))).map_err(watch_error)?;
     let version = after.map_or(String::new(), |index| format!("&after={index}"));
     let request = format!("GET /v1/servers?watch=1{version} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
     socket.write_all(request.as_bytes()).map_err(watch_error)?;
     let (mut input, mut decoded) = (BytesMut::new(), BytesMut::new());
     let mut body: Option<http::BodyDecoder> = None;
     let mut lists = ListStream::default();
-    let mut due = *last_message + FIRST_MESSAGE_TIMEOUT;
-    // Without a known version in the request, the first list is the complete list.
+    let mut due = *last_message + FIRST_MESSAGE_TIMEOUT_NS;
+    // If the request names no known version, the first list is the complete one.
     let mut first_is_whole = after.is_none();
     loop {
         let mut piece = [0; 4096];
@@ -288,7 +290,7 @@
         lists.push(&decoded.split());
         while let Some(message) = lists.next_message()? {
             *last_message = node.clock.now();
-            due = *last_message + MESSAGE_TIMEOUT;
+            due = *last_message + MESSAGE_TIMEOUT_NS;
             if let Message::List(mut list) = message {
                 list.whole |= std::mem::take(&mut first_is_whole) && !list.endpoints.is_empty();
                 deliver(node, generation, list)?;
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -1,5 +1,5 @@
 //! Connections to executors, with one coroutine each. The coroutine connects, sends the requests from its mailbox, and
-//! reports the responses to the reducer, or how far an exchange had come when the connection broke.
+//! reports the responses to the reducer, or how far an exchange had proceeded when the connection broke.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -27,41 +27,49 @@
 
 /// A message to a connection's coroutine.
 pub(crate) enum Message {
+    /// Send this request, once the reducer permits it.
     Send { request: Arc<ForwardedRequest> },
+    /// Send a probe.
     Probe,
+    /// Close the connection without a report to the reducer.
     Close,
 }
 
-/// The request that a connection carries, and what has come of its response.
+/// The request that a connection carries, and what was received of its response.
 struct Exchange {
     /// The request to execute; none for a probe.
     request: Option<Arc<ForwardedRequest>>,
     /// The submission's id; none for a probe.
     id: Option<Bytes>,
-    /// The id of the previous submission, to which a second response may come.
+    /// The id of the previous submission on this connection, to which the executor may send a second response.
     previous_id: Option<Bytes>,
-    /// Whether the response that is arriving is such a second response.
+    /// Whether the response that is being received is such a second response.
     stale: bool,
+    /// The bytes of the request. Empty until the reducer permits an execution to be sent.
     out: WriteQueue,
     /// Whether the whole request is written.
     fully_written: bool,
+    /// The head of the response, once it is complete.
     head: Option<Response>,
     body: Option<BodyDecoder>,
+    /// The decoded bytes of the response's body that are not processed yet.
     text: BytesMut,
     /// Whether the outcome was reported to the reducer.
     outcome_reported: bool,
 }
 
-/// What to do after the bytes received were processed.
+/// How an exchange continues after the received bytes were processed.
 enum Step {
     /// Wait for more bytes.
     NeedMore,
     /// The exchange is over, and the connection may be reused.
     Reusable,
+    /// The connection is closed, because the response was invalid or was the last one on this connection.
     Close,
 }
 
-/// Reports to the reducer, when dropped, that the connection is down. After a panic the worst case is reported.
+/// Reports to the reducer, when dropped, that the connection has ended, unless `disconnect` is `None`. After a panic the
+/// worst case is reported.
 struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
     connection: ConnectionId,
@@ -85,14 +93,14 @@
     timeout: Nanos,
     mailbox: &Mailbox<Message>,
 ) {
-    let worst = Disconnect {
+    let worst_case = Disconnect {
         request_started: true,
         request_written: true,
         response_started: true,
         local_fault: false,
         unexpected_data: false,
     };
-    let mut guard = DisconnectGuard { node, connection, disconnect: Some(worst) };
+    let mut guard = DisconnectGuard { node, connection, disconnect: Some(worst_case) };
     // The reducer removes a connection that it closes.
     let wanted = || node.has_connection(connection);
     let mut socket = match connect(node, address, Duration::from_nanos(timeout), connection, wanted) {
@@ -108,12 +116,9 @@
     let _ = socket.set_nodelay(true);
     node.handle_input(Input::ExecutorConnected { connection });
     let mut exchange: Option<Exchange> = None;
-    let (closed_here, unexpected_data) =
-        match run_exchanges(node, connection, &mut socket, mailbox, &mut exchange) {
-            End::ClosedByReducer => (true, false),
-            End::Broken => (false, false),
-            End::UnexpectedData => (false, true),
-        };
+    let end = run_exchanges(node, connection, &mut socket, mailbox, &mut exchange);
+    let closed_by_reducer = matches!(end, End::ClosedByReducer);
+    let unexpected_data = matches!(end, End::UnexpectedData);
     let disconnect =
         exchange.map_or(Disconnect { unexpected_data, ..Disconnect::default() }, |e| Disconnect {
             request_started: e.out.written > 0,
@@ -122,10 +127,10 @@
             local_fault: false,
             unexpected_data,
         });
-    if !closed_here {
+    if !closed_by_reducer {
         tracing::debug!(%address, broken = ?disconnect, "connection to the executor lost");
     }
-    guard.disconnect = Some(disconnect).filter(|_| !closed_here);
+    guard.disconnect = Some(disconnect).filter(|_| !closed_by_reducer);
     // The socket is closed before the guard reports to the reducer.
     drop(socket);
 }
@@ -135,12 +140,12 @@
     ClosedByReducer,
     /// The connection broke, or cannot be used any further.
     Broken,
-    /// Bytes came without a request.
+    /// Bytes were received although no request was sent.
     UnexpectedData,
 }
 
-/// Sends the requests from the mailbox and processes the responses, until the connection ends. At the end `exchange` is
-/// the one that was not over.
+/// Sends the requests from the mailbox and processes the responses, until the connection ends. `exchange` is then the one
+/// that was in progress, if there was one.
 fn run_exchanges(
     node: &Arc<Node>,
     connection: ConnectionId,
@@ -158,25 +163,21 @@
                 Message::Send { request } => (Some(request), WriteQueue::default()),
                 Message::Probe => (None, encode_probe(node)),
             };
-            let id = request.as_ref().map(|request| request.id.clone());
-            let (head, body, text) = (None, None, BytesMut::new());
-            let (previous_id, stale, fully_written, outcome_reported) =
-                (previous_id.take(), false, false, false);
             *exchange = Some(Exchange {
+                id: request.as_ref().map(|request| request.id.clone()),
                 request,
-                id,
-                previous_id,
-                stale,
+                previous_id: previous_id.take(),
+                stale: false,
                 out,
-                fully_written,
-                head,
-                body,
-                text,
-                outcome_reported,
+                fully_written: false,
+                head: None,
+                body: None,
+                text: BytesMut::new(),
+                outcome_reported: false,
             });
         }
         let ended = read(socket, &mut input);
-        let full = input.len() > MAX_UNPARSED_BYTES;
+        let more_available = input.len() > MAX_UNPARSED_BYTES;
         // Without memory for its response the connection is closed, and the execution counts as one that may have
         // run.
         if !reservation.resize(input.len() + exchange.as_ref().map_or(0, |e| e.text.len())) {
@@ -184,12 +185,12 @@
         }
         let request_started = exchange.as_ref().is_some_and(|e| e.out.written > 0);
         if !request_started && !input.is_empty() {
-            // Bytes without a request would be taken for the response to the next one.
+            // These bytes would be mistaken for the response to the next request.
             return End::UnexpectedData;
         }
         if !request_started && ended {
-            // The executor closed an idle connection. No byte of a waiting request may be written any more, since the
-            // reducer sends it elsewhere only if none was.
+            // The executor has closed an idle connection. If a request is waiting, none of it may be written: the reducer
+            // sends it to another executor only if no byte was written.
             return End::Broken;
         }
         let Some(current) = exchange else {
@@ -197,7 +198,7 @@
             continue;
         };
         if !current.fully_written && !ended {
-            // Until the first byte is written, permission is requested anew before each attempt to write.
+            // Until the first byte is written, permission is requested again before each attempt to write.
             if current.out.written == 0
                 && let Some(request) = &current.request
             {
@@ -217,7 +218,7 @@
         match current.process(node, connection, &mut input, ended) {
             Step::NeedMore if ended => return End::Broken,
             // Bytes left in the socket cause no further event, so the socket is read again after a pause for other coroutines.
-            Step::NeedMore if full => node.alarm.sleep(YIELD_PAUSE),
+            Step::NeedMore if more_available => node.alarm.sleep(YIELD_PAUSE),
             Step::NeedMore => {
                 socket.wait_io();
             }
@@ -290,7 +291,7 @@
             true
         };
         if self.stale && complete && valid {
-            // The response to the current request is still to come.
+            // The response to the current request is not received yet.
             (self.head, self.body, self.stale, self.previous_id) = (None, None, false, None);
             self.text.clear();
             return if input.is_empty() {
@@ -302,7 +303,7 @@
         match (valid, complete) {
             (false, _) => Step::Close,
             (true, false) => Step::NeedMore,
-            // Without a last line the execution may have run, and the connection is closed.
+            // The response ended without an outcome: the execution may have run, and the connection is closed.
             (true, true) if close || !self.outcome_reported => Step::Close,
             (true, true) => Step::Reusable,
         }
@@ -348,7 +349,7 @@
         if !std::mem::replace(&mut self.outcome_reported, true) {
             let answered = match head.status {
                 200 => Some(true),
-                // The probe was declined because there are too many; this says nothing about the executor.
+                // The executor declined the probe because it receives too many; its health remains unknown.
                 429 | 503 if head.declined => None,
                 _ => Some(false),
             };
@@ -379,7 +380,7 @@
                 }
                 return false;
             }
-            // A response that began as one to the previous request cannot go on as one to this request.
+            // A response that began with lines for the previous request must not continue with lines for this one.
             if self.stale {
                 return false;
             }
@@ -418,7 +419,7 @@
     load: Option<&'a RawValue>,
 }
 
-/// Returns the name that executors use for a figure in their reports, which may differ from that in the settings.
+/// Returns the name that executors report a figure under, for the name that the settings use.
 fn reported_name(name: &str) -> &str {
     match name {
         "outstanding" => "inflight",
@@ -436,8 +437,8 @@
     })
 }
 
-/// Parses a load report in JSON. Figures that are not used stay text: parsing the report as a tree could overflow the
-/// stack where values are nested a hundred levels deep.
+/// Parses a load report in JSON. Figures that are not used are not parsed: a tree of values nested a hundred levels deep
+/// could overflow the stack.
 fn json_report(node: &Node, load: &str) -> Option<Report> {
     let load: BTreeMap<Cow<'_, str>, &RawValue> = parse_object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
--- a/crates/node/src/net/list_stream.rs
+++ b/crates/node/src/net/list_stream.rs
@@ -1,21 +1,21 @@
-//! Decodes the stream of a watch on discovery: it takes bytes in pieces of any size and returns complete lists and
-//! heartbeats. It does no I/O.
+//! Decodes the stream of a watch on discovery: it receives bytes in pieces of any size and returns complete lists and
+//! heartbeats. It performs no I/O.
 //!
 //! A list is one JSON object. Whitespace of any kind, newlines included, may occur between objects and within them, so
-//! a list may be on one line or indented over many. A heartbeat is a line between objects that holds nothing but
+//! a list may be on one line or indented over many. A heartbeat is a line between objects that contains nothing but
 //! whitespace: neither a newline within an object nor the one that ends an object's last line is a heartbeat.
 //!
 //! Each byte is scanned once, whatever the size of the pieces. The scanner follows brackets and strings only;
-//! [`List::read`] parses the text once the object's last bracket has come. An error within an object is therefore found
-//! at its end, and the caller's timeout handles an object that never ends.
+//! [`List::read`] parses the text once the object's last bracket was received. An error within an object is therefore
+//! detected at its end, and the caller's timeout handles an object that never ends.
 
 use bytes::{Buf as _, BytesMut};
 use thiserror::Error;
 
 use super::discovery::List;
 
-/// The longest list, in bytes from its first bracket to its last. This allows 1,100 entries of 3.8 KB; an indented
-/// entry with a name of 1,024 characters takes 1.2 KB.
+/// The maximum length of a list, in bytes from its first bracket to its last. This allows for 1,100 entries of 3.8 KB; an
+/// indented entry with a name of 1,024 characters takes 1.2 KB.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Why nothing more can be decoded from the stream.
@@ -34,6 +34,7 @@
 /// A message from discovery on a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
+    /// The complete list, or the entries that changed.
     List(List),
     /// An empty line: nothing has changed, and the watch is alive.
     Heartbeat,
@@ -43,8 +44,9 @@
 #[derive(Debug, Default)]
 pub struct ListStream {
     received: BytesMut,
-    /// How many of the bytes received are scanned already: those of an object whose end has not come.
+    /// How many of the bytes in `received` are scanned already: those of an object whose end was not received yet.
     scanned: usize,
+    /// The scanner's position in that object.
     object: Nesting,
     /// Whether something other than whitespace is on the current line.
     line_in_use: bool,
@@ -70,8 +72,8 @@
         Ok(Some(Message::List(List::read(&object)?)))
     }
 
-    /// Drops the whitespace before an object, up to the end of an otherwise empty line. Returns true if that end has
-    /// come.
+    /// Drops the whitespace before an object, up to the end of an otherwise empty line. Returns true if it found such an
+    /// end.
     fn skip_whitespace(&mut self) -> bool {
         while let Some(byte) = self.received.first().copied().filter(u8::is_ascii_whitespace) {
             self.received.advance(1);
@@ -82,7 +84,7 @@
         false
     }
 
-    /// Returns the text of the object that begins where the whitespace ended, once it is complete.
+    /// Returns the text of the object at the start of `received`, once it is complete.
     fn next_object(&mut self) -> Result<Option<BytesMut>, ListStreamError> {
         match self.received.first() {
             None => return Ok(None),
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -34,12 +34,12 @@
 use linestack_recovery::StoredOutcome;
 use linestack_recovery::start::Stage;
 
-/// The pause of a connection that received more than one message's worth of bytes at once. A yield is not enough: `may`
-/// polls its sockets only when no coroutine can run.
+/// The pause of a coroutine that has more to read or accept, so that others run. A yield is not enough: `may` polls its
+/// sockets only when no coroutine can run.
 pub(crate) const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
-/// The length of a listener's accept queue where a whole fleet may connect at once. The standard library's value is
-/// 128.
+/// The length of the accept queue of a listener to which a whole fleet may connect at once. The standard library's value
+/// of 128 is too short for that.
 pub(crate) const BACKLOG: i32 = 1024;
 
 /// Starts a coroutine.
@@ -51,7 +51,7 @@
     drop(unsafe { may::coroutine::spawn(work) });
 }
 
-/// Locks a mutex and ignores poisoning: every holder keeps the value consistent between statements.
+/// Locks a mutex and ignores poisoning: the value is consistent wherever a holder may panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -64,9 +64,10 @@
     serde_json::from_slice(text)
 }
 
-/// Messages to a connection's coroutine.
+/// A queue of messages to a connection's coroutine, which are received by polling.
 pub(crate) struct Mailbox<T> {
     messages: Mutex<VecDeque<T>>,
+    /// Wakes the coroutine from its wait for the socket; `None` until [`Mailbox::wake_on_message`] is called.
     waker: Mutex<Option<WaitIoWaker>>,
 }
 
@@ -84,6 +85,7 @@
         }
     }
 
+    /// Removes and returns the oldest message, if there is one.
     pub(crate) fn next(&self) -> Option<T> {
         lock(&self.messages).pop_front()
     }
@@ -94,11 +96,11 @@
     }
 }
 
-/// The bytes that a group of connections may hold in total, in addition to what each may hold without a reservation.
+/// The bytes that a group of connections may hold in total, beyond those that each may hold without a reservation.
 pub(crate) struct MemoryBudget(AtomicIsize);
 
 impl MemoryBudget {
-    /// What each connection may hold without a reservation; it is part of the connection's own cost.
+    /// The bytes that each connection may hold without a reservation; they count as part of the connection's own cost.
     const UNRESERVED_BYTES: usize = 4 * 1024;
 
     fn new(bytes: usize) -> Self {
@@ -117,8 +119,8 @@
 }
 
 impl MemoryReservation<'_> {
-    /// Sets how many bytes the connection holds. Returns false if that is more than before and exceeds the budget.
-    /// Buffers double their capacity as they grow, so twice the number of bytes is reserved.
+    /// Sets how many bytes the connection holds. Returns false if that is more than before and exceeds the budget; the
+    /// bytes are reserved even then. Buffers double their capacity as they grow, so twice the number of bytes is reserved.
     pub(crate) fn resize(&mut self, bytes: usize) -> bool {
         let size = 2 * bytes.saturating_sub(MemoryBudget::UNRESERVED_BYTES);
         let more = size.cast_signed() - self.size.cast_signed();
@@ -137,6 +139,7 @@
 /// The reducer and the mailboxes of the connections.
 struct NodeState {
     core: Core,
+    /// An empty buffer, which is used again for the effects of each input.
     effects: Vec<Effect>,
     connections: HashMap<ConnectionId, Arc<Mailbox<executors::Message>>>,
     clients: HashMap<ClientId, Arc<Mailbox<clients::Message>>>,
@@ -148,17 +151,19 @@
     state: Mutex<NodeState>,
     pub clock: Clock,
     pub(crate) alarm: Alarm,
+    /// The names of products, tenants and load figures in the settings.
     pub names: Names,
+    /// The figures in the load reports of executors that the settings use.
     pub layout: ReportLayout,
-    /// Whether the product requires an idempotency key, by product.
+    /// For each product, whether its submissions must carry an idempotency key.
     pub stamped: Vec<bool>,
     pub(crate) watch: Mutex<WatchState>,
     pub(crate) audit_log: Option<AuditLog>,
     store_records: Option<Sender<StoreRecord>>,
-    /// The current lease ends once the machine has been suspended for longer than this in total; 0 if there is no lease
-    /// to end.
+    /// The current lease ends once the machine has been suspended for longer than this in total, in nanoseconds; 0 if there
+    /// is no lease to end.
     lease_suspend_limit: AtomicU64,
-    /// When a log line that clients can cause was written last.
+    /// When the last log line that clients can cause was written.
     last_logged: Mutex<Nanos>,
     /// The number of attempts to connect that failed on this machine.
     pub(crate) local_failures: AtomicU64,
@@ -166,37 +171,43 @@
     pub(crate) client_memory: MemoryBudget,
     /// The memory budget for responses of executors.
     pub(crate) executor_memory: MemoryBudget,
+    /// Called once, on [`Effect::Exit`].
     exit: Mutex<Option<Box<dyn FnOnce() + Send>>>,
 }
 
 /// The state of the watch on discovery's list.
 pub(crate) struct WatchState {
     pub(crate) discovery: SocketAddr,
-    /// Increases with each change of the address; results of a watch of an earlier generation are ignored.
+    /// Increases by one with each change of the address; results of a watch of an earlier generation are ignored.
     pub(crate) generation: u64,
     /// The version of the last list that was received; `None` to request the complete list.
     pub(crate) index: Option<u64>,
-    /// When the last message came from discovery, 0 if none has come.
+    /// When the last message from discovery was received; 0 if none was.
     pub(crate) last_message: Nanos,
-    /// After a change of the address: until when a watch that fails is requested again at once.
+    /// After a change of the address: the time until which a watch that fails is retried without the reducer.
     pub(crate) retry_until: Nanos,
+    /// Whether a coroutine follows the list at present.
     running: bool,
     /// A handle to the running watch's connection, used to shut it down.
     pub(crate) socket: Option<std::net::TcpStream>,
 }
 
-/// The parts of a node beside the reducer.
+/// The parts of a node other than the reducer.
 pub struct NodeParts {
     pub clock: Clock,
+    /// As in [`Node::names`].
     pub names: Names,
+    /// As in [`Node::layout`].
     pub layout: ReportLayout,
+    /// As in [`Node::stamped`].
     pub stamped: Vec<bool>,
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The version of the list that is known at the start.
+    /// The version of the list that is known at the start; `None` to request the complete list.
     pub index: Option<u64>,
     /// The memory in bytes that the process may use.
     pub memory: usize,
-    /// The audit log of this node, if one is kept.
+    /// The audit log of this node, if one is configured.
     pub audit_log: Option<AuditLog>,
     /// The channel to the store's writer, if the node has a store.
     pub store_records: Option<Sender<StoreRecord>>,
@@ -205,7 +216,7 @@
 }
 
 impl Node {
-    /// Makes a node from the reducer and its other parts.
+    /// Creates a node from the reducer and its other parts.
     #[must_use]
     pub fn new(core: Core, parts: NodeParts) -> Arc<Self> {
         let NodeParts {
@@ -296,14 +307,23 @@
         permission
     }
 
-    /// Returns whether one-shots can be accepted, and the outcome stored for a key; `None` if the node has no store.
-    pub(crate) fn stored_outcome(&self, key: &[u8]) -> Option<(bool, Option<StoredOutcome>)> {
+    /// Returns whether the node has a store for the outcomes of one-shots.
+    pub(crate) fn has_store(&self) -> bool {
+        self.store_records.is_some()
+    }
+
+    /// Returns whether the node has a store that accepts no outcomes at present.
+    pub(crate) fn has_failed_store(&self) -> bool {
+        self.has_store() && !lock(&self.state).core.can_store_outcomes()
+    }
+
+    /// Returns the outcome stored for a key; `None` if there is none, or the node has no store.
+    pub(crate) fn stored_outcome(&self, key: &[u8]) -> Option<StoredOutcome> {
         self.store_records.as_ref()?;
-        let state = lock(&self.state);
-        Some((state.core.can_store_outcomes(), state.core.stored_outcome(key).cloned()))
+        lock(&self.state).core.stored_outcome(key).cloned()
     }
 
-    /// Returns whether all executions that may have run are known.
+    /// Returns whether the outcome of every one-shot that may have run is known, which is not so after a store was lost.
     pub(crate) fn outcomes_complete(&self) -> bool {
         lock(&self.state).core.outcomes_complete()
     }
@@ -313,13 +333,13 @@
         lock(&self.state).core.stage()
     }
 
-    /// Returns what this node has observed of its executors, for a peer that starts.
+    /// Returns this node's observations of executors, for a peer that starts.
     pub(crate) fn peer_snapshot(&self) -> Vec<ExecutorObservation> {
         lock(&self.state).core.peer_snapshot(self.clock.now())
     }
 
-    /// Returns the observations in a peer's snapshot that may be used. `queried_at` is when the peer was queried,
-    /// `max_age` the greatest age of an observation.
+    /// Returns the observations in a peer's snapshot that may be used: those younger than `max_age`. `queried_at` is when
+    /// the peer was queried.
     pub(crate) fn evaluate_peer_snapshot(
         &self,
         snapshot: &PeerSnapshot,
@@ -349,13 +369,13 @@
         let _ = store_records.send(StoreRecord::ListConfirmed);
     }
 
-    /// Returns the audit log, if one is kept.
+    /// Returns the audit log, if one is configured.
     pub fn audit_log(&self) -> Option<&AuditLog> {
         self.audit_log.as_ref()
     }
 
-    /// Makes the lease end once the machine has been suspended for longer than this in total.
-    pub fn end_lease_after_sleep(&self, suspend_limit: u64) {
+    /// Makes the lease end once the machine has been suspended for longer than this in total, in nanoseconds.
+    pub fn end_lease_after_suspension(&self, suspend_limit: u64) {
         self.lease_suspend_limit.store(suspend_limit.max(1), Ordering::Relaxed);
     }
 
@@ -367,10 +387,10 @@
     /// Returns whether a log line that clients can cause may be written now. Without a limit, a client could use up the
     /// node's time with such lines.
     pub(crate) fn may_log(&self) -> bool {
-        let (now, mut last) = (self.clock.now(), lock(&self.last_logged));
-        let allowed = now.saturating_sub(*last) >= clients::REJECTION_LOG_INTERVAL;
+        let (now, mut last_logged) = (self.clock.now(), lock(&self.last_logged));
+        let allowed = now.saturating_sub(*last_logged) >= clients::REJECTION_LOG_INTERVAL_NS;
         if allowed {
-            *last = now;
+            *last_logged = now;
         }
         allowed
     }
@@ -380,9 +400,9 @@
         lock(&self.state).core.is_at_client_limit()
     }
 
-    /// Reports the end of a watch to the reducer, which may request another one. A change in discovery may be unknown
-    /// here for as long as `silent_for`; `overloaded` means that discovery rejected the request. Returns false if the
-    /// watch is of an earlier generation: it is ignored.
+    /// Reports the end of a watch to the reducer, which may request another one. `silent_for` is for how long this node may
+    /// have missed a change; `overloaded` is whether discovery rejected the request. Returns false, and reports nothing, if
+    /// the watch is of an earlier generation.
     pub(crate) fn watch_ended(
         self: &Arc<Self>,
         generation: u64,
@@ -403,8 +423,8 @@
         is_current
     }
 
-    /// Changes the address of discovery. Everything known and in flight stays. The complete list is requested from the
-    /// new address at once, since its versions may be unrelated to the old ones.
+    /// Changes the address of discovery. The known list and all executions are unaffected. The complete list is requested
+    /// from the new address at once, since its versions may be unrelated to the old ones.
     pub fn change_discovery(self: &Arc<Self>, discovery: SocketAddr) {
         let mut watch = lock(&self.watch);
         if watch.discovery == discovery {
@@ -414,7 +434,7 @@
             let _ = old.shutdown(std::net::Shutdown::Both);
         }
         let generation = watch.generation + 1;
-        let retry_until = self.clock.now() + discovery::DISCOVERY_CHANGE_RETRY;
+        let retry_until = self.clock.now() + discovery::DISCOVERY_CHANGE_RETRY_NS;
         *watch = WatchState {
             discovery,
             generation,
@@ -442,7 +462,7 @@
         lock(&self.state).clients.remove(&client);
     }
 
-    /// Returns whether this connection is open or being opened for the reducer, which has not closed it.
+    /// Returns whether the reducer has this connection open or is opening it.
     pub(crate) fn has_connection(&self, connection: ConnectionId) -> bool {
         lock(&self.state).connections.contains_key(&connection)
     }
@@ -464,7 +484,7 @@
         };
         match effect {
             Effect::Answer { client, answer, last, .. } => {
-                to_client(client, clients::Message::Answer { answer, last })
+                to_client(client, clients::Message::Answer { answer, close_after: last })
             }
             Effect::CloseClient { client } => to_client(client, clients::Message::CloseIfIdle),
             Effect::DropClient { client } => to_client(client, clients::Message::Drop),
@@ -552,7 +572,7 @@
         }
     }
 
-    /// Passes a tick to the reducer whenever a timer is due, for ever.
+    /// Passes a tick to the reducer whenever a timer is due. Never returns.
     pub fn run_timers(self: &Arc<Self>) {
         loop {
             self.alarm.wait();
