--- a/crates/node/src/fleet/config.rs
+++ b/crates/node/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! The configuration files of nodes and coordinators of a fleet. A file is checked as a whole, and each fault is reported
+//! The configuration files of nodes and coordinators of a fleet. A file is checked as a whole, and each error is reported
 //! with its key.
 
 use std::net::SocketAddr;
@@ -24,13 +24,13 @@
     pub history: Option<PathBuf>,
 }
 
-/// What a node does while it can't prove that its policy is current.
+/// What a node does while it has no lease, so that its policy may be outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// The node takes no submissions without a lease.
+    /// The node accepts no submissions without a lease.
     Strict,
-    /// The node goes on under the last policy that it knows.
+    /// The node continues under the last policy that it has received.
     Available,
 }
 
@@ -43,17 +43,17 @@
     pub number: u8,
     /// The address to listen on.
     pub listen: SocketAddr,
-    /// The addresses of all coordinators by their numbers; `None` at the number of this one.
+    /// The addresses of all coordinators, indexed by their numbers; `None` at the index of this one.
     pub peers: Vec<Option<SocketAddr>>,
     /// The folder of the store.
     pub folder: PathBuf,
     /// The policy that a new fleet starts with.
     pub first_policy: PathBuf,
-    /// How long a member's lease lasts.
+    /// The duration of a member's lease.
     pub lease_ms: u64,
-    /// How long a follower refuses to elect another leader after a heartbeat.
+    /// For how long after a heartbeat a follower votes for no other candidate.
     pub hold_ms: u64,
-    /// By how much the rates of two clocks may differ, in thousandths.
+    /// The maximum relative difference between the rates of two clocks, in thousandths.
     pub drift: u64,
     /// The file of the audit log, if one is to be written.
     pub history: Option<PathBuf>,
@@ -72,12 +72,12 @@
     member: String,
     coordinators: Vec<String>,
     folder: PathBuf,
-    #[serde(default = "strict")]
+    #[serde(default = "default_mode")]
     mode: Mode,
     history: Option<PathBuf>,
 }
 
-fn strict() -> Mode {
+fn default_mode() -> Mode {
     Mode::Strict
 }
 
@@ -96,41 +96,42 @@
     peers: Vec<String>,
     folder: PathBuf,
     first_policy: PathBuf,
-    #[serde(default = "lease_ms")]
+    #[serde(default = "default_lease_ms")]
     lease_ms: u64,
-    #[serde(default = "hold_ms")]
+    #[serde(default = "default_hold_ms")]
     hold_ms: u64,
-    #[serde(default = "drift")]
+    #[serde(default = "default_drift")]
     drift: u64,
     history: Option<PathBuf>,
 }
 
-fn lease_ms() -> u64 {
+fn default_lease_ms() -> u64 {
     3000
 }
 
-fn hold_ms() -> u64 {
+fn default_hold_ms() -> u64 {
     750
 }
 
 /// Returns the default drift in thousandths. The rate of a quartz clock is accurate to 0.1 thousandths; a clock that is
 /// being slewed to catch up deviates by 0.5 thousandths.
-fn drift() -> u64 {
+fn default_drift() -> u64 {
     10
 }
 
-/// Collects the faults of a file.
+/// Collects the errors of a file.
 #[derive(Default)]
-struct Faults(Vec<String>);
+struct ErrorList(Vec<String>);
 
-impl Faults {
-    /// Adds a fault unless the value of this key is valid.
+impl ErrorList {
+    /// Adds an error unless the value of this key is valid.
     fn require(&mut self, valid: bool, key: &str, reason: &str) {
         if !valid {
             self.0.push(format!("{key}: {reason}"));
         }
     }
 
+    /// Parses an address, and adds an error if it is invalid.
     fn parse_address(&mut self, key: &str, text: &str) -> Option<SocketAddr> {
         let address = text.parse::<SocketAddr>();
         let reason = address.as_ref().err().map(|e| format!("{text:?}: {e}, wanted IP:PORT"));
@@ -138,15 +139,16 @@
         address.ok()
     }
 
+    /// Adds an error unless this is a valid name of a fleet or a member.
     fn check_name(&mut self, key: &str, name: &str) {
         let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         self.require(!name.is_empty() && name.len() <= MAX_NAME_BYTES, key, "from 1 to 64 characters");
         self.require(name.chars().all(allowed), key, "letters, digits, '-', '_' and '.' only");
     }
 
-    /// Returns all faults as an error, one a line.
+    /// Returns all errors as one, with a line for each.
     fn into_result(self, path: &Path) -> Result<(), String> {
-        let lines: Vec<String> = self.0.iter().map(|f| format!("{}: {f}", path.display())).collect();
+        let lines: Vec<String> = self.0.iter().map(|error| format!("{}: {error}", path.display())).collect();
         if lines.is_empty() { Ok(()) } else { Err(lines.join("\n")) }
     }
 }
@@ -176,20 +178,20 @@
 ///
 /// # Errors
 ///
-/// The file can't be read, or its faults, one a line.
+/// Returns why the file can't be read, or its errors, one a line.
 pub fn read_fleet(path: &Path) -> Result<FleetConfig, String> {
     let FleetFile { fleet: table } = parse_table(path, &read_text(path)?)?;
-    let mut faults = Faults::default();
-    faults.check_name("fleet.id", &table.id);
-    faults.check_name("fleet.member", &table.member);
-    faults.require(
+    let mut errors = ErrorList::default();
+    errors.check_name("fleet.id", &table.id);
+    errors.check_name("fleet.member", &table.member);
+    errors.require(
         matches!(table.coordinators.len(), 1 | 3 | 5),
         "fleet.coordinators",
         "1, 3 or 5 addresses",
     );
     let coordinators: Vec<SocketAddr> =
-        table.coordinators.iter().filter_map(|c| faults.parse_address("fleet.coordinators", c)).collect();
-    faults.into_result(path)?;
+        table.coordinators.iter().filter_map(|c| errors.parse_address("fleet.coordinators", c)).collect();
+    errors.into_result(path)?;
     let FleetTable { id, member, folder, mode, history, .. } = table;
     Ok(FleetConfig { id, member, coordinators, folder, mode, history })
 }
@@ -198,31 +200,31 @@
 ///
 /// # Errors
 ///
-/// The file can't be read, or its faults, one a line.
+/// Returns why the file can't be read, or its errors, one a line.
 pub fn read_coordinator(path: &Path) -> Result<CoordinatorConfig, String> {
     let CoordinatorFile { coordinator: table } = parse_table(path, &read_text(path)?)?;
-    let mut faults = Faults::default();
-    faults.check_name("coordinator.fleet", &table.fleet);
+    let mut errors = ErrorList::default();
+    errors.check_name("coordinator.fleet", &table.fleet);
     let count = table.peers.len();
-    faults.require(matches!(count, 1 | 3 | 5), "coordinator.peers", "1, 3 or 5 addresses, including its own");
-    faults.require(
+    errors.require(matches!(count, 1 | 3 | 5), "coordinator.peers", "1, 3 or 5 addresses, including its own");
+    errors.require(
         usize::from(table.number) < count,
         "coordinator.number",
         "its index in coordinator.peers, from 0",
     );
-    faults.require((100..=600_000).contains(&table.lease_ms), "coordinator.lease-ms", "from 100 to 600,000");
+    errors.require((100..=600_000).contains(&table.lease_ms), "coordinator.lease-ms", "from 100 to 600,000");
     let hold_fits = table.hold_ms >= 20 && table.hold_ms.saturating_mul(2) <= table.lease_ms;
-    faults.require(hold_fits, "coordinator.hold-ms", "from 20 to half of lease-ms");
-    faults.require(table.drift <= 200, "coordinator.drift", "in thousandths, 200 at most");
-    let listen = faults.parse_address("coordinator.listen", &table.listen);
+    errors.require(hold_fits, "coordinator.hold-ms", "from 20 to half of lease-ms");
+    errors.require(table.drift <= 200, "coordinator.drift", "in thousandths, 200 at most");
+    let listen = errors.parse_address("coordinator.listen", &table.listen);
     let is_own = |i: usize| i == usize::from(table.number);
     let peers: Vec<Option<SocketAddr>> = table
         .peers
         .iter()
         .enumerate()
-        .map(|(i, p)| if is_own(i) { None } else { faults.parse_address("coordinator.peers", p) })
+        .map(|(i, p)| if is_own(i) { None } else { errors.parse_address("coordinator.peers", p) })
         .collect();
-    faults.into_result(path)?;
+    errors.into_result(path)?;
     let Some(listen) = listen else { return Err(format!("{}: coordinator.listen", path.display())) };
     let CoordinatorTable { fleet, number, folder, first_policy, lease_ms, hold_ms, drift, history, .. } =
         table;
--- a/crates/node/src/fleet/coordinate/event.rs
+++ b/crates/node/src/fleet/coordinate/event.rs
@@ -1,4 +1,4 @@
-//! The events that the threads of a coordinator report to the thread that owns its state.
+//! The events that the other threads of a coordinator send to the thread that owns its state.
 
 use std::sync::mpsc::SyncSender;
 
@@ -6,7 +6,7 @@
 
 use crate::fleet::wire::{Body, FrameEncoder, Identity};
 
-/// A report of a thread. Connections are numbered in the order in which they were accepted.
+/// An event from another thread. Connections are numbered in the order in which they were accepted.
 pub(super) enum Event {
     /// A process has opened a session.
     Opened { connection: u64, session: Session },
@@ -27,6 +27,6 @@
     pub(super) incarnation: Incarnation,
     /// Encodes the frames to be sent.
     pub(super) encoder: FrameEncoder,
-    /// Frames to be written. Once it is dropped, the connection is closed.
+    /// The queue of frames to be written. Once it is dropped, the connection is closed.
     pub(super) frames: SyncSender<Vec<u8>>,
 }
--- a/crates/node/src/fleet/coordinate/mod.rs
+++ b/crates/node/src/fleet/coordinate/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! One thread owns the state, and is the only one that uses the store and the clock ([`server`]). Another thread accepts
 //! connections, and two threads serve each of them ([`sessions`]). One thread for each other coordinator sends messages to
-//! it ([`peers`]). The threads that accept and read connections report to the first one by [`event::Event`]s.
+//! it ([`peers`]). The threads that accept and read connections send [`event::Event`]s to the one that owns the state.
 //!
-//! The start of a coordinator is in [`storage`] and, after a majority of the stores was lost, in [`refound`].
+//! [`storage`] opens or creates the store. [`refound`] recovers a fleet in which a majority of the stores was lost.
 
 mod event;
 mod peers;
@@ -44,11 +44,15 @@
     FromStore,
     /// Without a store, in a new fleet: the store is created from the first policy that the configuration names.
     NewFleet,
-    /// Without a store, in place of a coordinator that has lost its own: the seat number that `fleet replace` printed.
+    /// Without a store, in place of a coordinator that has lost its own, under the seat number that `fleet replace` printed.
     Replacement(u32),
-    /// From its store, after a majority of the stores was lost: write the file that the others start from, and end. The
-    /// file, and the coordinators whose stores are lost.
-    Refound(PathBuf, Vec<CoordinatorId>),
+    /// From its store, after a majority of the stores was lost: write the file that the others start from, and end.
+    Refound {
+        /// The file to write.
+        file: PathBuf,
+        /// The coordinators whose stores are lost.
+        lost: Vec<CoordinatorId>,
+    },
     /// Without a store, from the file that [`StartMode::Refound`] wrote.
     Refounded(PathBuf),
 }
@@ -69,14 +73,14 @@
 
 fn start(path: &Path, mode: &StartMode) -> Result<ExitCode, String> {
     let config = config::read_coordinator(path)?;
-    if let StartMode::Refound(file, lost) = mode {
+    if let StartMode::Refound { file, lost } = mode {
         return refound::refound(&config, file, lost).map(|()| ExitCode::SUCCESS);
     }
     let (disk, record) = storage::open(&config, mode).map_err(|error| storage_error_message(path, &error))?;
-    let me = config.number;
+    let number = config.number;
     let sender = SenderInfo {
         fleet: config.fleet.clone(),
-        identity: Identity::Coordinator(me),
+        identity: Identity::Coordinator(number),
         incarnation: disk.incarnation,
     };
     let listener = TcpListener::bind(config.listen)
@@ -84,16 +88,17 @@
         .map_err(|e| format!("{}: coordinator.listen: {}: {e}", path.display(), config.listen))?;
     let listen = listener.local_addr().map_err(|e| e.to_string())?;
     let audit_log =
-        AuditWriter::open(config.history.as_deref(), &format!("c{me}"), disk.incarnation.run_number)
+        AuditWriter::open(config.history.as_deref(), &format!("c{number}"), disk.incarnation.run_number)
             .map_err(|e| format!("{}: coordinator.history: {e}", path.display()))?;
     let (events, incoming) = channel();
     watch_signals(events.clone())?;
     let allowed: Vec<IpAddr> = config.peers.iter().flatten().map(SocketAddr::ip).collect();
-    let accepting = sender.clone();
-    thread::spawn(move || sessions::accept(&listener, &accepting, &allowed, &events));
-    let peers = config.peers.iter().map(|to| to.map(|to| peers::connect(to, sender.clone()))).collect();
-    let coordinator = Coordinator::new(terms(&config), record, boottime());
-    tracing::info!(fleet = config.fleet, number = me, %listen, "started");
+    let accepting_sender = sender.clone();
+    thread::spawn(move || sessions::accept(&listener, &accepting_sender, &allowed, &events));
+    let peers = config.peers.iter();
+    let peers = peers.map(|peer| peer.map(|address| peers::connect(address, sender.clone()))).collect();
+    let coordinator = Coordinator::new(consensus_config(&config), record, boottime());
+    tracing::info!(fleet = config.fleet, number, %listen, "started");
     Ok(Server::new(coordinator, disk, audit_log, peers).run(&incoming))
 }
 
@@ -120,7 +125,7 @@
 }
 
 /// Returns the configuration of the coordinator's state machine.
-fn terms(config: &config::CoordinatorConfig) -> ConsensusConfig {
+fn consensus_config(config: &config::CoordinatorConfig) -> ConsensusConfig {
     ConsensusConfig {
         id: config.number,
         coordinators: u8::try_from(config.peers.len()).unwrap_or(u8::MAX),
@@ -128,12 +133,12 @@
         lease: config.lease_ms * NANOS_PER_MILLISECOND,
         drift: config.drift,
         check: check_change,
-        injected_fault: super::injected_fault().as_deref().and_then(accord_fault),
+        injected_fault: super::injected_fault().as_deref().and_then(consensus_fault),
     }
 }
 
 /// Returns the fault of the state machine that a test injects by this name.
-fn accord_fault(name: &str) -> Option<InjectedFault> {
+fn consensus_fault(name: &str) -> Option<InjectedFault> {
     match name {
         "forgets" => Some(InjectedFault::UnpersistedPromise),
         "majority" => Some(InjectedFault::MajorityDecides),
--- a/crates/node/src/fleet/coordinate/peers.rs
+++ b/crates/node/src/fleet/coordinate/peers.rs
@@ -12,17 +12,17 @@
 
 /// The number of messages that may be queued for another coordinator. All members may send a request at once, and each is
 /// forwarded in a message of its own.
-const QUEUED_MESSAGES: usize = 1024;
+const MAX_QUEUED_MESSAGES: usize = 1024;
 /// The pause before the next attempt to connect to a coordinator that could not be reached.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The senders of the queue are gone, because the process ends.
-struct Stopped;
+/// All senders of the queue were dropped, because the process ends.
+struct QueueClosed;
 
 /// Starts the thread that sends messages to another coordinator. Messages that can't be sent are dropped: the protocol
 /// repeats them for as long as they matter.
 pub(super) fn connect(address: SocketAddr, sender: SenderInfo) -> SyncSender<Envelope> {
-    let (envelopes, queue) = sync_channel::<Envelope>(QUEUED_MESSAGES);
+    let (envelopes, queue) = sync_channel::<Envelope>(MAX_QUEUED_MESSAGES);
     thread::spawn(move || {
         loop {
             let Ok((socket, _, encoder)) = wire::connect_session(address, &sender) else {
@@ -39,14 +39,14 @@
     envelopes
 }
 
-/// Sends queued messages until the connection ends.
+/// Sends queued messages until the connection ends, or the queue is closed.
 fn send_all(
     mut socket: TcpStream,
     mut encoder: FrameEncoder,
     queue: &Receiver<Envelope>,
-) -> Result<(), Stopped> {
+) -> Result<(), QueueClosed> {
     loop {
-        let envelope = queue.recv().map_err(|_| Stopped)?;
+        let envelope = queue.recv().map_err(|_| QueueClosed)?;
         let Ok(bytes) = encoder.encode(Body::Envelope(envelope)) else { continue };
         if is_closed(&socket) || socket.write_all(&bytes).is_err() {
             return Ok(());
@@ -54,8 +54,7 @@
     }
 }
 
-/// Whether the other end has closed the connection. The other end never sends anything on this connection after the
-/// handshake.
+/// Returns whether the other end has closed the connection, on which it sends nothing after the handshake.
 fn is_closed(socket: &TcpStream) -> bool {
     let peeked = socket.set_nonblocking(true).and_then(|()| socket.peek(&mut [0]));
     let is_open = matches!(&peeked, Err(e) if e.kind() == ErrorKind::WouldBlock);
--- a/crates/node/src/fleet/coordinate/refound.rs
+++ b/crates/node/src/fleet/coordinate/refound.rs
@@ -1,5 +1,5 @@
-//! Disaster recovery after a majority of the coordinators' stores was lost: the fleet is founded again from one store that
-//! is left, and the other coordinators start from a file that is written here.
+//! Disaster recovery after a majority of the coordinators' stores was lost. The fleet continues from one store that is
+//! left: `--refound` writes its state to a file, from which the other coordinators start by `--refounded`.
 
 use std::fs::OpenOptions;
 use std::io::{self, Write as _};
@@ -12,13 +12,13 @@
 use crate::fleet::wire::{self, Identity, SenderInfo};
 
 use super::StartMode;
-use super::storage::{self, Foundation};
+use super::storage::{self, RefoundedFleet};
 
-/// How many versions, revisions and rounds are skipped. It is more than can have been used since the remaining store was
-/// last written.
-const SKIPPED: u32 = 1_000_000;
+/// The number of versions, revisions and rounds that are skipped. It is higher than the number of those that can have been
+/// used since the remaining store was last written.
+const SKIPPED_NUMBERS: u32 = 1_000_000;
 
-/// Founds the fleet again from the store of this coordinator, and writes the file that the others start from.
+/// Makes the fleet continue from the store of this coordinator, and writes the file that the others start from.
 pub(super) fn refound(
     config: &config::CoordinatorConfig,
     file: &Path,
@@ -33,10 +33,10 @@
     let previous_version = record.state.policy.version;
     let record = founding_record(config, record);
     let version = record.state.policy.version;
-    let foundation = Foundation { fleet: config.fleet.clone(), record };
-    let text = serde_json::to_vec(&foundation).map_err(|e| e.to_string())?;
+    let refounded = RefoundedFleet { fleet: config.fleet.clone(), record };
+    let text = serde_json::to_vec(&refounded).map_err(|e| e.to_string())?;
     write_new(file, &text).map_err(|e| format!("{}: {e}", file.display()))?;
-    disk.persist(&foundation.record).map_err(|e| e.to_string())?;
+    disk.persist(&refounded.record).map_err(|e| e.to_string())?;
     println!("the fleet continues from version {previous_version}, now as version {version}");
     println!(
         "changes that were proposed or decided, and members that joined, since this store was written are lost"
@@ -53,8 +53,8 @@
     format!("--refound: {reason}")
 }
 
-/// Fails if the coordinators that still have their stores are a majority, because a majority can replace the others one by
-/// one.
+/// Returns an error if the coordinators that still have their stores are a majority, because a majority can replace the
+/// others one by one.
 fn check_majority_lost(config: &config::CoordinatorConfig, lost: &[CoordinatorId]) -> Result<(), String> {
     let count = config.peers.len();
     let mut lost = lost.to_vec();
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-/// Fails if another coordinator answers.
+/// Returns an error if another coordinator answers.
 fn check_all_stopped(config: &config::CoordinatorConfig) -> Result<(), String> {
     let incarnation = Incarnation { store_id: random_u64(), run_number: 1 };
     let sender = SenderInfo { fleet: config.fleet.clone(), identity: Identity::Operator, incarnation };
@@ -89,13 +89,13 @@
 /// Returns the record that the fleet continues from. Its ballot and versions are higher than any that may have been
 /// promised, accepted or decided since the store was last written.
 fn founding_record(config: &config::CoordinatorConfig, record: Record) -> Record {
-    let me = config.number;
-    let round = record.promised.round.max(record.accepted.round) + SKIPPED;
-    let ballot = Ballot { round, candidate: me };
+    let own_id = config.number;
+    let round = record.promised.round.max(record.accepted.round) + SKIPPED_NUMBERS;
+    let ballot = Ballot { round, candidate: own_id };
     let state = founding_state(config, record.state);
     Record {
         write_count: record.write_count,
-        seat: state.seat(me),
+        seat: state.seat(own_id),
         learning: false,
         promised: ballot,
         accepted: ballot,
@@ -107,13 +107,13 @@
 fn founding_state(config: &config::CoordinatorConfig, state: State) -> State {
     let State { policy, last_version, members, ended, mut seats, revision, .. } = state;
     for id in (0..config.peers.len()).filter_map(|id| CoordinatorId::try_from(id).ok()) {
-        // A new seat number keeps a coordinator with an older store from voting.
+        // A coordinator with an older store has the previous seat number, and so has no vote.
         *seats.entry(id).or_insert(0) += 1;
     }
-    // The text of the policy stays, under a higher version: members may have activated later policies, which are lost.
-    let version = last_version + u64::from(SKIPPED);
+    // The policy gets a higher version, because members may have activated later policies, which are lost.
+    let version = last_version + u64::from(SKIPPED_NUMBERS);
     State {
-        revision: revision + u64::from(SKIPPED),
+        revision: revision + u64::from(SKIPPED_NUMBERS),
         policy: Policy { version, text: policy.text },
         last_version: version,
         pending: None,
@@ -123,7 +123,7 @@
     }
 }
 
-/// Writes a new file, and returns when it is durable. Fails if the file exists.
+/// Writes a new file, and returns when its content is durable. Returns an error if the file exists.
 fn write_new(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut file = OpenOptions::new().write(true).create_new(true).open(path)?;
     file.write_all(bytes)?;
--- a/crates/node/src/fleet/coordinate/server.rs
+++ b/crates/node/src/fleet/coordinate/server.rs
@@ -42,9 +42,9 @@
 struct Counts {
     /// Frames received.
     frames: u64,
-    /// Leases granted.
+    /// Leases granted or renewed.
     granted: u64,
-    /// Records persisted.
+    /// Writes of the record.
     persisted: u64,
     /// Connections and frames refused, by reason.
     refused: HashMap<&'static str, u64>,
@@ -74,7 +74,7 @@
     pub(super) fn run(mut self, events: &Receiver<Event>) -> ExitCode {
         let mut counts_logged = Instant::now();
         loop {
-            let event = match events.recv_timeout(self.wait()) {
+            let event = match events.recv_timeout(self.time_to_tick()) {
                 Ok(Event::Stop) => {
                     tracing::info!("stopped");
                     return ExitCode::SUCCESS;
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Returns how long to wait for an event before the next tick is due.
-    fn wait(&self) -> Duration {
+    /// Returns the time until the next tick is due, or until the counters are logged if that is earlier.
+    fn time_to_tick(&self) -> Duration {
         let due = self.coordinator.next_due().saturating_sub(boottime());
         Duration::from_nanos(due).min(COUNTS_INTERVAL)
     }
 
-    /// Handles an event, or a tick if there is none.
+    /// Handles an event, or a tick if there is none. Returns an exit code if the process must end.
     fn handle(&mut self, event: Option<Event>) -> Result<(), ExitCode> {
         let input = match event {
             Some(event) => self.input_of(event),
@@ -108,7 +108,7 @@
         if let Some(input) = input {
             self.step(input)?;
         }
-        // A flood of messages must not delay ticks.
+        // Under a flood of messages no wait for an event times out, so a tick that is due is handled here.
         if self.coordinator.next_due() <= boottime() {
             self.step(Input::Tick)?;
         }
@@ -185,7 +185,7 @@
         self.sessions.remove(&connection);
     }
 
-    /// Counts a refusal, and logs it unless another one was logged just before.
+    /// Counts a refusal, and logs it unless another one was logged within [`REFUSAL_LOG_INTERVAL`].
     fn count_refusal(&mut self, reason: &'static str) {
         *self.counts.refused.entry(reason).or_default() += 1;
         if self.counts.refusal_logged.is_none_or(|at| at.elapsed() >= REFUSAL_LOG_INTERVAL) {
@@ -246,13 +246,13 @@
     /// Writes an entry of the audit log with the time of the step, which may be earlier than the current time if the
     /// process was stopped in between.
     fn log_entry(&mut self, time: u64, entry: AuditEntry) {
-        if let Some(what) = self.describe(entry) {
-            self.audit_log.write(time, what);
+        if let Some(event) = self.log_and_count(entry) {
+            self.audit_log.write(time, event);
         }
     }
 
-    /// Logs and counts an event of the state machine, and returns its entry for the audit log, if there is one.
-    fn describe(&mut self, entry: AuditEntry) -> Option<HistoryEvent> {
+    /// Logs and counts an event of the state machine, and returns its form in the audit log, if it is written there.
+    fn log_and_count(&mut self, entry: AuditEntry) -> Option<HistoryEvent> {
         Some(match entry {
             AuditEntry::Established { round } => {
                 tracing::info!(round, "elected leader");
--- a/crates/node/src/fleet/coordinate/sessions.rs
+++ b/crates/node/src/fleet/coordinate/sessions.rs
@@ -12,13 +12,13 @@
 
 use super::event::{Event, Session};
 
-/// The largest number of sessions at a time.
+/// The maximum number of sessions at a time.
 const MAX_SESSIONS: usize = 3072;
-/// The number of frames that may be queued for a process that reads slowly, before its session is closed.
+/// The maximum number of frames that are queued for a process that reads slowly. A full queue closes the session.
 const MAX_QUEUED_FRAMES: usize = 64;
 /// A session ends if nothing is received for this time. Members renew their leases far more often.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause after a connection could not be accepted, for want of a file descriptor.
+/// The pause after a connection could not be accepted, usually because no file descriptor was left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 /// The stack size of a thread that reads a session.
 const READER_STACK_BYTES: usize = 256 * 1024;
@@ -56,13 +56,14 @@
     }
 }
 
-/// Checks whether a connection may open a session, and returns the reason if not.
-fn admit(socket: &TcpStream, allowed: &[IpAddr], open: usize) -> Result<(), &'static str> {
+/// Checks whether a connection may open a session, and returns the reason if it may not. `open_sessions` is the number of
+/// other sessions.
+fn admit(socket: &TcpStream, allowed: &[IpAddr], open_sessions: usize) -> Result<(), &'static str> {
     let address = socket.peer_addr().map(|address| address.ip());
     if !address.is_ok_and(|address| address.is_loopback() || allowed.contains(&address)) {
         return Err("address");
     }
-    if open >= MAX_SESSIONS {
+    if open_sessions >= MAX_SESSIONS {
         return Err("too many sessions");
     }
     Ok(())
--- a/crates/node/src/fleet/coordinate/storage.rs
+++ b/crates/node/src/fleet/coordinate/storage.rs
@@ -12,18 +12,19 @@
 
 use super::StartMode;
 
-/// The stored record. The names of the fields in the file are the format.
+/// The stored data of a coordinator. The names of the fields in the file are the format.
 #[derive(Serialize, Deserialize)]
 struct Stored {
+    /// The last run.
     #[serde(rename = "life")]
     incarnation: Incarnation,
     record: Record,
 }
 
-/// The file that the other coordinators start from after the fleet was founded again. The names of the fields are the
-/// format.
+/// The content of the file that the other coordinators start from after a majority of the stores was lost. The names of
+/// the fields are the format.
 #[derive(Serialize, Deserialize)]
-pub(super) struct Foundation {
+pub(super) struct RefoundedFleet {
     pub(super) fleet: String,
     pub(super) record: Record,
 }
@@ -53,7 +54,7 @@
         }
         StartMode::Refounded(file) => create(config, refounded_record(config, file)?),
         StartMode::NewFleet => create(config, first_record(&config.first_policy)?),
-        StartMode::FromStore | StartMode::Refound(..) => reopen(config),
+        StartMode::FromStore | StartMode::Refound { .. } => reopen(config),
     }
 }
 
@@ -70,7 +71,7 @@
     Ok((disk, record))
 }
 
-/// Opens the existing store.
+/// Opens the existing store, and counts this run in it.
 fn reopen(config: &config::CoordinatorConfig) -> Result<(Disk, Record), StoreError> {
     let store = RecordStore::open(&config.folder, &owner(config))?;
     let Some(Stored { mut incarnation, record }) = store.load()? else { return Err(StoreError::Missing) };
@@ -92,19 +93,20 @@
     Ok(Record { state: State::initial(text), ..Record::default() })
 }
 
-/// Returns the record that a coordinator without a store starts with after the fleet was founded again.
+/// Returns the record in the file that `--refound` wrote, as this coordinator starts with it.
 fn refounded_record(config: &config::CoordinatorConfig, file: &Path) -> Result<Record, StoreError> {
     let damaged = |reason: String| StoreError::Damaged(format!("--refounded: {}: {reason}", file.display()));
     let text = std::fs::read(file).map_err(|e| damaged(e.to_string()))?;
-    let Foundation { fleet, record } = serde_json::from_slice(&text).map_err(|e| damaged(e.to_string()))?;
+    let RefoundedFleet { fleet, record } =
+        serde_json::from_slice(&text).map_err(|e| damaged(e.to_string()))?;
     if fleet != config.fleet {
         return Err(damaged(format!("the file belongs to fleet {fleet:?}")));
     }
-    let me = config.number;
-    if record.accepted.candidate == me {
+    let own_id = config.number;
+    if record.accepted.candidate == own_id {
         return Err(damaged(format!(
-            "it was written by coordinator {me} itself, which must start from its store"
+            "it was written by coordinator {own_id} itself, which must start from its store"
         )));
     }
-    Ok(Record { write_count: 0, seat: record.state.seat(me), ..record })
+    Ok(Record { write_count: 0, seat: record.state.seat(own_id), ..record })
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! Processes of a fleet: coordinators that agree on a policy, and nodes that hold leases to serve under it. A node
-//! that is not configured for a fleet has none of this: no listener, no thread, no allocation.
+//! that is not configured for a fleet starts no listener and no thread of this module, and allocates nothing for it.
 
 pub mod audit_log;
 pub mod config;
@@ -21,26 +21,26 @@
 }
 
 /// Reads the machine's boot-time clock, in nanoseconds. Unlike [`monotonic`], it also counts the time for which the
-/// machine is suspended. Promises to other processes, such as leases, are timed by it.
+/// machine is suspended. Leases and other promises between processes are timed by it.
 #[must_use]
 pub fn boottime() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec.unsigned_abs() * 1_000_000_000 + now.tv_nsec.unsigned_abs()
 }
 
-/// The longest time, in nanoseconds, that may pass between two readings of the clocks that are compared. It is far
-/// below the clock drift that every lease allows for.
-const MAX_READING_GAP: u64 = 200_000;
+/// The longest time that may pass between the readings of two clocks that are compared. It is far below the clock drift
+/// that every lease allows for.
+const MAX_READING_GAP_NS: u64 = 200_000;
 
 /// Returns for how long, in nanoseconds, the machine has been suspended since it was started, to within
-/// [`MAX_READING_GAP`].
+/// [`MAX_READING_GAP_NS`].
 #[must_use]
 pub fn time_suspended() -> u64 {
     loop {
         let (before, boot, after) = (monotonic(), boottime(), monotonic());
         // If the process was stopped between two readings, the result would be too small and a lease would appear to
         // last longer than it does.
-        if after - before <= MAX_READING_GAP {
+        if after - before <= MAX_READING_GAP_NS {
             return boot.saturating_sub(after);
         }
     }
--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -1,5 +1,5 @@
 //! `linestack fleet`: the operator's commands to the coordinators. If an answer is lost, the outcome of a change is
-//! reported as unknown; it can be queried later under the name of the request.
+//! reported as unknown; it can be queried later by the name of the request.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -22,15 +22,15 @@
 const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The exit code if the command was carried out, or the change was decided.
-const DONE: u8 = 0;
+const EXIT_DONE: u8 = 0;
 /// The exit code if the arguments are wrong.
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 /// The exit code if the request was refused.
-const REFUSED: u8 = 3;
+const EXIT_REFUSED: u8 = 3;
 /// The exit code if the change was dropped.
-const DROPPED: u8 = 4;
+const EXIT_DROPPED: u8 = 4;
 /// The exit code if the outcome is not known.
-const UNKNOWN: u8 = 5;
+const EXIT_UNKNOWN: u8 = 5;
 
 /// The arguments of `linestack fleet`.
 #[derive(Args)]
@@ -63,10 +63,10 @@
         /// The version that the change builds on.
         #[arg(long)]
         base: u64,
-        /// A name for the change, under which its outcome can be queried; by default a random one, which is printed.
+        /// A name for the change, by which its outcome can be queried; by default a random one, which is printed.
         #[arg(long)]
         request: Option<String>,
-        /// Wait for all known members, including those that are away.
+        /// Wait for all registered members, including those whose leases have expired.
         #[arg(long)]
         all: bool,
         /// Drop the change if it is not decided after this many milliseconds.
@@ -79,9 +79,9 @@
     Abort { request: String },
     /// List the changes that ended, the latest last.
     History,
-    /// Replace a coordinator that is down and has lost its store: give its number to another one with an empty store.
+    /// Replace a coordinator that is down and has lost its store: assign its number to another one with an empty store.
     Replace { number: u8 },
-    /// Remove from the list a member that is away.
+    /// Remove a member whose lease has expired from the list of members.
     Forget { member: String },
 }
 
@@ -89,9 +89,9 @@
 enum Answer {
     /// The coordinator replied.
     Reply(Reply),
-    /// The request was certainly not received by a leader.
+    /// No leader has received the request.
     NotReceived,
-    /// The request may have been received, but there was no reply.
+    /// A leader may have received the request, but there was no reply.
     Lost,
 }
 
@@ -133,7 +133,8 @@
         Answer::Lost
     }
 
-    /// Sends a request until a coordinator replies, or the time is over. Only for requests that may be repeated.
+    /// Sends a request until a coordinator replies, or the time is over. It must be harmless to carry out the request more
+    /// than once.
     fn send_until_reply(&self, operator_request: &OperatorRequest) -> Option<Reply> {
         let (started, mut index) = (Instant::now(), 0);
         while started.elapsed() < Duration::from_millis(self.wait_ms) {
@@ -150,18 +151,18 @@
         let (started, mut index, mut lost) = (Instant::now(), 0, false);
         loop {
             if started.elapsed() >= Duration::from_millis(self.wait_ms) {
-                return self.report("unknown", request, &[], UNKNOWN);
+                return self.report("unknown", request, &[], EXIT_UNKNOWN);
             }
             match self.send(&mut index, operator_request) {
                 Answer::Reply(Reply::Pending { .. }) => return self.wait_for_outcome(request, started),
                 Answer::Reply(Reply::Ended(ended)) => return self.report_ended(&ended),
                 // A request whose answer was lost may still be carried out, so a later refusal is final only if no
                 // answer was lost before.
-                Answer::Reply(Reply::Rejected(faults)) if lost => {
-                    return self.report("unknown", request, &faults, UNKNOWN);
+                Answer::Reply(Reply::Rejected(errors)) if lost => {
+                    return self.report("unknown", request, &errors, EXIT_UNKNOWN);
                 }
-                Answer::Reply(Reply::Rejected(faults)) => {
-                    return self.report("refused", request, &faults, REFUSED);
+                Answer::Reply(Reply::Rejected(errors)) => {
+                    return self.report("refused", request, &errors, EXIT_REFUSED);
                 }
                 Answer::Reply(_) | Answer::Lost => lost = true,
                 Answer::NotReceived => {}
@@ -179,19 +180,19 @@
             }
             std::thread::sleep(OUTCOME_POLL_INTERVAL);
         }
-        self.report("unknown", request, &[], UNKNOWN)
+        self.report("unknown", request, &[], EXIT_UNKNOWN)
     }
 
     /// Prints how a change ended, and returns the exit code.
     fn report_ended(&self, ended: &EndedChange) -> u8 {
         match &ended.end {
             End::Decided => {
-                self.report("decided", &ended.request, &[format!("version {}", ended.version)], DONE)
+                self.report("decided", &ended.request, &[format!("version {}", ended.version)], EXIT_DONE)
             }
-            End::GivenUp => self.report("given up", &ended.request, &[], DROPPED),
-            End::Aborted => self.report("aborted", &ended.request, &[], DROPPED),
+            End::GivenUp => self.report("given up", &ended.request, &[], EXIT_DROPPED),
+            End::Aborted => self.report("aborted", &ended.request, &[], EXIT_DROPPED),
             End::Declined { member, key } => {
-                self.report("declined", &ended.request, &[format!("{member}: {key}")], DROPPED)
+                self.report("declined", &ended.request, &[format!("{member}: {key}")], EXIT_DROPPED)
             }
         }
     }
@@ -203,7 +204,7 @@
         } else {
             println!("{request}: {outcome}");
             lines.iter().for_each(|l| println!("  {l}"));
-            if code == UNKNOWN {
+            if code == EXIT_UNKNOWN {
                 println!(
                     "  `linestack fleet outcome {request}` shows the outcome once a coordinator can be reached"
                 );
@@ -254,16 +255,15 @@
 /// Runs a command of `linestack fleet`.
 #[must_use]
 pub fn run(arguments: &Arguments) -> ExitCode {
-    let a = arguments;
     let no_answer = || {
-        eprintln!("linestack: no coordinator answered in {} ms", a.wait_ms);
-        UNKNOWN
+        eprintln!("linestack: no coordinator answered in {} ms", arguments.wait_ms);
+        EXIT_UNKNOWN
     };
-    let code = match &a.command {
+    let code = match &arguments.command {
         Command::Propose { file, base, request, all, give_up_ms } => match read_policy(file) {
             Err(error) => {
                 eprintln!("linestack: {error}");
-                USAGE
+                EXIT_USAGE
             }
             Ok(text) => {
                 let request = request.clone().unwrap_or_else(|| format!("{:x}", random_u64()));
@@ -275,61 +275,61 @@
                     require_all: *all,
                     give_up_after: give_up,
                 };
-                a.propose(&operator_request, &request)
+                arguments.propose(&operator_request, &request)
             }
         },
         Command::Outcome { request } => {
-            match a.send_until_reply(&OperatorRequest::Outcome { request: request.clone() }) {
+            match arguments.send_until_reply(&OperatorRequest::Outcome { request: request.clone() }) {
                 None => no_answer(),
-                Some(Reply::Ended(ended)) => a.report_ended(&ended),
+                Some(Reply::Ended(ended)) => arguments.report_ended(&ended),
                 Some(Reply::Pending { version }) => {
-                    a.report("pending", request, &[format!("version {version}")], UNKNOWN)
+                    arguments.report("pending", request, &[format!("version {version}")], EXIT_UNKNOWN)
                 }
-                Some(_) => a.report("not known here", request, &[], UNKNOWN),
+                Some(_) => arguments.report("not known here", request, &[], EXIT_UNKNOWN),
             }
         }
         Command::Abort { request } => {
-            match a.send_until_reply(&OperatorRequest::Abort { request: request.clone() }) {
+            match arguments.send_until_reply(&OperatorRequest::Abort { request: request.clone() }) {
                 None => no_answer(),
-                Some(Reply::Ended(ended)) => a.report_ended(&ended),
-                Some(Reply::Pending { .. }) => a.wait_for_outcome(request, Instant::now()),
-                Some(_) => a.report("not known here", request, &[], REFUSED),
+                Some(Reply::Ended(ended)) => arguments.report_ended(&ended),
+                Some(Reply::Pending { .. }) => arguments.wait_for_outcome(request, Instant::now()),
+                Some(_) => arguments.report("not known here", request, &[], EXIT_REFUSED),
             }
         }
         Command::Forget { member } => {
-            match a.send_until_reply(&OperatorRequest::Forget { member: member.clone() }) {
+            match arguments.send_until_reply(&OperatorRequest::Forget { member: member.clone() }) {
                 None => no_answer(),
-                Some(Reply::Removed) => a.report("forgotten", member, &[], DONE),
-                Some(Reply::Rejected(faults)) => a.report("refused", member, &faults, REFUSED),
-                Some(_) => a.report("not known here", member, &[], REFUSED),
+                Some(Reply::Removed) => arguments.report("forgotten", member, &[], EXIT_DONE),
+                Some(Reply::Rejected(errors)) => arguments.report("refused", member, &errors, EXIT_REFUSED),
+                Some(_) => arguments.report("not known here", member, &[], EXIT_REFUSED),
             }
         }
         Command::Replace { number } => {
             let name = format!("coordinator {number}");
-            match a.send_until_reply(&OperatorRequest::Replace { coordinator: *number }) {
+            match arguments.send_until_reply(&OperatorRequest::Replace { coordinator: *number }) {
                 None => no_answer(),
-                Some(Reply::Replaced { seat }) if a.json => {
+                Some(Reply::Replaced { seat }) if arguments.json => {
                     println!("{}", json!({"coordinator": number, "replacement": seat}));
-                    DONE
+                    EXIT_DONE
                 }
                 Some(Reply::Replaced { seat }) => {
                     let advice = format!("start it, with an empty folder, by --replacement {seat}");
-                    a.report("replaced", &name, &[advice], DONE)
+                    arguments.report("replaced", &name, &[advice], EXIT_DONE)
                 }
-                Some(Reply::Rejected(faults)) => a.report("refused", &name, &faults, REFUSED),
-                Some(_) => a.report("unknown", &name, &[], UNKNOWN),
+                Some(Reply::Rejected(errors)) => arguments.report("refused", &name, &errors, EXIT_REFUSED),
+                Some(_) => arguments.report("unknown", &name, &[], EXIT_UNKNOWN),
             }
         }
-        Command::Status | Command::History => match a.send_until_reply(&OperatorRequest::Status) {
+        Command::Status | Command::History => match arguments.send_until_reply(&OperatorRequest::Status) {
             Some(Reply::Status(status)) => {
-                if matches!(a.command, Command::History) {
+                if matches!(arguments.command, Command::History) {
                     for ended in &status.ended {
-                        a.report_ended(ended);
+                        arguments.report_ended(ended);
                     }
                 } else {
-                    a.print_status(&status);
+                    arguments.print_status(&status);
                 }
-                DONE
+                EXIT_DONE
             }
             _ => no_answer(),
         },
--- a/crates/node/src/fleet/policy.rs
+++ b/crates/node/src/fleet/policy.rs
@@ -7,7 +7,7 @@
 ///
 /// # Errors
 ///
-/// The first fault, with its key.
+/// Returns the first error, with its key.
 pub fn settings_for_zone(text: &str, zone: u16, seed: u64) -> Result<Settings, String> {
     let mut value: Value = serde_json::from_str(text).map_err(|e| format!("policy: {e}"))?;
     let Some(table) = value.as_object_mut() else { return Err("policy: not an object".into()) };
@@ -24,16 +24,16 @@
     Ok(settings)
 }
 
-/// Checks whether a fleet that runs under the policy `present` can change to the policy `newer`.
+/// Checks whether a fleet that runs under the policy `current` can change to the policy `newer`.
 ///
 /// # Errors
 ///
-/// One line for each fault.
-pub fn check_change(present: &str, newer: &str) -> Result<(), Vec<String>> {
+/// Returns one line for each error.
+pub fn check_change(current: &str, newer: &str) -> Result<(), Vec<String>> {
     let newer = settings_for_zone(newer, 0, 0).map_err(|e| vec![e])?;
-    // The present policy was checked when it was proposed, so it is not checked again.
-    let Ok(present) = settings_for_zone(present, 0, 0) else { return Ok(()) };
-    match present.key_needing_restart(&newer) {
+    // The current policy was valid when it was proposed. If it can't be parsed any more, any valid policy may follow.
+    let Ok(current) = settings_for_zone(current, 0, 0) else { return Ok(()) };
+    match current.key_needing_restart(&newer) {
         None => Ok(()),
         Some(key) => {
             Err(vec![format!("{key}: can't be changed while processes run; they must be restarted")])
--- a/crates/node/src/fleet/session.rs
+++ b/crates/node/src/fleet/session.rs
@@ -1,5 +1,5 @@
-//! The session of a node with the coordinators: a thread of its own that renews the node's lease, stores policy changes,
-//! and tells the reducer which settings are active and until when the node may serve.
+//! The session of a node with the coordinators: a thread that renews the node's lease, stores policy changes, and reports
+//! to the reducer which settings are active and until when the node may serve.
 
 use std::io::Write as _;
 use std::net::TcpStream;
@@ -22,9 +22,9 @@
 use crate::net::Node;
 use crate::start_attempts;
 
-/// By how much the rates of two clocks may differ, in thousandths.
-const DRIFT: u64 = 10;
-/// How long a lease is assumed to last before the first one arrives, in nanoseconds.
+/// The maximum relative difference between the rates of two clocks, in thousandths.
+const CLOCK_DRIFT_THOUSANDTHS: u64 = 10;
+/// The assumed duration of a lease until the first one is granted.
 const INITIAL_LEASE_NS: u64 = 1_500_000_000;
 /// The shortest pause between two attempts to open a session.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
@@ -39,7 +39,7 @@
     pub incarnation: Incarnation,
     /// The policy that is active at this member.
     pub active: Policy,
-    /// The change that is stored but not decided.
+    /// The change that is staged: stored, but not decided.
     pub staged: Option<Policy>,
 }
 
@@ -47,7 +47,7 @@
 pub struct FleetMember {
     fleet: FleetConfig,
     store: RecordStore,
-    /// What was stored, with this run counted.
+    /// The stored record, in which this run is counted.
     pub record: MemberRecord,
 }
 
@@ -65,12 +65,13 @@
         };
         let mut store = open(&fleet.folder)?;
         if start_attempts::record_attempt(&fleet.folder)? >= start_attempts::MAX_FAILED_STARTS {
-            // The member starts with an empty store as a new run, and learns everything from the coordinators again.
+            // The member starts with an empty store under a new identity, and receives all policies from the coordinators
+            // again.
             drop(store);
             let quarantine = start_attempts::quarantine_files(&fleet.folder, |name| name.ends_with(".redb"))?;
             tracing::error!(
                 aside = %quarantine.display(),
-                "repeated starts died while reading this member's store; it was set aside"
+                "repeated starts crashed while reading this member's store; its files were moved aside"
             );
             store = open(&fleet.folder)?;
         }
@@ -80,7 +81,7 @@
         }
         let mut record: MemberRecord = match loaded {
             Ok(record) => record.unwrap_or_default(),
-            // The policies are fetched again. The run gets a new identity, because the member that this store was copied
+            // The policies are received again. The run gets a new identity, because the member that this store was copied
             // from may still be running.
             Err(StoreError::Copied) => MemberRecord::default(),
             Err(error) => {
@@ -102,27 +103,30 @@
         &self.fleet
     }
 
-    /// Returns the settings of the policy that was active last, if there was one and the node can run under it. `own` are
-    /// the settings in the node's own configuration.
+    /// Returns the settings of the policy that was active last, if there was one and the node can run under it.
+    /// `own_settings` are those in the node's own configuration. Clears the count of start attempts, because the stored
+    /// policy was parsed without a crash.
     #[must_use]
-    pub fn last_settings(&self, own: &Settings, seed: u64) -> Option<Settings> {
+    pub fn last_settings(&self, own_settings: &Settings, seed: u64) -> Option<Settings> {
         let policy = &self.record.active;
-        let settings =
-            settings_for_zone(&policy.text, own.dispatch.zone, seed).ok().filter(|_| policy.version > 0);
+        let settings = settings_for_zone(&policy.text, own_settings.dispatch.zone, seed)
+            .ok()
+            .filter(|_| policy.version > 0);
         start_attempts::clear_attempts(&self.fleet.folder);
         let settings = settings?;
-        own.key_needing_restart(&settings).is_none().then_some(settings)
+        own_settings.key_needing_restart(&settings).is_none().then_some(settings)
     }
 
     /// Starts the thread of the session, which runs for as long as the program does. `settings` are those that the node
-    /// runs under, of the policy version `active`. `limits` bound how fast nodes that start may open sessions.
+    /// runs under, of the policy version `active_version`, which is 0 if they are from the node's own configuration.
+    /// `start_limits` bound the rate at which starting nodes open sessions.
     pub fn run(
         self,
         node: Arc<Node>,
         settings: Settings,
         seed: u64,
-        active: u64,
-        limits: Option<StartLimits>,
+        active_version: u64,
+        start_limits: Option<StartLimits>,
     ) {
         let Self { fleet, store, record } = self;
         let injected_fault = super::injected_fault().and_then(|f| match f.as_str() {
@@ -132,8 +136,14 @@
             _ => None,
         });
         let staged = record.staged.clone();
-        let member = Member::new(record.incarnation, DRIFT, INITIAL_LEASE_NS, active, staged)
-            .with_injected_fault(injected_fault);
+        let member = Member::new(
+            record.incarnation,
+            CLOCK_DRIFT_THOUSANDTHS,
+            INITIAL_LEASE_NS,
+            active_version,
+            staged,
+        )
+        .with_injected_fault(injected_fault);
         let sender = SenderInfo {
             fleet: fleet.id.clone(),
             identity: Identity::Member(fleet.member.clone()),
@@ -150,7 +160,7 @@
             sender,
             last_notice: None,
             injected_fault,
-            limits,
+            start_limits,
         };
         std::thread::spawn(move || session.run());
     }
@@ -167,16 +177,16 @@
     settings: Settings,
     seed: u64,
     sender: SenderInfo,
-    /// The notice that was logged last, and when.
+    /// The notice that was logged last, and when it was logged.
     last_notice: Option<(Notice, Instant)>,
-    /// A fault that a test has injected.
+    /// The fault that a test injects.
     injected_fault: Option<InjectedFault>,
-    /// How fast nodes may open sessions with the coordinators, if that is bounded.
-    limits: Option<StartLimits>,
+    /// The bounds on the rate at which starting nodes open sessions, if there are any.
+    start_limits: Option<StartLimits>,
 }
 
-/// By how many nanoseconds the total time of suspension may grow before a lease counts as interrupted. It is far above
-/// the inaccuracy of [`super::time_suspended`], and far below any suspension of the machine.
+/// By how much the total time of suspension may grow before the lease ends. It is far above the inaccuracy of
+/// [`super::time_suspended`], and far below any suspension of the machine.
 const SUSPEND_TOLERANCE_NS: u64 = 50_000_000;
 
 impl Session {
@@ -190,13 +200,13 @@
     fn run(mut self) {
         let mut index = self.seed as usize % self.fleet.coordinators.len();
         let mut last_logged = Instant::now() - LOG_INTERVAL;
-        // The seed alone is not enough, because other nodes may have started at the same instant.
+        // A random number is mixed in, so that nodes that start at the same instant wait for different times.
         let mut rng = fastrand::Rng::with_seed(self.seed ^ super::random_u64());
-        let mut wait_for_turn = |limits: &Option<StartLimits>, pause: Duration| {
-            let wait = limits.map_or(0, |limits| session_delay(&limits, rng.f64()));
-            std::thread::sleep(pause.max(Duration::from_nanos(wait)));
+        let mut wait_for_turn = |limits: &Option<StartLimits>, min_pause: Duration| {
+            let delay = limits.map_or(0, |limits| session_delay(&limits, rng.f64()));
+            std::thread::sleep(min_pause.max(Duration::from_nanos(delay)));
         };
-        wait_for_turn(&self.limits, Duration::ZERO);
+        wait_for_turn(&self.start_limits, Duration::ZERO);
         loop {
             let address = self.fleet.coordinators[index];
             match wire::connect_session(address, &self.sender) {
@@ -213,7 +223,7 @@
             let mut outputs = Vec::new();
             self.member.handle(self.now(), Input::SessionClosed, &mut outputs);
             index = (index + 1) % self.fleet.coordinators.len();
-            wait_for_turn(&self.limits, RECONNECT_PAUSE);
+            wait_for_turn(&self.start_limits, RECONNECT_PAUSE);
         }
     }
 
@@ -305,7 +315,7 @@
                     // On the node's clock the lease ends at this time, unless the machine is suspended again.
                     let suspended = super::time_suspended();
                     let until = until.saturating_sub(suspended);
-                    // Written to the audit log first: what is taken under this lease must not precede it there.
+                    // The lease is written to the audit log before any submission that is accepted under it.
                     if let Some(audit_log) = &self.node.audit_log {
                         audit_log.write(
                             now,
@@ -326,9 +336,9 @@
         Ok(None)
     }
 
-    fn write_audit(&self, now: u64, what: HistoryEvent) {
+    fn write_audit(&self, now: u64, event: HistoryEvent) {
         if let Some(audit_log) = &self.node.audit_log {
-            audit_log.write(now, what);
+            audit_log.write(now, event);
         }
     }
 
@@ -358,7 +368,7 @@
         self.last_notice = Some((notice, Instant::now()));
     }
 
-    /// Returns the settings of a policy, or the key because of which the node can't run under it.
+    /// Returns the settings of a policy, or the key that prevents the node from running under it.
     fn settings_of(&self, policy: &Policy) -> Result<Settings, String> {
         let settings = settings_for_zone(&policy.text, self.settings.dispatch.zone, self.seed)?;
         match self.settings.key_needing_restart(&settings) {
@@ -367,7 +377,7 @@
         }
     }
 
-    /// Stores a change that is not decided.
+    /// Stages a change: stores it, without applying it. Returns the key or the storage error that prevents this.
     fn stage(&mut self, policy: Policy) -> Result<(), String> {
         self.settings_of(&policy)?;
         let (version, digest) = (policy.version, policy.digest());
@@ -378,7 +388,7 @@
         Ok(())
     }
 
-    /// Stores a decided policy, and applies it to the node.
+    /// Stores a decided policy, and applies it to the node. Returns the key or the storage error that prevents this.
     fn activate(&mut self, policy: Policy) -> Result<(), String> {
         let settings = self.settings_of(&policy)?;
         let (version, digest) = (policy.version, policy.digest());
@@ -394,7 +404,8 @@
     }
 }
 
-/// Returns the client that a session belongs to; `None` if it is another coordinator's.
+/// Returns the client that a session with a coordinator belongs to; `None` if it belongs to another coordinator.
+/// `connection` is the number of the connection.
 #[must_use]
 pub fn client_session(identity: &Identity, connection: u64) -> Option<ClientSession> {
     match identity {
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -1,6 +1,6 @@
-//! Sessions between processes of a fleet: frames with a JSON body each. The process that connects identifies itself;
-//! the other one assigns a session number, which every later frame carries beside its own frame number. A frame of
-//! another fleet or another session, and a frame that is replayed, end the connection.
+//! Sessions between processes of a fleet, in frames with a JSON body each. The process that connects identifies itself;
+//! the other one assigns a session number, which every later frame carries together with its own frame number. A frame of
+//! another fleet or another session, or a replayed frame, ends the connection.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -18,7 +18,7 @@
 /// The longest time from the connection to the end of the handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The identity that a process claims in its frames.
+/// The identity that a process states in its frames. It is not authenticated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Identity {
@@ -52,9 +52,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// Begins a session, with a random number that the welcome repeats.
+    /// Begins a session, with a random number that the `Welcome` repeats.
     Hello(u64),
-    /// Accepts a session, and repeats the number of the hello.
+    /// Accepts a session, and repeats the number of the `Hello`.
     Welcome(u64),
     /// A message between coordinators.
     #[serde(rename = "letter")]
@@ -100,7 +100,7 @@
     /// The body of the frame can't be parsed.
     #[error("invalid frame body: {0}")]
     Body(#[from] serde_json::Error),
-    /// The sender belongs to another fleet, which is given.
+    /// The sender belongs to this other fleet.
     #[error("a frame of another fleet, {0:?}")]
     WrongFleet(String),
     /// The frame belongs to another session.
@@ -141,7 +141,7 @@
     }
 }
 
-/// What a process states about itself in every frame.
+/// The information about the sender in every frame.
 #[derive(Clone, Debug)]
 pub struct SenderInfo {
     /// The id of its fleet.
@@ -157,12 +157,12 @@
 pub struct FrameEncoder {
     sender: SenderInfo,
     session: u64,
-    /// The number of the last frame.
+    /// The number of the last frame that was encoded; 0 before the first.
     number: u64,
 }
 
 impl FrameEncoder {
-    /// Creates an encoder for a session, 0 before the session has a number.
+    /// Creates an encoder for a session. `session` is its number, 0 before one is assigned.
     #[must_use]
     pub fn new(sender: SenderInfo, session: u64) -> Self {
         Self { sender, session, number: 0 }
@@ -187,22 +187,23 @@
 #[derive(Debug)]
 pub struct FrameReader {
     fleet: String,
-    /// The sender of the first frame. All later frames must come from it, too.
+    /// The sender of the first frame, which must be the sender of all later frames.
     sender: Option<Identity>,
+    /// The number of the session, once it is known.
     session: Option<u64>,
-    /// The number of the last frame.
+    /// The number of the last frame that was read; 0 before the first.
     number: u64,
     reader: Reader,
 }
 
 impl FrameReader {
-    /// Creates a reader. `session` is `None` at the end that connects, which learns the number from the welcome.
+    /// Creates a reader. `session` is `None` at the end that connects, which receives the number in the `Welcome`.
     #[must_use]
     pub fn new(fleet: &str, session: Option<u64>) -> Self {
         Self { fleet: fleet.to_owned(), sender: None, session, number: 0, reader: Reader::default() }
     }
 
-    /// Reads what the socket has, waiting at most for its read timeout. Returns whether anything was read.
+    /// Reads the available bytes, waiting for the first at most for the socket's read timeout. Returns whether any were read.
     ///
     /// # Errors
     ///
@@ -253,7 +254,7 @@
         Ok(Some(frame))
     }
 
-    /// Returns the number of the session, 0 if it is not known yet.
+    /// Returns the number of the session; 0 if it is not known yet.
     #[must_use]
     pub fn session(&self) -> u64 {
         self.session.unwrap_or_default()
@@ -295,7 +296,7 @@
 }
 
 /// Accepts a session on a new connection. Returns the identity and the run of the process that has connected, and the
-/// reader and the encoder for further frames.
+/// reader and the encoder for its further frames.
 ///
 /// # Errors
 ///
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -26,15 +26,15 @@
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
-/// The size of a coroutine's stack, in words. The most seen in use is 1,919, in a debug build; `may` ends the process
-/// when a stack overflows.
+/// The size of a coroutine's stack, in words. Up to 1,919 words are in use in a debug build; `may` ends the process when a
+/// stack overflows.
 const STACK_WORDS: usize = 0x2000;
-/// The number of unused stacks that are kept for further connections.
+/// The number of unused stacks that are pooled for further connections.
 const STACK_POOL_SIZE: usize = 64;
-/// The attempts to listen on an address that is in use, over 2 s in total.
+/// The number of attempts to listen on an address that is in use, over 2 s in total.
 const LISTEN_ATTEMPTS: u32 = 40;
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// The most log lines that wait to be written.
+/// The maximum number of log lines that wait to be written.
 const MAX_BUFFERED_LOG_LINES: usize = 4096;
 
 /// A dispatcher that pushes jobs to workers. Without a command it runs a node, which is configured by environment
@@ -48,7 +48,7 @@
         /// The fleet is new: create the store from the first policy.
         #[arg(long, conflicts_with = "replacement")]
         first: bool,
-        /// Replaces a coordinator that has lost its store; `fleet replace` prints the number.
+        /// Replace a coordinator that has lost its store; `fleet replace` prints the number.
         #[arg(long)]
         replacement: Option<u32>,
         /// A majority has lost its stores: continue from this coordinator's store, and write the state for the others
@@ -86,7 +86,7 @@
             }
         };
     }
-    // A separate thread writes the log lines. When stderr is not read, lines are dropped, so that no coroutine blocks.
+    // A separate thread writes the log lines. If stderr is not read, lines are dropped, so that no coroutine blocks.
     let writer = NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LOG_LINES).lossy(true);
     let (writer, guard) = writer.finish(std::io::stderr());
     let variable = |key: &str| std::env::var(key).ok();
@@ -95,14 +95,14 @@
     tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_max_level(max_level).init();
     std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panicked")));
     if let Some(Command::Coordinate { file, first, replacement, refound, lost, refounded }) = &command {
-        let how = match (replacement, refound, refounded) {
+        let mode = match (replacement, refound, refounded) {
             (Some(seat), ..) => StartMode::Replacement(*seat),
-            (_, Some(out), _) => StartMode::Refound(out.clone(), lost.clone()),
+            (_, Some(out), _) => StartMode::Refound { file: out.clone(), lost: lost.clone() },
             (.., Some(from)) => StartMode::Refounded(from.clone()),
             _ if *first => StartMode::NewFleet,
             _ => StartMode::FromStore,
         };
-        let code = fleet::coordinate::run(file, how);
+        let code = fleet::coordinate::run(file, mode);
         drop(guard);
         return code;
     }
@@ -126,8 +126,8 @@
             return ExitCode::FAILURE;
         }
     };
-    let fleet = match variable("PROXY_FLEET").map(|path| open_fleet_member(&path, &mut config)).transpose() {
-        Ok(fleet) => fleet,
+    let member = match variable("PROXY_FLEET").map(|path| open_fleet_member(&path, &mut config)).transpose() {
+        Ok(member) => member,
         Err(errors) => {
             errors.lines().for_each(|fault| tracing::error!(fault, "fleet"));
             return ExitCode::FAILURE;
@@ -169,10 +169,10 @@
         }
     };
     let clock = Clock::start();
-    let audit_log =
-        fleet.as_ref().and_then(|(member, _)| member.config().history.as_ref().map(|path| (member, path)));
-    let audit_log = audit_log.map(|(member, path)| {
-        AuditLog::open(path, &member.config().member, member.record.incarnation.run_number, clock.now())
+    let audit_log = member.as_ref().and_then(|OpenedMember { member, .. }| {
+        let path = member.config().history.as_ref()?;
+        let run_number = member.record.incarnation.run_number;
+        Some(AuditLog::open(path, &member.config().member, run_number, clock.now()))
     });
     let audit_log = match audit_log.transpose() {
         Ok(audit_log) => audit_log,
@@ -182,6 +182,7 @@
         }
     };
     let mut core = Core::new(settings.clone(), sockets, memory);
+    // Whether the complete list is requested even if a list is known.
     let (mut known, mut request_whole) = (known, false);
     if let Some(stages) = &stages {
         let stored_list = store.as_ref().and_then(|store| store.list(stages.list_max_age));
@@ -193,7 +194,7 @@
         // A list of unknown age is used only once discovery has sent one or has failed to answer.
         let old_endpoints = known.take_if(|_| !list_is_fresh).map_or_else(Vec::new, |list| list.endpoints);
         let settings_confirmed =
-            !fleet.as_ref().is_some_and(|(member, _)| member.config().mode == Mode::Strict);
+            !member.as_ref().is_some_and(|opened| opened.member.config().mode == Mode::Strict);
         let mut rng = fastrand::Rng::with_seed(config.seed ^ fleet::random_u64());
         let conditions =
             StartConditions { settings_confirmed, list_is_fresh, has_old_list: !old_endpoints.is_empty() };
@@ -229,8 +230,8 @@
     if let Some(writer) = writer {
         writer.start(Arc::clone(&node));
     }
-    if let Some((member, active)) = &fleet {
-        init_fleet_member(&node, member, *active, &settings);
+    if let Some(opened) = &member {
+        init_fleet_member(&node, opened, &settings);
     }
     if let Some(peers) = peers {
         if let Err(error) = peers::listen(&peers, &name, &node) {
@@ -239,7 +240,7 @@
         }
         peers::query(peers, name.clone(), Arc::clone(&node));
     }
-    // The list is passed on even if it is empty, since this input makes the reducer request the list.
+    // The list is passed to the reducer even if it is empty, since this input makes the reducer request the list.
     node.handle_input(Input::ListReceived { kind: ListKind::Cached, endpoints });
     let mut attempts = 0..LISTEN_ATTEMPTS;
     let listen = loop {
@@ -262,9 +263,9 @@
     spawn(move || timer_node.run_timers());
     tracing::info!(name, %listen, %discovery, sockets, memory_mb, "started");
     warn_if_messages_expected(&config);
-    let in_fleet = fleet.is_some();
-    if let Some((member, active)) = fleet {
-        member.run(Arc::clone(&node), settings, config.seed, active, stages.map(|s| s.limits));
+    let in_fleet = member.is_some();
+    if let Some(OpenedMember { member, active_version }) = member {
+        member.run(Arc::clone(&node), settings, config.seed, active_version, stages.map(|s| s.limits));
     }
     while let Some(signal) = signals.forever().next() {
         if signal == SIGHUP {
@@ -273,8 +274,8 @@
         }
         tracing::info!(signal, "stopping");
         node.handle_input(Input::Stop);
-        // A second Ctrl-C ends the process at once, as users expect. SIGTERM is not treated so, since it may come
-        // twice: to the process and to its group.
+        // A second Ctrl-C ends the process at once, as users expect. A second SIGTERM does not, since one may be sent to
+        // the process and another to its group.
         std::thread::spawn(move || {
             if signals.forever().any(|signal| signal == SIGINT) {
                 std::process::exit(1);
@@ -288,32 +289,36 @@
     ExitCode::SUCCESS
 }
 
-/// Reads the fleet's configuration file, and takes over the settings that this node used last. Returns their version
-/// too.
-fn open_fleet_member(path: &str, config: &mut Config) -> Result<(FleetMember, u64), String> {
+/// A member of a fleet, whose session has not begun.
+struct OpenedMember {
+    member: FleetMember,
+    /// The version of the policy that the node starts with; 0 if it starts with the settings of its own configuration.
+    active_version: u64,
+}
+
+/// Reads the fleet's configuration file, opens the member's store, and replaces the settings in `config` by those that
+/// this node used last, if there are any.
+fn open_fleet_member(path: &str, config: &mut Config) -> Result<OpenedMember, String> {
     let fleet = fleet::config::read_fleet(Path::new(path))?;
     let member = FleetMember::open(fleet).map_err(|error| format!("{path}: fleet.folder: {error}"))?;
     let last_settings = member.last_settings(&config.settings, config.seed);
-    let active = if last_settings.is_some() { member.record.active.version } else { 0 };
+    let active_version = if last_settings.is_some() { member.record.active.version } else { 0 };
     if let Some(settings) = last_settings {
         config.settings = settings;
     }
-    Ok((member, active))
+    Ok(OpenedMember { member, active_version })
 }
 
-/// Passes the settings and the lease of a fleet's node to the reducer before the node serves clients.
-fn init_fleet_member(
-    node: &Arc<Node>,
-    member: &FleetMember,
-    active: u64,
-    settings: &linestack_settings::Settings,
-) {
-    if active > 0 {
-        let what = HistoryEvent::Active { version: active, digest: member.record.active.digest() };
+/// Passes the settings of a fleet's node to the reducer before the node serves clients, and in strict mode that there is no
+/// lease yet.
+fn init_fleet_member(node: &Arc<Node>, opened: &OpenedMember, settings: &linestack_settings::Settings) {
+    let OpenedMember { member, active_version: version } = opened;
+    if *version > 0 {
+        let event = HistoryEvent::Active { version: *version, digest: member.record.active.digest() };
         if let Some(audit_log) = node.audit_log() {
-            audit_log.write(node.clock.now(), what);
+            audit_log.write(node.clock.now(), event);
         }
-        node.handle_input(Input::SettingsChanged { settings: Box::new(settings.clone()), version: active });
+        node.handle_input(Input::SettingsChanged { settings: Box::new(settings.clone()), version: *version });
     }
     if member.config().mode == Mode::Strict {
         node.handle_input(Input::Lease { until: 0 });
@@ -329,11 +334,11 @@
     }
 }
 
-/// The pause before the configuration is read again after this machine lacked a resource to read it.
+/// The pause before the configuration is read again, if this machine lacked a resource to read it.
 const REREAD_PAUSE: Duration = Duration::from_millis(50);
 
-/// Makes the configuration be read again after a pause, by raising the signal that requests it. Other signals are
-/// handled meanwhile.
+/// Schedules another read of the configuration after a pause: a thread then raises the signal that requests it. Other
+/// signals are handled meanwhile.
 fn schedule_reread() {
     let wait = std::thread::Builder::new().spawn(|| {
         std::thread::sleep(REREAD_PAUSE);
@@ -348,10 +353,10 @@
 
 /// Reads the configuration again. A file with an error changes nothing. A valid one is applied as far as this is
 /// possible in a running node.
-fn reload(node: &Arc<Node>, present: &mut Config, in_fleet: bool, variable: impl Fn(&str) -> Option<String>) {
-    match config::reread(present, variable, |path| std::fs::read_to_string(path)) {
+fn reload(node: &Arc<Node>, current: &mut Config, in_fleet: bool, variable: impl Fn(&str) -> Option<String>) {
+    match config::reread(current, variable, |path| std::fs::read_to_string(path)) {
         Ok(newer) => {
-            let mut keys = present.keys_requiring_restart(&newer);
+            let mut keys = current.keys_requiring_restart(&newer);
             keys.retain(|key| !in_fleet || !key.starts_with("settings."));
             if let Some(key) = keys.iter().find(|key| key.starts_with("settings.")) {
                 // A partly applied change would be neither the old settings nor the new ones.
@@ -361,13 +366,13 @@
                 );
                 return;
             }
-            if in_fleet && present.differs_in_settings(&newer) {
+            if in_fleet && current.differs_in_settings(&newer) {
                 // This node alone would use other settings than the rest of the fleet.
                 tracing::error!(
                     "configuration read again: the fleet sets the settings, so those in the file are ignored"
                 );
-            } else if present.differs_in_settings(&newer) {
-                present.apply_settings(&newer);
+            } else if current.differs_in_settings(&newer) {
+                current.apply_settings(&newer);
                 node.handle_input(Input::SettingsChanged {
                     settings: Box::new(newer.settings.clone()),
                     version: 0,
@@ -380,8 +385,8 @@
             if !keys.is_empty() {
                 tracing::warn!(?keys, "these keys have changed and take effect at the next start only");
             }
-            tracing::info!(from = %present.discovery, discovery = %newer.discovery, "configuration read again");
-            present.discovery = newer.discovery;
+            tracing::info!(from = %current.discovery, discovery = %newer.discovery, "configuration read again");
+            current.discovery = newer.discovery;
             node.change_discovery(newer.discovery);
         }
         Err(error) if error.kind == ConfigErrorKind::Transient => {
