--- a/crates/accord/src/step.rs
+++ b/crates/accord/src/step.rs
@@ -20,7 +20,7 @@
         /// The client's request.
         request: Request,
     },
-    /// The time of [`Coordinator::next_due`](crate::Coordinator::next_due) has come.
+    /// The time of [`Coordinator::next_due`](crate::Coordinator::next_due) is reached.
     Tick,
 }
 
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -10,7 +10,7 @@
 /// An event that a member handles.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// The time of [`Member::next_due`] has come.
+    /// The time of [`Member::next_due`] is reached.
     Tick,
     /// A session with a coordinator was opened.
     SessionOpened,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the node's configuration and fills in its defaults. No other module does.
+//! Reads and checks the node's configuration file (PROXY_CONFIG) and environment variables, and fills in the defaults.
 
 use std::net::SocketAddr;
 
@@ -18,10 +18,11 @@
     /// The environment variable, or the key in the file, that caused the error.
     pub key: String,
     pub reason: String,
+    /// How to respond to the error.
     pub kind: ConfigErrorKind,
 }
 
-/// The kind of a configuration error, which tells how to respond to it.
+/// The kind of a configuration error, which determines the response to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigErrorKind {
     /// The value is invalid, or the file cannot be read.
@@ -37,13 +38,19 @@
 /// A node's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// The name of the node.
     pub name: String,
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: SocketAddr,
+    /// The seed of the node's random choices.
     pub seed: u64,
+    /// The memory that the process may use, in MiB.
     pub memory_mb: u64,
+    /// The number of sockets that the process may use.
     pub sockets: usize,
-    /// The list of executors to begin with.
+    /// The list of executors to start with, if there is one.
     pub known: Option<List>,
     pub settings: Settings,
     /// The settings' JSON text, as it is in the file.
@@ -58,7 +65,7 @@
         self.settings_text != newer.settings_text && value(&self.settings_text) != value(&newer.settings_text)
     }
 
-    /// Takes over the settings of a newer configuration.
+    /// Replaces the settings by those of a newer configuration.
     pub fn apply_settings(&mut self, newer: &Self) {
         (self.settings, self.settings_text) = (newer.settings.clone(), newer.settings_text.clone());
     }
@@ -110,9 +117,9 @@
     }
 }
 
-/// The fewest file descriptors that a node can work with.
+/// The minimum number of file descriptors that a node needs.
 const MIN_SOCKETS: usize = 32;
-/// The least memory that a node can work with.
+/// The minimum memory that a node needs.
 const MIN_MEMORY_MB: u64 = 32;
 
 /// Checks that the system leaves this process at least `MIN_SOCKETS` free file descriptors.
@@ -146,17 +153,17 @@
 }
 
 /// Reads the configuration again while the node runs. The `discovery` in the file has precedence over the variable
-/// PROXY_DISCOVERY, which cannot have changed since the start; if the file has none, the current address stays.
+/// PROXY_DISCOVERY, which cannot have changed since the start; if the file has none, the current address is used.
 pub fn reread(
-    present: &Config,
+    current: &Config,
     variable: impl Fn(&str) -> Option<String>,
     file: impl Fn(&str) -> std::io::Result<String>,
 ) -> Result<Config, ConfigError> {
     let newer = read(|key| if key == DISCOVERY { None } else { variable(key) }, &file);
     match newer {
         Err(error) if error.key == DISCOVERY && error.kind == ConfigErrorKind::Missing => {
-            let present = present.discovery.to_string();
-            read(|key| if key == DISCOVERY { Some(present.clone()) } else { variable(key) }, &file)
+            let address = current.discovery.to_string();
+            read(|key| if key == DISCOVERY { Some(address.clone()) } else { variable(key) }, &file)
         }
         // The variable is ignored here, so the error names the key in the file.
         Err(error) if error.key == DISCOVERY => Err(ConfigError { key: "discovery".into(), ..error }),
@@ -215,7 +222,7 @@
     if settings.names.products.is_empty() {
         return Err(invalid("settings.products", "no product is named".into()));
     }
-    // A known list that cannot be parsed does not prevent the start: the list is requested from discovery anyway.
+    // An invalid `known` list does not prevent the start, because the list is requested from discovery anyway.
     let known = file.known.and_then(|raw| List::read(raw.get().as_bytes()).ok());
     Ok(Config {
         name: variable_or_file("PROXY_NAME", file.name)?,
--- a/crates/node/src/io_failure.rs
+++ b/crates/node/src/io_failure.rs
@@ -6,8 +6,8 @@
 
 use rustix::io::Errno;
 
-/// For how long calls are retried at the start that fail because this machine lacks a resource. A process has to be
-/// ready within 10 s.
+/// For how long calls that fail because this machine lacks a resource are retried at the start of the process, which has to
+/// be ready within 10 s.
 pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -19,8 +19,8 @@
     /// This machine has no route to the address. A short failure points to this machine, a long one to the remote
     /// network.
     LocalRoute,
-    /// The remote host was not found or did not answer in time. The network or the host may be at fault: a single
-    /// failure of this kind does not tell which, and it is not a refusal.
+    /// The remote host was not found or did not answer in time. A single failure of this kind does not show whether the
+    /// network or the host is at fault, and it is not a refusal.
     Unreachable,
     /// The cause is the request itself or the remote host.
     Other,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,5 @@
-//! A linestack node that serves HTTP/1.1 on sockets. `linestack_dispatch` makes its decisions.
+//! A linestack node that serves HTTP/1.1 on sockets: I/O, configuration and storage around the state machine of
+//! [`linestack_core`], which decides by [`linestack_dispatch`] where each submission is executed.
 
 pub mod config;
 pub mod fleet;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,6 +1,6 @@
-//! Exchange of executor observations between nodes: a node that starts asks a running one, and answers others that start.
-//! Off unless PROXY_PEERS names a configuration file. A request and its answer are one frame each, bounded in size and
-//! time.
+//! Exchange of executor observations between nodes: a starting node requests a snapshot of them from a running one, and
+//! answers the requests of other nodes itself. Off unless PROXY_PEERS names a configuration file. A request and its answer
+//! are one frame each, bounded in size and time.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,32 +17,32 @@
 
 use crate::net::{BACKLOG, Node};
 
-/// The longest time for connecting, and on either side for receiving a frame and for a write.
+/// The longest time for connecting, and at both ends for receiving a frame and for a write.
 const IO_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest number of nodes that are answered at a time. Each takes a thread, a descriptor and up to one frame of
-/// memory. Others wait in the queue of the listener.
+/// The maximum number of nodes that are answered at a time. Each uses a thread, a file descriptor and up to one frame of
+/// memory. Others wait in the listener's queue.
 const MAX_CONNECTIONS: usize = 16;
-/// The pause before it is checked again whether there are fewer connections than [`MAX_CONNECTIONS`].
+/// The interval of the checks whether there are fewer connections than [`MAX_CONNECTIONS`].
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The pause after a connection could not be accepted, for want of a file descriptor.
+/// The pause after a connection could not be accepted, usually because no file descriptor was left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// The pause before it is checked again whether the node has a list of executors.
+/// The interval of the checks whether the node has a list of executors.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The largest number of addresses in the setting `ask`.
+/// The maximum number of addresses in the setting `ask`.
 const MAX_PEERS: usize = 1024;
-/// How many peers are asked, one after the other, until one answers.
+/// The maximum number of peers that are queried, one after the other, until one answers.
 const MAX_ATTEMPTS: usize = 2;
 
 /// The configuration of the exchange with other nodes.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The fleet, which must be the same at both nodes.
+    /// The name of the fleet, which must be the same at both nodes.
     pub fleet: String,
-    /// The address on which the node answers others, if it does.
+    /// The address on which the node answers others; `None` if it does not answer them.
     pub listen: Option<SocketAddr>,
-    /// The addresses of the nodes to ask. Only these hosts and the local one are answered.
+    /// The addresses of the nodes to query. Only these hosts and the local one are answered.
     pub addresses: Vec<SocketAddr>,
-    /// The age in nanoseconds from which an observation is not used any more.
+    /// Only observations younger than this, in nanoseconds, are used.
     pub max_age: u64,
 }
 
@@ -71,24 +71,24 @@
 ///
 /// # Errors
 ///
-/// The file can't be read, or its faults, one a line, each with its key.
+/// Returns why the file can't be read, or all its errors, one a line, each with its key.
 pub fn read_config(path: &Path) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let File { peers: table } = crate::fleet::config::parse_table(path, &text)?;
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let mut require = |valid: bool, key: &str, reason: &str| {
         if !valid {
-            faults.push(format!("{}: peers.{key}: {reason}", path.display()));
+            errors.push(format!("{}: peers.{key}: {reason}", path.display()));
         }
     };
     require((1..=64).contains(&table.fleet.len()), "fleet", "from 1 to 64 characters");
     require(table.addresses.len() <= MAX_PEERS, "ask", "1,024 at most");
     require((10..=10_000).contains(&table.max_age_ms), "young-ms", "from 10 to 10,000");
-    if faults.is_empty() {
+    if errors.is_empty() {
         let Table { fleet, listen, addresses, max_age_ms } = table;
         Ok(Config { fleet, listen, addresses, max_age: max_age_ms * 1_000_000 })
     } else {
-        Err(faults.join("\n"))
+        Err(errors.join("\n"))
     }
 }
 
@@ -101,14 +101,14 @@
     node: String,
 }
 
-/// Sends a frame of the kind of this name.
+/// Sends a frame of the kind with this name.
 fn send(socket: &mut TcpStream, kind_name: &str, body: &impl Serialize) -> io::Result<()> {
     let body = serde_json::to_vec(body)?;
     let kind = kind_number(kind_name).ok_or(io::ErrorKind::InvalidInput)?;
     socket.write_all(&encode(kind, &body).map_err(io::Error::other)?)
 }
 
-/// Receives one frame of the kind of this name. The time limit is for the whole frame: a sender of single bytes does not
+/// Receives one frame of the kind with this name. The time limit is for the whole frame: a sender of single bytes does not
 /// extend it.
 fn receive<T: for<'a> Deserialize<'a>>(socket: &mut TcpStream, kind_name: &str) -> io::Result<T> {
     let (started, mut reader, mut buffer) = (Instant::now(), Reader::default(), [0; 16 * 1024]);
@@ -131,7 +131,7 @@
     }
 }
 
-/// Starts to listen for nodes that start, and to answer them.
+/// Starts to listen for requests of other nodes, and to answer them.
 ///
 /// # Errors
 ///
@@ -185,13 +185,13 @@
     Ok(())
 }
 
-/// Asks peers for their observations, one after the other in random order, until one answers. Runs in a thread of its own.
+/// Starts a thread that requests the observations of peers, one after the other in random order, until one answers.
 pub fn query(config: Config, name: String, node: Arc<Node>) {
     std::thread::spawn(move || {
         let mut addresses = config.addresses.clone();
         fastrand::Rng::with_seed(crate::fleet::random_u64()).shuffle(&mut addresses);
         for peer in addresses.into_iter().take(MAX_ATTEMPTS) {
-            let asked_at = node.clock.now();
+            let queried_at = node.clock.now();
             let answer = TcpStream::connect_timeout(&peer, IO_TIMEOUT).and_then(|mut socket| {
                 socket.set_write_timeout(Some(IO_TIMEOUT))?;
                 let request = SnapshotRequest {
@@ -203,7 +203,7 @@
                 receive::<PeerSnapshot>(&mut socket, "tale")
             });
             match answer {
-                Ok(snapshot) => return apply(&config, &name, &node, &snapshot, asked_at),
+                Ok(snapshot) => return apply(&config, &name, &node, &snapshot, queried_at),
                 Err(error) => tracing::warn!(%peer, why = %error, "no answer from a peer"),
             }
         }
@@ -211,10 +211,10 @@
 }
 
 /// Applies the observations of a peer as soon as the node has a list of executors, unless they are outdated by then.
-fn apply(config: &Config, name: &str, node: &Arc<Node>, snapshot: &PeerSnapshot, asked_at: u64) {
-    while node.clock.now() < asked_at + config.max_age {
+fn apply(config: &Config, name: &str, node: &Arc<Node>, snapshot: &PeerSnapshot, queried_at: u64) {
+    while node.clock.now() < queried_at + config.max_age {
         if node.ready() {
-            match node.evaluate_peer_snapshot(snapshot, name, asked_at, config.max_age) {
+            match node.evaluate_peer_snapshot(snapshot, name, queried_at, config.max_age) {
                 Ok(observations) => {
                     tracing::info!(
                         teller = snapshot.sender,
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -291,14 +291,14 @@
                 ));
             }
         }
-        outcomes.sort_by_key(|k| k.at);
+        outcomes.sort_by_key(|record| record.at);
         let list = only_record(&store, KIND_LIST).and_then(|text| List::read(&text).ok());
         let timestamp: Option<StoredTimestamp> =
             only_record(&store, KIND_LIST_CONFIRMED).and_then(|text| serde_json::from_slice(&text).ok());
         let list_confirmed = timestamp.map(|StoredTimestamp { boot, at }| BootTimestamp { boot, at });
         let replaces_lost = only_record(&store, KIND_REPLACES_LOST).is_some();
         // The wall clock is not used: the store's time advances only while a node runs.
-        let time = outcomes.iter().map(|k| k.at).max().map_or(0, |at| at + 1);
+        let time = outcomes.iter().map(|record| record.at).max().map_or(0, |at| at + 1);
         Ok(Self { store, config, time, outcomes, list, list_confirmed, replaces_lost })
     }
 
@@ -320,7 +320,7 @@
         outcomes.expire(self.time);
         tracing::info!(known = outcomes.len(), folder = %self.config.folder.display(), "store read");
         let by_stamp = self.config.dedup_key == DedupKey::IdempotencyKey;
-        // Clients of the process before this one notice at once that it has ended, and retry within their own deadlines.
+        // Clients of the previous process detect at once that it has ended, and retry within their own deadlines.
         // So after the longest deadline no client retries a submission whose outcome was in the lost store.
         let incomplete_until =
             if self.replaces_lost { now + longest_deadline + LOST_STORE_SLACK_NS } else { 0 };
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -10,6 +10,7 @@
 /// The configuration of a staged start.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
+    /// The rates and timeouts of the stages.
     pub limits: StartLimits,
     /// A stored list that is younger than this, in nanoseconds, is used at once.
     pub list_max_age: u64,
@@ -53,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// Returns every error of the file, one a line, each with its key.
+/// Returns all errors of the file, one a line, each with its key.
 pub fn read_config(path: &Path, nodes: u32) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let File { start: table } = crate::fleet::config::parse_table(path, &text)?;
@@ -71,7 +72,7 @@
         ("sessions-per-s", table.sessions_per_s),
     ] {
         check((0.0..=1e6).contains(&rate), key, "must be from 0 (no limit) to 1,000,000");
-        // A node's turn must come while clients still wait for it.
+        // The last node of the fleet must get its turn while clients still wait for it.
         check(
             rate <= 0.0 || f64::from(nodes) / rate <= 60.0,
             key,
@@ -104,7 +105,7 @@
 /// Returns the current time on a clock that survives a restart of the process, but not a reboot of the machine.
 #[must_use]
 pub fn boot_timestamp() -> BootTimestamp {
-    let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
-    let digits: String = boot.chars().filter(char::is_ascii_hexdigit).collect();
+    let boot_id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
+    let digits: String = boot_id.chars().filter(char::is_ascii_hexdigit).collect();
     BootTimestamp { boot: u128::from_str_radix(&digits, 16).unwrap_or(0), at: boottime() }
 }
