--- a/crates/accord/src/config.rs
+++ b/crates/accord/src/config.rs
@@ -56,6 +56,22 @@
         (self.hold / 4).max(1)
     }
 
+    /// Returns how long a follower without a leader waits at least before it starts an election.
+    pub(crate) fn min_election_delay(&self) -> Nanos {
+        self.hold / 2
+    }
+
+    /// Returns by how much the elections of this coordinator are delayed. The delays differ by id, so that candidates do
+    /// not outbid each other forever.
+    pub(crate) fn election_stagger(&self) -> Nanos {
+        self.hold / 4 * Nanos::from(self.id)
+    }
+
+    /// Returns after what time a candidate requests missing promises again. The times differ by id, too.
+    pub(crate) fn campaign_retry_delay(&self) -> Nanos {
+        self.hold / 2 + self.hold / 8 * Nanos::from(self.id)
+    }
+
     /// Returns whether this fault is injected.
     pub(crate) fn injects(&self, fault: InjectedFault) -> bool {
         self.injected_fault == Some(fault)
--- a/crates/accord/src/coordinator/election.rs
+++ b/crates/accord/src/coordinator/election.rs
@@ -11,15 +11,14 @@
 use super::role::{Candidacy, LeaderLease, Promise, Role};
 
 impl Coordinator {
-    /// Returns when this coordinator starts an election unless it receives a message of a leader. The times are staggered by id, so
-    /// that candidates do not outbid each other forever.
+    /// Returns when this coordinator starts an election unless it receives a message of a leader.
     pub(super) fn election_due(&self) -> Nanos {
-        self.leader_lease.until + self.config.hold / 4 * Nanos::from(self.config.id)
+        self.leader_lease.until + self.config.election_stagger()
     }
 
     /// Starts an election, or requests missing promises again.
     pub(super) fn campaign(&mut self, now: Nanos) {
-        let retry_at = now + self.config.hold / 2 + self.config.hold / 8 * Nanos::from(self.config.id);
+        let retry_at = now + self.config.campaign_retry_delay();
         let ballot = match self.continue_candidacy(retry_at) {
             Some(ballot) => ballot,
             None => self.begin_candidacy(retry_at),
@@ -103,8 +102,9 @@
         if !matches!(self.role, Role::Follower) {
             self.step_down(now);
         }
-        // Gives the candidate time to send its first heartbeat.
-        self.leader_lease = LeaderLease { holder: Some(candidate), until: now + self.config.hold / 2 };
+        // The candidate has this time to send its first heartbeat.
+        self.leader_lease =
+            LeaderLease { holder: Some(candidate), until: now + self.config.min_election_delay() };
     }
 
     pub(super) fn on_promise(&mut self, now: Nanos, from: CoordinatorId, ballot: Ballot, promise: Promise) {
@@ -134,12 +134,12 @@
         self.highest_round = self.highest_round.max(ballot.round);
     }
 
-    /// Becomes a follower that waits for at least half a `hold` before it starts an election.
+    /// Becomes a follower that waits for at least `min_election_delay` before it starts an election.
     pub(super) fn step_down(&mut self, now: Nanos) {
         if let Role::Leader(leadership) = std::mem::replace(&mut self.role, Role::Follower) {
             self.former_sessions = leadership.sessions;
         }
-        let until = self.leader_lease.until.max(now + self.config.hold / 2);
+        let until = self.leader_lease.until.max(now + self.config.min_election_delay());
         self.leader_lease = LeaderLease { holder: None, until };
     }
 }
--- a/crates/accord/src/coordinator/leadership.rs
+++ b/crates/accord/src/coordinator/leadership.rs
@@ -1,4 +1,5 @@
-//! The state of a leader: the write in progress, the followers, the members' sessions, and the changes to be written next.
+//! The state of a leader: the write in progress, the followers, the members' sessions, and the changes to be written
+//! next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/accord/src/coordinator/lease.rs
+++ b/crates/accord/src/coordinator/lease.rs
@@ -1,8 +1,8 @@
 //! Leases of members: a member may serve under the active policy for as long as its lease lasts.
 //!
 //! A member counts its lease from the time of its request, by its own clock; the leader counts it from the time of its
-//! reply. So the lease never ends earlier at the leader than at the member, as long as the rates of both clocks differ by no
-//! more than the configured drift.
+//! reply. So the lease never ends earlier at the leader than at the member, as long as the rates of both clocks differ
+//! by no more than the configured drift.
 
 use crate::config::ConsensusConfig;
 use crate::message::{ClientSession, Grant, Renew, Reply};
--- a/crates/accord/src/coordinator/membership.rs
+++ b/crates/accord/src/coordinator/membership.rs
@@ -101,8 +101,8 @@
         for (name, run) in &self.joining {
             state.members.insert(name.clone(), *run);
         }
-        // A member that has renewed its lease in the meantime stays registered. Its removal is dropped without a reply, so
-        // the operator has to repeat the request.
+        // A member that has renewed its lease in the meantime stays registered. Its removal is dropped without a reply,
+        // so the operator has to repeat the request.
         let sessions = &self.sessions;
         let is_live = |name: &String| sessions.get(name).is_some_and(|session| session.is_live(now));
         self.removals.retain(|removal| !is_live(&removal.member));
--- a/crates/accord/src/coordinator/replication.rs
+++ b/crates/accord/src/coordinator/replication.rs
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Follows this leader for the next `hold`, unless a higher ballot was promised. Returns whether this coordinator follows.
+    /// Follows this leader for the next `hold`, unless a higher ballot was promised. Returns whether this coordinator
+    /// follows.
     fn follow(&mut self, now: Nanos, leader: CoordinatorId, ballot: Ballot) -> bool {
         self.observe_round(ballot);
         if ballot < self.record.promised {
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,8 +1,9 @@
 //! Consensus among a small, odd number of coordinators on one replicated register, and leases for the members of a fleet.
 //!
-//! The register is Paxos with a stable leader and without a log (Lamport, "Paxos Made Simple", 2001; Rystsov, "CASPaxos",
-//! 2018): every write replaces the whole [`State`]. The leader grants members leases (Gray and Cheriton, 1989) to serve
-//! under the active policy. A member counts its lease from the time of its request, the leader from the time of its reply.
+//! The register is Paxos with a stable leader and without a log (Lamport, "Paxos Made Simple", 2001; Rystsov,
+//! "CASPaxos", 2018): every write replaces the whole [`State`]. The leader grants members leases (Gray and Cheriton,
+//! 1989) to serve under the active policy. A member counts its lease from the time of its request, the leader from the
+//! time of its reply.
 //!
 //! The crate uses no sockets, clocks or disks. A caller drives a [`Coordinator`] in these steps:
 //!
--- a/crates/accord/src/state.rs
+++ b/crates/accord/src/state.rs
@@ -165,8 +165,8 @@
 /// The persistent data of a coordinator. It must never be lost or rolled back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Counts the writes of this record. Other coordinators store the count that they observed last, so that a record that
-    /// was rolled back is detected.
+    /// Counts the writes of this record. Other coordinators store the count that they observed last, so that a record
+    /// that was rolled back is detected.
     #[serde(rename = "mark")]
     pub write_count: u64,
     /// The seat of this coordinator: the number of coordinators that had its id before.
--- a/crates/accord/tests/clocks.rs
+++ b/crates/accord/tests/clocks.rs
@@ -32,7 +32,8 @@
     })
 }
 
-// The member's clock runs at `rate` thousandths of the leader's. After a hundred leases its request is granted or refused.
+// The member's clock runs at `rate` thousandths of the leader's. After a hundred leases its request is granted or
+// refused.
 #[rstest]
 #[case::same_rate(1000, true)]
 #[case::within_the_drift(992, true)]
--- a/crates/accord/tests/search.rs
+++ b/crates/accord/tests/search.rs
@@ -255,8 +255,8 @@
     world
 }
 
-/// Checks that the fleet has settled: there is a leader, all members may serve under the decided version, and no change is
-/// pending.
+/// Checks that the fleet has settled: there is a leader, all members may serve under the decided version, and no change
+/// is pending.
 fn check_settled(world: &World) -> Result<(), String> {
     let leader = world.leader().ok_or("there is no leader")?;
     let state = world.coordinators[leader]
@@ -358,8 +358,8 @@
     assert_eq!((world.violation.clone(), check_settled(&world)), (None, Ok(())));
 }
 
-// One of five coordinators is stopped while another one is replaced. Its messages to the replacement carry the write count
-// that it observed of the predecessor, which must not look like a rolled-back record.
+// One of five coordinators is stopped while another one is replaced. Its messages to the replacement carry the write
+// count that it observed of the predecessor, which must not look like a rolled-back record.
 #[test]
 fn observations_of_a_predecessor_do_not_halt_its_replacement() {
     let mut world = World::new(5, 1, Faults::default());
@@ -418,7 +418,8 @@
     assert!(decided > 40 && dropped > 10 && rounds > 80);
 }
 
-/// A coordinator sends a promise and crashes. After its restart, a candidate with a lower ballot requests a promise from it.
+/// A coordinator sends a promise and crashes. After its restart, a candidate with a lower ballot requests a promise
+/// from it.
 fn lower_ballot_after_restart(faults: Faults) -> World {
     let mut world = World::new(3, 0, faults);
     // Coordinator 0 starts elections whose messages are lost, which raises its ballot.
--- a/crates/node/src/fleet/audit_log.rs
+++ b/crates/node/src/fleet/audit_log.rs
@@ -60,8 +60,8 @@
 }
 
 impl AuditLog {
-    /// Opens the file and starts the thread that writes to it. `process` is the name of the process in the lines; `now` is
-    /// the current time of the node's clock.
+    /// Opens the file and starts the thread that writes to it. `process` is the name of the process in the lines; `now`
+    /// is the current time of the node's clock.
     ///
     /// # Errors
     ///
@@ -91,8 +91,9 @@
         }
     }
 
-    /// Writes the effects of an input of the reducer. `submission` is what [`AuditLog::pending_submission`] returned for the
-    /// input. `accepted_version` is the policy version under which the submission was accepted; `None` if it was rejected.
+    /// Writes the effects of an input of the reducer. `submission` is what [`AuditLog::pending_submission`] returned
+    /// for the input. `accepted_version` is the policy version under which the submission was accepted; `None` if it
+    /// was rejected.
     pub(crate) fn record_effects(
         &self,
         now: u64,
--- a/crates/node/src/fleet/config.rs
+++ b/crates/node/src/fleet/config.rs
@@ -39,7 +39,7 @@
 pub struct CoordinatorConfig {
     /// The fleet's id.
     pub fleet: String,
-    /// The number of this coordinator, from 0.
+    /// The number of this coordinator, from 0, which is its id in the consensus protocol.
     pub number: u8,
     /// The address to listen on.
     pub listen: SocketAddr,
--- a/crates/node/src/fleet/coordinate/mod.rs
+++ b/crates/node/src/fleet/coordinate/mod.rs
@@ -1,10 +1,11 @@
 //! `linestack coordinate FILE`: the process of one coordinator.
 //!
-//! One thread owns the state, and is the only one that uses the store and the clock ([`server`]). Another thread accepts
-//! connections, and two threads serve each of them ([`sessions`]). One thread for each other coordinator sends messages to
-//! it ([`peers`]). The threads that accept and read connections send [`event::Event`]s to the one that owns the state.
+//! One thread owns the state, and is the only one that uses the store and the clock (`server`). Another thread
+//! accepts connections, and two threads serve each of them (`sessions`). One thread for each other coordinator sends
+//! messages to it (`peers`). The threads that accept and read connections send `event::Event`s to the one that owns
+//! the state.
 //!
-//! [`storage`] opens or creates the store. [`refound`] recovers a fleet in which a majority of the stores was lost.
+//! `storage` opens or creates the store. `refound` recovers a fleet in which a majority of the stores was lost.
 
 mod event;
 mod peers;
@@ -30,13 +31,12 @@
 use super::policy::check_change;
 use super::store::StoreError;
 use super::wire::{Identity, SenderInfo};
+use crate::NANOS_PER_MS;
 use crate::net::BACKLOG;
 
 use self::event::Event;
 use self::server::Server;
 
-const NANOS_PER_MILLISECOND: u64 = 1_000_000;
-
 /// The state that a coordinator starts from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartMode {
@@ -44,7 +44,8 @@
     FromStore,
     /// Without a store, in a new fleet: the store is created from the first policy that the configuration names.
     NewFleet,
-    /// Without a store, in place of a coordinator that has lost its own, under the seat number that `fleet replace` printed.
+    /// Without a store, in place of a coordinator that has lost its own, under the seat number that `fleet replace`
+    /// printed.
     Replacement(u32),
     /// From its store, after a majority of the stores was lost: write the file that the others start from, and end.
     Refound {
@@ -129,8 +130,8 @@
     ConsensusConfig {
         id: config.number,
         coordinators: u8::try_from(config.peers.len()).unwrap_or(u8::MAX),
-        hold: config.hold_ms * NANOS_PER_MILLISECOND,
-        lease: config.lease_ms * NANOS_PER_MILLISECOND,
+        hold: config.hold_ms * NANOS_PER_MS,
+        lease: config.lease_ms * NANOS_PER_MS,
         drift: config.drift,
         check: check_change,
         injected_fault: super::injected_fault().as_deref().and_then(consensus_fault),
--- a/crates/node/src/fleet/coordinate/refound.rs
+++ b/crates/node/src/fleet/coordinate/refound.rs
@@ -14,8 +14,8 @@
 use super::StartMode;
 use super::storage::{self, RefoundedFleet};
 
-/// The number of versions, revisions and rounds that are skipped. It is higher than the number of those that can have been
-/// used since the remaining store was last written.
+/// The number of versions, revisions and rounds that are skipped. It is higher than the number of those that can have
+/// been used since the remaining store was last written.
 const SKIPPED_NUMBERS: u32 = 1_000_000;
 
 /// Makes the fleet continue from the store of this coordinator, and writes the file that the others start from.
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -12,12 +12,14 @@
 
 use std::hash::{BuildHasher as _, RandomState};
 
+use crate::NANOS_PER_S;
+
 /// Reads the machine's monotonic clock, in nanoseconds. All processes on the machine read the same clock, and it does
 /// not jump.
 #[must_use]
 pub fn monotonic() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
-    now.tv_sec.unsigned_abs() * 1_000_000_000 + now.tv_nsec.unsigned_abs()
+    now.tv_sec.unsigned_abs() * NANOS_PER_S + now.tv_nsec.unsigned_abs()
 }
 
 /// Reads the machine's boot-time clock, in nanoseconds. Unlike [`monotonic`], it also counts the time for which the
@@ -25,15 +27,14 @@
 #[must_use]
 pub fn boottime() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    now.tv_sec.unsigned_abs() * 1_000_000_000 + now.tv_nsec.unsigned_abs()
+    now.tv_sec.unsigned_abs() * NANOS_PER_S + now.tv_nsec.unsigned_abs()
 }
 
 /// The longest time that may pass between the readings of two clocks that are compared. It is far below the clock drift
 /// that every lease allows for.
 const MAX_READING_GAP_NS: u64 = 200_000;
 
-/// Returns for how long, in nanoseconds, the machine has been suspended since it was started, to within
-/// [`MAX_READING_GAP_NS`].
+/// Returns for how long, in nanoseconds, the machine has been suspended since it was started, to within 0.2 ms.
 #[must_use]
 pub fn time_suspended() -> u64 {
     loop {
--- a/crates/node/src/fleet/operate.rs
+++ b/crates/node/src/fleet/operate.rs
@@ -13,6 +13,7 @@
 
 use super::random_u64;
 use super::wire::{self, Body, Identity, SenderInfo};
+use crate::NANOS_PER_MS;
 
 /// The longest time to wait for the answer of one coordinator.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -133,8 +134,8 @@
         Answer::Lost
     }
 
-    /// Sends a request until a coordinator replies, or the time is over. It must be harmless to carry out the request more
-    /// than once.
+    /// Sends a request until a coordinator replies, or the time is over. It must be harmless to carry out the request
+    /// more than once.
     fn send_until_reply(&self, operator_request: &OperatorRequest) -> Option<Reply> {
         let (started, mut index) = (Instant::now(), 0);
         while started.elapsed() < Duration::from_millis(self.wait_ms) {
@@ -267,7 +268,7 @@
             }
             Ok(text) => {
                 let request = request.clone().unwrap_or_else(|| format!("{:x}", random_u64()));
-                let give_up = give_up_ms.map(|ms| ms.saturating_mul(1_000_000));
+                let give_up = give_up_ms.map(|ms| ms.saturating_mul(NANOS_PER_MS));
                 let operator_request = OperatorRequest::Propose {
                     request: request.clone(),
                     base_version: *base,
--- a/crates/node/src/fleet/wire.rs
+++ b/crates/node/src/fleet/wire.rs
@@ -203,7 +203,8 @@
         Self { fleet: fleet.to_owned(), sender: None, session, number: 0, reader: Reader::default() }
     }
 
-    /// Reads the available bytes, waiting for the first at most for the socket's read timeout. Returns whether any were read.
+    /// Reads the available bytes, waiting for the first at most for the socket's read timeout. Returns whether any were
+    /// read.
     ///
     /// # Errors
     ///
--- a/crates/node/src/io_failure.rs
+++ b/crates/node/src/io_failure.rs
@@ -6,8 +6,8 @@
 
 use rustix::io::Errno;
 
-/// For how long calls that fail because this machine lacks a resource are retried at the start of the process, which has to
-/// be ready within 10 s.
+/// For how long calls that fail because this machine lacks a resource are retried at the start of the process, which
+/// has to be ready within 10 s.
 pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,3 +10,6 @@
 pub mod persistence;
 pub mod staged_start;
 pub mod start_attempts;
+
+pub(crate) const NANOS_PER_MS: u64 = 1_000_000;
+pub(crate) const NANOS_PER_S: u64 = 1_000_000_000;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -26,8 +26,8 @@
 use signal_hook::iterator::Signals;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
-/// The size of a coroutine's stack, in words. Up to 1,919 words are in use in a debug build; `may` ends the process when a
-/// stack overflows.
+/// The size of a coroutine's stack, in words. Up to 1,919 words are in use in a debug build; `may` ends the process
+/// when a stack overflows.
 const STACK_WORDS: usize = 0x2000;
 /// The number of unused stacks that are pooled for further connections.
 const STACK_POOL_SIZE: usize = 64;
@@ -309,8 +309,8 @@
     Ok(OpenedMember { member, active_version })
 }
 
-/// Passes the settings of a fleet's node to the reducer before the node serves clients, and in strict mode that there is no
-/// lease yet.
+/// Passes the settings of a fleet's node to the reducer before the node serves clients, and in strict mode that there
+/// is no lease yet.
 fn init_fleet_member(node: &Arc<Node>, opened: &OpenedMember, settings: &linestack_settings::Settings) {
     let OpenedMember { member, active_version: version } = opened;
     if *version > 0 {
--- a/crates/node/src/net/arrivals.rs
+++ b/crates/node/src/net/arrivals.rs
@@ -1,5 +1,5 @@
-//! Records the arrival times of the bytes that a connection has read ahead. A client's deadline counts from the arrival of
-//! the last byte of its request, which may be long before a pipelined request is processed.
+//! Records the arrival times of the bytes that a connection has read ahead. A client's deadline counts from the arrival
+//! of the last byte of its request, which may be long before a pipelined request is processed.
 
 use std::collections::VecDeque;
 
--- a/crates/node/src/net/clients/mod.rs
+++ b/crates/node/src/net/clients/mod.rs
@@ -16,6 +16,7 @@
 
 use super::arrivals::ArrivalTimes;
 use super::{Mailbox, Node, YIELD_PAUSE, spawn};
+use crate::NANOS_PER_MS;
 use crate::http::{self, HttpError, WriteQueue};
 use linestack_core::{Answer, ClientId, Input, Nanos, Phase};
 
@@ -23,14 +24,13 @@
 use reading::{Overflow, READ_AHEAD_BYTES, ReadStatus, read};
 use request::{Incoming, RequestAction, read_request};
 
-const NANOS_PER_MS: u64 = 1_000_000;
 /// The pause before the next accept when no file descriptor is left or the limit of clients is reached.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// After accepting this many connections in a row the listener pauses, so that the accepted ones are read: only the bytes
 /// that they have sent distinguish clients from a flood of idle connections.
 const ACCEPT_BURST: u32 = 8;
 /// If an accept blocked for at least this long, the listener's queue was empty before.
-const MIN_ACCEPT_WAIT: Nanos = NANOS_PER_MS / 2;
+const MIN_ACCEPT_WAIT_NS: Nanos = NANOS_PER_MS / 2;
 /// The shortest time between two log lines that clients can cause, such as that of a rejected request.
 pub(crate) const REJECTION_LOG_INTERVAL_NS: Nanos = 1_000 * NANOS_PER_MS;
 
@@ -70,7 +70,7 @@
             match listener.accept() {
                 Ok((socket, _)) => {
                     let now = node.clock.now();
-                    if now - called_at >= MIN_ACCEPT_WAIT {
+                    if now - called_at >= MIN_ACCEPT_WAIT_NS {
                         queue_empty_at = now;
                     }
                     burst = if now - last_accept < YIELD_PAUSE.as_nanos() as u64 { burst + 1 } else { 1 };
@@ -105,8 +105,8 @@
         head: Option<Box<Incoming>>,
         body: BytesMut,
     },
-    /// The reducer has the submission, whose body has `size` bytes. The client has requested to close the connection after
-    /// the answer if `close_after`.
+    /// The reducer has the submission, whose body has `size` bytes. The client has requested to close the connection
+    /// after the answer if `close_after`.
     Waiting { close_after: bool, size: usize },
     /// An answer is being written, after which the connection is closed if `close_after`.
     Answering { out: WriteQueue, close_after: bool },
--- a/crates/node/src/net/clients/request.rs
+++ b/crates/node/src/net/clients/request.rs
@@ -7,8 +7,8 @@
 use linestack_core::{ForwardedRequest, NewSubmission};
 use linestack_recovery::start::Stage;
 
-use super::NANOS_PER_MS;
 use super::answer::{empty_response, text_response};
+use crate::NANOS_PER_MS;
 use crate::http::{self, BodyDecoder, Framing, HttpError, Request, WriteQueue};
 use crate::net::Node;
 
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -42,8 +42,8 @@
 }
 
 /// Wakes coroutines at given times, from its own thread. The timers of `may` are not used: they treat a timeout of less
-/// than a millisecond as none, and lose a timeout that expires while the coroutine is still being suspended. In both cases
-/// the coroutine would never be resumed, and the node's timeouts would stop working.
+/// than a millisecond as none, and lose a timeout that expires while the coroutine is still being suspended. In both
+/// cases the coroutine would never be resumed, and the node's timeouts would stop working.
 struct Waker {
     waiting: Mutex<BinaryHeap<Reverse<Wake>>>,
     /// Notified when a wake is added that is due before all others.
@@ -178,9 +178,9 @@
         while self.clock.now() < until {
             coroutine::park();
         }
-        // If the wake occurs while `may` is parking the coroutine, `may` resumes the coroutine from within its own call of
-        // `park`. If the coroutine ended there, that call would wait for itself, and no coroutine would run any more.
-        // After a yield the coroutine runs from the scheduler's queue instead.
+        // If the wake occurs while `may` is parking the coroutine, `may` resumes the coroutine from within its own call
+        // of `park`. If the coroutine ended there, that call would wait for itself, and no coroutine would run any
+        // more. After a yield the coroutine runs from the scheduler's queue instead.
         coroutine::yield_now();
     }
 }
--- a/crates/node/src/net/connect.rs
+++ b/crates/node/src/net/connect.rs
@@ -1,8 +1,8 @@
 //! Opens connections to other machines, and distinguishes local failures from remote ones.
 //!
-//! A failure on this machine (no file descriptor, port, buffer or route) does not mean that the remote host has failed. Such
-//! an attempt is repeated with a short, jittered backoff for as long as the caller can wait, and reported as local after
-//! that.
+//! A failure on this machine (no file descriptor, port, buffer or route) does not mean that the remote host has failed.
+//! Such an attempt is repeated with a short, jittered backoff for as long as the caller can wait, and reported as local
+//! after that.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -19,18 +19,18 @@
 
 /// The longest time for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A watch that receives neither a complete list nor a heartbeat for this time has failed, even if its connection is open
-/// and bytes arrive. While nothing changes, discovery sends a heartbeat every 2 s, and it may queue a request for 3 s. A node
-/// must know a change within 6 s after discovery does, and within 4 s after the discovery address changed. The reducer's
-/// `MAX_LIST_CALL_DELAY` depends on this value.
+/// A watch that receives neither a complete list nor a heartbeat for this time has failed, even if its connection is
+/// open and bytes arrive. While nothing changes, discovery sends a heartbeat every 2 s, and it may queue a request for
+/// 3 s. A node must know a change within 6 s after discovery does, and within 4 s after the discovery address changed.
+/// The reducer's `MAX_LIST_CALL_DELAY` depends on this value.
 const MESSAGE_TIMEOUT_NS: Nanos = 3_000_000_000;
 /// The longest time until the first message. It is a little longer than [`MESSAGE_TIMEOUT_NS`], so that the node still
 /// receives the status if discovery rejects the request after queueing it for 3 s.
 const FIRST_MESSAGE_TIMEOUT_NS: Nanos = 3_250_000_000;
 /// The time after a change of the discovery address during which a failed watch is retried after [`RETRY_PAUSE`].
 pub(crate) const DISCOVERY_CHANGE_RETRY_NS: Nanos = 4_000_000_000;
-/// The pause before a watch is retried without the reducer: after a change of the discovery address, or after a failure on
-/// this machine.
+/// The pause before a watch is retried without the reducer: after a change of the discovery address, or after a failure
+/// on this machine.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why a watch on discovery ended.
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -17,6 +17,7 @@
 
 use super::connect::{ConnectError, connect};
 use super::{Mailbox, Node, YIELD_PAUSE, parse_object};
+use crate::NANOS_PER_MS;
 use crate::http::{self, BodyDecoder, Response, WriteQueue};
 use linestack_core::{ConnectionId, Disconnect, ForwardedRequest, Input};
 
@@ -59,7 +60,7 @@
 }
 
 /// How an exchange continues after the received bytes were processed.
-enum Step {
+enum Progress {
     /// Wait for more bytes.
     NeedMore,
     /// The exchange is over, and the connection may be reused.
@@ -117,8 +118,8 @@
     node.handle_input(Input::ExecutorConnected { connection });
     let mut exchange: Option<Exchange> = None;
     let end = run_exchanges(node, connection, &mut socket, mailbox, &mut exchange);
-    let closed_by_reducer = matches!(end, End::ClosedByReducer);
-    let unexpected_data = matches!(end, End::UnexpectedData);
+    let closed_by_reducer = matches!(end, ConnectionEnd::ClosedByReducer);
+    let unexpected_data = matches!(end, ConnectionEnd::UnexpectedData);
     let disconnect =
         exchange.map_or(Disconnect { unexpected_data, ..Disconnect::default() }, |e| Disconnect {
             request_started: e.out.written > 0,
@@ -136,7 +137,7 @@
 }
 
 /// How a connection ended.
-enum End {
+enum ConnectionEnd {
     ClosedByReducer,
     /// The connection broke, or cannot be used any further.
     Broken,
@@ -152,14 +153,14 @@
     socket: &mut TcpStream,
     mailbox: &Mailbox<Message>,
     exchange: &mut Option<Exchange>,
-) -> End {
+) -> ConnectionEnd {
     let mut input = BytesMut::new();
     let mut reservation = node.executor_memory.reservation();
     let mut previous_id: Option<Bytes> = None;
     loop {
         while let Some(message) = mailbox.next() {
             let (request, out) = match message {
-                Message::Close => return End::ClosedByReducer,
+                Message::Close => return ConnectionEnd::ClosedByReducer,
                 Message::Send { request } => (Some(request), WriteQueue::default()),
                 Message::Probe => (None, encode_probe(node)),
             };
@@ -181,17 +182,17 @@
         // Without memory for its response the connection is closed, and the execution counts as one that may have
         // run.
         if !reservation.resize(input.len() + exchange.as_ref().map_or(0, |e| e.text.len())) {
-            return End::Broken;
+            return ConnectionEnd::Broken;
         }
         let request_started = exchange.as_ref().is_some_and(|e| e.out.written > 0);
         if !request_started && !input.is_empty() {
             // These bytes would be mistaken for the response to the next request.
-            return End::UnexpectedData;
+            return ConnectionEnd::UnexpectedData;
         }
         if !request_started && ended {
             // The executor has closed an idle connection. If a request is waiting, none of it may be written: the reducer
             // sends it to another executor only if no byte was written.
-            return End::Broken;
+            return ConnectionEnd::Broken;
         }
         let Some(current) = exchange else {
             socket.wait_io();
@@ -212,24 +213,25 @@
             }
             match current.out.write(socket.inner_mut()) {
                 Ok(done) => current.fully_written = done,
-                Err(_) => return End::Broken,
+                Err(_) => return ConnectionEnd::Broken,
             }
         }
         match current.process(node, connection, &mut input, ended) {
-            Step::NeedMore if ended => return End::Broken,
-            // Bytes left in the socket cause no further event, so the socket is read again after a pause for other coroutines.
-            Step::NeedMore if more_available => node.alarm.sleep(YIELD_PAUSE),
-            Step::NeedMore => {
+            Progress::NeedMore if ended => return ConnectionEnd::Broken,
+            // Bytes left in the socket cause no further event, so the socket is read again after a pause for other
+            // coroutines.
+            Progress::NeedMore if more_available => node.alarm.sleep(YIELD_PAUSE),
+            Progress::NeedMore => {
                 socket.wait_io();
             }
-            Step::Reusable if !ended && current.fully_written && input.is_empty() => {
+            Progress::Reusable if !ended && current.fully_written && input.is_empty() => {
                 let identified =
                     current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
                 previous_id = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
                 node.handle_input(Input::ConnectionReusable { connection, identified });
             }
-            Step::Reusable | Step::Close => return End::Broken,
+            Progress::Reusable | Progress::Close => return ConnectionEnd::Broken,
         }
     }
 }
@@ -261,7 +263,7 @@
         connection: ConnectionId,
         input: &mut BytesMut,
         ended: bool,
-    ) -> Step {
+    ) -> Progress {
         if self.head.is_none() {
             loop {
                 match http::parse_response(input) {
@@ -272,13 +274,13 @@
                         self.head = Some(head);
                         break;
                     }
-                    Ok(None) => return Step::NeedMore,
-                    Err(_) => return Step::Close,
+                    Ok(None) => return Progress::NeedMore,
+                    Err(_) => return Progress::Close,
                 }
             }
         }
-        let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Step::Close };
-        let Ok(complete) = body.decode(input, &mut self.text) else { return Step::Close };
+        let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Progress::Close };
+        let Ok(complete) = body.decode(input, &mut self.text) else { return Progress::Close };
         let complete = complete || (ended && body.ends_with_connection());
         let close = head.close;
         let valid = if self.id.is_none() {
@@ -295,17 +297,17 @@
             (self.head, self.body, self.stale, self.previous_id) = (None, None, false, None);
             self.text.clear();
             return if input.is_empty() {
-                Step::NeedMore
+                Progress::NeedMore
             } else {
                 self.process(node, connection, input, ended)
             };
         }
         match (valid, complete) {
-            (false, _) => Step::Close,
-            (true, false) => Step::NeedMore,
+            (false, _) => Progress::Close,
+            (true, false) => Progress::NeedMore,
             // The response ended without an outcome: the execution may have run, and the connection is closed.
-            (true, true) if close || !self.outcome_reported => Step::Close,
-            (true, true) => Step::Reusable,
+            (true, true) if close || !self.outcome_reported => Progress::Close,
+            (true, true) => Progress::Reusable,
         }
     }
 
@@ -463,7 +465,7 @@
         push(&Bytes::from_static(b"\r\nIdempotency-Key: "));
         push(stamp);
     }
-    let (wait_ms, length) = ((time_left / 1_000_000).max(1), request.body.len());
+    let (wait_ms, length) = ((time_left / NANOS_PER_MS).max(1), request.body.len());
     push(&Bytes::from(format!("\r\nReq-Deadline-Ms: {wait_ms}\r\nContent-Length: {length}\r\n\r\n")));
     push(&request.body);
     out
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -42,6 +42,9 @@
 /// of 128 is too short for that.
 pub(crate) const BACKLOG: i32 = 1024;
 
+/// The buffers of all clients, and those of all executors, may each use one part in this many of the program's memory.
+const BUFFER_MEMORY_DIVISOR: usize = 4;
+
 /// Starts a coroutine.
 #[allow(unsafe_code)]
 pub fn spawn(work: impl FnOnce() + Send + 'static) {
@@ -120,7 +123,8 @@
 
 impl MemoryReservation<'_> {
     /// Sets how many bytes the connection holds. Returns false if that is more than before and exceeds the budget; the
-    /// bytes are reserved even then. Buffers double their capacity as they grow, so twice the number of bytes is reserved.
+    /// bytes are reserved even then. Buffers double their capacity as they grow, so twice the number of bytes is
+    /// reserved.
     pub(crate) fn resize(&mut self, bytes: usize) -> bool {
         let size = 2 * bytes.saturating_sub(MemoryBudget::UNRESERVED_BYTES);
         let more = size.cast_signed() - self.size.cast_signed();
@@ -160,8 +164,8 @@
     pub(crate) watch: Mutex<WatchState>,
     pub(crate) audit_log: Option<AuditLog>,
     store_records: Option<Sender<StoreRecord>>,
-    /// The current lease ends once the machine has been suspended for longer than this in total, in nanoseconds; 0 if there
-    /// is no lease to end.
+    /// The current lease ends once the machine has been suspended for longer than this in total, in nanoseconds; 0 if
+    /// there is no lease to end.
     lease_suspend_limit: AtomicU64,
     /// When the last log line that clients can cause was written.
     last_logged: Mutex<Nanos>,
@@ -253,8 +257,8 @@
             lease_suspend_limit: AtomicU64::new(0),
             last_logged: Mutex::new(0),
             local_failures: AtomicU64::new(0),
-            client_memory: MemoryBudget::new(memory / 4),
-            executor_memory: MemoryBudget::new(memory / 4),
+            client_memory: MemoryBudget::new(memory / BUFFER_MEMORY_DIVISOR),
+            executor_memory: MemoryBudget::new(memory / BUFFER_MEMORY_DIVISOR),
             exit: Mutex::new(Some(exit)),
         })
     }
@@ -400,9 +404,9 @@
         lock(&self.state).core.is_at_client_limit()
     }
 
-    /// Reports the end of a watch to the reducer, which may request another one. `silent_for` is for how long this node may
-    /// have missed a change; `overloaded` is whether discovery rejected the request. Returns false, and reports nothing, if
-    /// the watch is of an earlier generation.
+    /// Reports the end of a watch to the reducer, which may request another one. `silent_for` is for how long this node
+    /// may have missed a change; `overloaded` is whether discovery rejected the request. Returns false, and reports
+    /// nothing, if the watch is of an earlier generation.
     pub(crate) fn watch_ended(
         self: &Arc<Self>,
         generation: u64,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,6 +1,6 @@
 //! Exchange of executor observations between nodes: a starting node requests a snapshot of them from a running one, and
-//! answers the requests of other nodes itself. Off unless PROXY_PEERS names a configuration file. A request and its answer
-//! are one frame each, bounded in size and time.
+//! answers the requests of other nodes itself. Off unless PROXY_PEERS names a configuration file. A request and its
+//! answer are one frame each, bounded in size and time.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,6 +15,7 @@
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
 
+use crate::NANOS_PER_MS;
 use crate::net::{BACKLOG, Node};
 
 /// The longest time for connecting, and at both ends for receiving a frame and for a write.
@@ -86,7 +87,7 @@
     require((10..=10_000).contains(&table.max_age_ms), "young-ms", "from 10 to 10,000");
     if errors.is_empty() {
         let Table { fleet, listen, addresses, max_age_ms } = table;
-        Ok(Config { fleet, listen, addresses, max_age: max_age_ms * 1_000_000 })
+        Ok(Config { fleet, listen, addresses, max_age: max_age_ms * NANOS_PER_MS })
     } else {
         Err(errors.join("\n"))
     }
@@ -108,8 +109,8 @@
     socket.write_all(&encode(kind, &body).map_err(io::Error::other)?)
 }
 
-/// Receives one frame of the kind with this name. The time limit is for the whole frame: a sender of single bytes does not
-/// extend it.
+/// Receives one frame of the kind with this name. The time limit is for the whole frame: a sender of single bytes does
+/// not extend it.
 fn receive<T: for<'a> Deserialize<'a>>(socket: &mut TcpStream, kind_name: &str) -> io::Result<T> {
     let (started, mut reader, mut buffer) = (Instant::now(), Reader::default(), [0; 16 * 1024]);
     loop {
--- a/crates/node/src/persistence.rs
+++ b/crates/node/src/persistence.rs
@@ -2,8 +2,8 @@
 //! when the node starts again. Off unless PROXY_STORE names a configuration file.
 //!
 //! The store holds the outcomes of one-shots, which are submissions that must not be executed twice, and the list of
-//! executors. If a store is lost, the one that replaces it is marked, so that the node does not execute a one-shot that it
-//! may have executed before.
+//! executors. If a store is lost, the one that replaces it is marked, so that the node does not execute a one-shot that
+//! it may have executed before.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::fleet::store::{FileIdentity, file_identity, same_file};
 use crate::net::Node;
 use crate::net::discovery::List;
-use crate::{http, staged_start, start_attempts};
+use crate::{NANOS_PER_MS, NANOS_PER_S, http, staged_start, start_attempts};
 
 /// The kind of a record with the outcome of a one-shot. There is one record for each one-shot, and at most one record of
 /// each other kind.
@@ -250,7 +250,7 @@
         };
         let path = config.folder.clone();
         let folder = Folder::open(&path).map_err(|e| message(&e.into()))?;
-        let limits = || limits(config.remember_s * 1_000_000_000, config.budget_mb, config.sync);
+        let limits = || limits(config.remember_s * NANOS_PER_S, config.budget_mb, config.sync);
         let failed_starts = start_attempts::record_attempt(&path).map_err(|e| message(&e.into()))?;
         let (mut store, mut outcomes) = if failed_starts >= start_attempts::MAX_FAILED_STARTS {
             let is_content = |name: &str| name != "lock" && name != "tries";
@@ -308,13 +308,13 @@
     pub fn list(&self, max_age: u64) -> Option<StoredList> {
         let list = self.list.clone().filter(|l| !l.endpoints.is_empty())?;
         let age = self.list_confirmed.and_then(|confirmed| confirmed.age(&staged_start::boot_timestamp()));
-        tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / 1_000_000), "list read");
+        tracing::info!(entries = list.endpoints.len(), age_ms = age.map(|a| a / NANOS_PER_MS), "list read");
         Some(StoredList { list, is_fresh: is_fresh(age, max_age) })
     }
 
     /// Restores the outcomes into the reducer. `memory` is the memory that the program may use, in bytes.
     pub fn restore_into(&mut self, core: &mut Core, memory: usize, now: Nanos, longest_deadline: Nanos) {
-        let retention = self.config.remember_s * 1_000_000_000;
+        let retention = self.config.remember_s * NANOS_PER_S;
         let mut outcomes = OutcomeTable::new(retention, usize::MAX, memory / OUTCOMES_MEMORY_DIVISOR);
         outcomes.restore(std::mem::take(&mut self.outcomes));
         outcomes.expire(self.time);
@@ -432,8 +432,8 @@
 }
 
 /// Waits for the next records to be committed together: all that arrived during the previous commit, up to
-/// [`MAX_GROUP_SIZE`]. While the store fails, an empty group is returned when a retry is due. Returns `None` once all senders
-/// are dropped.
+/// [`MAX_GROUP_SIZE`]. While the store fails, an empty group is returned when a retry is due. Returns `None` once all
+/// senders are dropped.
 fn next_group(records: &Receiver<StoreRecord>, failure: Option<&Failure>) -> Option<Vec<StoreRecord>> {
     let first = match failure {
         None => records.recv().ok()?,
--- a/crates/node/src/staged_start.rs
+++ b/crates/node/src/staged_start.rs
@@ -5,6 +5,7 @@
 use linestack_recovery::start::{BootTimestamp, StartLimits};
 use serde::Deserialize;
 
+use crate::NANOS_PER_MS;
 use crate::fleet::boottime;
 
 /// The configuration of a staged start.
@@ -95,11 +96,11 @@
         connects_per_s: table.connects_per_s,
         lists_per_s: table.lists_per_s,
         sessions_per_s: table.sessions_per_s,
-        list_timeout: table.list_within_ms * 1_000_000,
-        known_timeout: table.known_within_ms * 1_000_000,
-        share_timeout: table.share_within_ms * 1_000_000,
+        list_timeout: table.list_within_ms * NANOS_PER_MS,
+        known_timeout: table.known_within_ms * NANOS_PER_MS,
+        share_timeout: table.share_within_ms * NANOS_PER_MS,
     };
-    Ok(Config { limits, list_max_age: table.list_fresh_ms * 1_000_000 })
+    Ok(Config { limits, list_max_age: table.list_fresh_ms * NANOS_PER_MS })
 }
 
 /// Returns the current time on a clock that survives a restart of the process, but not a reboot of the machine.
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,7 +1,7 @@
 //! The observations of executors that a starting node takes over from a running one. A node sends only its own
 //! observations, each with its age by the sender's clock; the receiver adds the whole time between its request and the
-//! reply. An observation is dropped if it is too old, if the receiver has a newer one of its own, or if the executor is not
-//! ready on the receiver's own list.
+//! reply. An observation is dropped if it is too old, if the receiver has a newer one of its own, or if the executor is
+//! not ready on the receiver's own list.
 //!
 //! A peer that sends wrong data can make a node prefer or avoid executors that the node has not contacted yet, until it
 //! contacts them. At most a third of the ready executors can be reported as unresponsive in this way, and peers have no
