--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -1,5 +1,5 @@
 //! Connections to executors, with one coroutine each. The coroutine connects, sends the requests from its mailbox, and
-//! reports the responses to the reducer, or how far an exchange had come when the connection broke.
+//! reports the responses to the reducer, or how far an exchange had proceeded when the connection broke.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -17,6 +17,7 @@
 
 use super::connect::{ConnectError, connect};
 use super::{Mailbox, Node, YIELD_PAUSE, parse_object};
+use crate::NANOS_PER_MS;
 use crate::http::{self, BodyDecoder, Response, WriteQueue};
 use linestack_core::{ConnectionId, Disconnect, ForwardedRequest, Input};
 
@@ -27,41 +28,49 @@
 
 /// A message to a connection's coroutine.
 pub(crate) enum Message {
+    /// Send this request, once the reducer permits it.
     Send { request: Arc<ForwardedRequest> },
+    /// Send a probe.
     Probe,
+    /// Close the connection without a report to the reducer.
     Close,
 }
 
-/// The request that a connection carries, and what has come of its response.
+/// The request that a connection carries, and what was received of its response.
 struct Exchange {
     /// The request to execute; none for a probe.
     request: Option<Arc<ForwardedRequest>>,
     /// The submission's id; none for a probe.
     id: Option<Bytes>,
-    /// The id of the previous submission, to which a second response may come.
+    /// The id of the previous submission on this connection, to which the executor may send a second response.
     previous_id: Option<Bytes>,
-    /// Whether the response that is arriving is such a second response.
+    /// Whether the response that is being received is such a second response.
     stale: bool,
+    /// The bytes of the request. Empty until the reducer permits an execution to be sent.
     out: WriteQueue,
     /// Whether the whole request is written.
     fully_written: bool,
+    /// The head of the response, once it is complete.
     head: Option<Response>,
     body: Option<BodyDecoder>,
+    /// The decoded bytes of the response's body that are not processed yet.
     text: BytesMut,
     /// Whether the outcome was reported to the reducer.
     outcome_reported: bool,
 }
 
-/// What to do after the bytes received were processed.
-enum Step {
+/// How an exchange continues after the received bytes were processed.
+enum Progress {
     /// Wait for more bytes.
     NeedMore,
     /// The exchange is over, and the connection may be reused.
     Reusable,
+    /// The connection is closed, because the response was invalid or was the last one on this connection.
     Close,
 }
 
-/// Reports to the reducer, when dropped, that the connection is down. After a panic the worst case is reported.
+/// Reports to the reducer, when dropped, that the connection has ended, unless `disconnect` is `None`. After a panic the
+/// worst case is reported.
 struct DisconnectGuard<'a> {
     node: &'a Arc<Node>,
     connection: ConnectionId,
@@ -85,14 +94,14 @@
     timeout: Nanos,
     mailbox: &Mailbox<Message>,
 ) {
-    let worst = Disconnect {
+    let worst_case = Disconnect {
         request_started: true,
         request_written: true,
         response_started: true,
         local_fault: false,
         unexpected_data: false,
     };
-    let mut guard = DisconnectGuard { node, connection, disconnect: Some(worst) };
+    let mut guard = DisconnectGuard { node, connection, disconnect: Some(worst_case) };
     // The reducer removes a connection that it closes.
     let wanted = || node.has_connection(connection);
     let mut socket = match connect(node, address, Duration::from_nanos(timeout), connection, wanted) {
@@ -108,12 +117,9 @@
     let _ = socket.set_nodelay(true);
     node.handle_input(Input::ExecutorConnected { connection });
     let mut exchange: Option<Exchange> = None;
-    let (closed_here, unexpected_data) =
-        match run_exchanges(node, connection, &mut socket, mailbox, &mut exchange) {
-            End::ClosedByReducer => (true, false),
-            End::Broken => (false, false),
-            End::UnexpectedData => (false, true),
-        };
+    let end = run_exchanges(node, connection, &mut socket, mailbox, &mut exchange);
+    let closed_by_reducer = matches!(end, ConnectionEnd::ClosedByReducer);
+    let unexpected_data = matches!(end, ConnectionEnd::UnexpectedData);
     let disconnect =
         exchange.map_or(Disconnect { unexpected_data, ..Disconnect::default() }, |e| Disconnect {
             request_started: e.out.written > 0,
@@ -122,82 +128,78 @@
             local_fault: false,
             unexpected_data,
         });
-    if !closed_here {
+    if !closed_by_reducer {
         tracing::debug!(%address, broken = ?disconnect, "connection to the executor lost");
     }
-    guard.disconnect = Some(disconnect).filter(|_| !closed_here);
+    guard.disconnect = Some(disconnect).filter(|_| !closed_by_reducer);
     // The socket is closed before the guard reports to the reducer.
     drop(socket);
 }
 
 /// How a connection ended.
-enum End {
+enum ConnectionEnd {
     ClosedByReducer,
     /// The connection broke, or cannot be used any further.
     Broken,
-    /// Bytes came without a request.
+    /// Bytes were received although no request was sent.
     UnexpectedData,
 }
 
-/// Sends the requests from the mailbox and processes the responses, until the connection ends. At the end `exchange` is
-/// the one that was not over.
+/// Sends the requests from the mailbox and processes the responses, until the connection ends. `exchange` is then the one
+/// that was in progress, if there was one.
 fn run_exchanges(
     node: &Arc<Node>,
     connection: ConnectionId,
     socket: &mut TcpStream,
     mailbox: &Mailbox<Message>,
     exchange: &mut Option<Exchange>,
-) -> End {
+) -> ConnectionEnd {
     let mut input = BytesMut::new();
     let mut reservation = node.executor_memory.reservation();
     let mut previous_id: Option<Bytes> = None;
     loop {
         while let Some(message) = mailbox.next() {
             let (request, out) = match message {
-                Message::Close => return End::ClosedByReducer,
+                Message::Close => return ConnectionEnd::ClosedByReducer,
                 Message::Send { request } => (Some(request), WriteQueue::default()),
                 Message::Probe => (None, encode_probe(node)),
             };
-            let id = request.as_ref().map(|request| request.id.clone());
-            let (head, body, text) = (None, None, BytesMut::new());
-            let (previous_id, stale, fully_written, outcome_reported) =
-                (previous_id.take(), false, false, false);
             *exchange = Some(Exchange {
+                id: request.as_ref().map(|request| request.id.clone()),
                 request,
-                id,
-                previous_id,
-                stale,
+                previous_id: previous_id.take(),
+                stale: false,
                 out,
-                fully_written,
-                head,
-                body,
-                text,
-                outcome_reported,
+                fully_written: false,
+                head: None,
+                body: None,
+                text: BytesMut::new(),
+                outcome_reported: false,
             });
         }
         let ended = read(socket, &mut input);
-        let full = input.len() > MAX_UNPARSED_BYTES;
+        let more_available = input.len() > MAX_UNPARSED_BYTES;
         // Without memory for its response the connection is closed, and the execution counts as one that may have
         // run.
         if !reservation.resize(input.len() + exchange.as_ref().map_or(0, |e| e.text.len())) {
-            return End::Broken;
+            return ConnectionEnd::Broken;
         }
         let request_started = exchange.as_ref().is_some_and(|e| e.out.written > 0);
         if !request_started && !input.is_empty() {
-            // Bytes without a request would be taken for the response to the next one.
-            return End::UnexpectedData;
+            // These bytes would be mistaken for the response to the next request.
+            return ConnectionEnd::UnexpectedData;
         }
         if !request_started && ended {
-            // The executor closed an idle connection. No byte of a waiting request may be written any more, since the
-            // reducer sends it elsewhere only if none was.
-            return End::Broken;
+            // The executor has closed an idle connection. If a request is waiting, none of it may be written: the reducer
+            // sends it to another executor only if no byte was written.
+            return ConnectionEnd::Broken;
         }
         let Some(current) = exchange else {
             socket.wait_io();
             continue;
         };
         if !current.fully_written && !ended {
-            // Until the first byte is written, permission is requested anew before each attempt to write.
+            // Until the first byte is written, permission is requested again before each attempt to write.
             if current.out.written == 0
                 && let Some(request) = &current.request
             {
@@ -211,24 +213,25 @@
             }
             match current.out.write(socket.inner_mut()) {
                 Ok(done) => current.fully_written = done,
-                Err(_) => return End::Broken,
+                Err(_) => return ConnectionEnd::Broken,
             }
         }
         match current.process(node, connection, &mut input, ended) {
-            Step::NeedMore if ended => return End::Broken,
-            // Bytes left in the socket cause no further event, so the socket is read again after a pause for other coroutines.
-            Step::NeedMore if full => node.alarm.sleep(YIELD_PAUSE),
-            Step::NeedMore => {
+            Progress::NeedMore if ended => return ConnectionEnd::Broken,
+            // Bytes left in the socket cause no further event, so the socket is read again after a pause for other
+            // coroutines.
+            Progress::NeedMore if more_available => node.alarm.sleep(YIELD_PAUSE),
+            Progress::NeedMore => {
                 socket.wait_io();
             }
-            Step::Reusable if !ended && current.fully_written && input.is_empty() => {
+            Progress::Reusable if !ended && current.fully_written && input.is_empty() => {
                 let identified =
                     current.id.is_some() && current.head.as_ref().is_some_and(|h| h.status == 200);
                 previous_id = exchange.take().and_then(|e| e.id);
                 input = BytesMut::new();
                 node.handle_input(Input::ConnectionReusable { connection, identified });
             }
-            Step::Reusable | Step::Close => return End::Broken,
+            Progress::Reusable | Progress::Close => return ConnectionEnd::Broken,
         }
     }
 }
@@ -260,7 +263,7 @@
         connection: ConnectionId,
         input: &mut BytesMut,
         ended: bool,
-    ) -> Step {
+    ) -> Progress {
         if self.head.is_none() {
             loop {
                 match http::parse_response(input) {
@@ -271,13 +274,13 @@
                         self.head = Some(head);
                         break;
                     }
-                    Ok(None) => return Step::NeedMore,
-                    Err(_) => return Step::Close,
+                    Ok(None) => return Progress::NeedMore,
+                    Err(_) => return Progress::Close,
                 }
             }
         }
-        let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Step::Close };
-        let Ok(complete) = body.decode(input, &mut self.text) else { return Step::Close };
+        let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Progress::Close };
+        let Ok(complete) = body.decode(input, &mut self.text) else { return Progress::Close };
         let complete = complete || (ended && body.ends_with_connection());
         let close = head.close;
         let valid = if self.id.is_none() {
@@ -290,21 +293,21 @@
             true
         };
         if self.stale && complete && valid {
-            // The response to the current request is still to come.
+            // The response to the current request is not received yet.
             (self.head, self.body, self.stale, self.previous_id) = (None, None, false, None);
             self.text.clear();
             return if input.is_empty() {
-                Step::NeedMore
+                Progress::NeedMore
             } else {
                 self.process(node, connection, input, ended)
             };
         }
         match (valid, complete) {
-            (false, _) => Step::Close,
-            (true, false) => Step::NeedMore,
-            // Without a last line the execution may have run, and the connection is closed.
-            (true, true) if close || !self.outcome_reported => Step::Close,
-            (true, true) => Step::Reusable,
+            (false, _) => Progress::Close,
+            (true, false) => Progress::NeedMore,
+            // The response ended without an outcome: the execution may have run, and the connection is closed.
+            (true, true) if close || !self.outcome_reported => Progress::Close,
+            (true, true) => Progress::Reusable,
         }
     }
 
@@ -348,7 +351,7 @@
         if !std::mem::replace(&mut self.outcome_reported, true) {
             let outcome = match head.status {
                 200 => ProbeOutcome::Answered,
-                // The probe was declined because there are too many; this says nothing about the executor.
+                // The executor declined the probe because it receives too many; its health remains unknown.
                 429 | 503 if head.declined => ProbeOutcome::Inconclusive,
                 _ => ProbeOutcome::Failed,
             };
@@ -379,7 +382,7 @@
                 }
                 return false;
             }
-            // A response that began as one to the previous request cannot go on as one to this request.
+            // A response that began with lines for the previous request must not continue with lines for this one.
             if self.stale {
                 return false;
             }
@@ -418,7 +421,7 @@
     load: Option<&'a RawValue>,
 }
 
-/// Returns the name that executors use for a figure in their reports, which may differ from that in the settings.
+/// Returns the name that executors report a figure under, for the name that the settings use.
 fn reported_name(name: &str) -> &str {
     match name {
         "outstanding" => "inflight",
@@ -436,8 +439,8 @@
     })
 }
 
-/// Parses a load report in JSON. Figures that are not used stay text: parsing the report as a tree could overflow the
-/// stack where values are nested a hundred levels deep.
+/// Parses a load report in JSON. Figures that are not used are not parsed: a tree of values nested a hundred levels deep
+/// could overflow the stack.
 fn json_report(node: &Node, load: &str) -> Option<Report> {
     let load: BTreeMap<Cow<'_, str>, &RawValue> = parse_object(load.as_bytes()).ok()?;
     node.layout.report(|place| {
@@ -462,7 +465,7 @@
         push(&Bytes::from_static(b"\r\nIdempotency-Key: "));
         push(key);
     }
-    let (wait_ms, length) = ((time_left / 1_000_000).max(1), request.body.len());
+    let (wait_ms, length) = ((time_left / NANOS_PER_MS).max(1), request.body.len());
     push(&Bytes::from(format!("\r\nReq-Deadline-Ms: {wait_ms}\r\nContent-Length: {length}\r\n\r\n")));
     push(&request.body);
     out
