--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! Settings shared by the tests.
 
-/// Settings with three products and two tenants, in a fleet whose nodes request the list from discovery.
+/// The settings of a node in a fleet of two whose nodes request the list from discovery, with three products and two tenants. A job
+/// of the product `pay` is a one-shot: it must never run twice. One of `top-up` carries an idempotency key, by which executors drop
+/// repeats. One of `look` may run any number of times.
 pub const SETTINGS: &str = r#"{
  "az": 0, "balancers": 2, "discovery": "on_request", "excessPayoff": 0.2,
  "familyInfo": {"classStretch": [1, 1, 1], "progressMs": 1000.0, "reportX0": "free slots"},
--- a/crates/node/tests/ends/client_disconnects.rs
+++ b/crates/node/tests/ends/client_disconnects.rs
@@ -8,7 +8,7 @@
 
 use crate::harness::{FakeServer, Node, chunked, done_response, job, read_message, reset, send};
 
-fn close(client: BufReader<TcpStream>) {
+fn close_connection(client: BufReader<TcpStream>) {
     drop(client);
 }
 
@@ -16,22 +16,22 @@
     reset(client);
 }
 
-/// More than the node reads ahead of an answer.
-fn flood() -> String {
+/// Returns more data than the node buffers while a request is in flight.
+fn excess_data() -> String {
     "x".repeat(200_000)
 }
 
-// The disconnect of a client that had sent more than the node reads ahead was never noticed: its request continued, and further
-// executions were begun for it.
+// Guards against a disconnect that is never noticed because the client has sent more than the node buffers: its request continues,
+// and further executions begin for it.
 #[rstest]
-#[case::closed(String::new(), close)]
+#[case::closed(String::new(), close_connection)]
 #[case::reset(String::new(), reset_connection)]
-#[case::closed_behind_a_partial_request(job(2, "look", 1_500)[..60].to_owned(), close)]
-#[case::closed_behind_a_request(job(2, "look", 1_500), close)]
-#[case::closed_behind_a_flood(flood(), close)]
-#[case::reset_behind_a_flood(flood(), reset_connection)]
+#[case::closed_behind_a_partial_request(job(2, "look", 1_500)[..60].to_owned(), close_connection)]
+#[case::closed_behind_a_request(job(2, "look", 1_500), close_connection)]
+#[case::closed_behind_a_flood(excess_data(), close_connection)]
+#[case::reset_behind_a_flood(excess_data(), reset_connection)]
 fn executions_for_a_disconnected_client_are_cancelled(
-    #[case] behind: String,
+    #[case] further_data: String,
     #[case] disconnect: fn(BufReader<TcpStream>),
 ) {
     let server = FakeServer::open();
@@ -40,24 +40,25 @@
     send(&mut client, &job(1, "look", 10_000));
     let mut connection = server.accept();
     assert_eq!(connection.read_request_id(), Some(1));
-    send(&mut client, &behind);
+    send(&mut client, &further_data);
     let start = Instant::now();
     disconnect(client);
     assert!(connection.closed_without_data());
-    // At the request's deadline the execution would be cancelled anyway. The required bound is 0.1 s; this one tolerates a machine
-    // that is busy with other tests.
+    // Well before the request's deadline, at which the execution is cancelled anyway. The node must cancel it within 0.1 s; the
+    // bound here tolerates a machine that is busy with other tests.
     assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
     assert!(!server.has_pending_connection());
 }
 
-// The same where executions may not be cancelled: when the one in flight ends, no further execution begins.
+// Guards against the same fault under settings that do not allow cancelling: the execution in flight continues, but no further one
+// may begin when it ends.
 #[rstest]
-#[case::closed(String::new(), close)]
+#[case::closed(String::new(), close_connection)]
 #[case::reset(String::new(), reset_connection)]
-#[case::closed_behind_a_flood(flood(), close)]
-#[case::reset_behind_a_flood(flood(), reset_connection)]
+#[case::closed_behind_a_flood(excess_data(), close_connection)]
+#[case::reset_behind_a_flood(excess_data(), reset_connection)]
 fn no_further_execution_begins_for_a_disconnected_client(
-    #[case] behind: String,
+    #[case] further_data: String,
     #[case] disconnect: fn(BufReader<TcpStream>),
 ) {
     let (first, second) = (FakeServer::open(), FakeServer::open());
@@ -74,9 +75,9 @@
         std::thread::yield_now();
     };
     assert_eq!(connection.read_request_id(), Some(1));
-    send(&mut client, &behind);
+    send(&mut client, &further_data);
     disconnect(client);
-    // The flood is read in turns of a millisecond; each barrier gives the node several turns.
+    // The node reads the excess data in parts, one per millisecond. Each barrier gives it time for several parts.
     (0..20).for_each(|_| node.barrier());
     connection.send(&chunked("{\"id\":\"1\",\"state\":\"returned\"}\n"));
     (0..5).for_each(|_| node.barrier());
--- a/crates/node/tests/ends/cold_executor.rs
+++ b/crates/node/tests/ends/cold_executor.rs
@@ -1,4 +1,4 @@
-//! A cold executor that receives requests from several processes.
+//! A cold executor (one that has just started and takes fewer requests at first) that several nodes send requests to.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -10,17 +10,18 @@
 };
 
 const PROCESSES: u32 = 5;
-/// Duration of a job, cold or warm: the budget is counted in jobs of mean duration.
+/// The duration of every job, on the cold executor and on the others: the limit on the cold one assumes jobs of mean duration.
 const JOB_DURATION: Duration = Duration::from_millis(40);
-// From the settings: the initial share of the executor's capacity, the duration of the cold phase in seconds, and the multiple of
-// the capacity that it can take within one second.
+/// The share of its capacity that a cold executor has at its start: `coldFrom` in the settings.
 const COLD_START_SHARE: f64 = 0.3;
+/// The time until a cold executor has its full capacity: `coldMs` in the settings.
 const COLD_DURATION_S: f64 = 9.0;
+/// The multiple of its capacity that an executor can take within one second: `fallMultiple` and `fallMs` in the settings.
 const LOAD_FACTOR: f64 = 2.5;
 const TEST_DURATION: Duration = Duration::from_secs(6);
 
-/// Accepts all connections and answers each job after [`JOB_DURATION`]. Sends the arrival time of each job to `sender`.
-fn executor(sender: Option<std::sync::mpsc::Sender<Instant>>) -> std::net::SocketAddr {
+/// Starts an executor that answers each job after [`JOB_DURATION`] and sends the job's arrival time to `sender`, if there is one.
+fn start_executor(sender: Option<std::sync::mpsc::Sender<Instant>>) -> std::net::SocketAddr {
     let server = FakeServer::open();
     let address = server.address;
     std::thread::spawn(move || {
@@ -48,13 +49,13 @@
     address
 }
 
-// Each process limits its own requests to the cold executor; their sum must stay below what the executor can take in any second.
-// One process is replaced during the cold phase, and its successor knows nothing of the requests sent before.
+// Each node limits its own requests to the cold executor; their sum must stay below what the executor can take in any second. One
+// node is replaced during the cold phase, and its successor does not know which requests were sent before.
 #[test]
 fn several_processes_together_do_not_overload_a_cold_executor() {
     let (sender, arrivals) = channel();
-    let warm: Vec<_> = (0..6).map(|_| executor(None)).collect();
-    let cold = executor(Some(sender));
+    let warm: Vec<_> = (0..6).map(|_| start_executor(None)).collect();
+    let cold = start_executor(Some(sender));
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
     let start = Instant::now();
     let balancers = format!("\"balancers\": {PROCESSES}");
@@ -63,7 +64,7 @@
     let cold_entry = entry("cold", cold).replace("\"status\"", &format!("\"since_ms\":{started},\"status\""));
     let text = text.replacen("\"endpoints\":[", &format!("\"endpoints\":[{cold_entry},"), 1);
     let (finished, ids) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(1)));
-    let clients = |node: &Node| {
+    let start_clients = |node: &Node| {
         let address = node.address;
         for _ in 0..16 {
             let (finished, ids) = (Arc::clone(&finished), Arc::clone(&ids));
@@ -81,35 +82,39 @@
         }
     };
     let mut nodes: Vec<_> = (0..PROCESSES).map(|_| Node::start_with(&text)).collect();
-    nodes.iter().for_each(clients);
-    let (mut sent, mut replaced) = (Vec::new(), false);
+    nodes.iter().for_each(start_clients);
+    let (mut arrival_times, mut replaced) = (Vec::new(), false);
     while start.elapsed() < TEST_DURATION {
         if let Ok(at) = arrivals.recv_timeout(Duration::from_millis(100)) {
-            sent.push((at - start).as_secs_f64());
+            arrival_times.push((at - start).as_secs_f64());
         }
         if start.elapsed() > TEST_DURATION / 3 && !std::mem::replace(&mut replaced, true) {
-            // Kills a process and starts another in its place.
+            // Kills a node and starts another in its place.
             drop(nodes.remove(0));
             let node = Node::start_with(&text);
-            clients(&node);
+            start_clients(&node);
             nodes.push(node);
         }
     }
     finished.store(true, Ordering::Relaxed);
-    // The executor has one slot, as far as the processes know, and all jobs have the mean duration.
-    let allowed = |at: f64| {
+    // The number of requests that the executor can take within the second that begins `at` seconds after its start. As far
+    // as the nodes know, it has one slot.
+    let max_requests = |at: f64| {
         LOAD_FACTOR * (COLD_START_SHARE + (1.0 - COLD_START_SHARE) * (at / COLD_DURATION_S).min(1.0))
             / JOB_DURATION.as_secs_f64()
     };
-    let mut most: f64 = 0.0;
-    for (i, at) in sent.iter().enumerate() {
-        let first = sent[..=i].partition_point(|s| *s <= at - 1.0);
-        let n = allowed((at - 1.0).max(0.0));
-        most = most.max((i + 1 - first) as f64 / (n + 2.0 * n.sqrt() + 2.0));
+    // The requests of the busiest second as a share of the allowed number, with a tolerance of twice its square root plus 2.
+    let mut worst_ratio: f64 = 0.0;
+    for (i, at) in arrival_times.iter().enumerate() {
+        let first = arrival_times[..=i].partition_point(|s| *s <= at - 1.0);
+        let limit = max_requests((at - 1.0).max(0.0));
+        worst_ratio = worst_ratio.max((i + 1 - first) as f64 / (limit + 2.0 * limit.sqrt() + 2.0));
     }
-    let budget: f64 = (0..TEST_DURATION.as_secs()).map(|s| allowed(s as f64)).sum();
-    let used = sent.len() as f64 / budget;
-    println!("worst second: {most:.2} of the allowed requests; {used:.2} of the budget used");
-    assert!(most <= 1.0, "{most:.2}");
-    assert!(used > 0.05, "starved: {used:.2}");
+    let total_limit: f64 = (0..TEST_DURATION.as_secs()).map(|s| max_requests(s as f64)).sum();
+    let used_share = arrival_times.len() as f64 / total_limit;
+    println!(
+        "worst second: {worst_ratio:.2} of the allowed requests; {used_share:.2} of all allowed requests used"
+    );
+    assert!(worst_ratio <= 1.0, "{worst_ratio:.2}");
+    assert!(used_share > 0.05, "starved: {used_share:.2}");
 }
--- a/crates/node/tests/ends/connection_close.rs
+++ b/crates/node/tests/ends/connection_close.rs
@@ -1,4 +1,4 @@
-//! Connections of clients that the node closes.
+//! Closing of client connections by the node: idle ones, incomplete requests and excess data.
 
 use std::io::{BufReader, Read};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 };
 
 /// Connects a client with a small receive buffer, so that a response is still in transit after the node has sent it.
-fn slow_reader(address: SocketAddr) -> BufReader<TcpStream> {
+fn connect_with_small_buffer(address: SocketAddr) -> BufReader<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(2_048).unwrap();
     socket.connect(&address.into()).unwrap();
@@ -22,6 +22,7 @@
     BufReader::new(socket)
 }
 
+/// A result larger than the receive buffer of [`connect_with_small_buffer`], so that its end waits in the node's send buffer.
 const LARGE_RESULT: &str = {
     static TEXT: [u8; 60_000] = [b'r'; 60_000];
     match std::str::from_utf8(&TEXT) {
@@ -30,8 +31,8 @@
     }
 };
 
-// An idle close dropped the connection at once, so that data from the client which crossed the close caused a reset and lost
-// a response in transit.
+// Guards against an idle close that drops the connection at once: data from the client that arrives after it then causes a reset,
+// and a response in transit is lost.
 #[rstest]
 #[case::nothing("")]
 #[case::partial_request("POST /api HTTP/1.1\r\nHost: h\r\n")]
@@ -39,19 +40,19 @@
 fn data_that_crosses_an_idle_close_loses_no_answer(#[case] crossing: &str) {
     let executor = answer_all(FakeServer::open(), LARGE_RESULT);
     let node = Node::start(&[executor], &[]);
-    let mut witness = node.client();
-    send(&mut witness, &job(9, "look", 1_500));
-    assert_eq!(status(read_message(&mut witness)), 200);
-    let mut client = slow_reader(node.address);
+    let mut other_idle_client = node.client();
+    send(&mut other_idle_client, &job(9, "look", 1_500));
+    assert_eq!(status(read_message(&mut other_idle_client)), 200);
+    let mut client = connect_with_small_buffer(node.address);
     send(&mut client, &job(1, "look", 1_500));
-    // As far as the node can tell, it has sent the whole response when it counts the client as idle: it then reads a
-    // further request and answers it after the first.
+    // The node counts the client as idle once it has written the whole response to its socket, of which the client has received
+    // only the beginning. It then reads a further request and answers it after the first.
     let start = Instant::now();
     assert!(client.get_ref().peek(&mut [0; 16]).unwrap() > 0 && start.elapsed() < WAIT_LIMIT);
     node.barrier();
     node.signal("-TERM");
-    // Idle connections are closed together, so the witness's close shows that the other one has begun.
-    assert_eq!(witness.read(&mut [0]).unwrap(), 0);
+    // The node closes all idle connections at once, so the other idle client's close shows that this client's has begun.
+    assert_eq!(other_idle_client.read(&mut [0]).unwrap(), 0);
     let _ = std::io::Write::write_all(client.get_mut(), crossing.as_bytes());
     let (_, body) = read_message(&mut client).expect("the answer was cut short");
     assert_eq!(body.len(), LARGE_RESULT.len());
@@ -61,32 +62,32 @@
     }
 }
 
-// The time to complete a request ran out just as its last byte arrived, and the complete request was dropped without an
-// answer.
+// Guards against a complete request that is dropped without an answer because the time to complete it ran out just as its last
+// byte arrived.
 #[test]
 fn a_request_completed_as_its_read_timeout_expires_is_answered() {
     let executor = answer_all(FakeServer::open(), "r");
     let node = Node::start(&[executor], &[]);
-    let whole = |id| job(id, "look", 1_500);
+    let request = |id| job(id, "look", 1_500);
     let mut clients: Vec<_> = (0..16).map(|_| node.client()).collect();
     for (id, client) in (1..).zip(&mut clients) {
-        let text = whole(id);
+        let text = request(id);
         send(client, &text[..text.len() - 1]);
     }
     node.barrier();
-    // A new client has 2.5 s to send its request. They run out while the node is paused, and the last byte arrives then, too.
+    // A new client has 2.5 s to send its request. This time runs out while the node is paused, and the last byte arrives then, too.
     node.while_paused(|| {
         std::thread::sleep(Duration::from_millis(2_600));
         clients.iter_mut().for_each(|client| send(client, "y"));
     });
     for client in &mut clients {
-        // Served, or dismissed if the only executor has no free slot: a complete request gets a complete answer.
+        // Each complete request is served, or dismissed if the only executor has no free slot.
         let status = status(read_message(client));
         assert!([200, 503].contains(&status), "{status}");
     }
 }
 
-// The client gets a 408; a bare close would leave it without a reason.
+// The client gets a 408, because a close without a response would give it no reason.
 #[test]
 fn a_partial_request_is_rejected_when_its_read_timeout_expires() {
     let node = Node::start(&[unused_address()], &[]);
@@ -98,12 +99,13 @@
     assert!(start.elapsed() < Duration::from_secs(3));
 }
 
-// Only a limited amount of pipelined data is buffered. Every request that was buffered whole must be answered before the
-// connection is closed because of the rest; only the first was.
+// Only a limited amount of pipelined data is buffered, and more of it closes the connection. Guards against a close before every
+// completely buffered request is answered.
 #[test]
 fn all_buffered_requests_are_answered_before_a_close_for_excess_data() {
     const PIPELINED: u32 = 1_000;
-    const READ_AHEAD: usize = 64 * 1024;
+    /// The least amount of data that the node buffers for a client.
+    const READ_AHEAD_BYTES: usize = 64 * 1024;
     let server = FakeServer::open();
     let node = Node::start(&[server.address], &[]);
     let mut client = node.client();
@@ -111,7 +113,7 @@
     send(&mut client, &requests.concat());
     let mut connection = server.accept();
     let first = connection.read_request_id().unwrap();
-    // By then the node has read the rest, and dropped what exceeds its buffer.
+    // After the barriers the node has read the rest, and dropped what exceeds its buffer.
     (0..50).for_each(|_| node.barrier());
     connection.send(&done_response(first, "r"));
     std::thread::spawn(move || {
@@ -119,13 +121,13 @@
             connection.send(&done_response(id, "r"));
         }
     });
-    let (mut answered, mut closes) = (0, false);
+    let (mut answered, mut announced_close) = (0, false);
     while let Some((head, _)) = read_message(&mut client) {
-        assert!(!closes, "an answer after the last");
+        assert!(!announced_close, "an answer after the last");
         assert!(head.starts_with("HTTP/1.1 200 ") || head.starts_with("HTTP/1.1 503 "), "{head}");
-        closes = head.contains("Connection: close");
+        announced_close = head.contains("Connection: close");
         answered += 1;
     }
-    assert!(closes);
-    assert!(answered >= READ_AHEAD / requests[0].len(), "{answered}");
+    assert!(announced_close);
+    assert!(answered >= READ_AHEAD_BYTES / requests[0].len(), "{answered}");
 }
--- a/crates/node/tests/ends/connections.rs
+++ b/crates/node/tests/ends/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to executors: resets, unexpected data, late establishment and changed addresses.
+//! Connections to executors: resets, unsolicited data, late establishment and changed addresses.
 
 use rstest::rstest;
 
@@ -7,7 +7,7 @@
     exchange, job, list_chunk, read_message, send, status,
 };
 
-// A reset right after an answer discarded the answer, and a one-shot that had been executed was aborted.
+// Guards against a reset right after an answer that discards the answer, so that a one-shot that was executed is aborted.
 #[rstest]
 #[case::complete_answer(done_response(1, "r"), 200)]
 // An incomplete line is no answer: the job may have run.
@@ -28,7 +28,8 @@
     assert!(!server.has_pending_connection());
 }
 
-// The next request was written on such a connection all the same, and the stray response was taken as its answer.
+// An executor sends a second response to one request. Guards against the next request being sent on the same connection, where that
+// response is taken for its answer.
 #[rstest]
 fn nothing_is_sent_on_a_connection_with_unsolicited_data(#[values(false, true)] request_first: bool) {
     for round in 0..10 {
@@ -57,7 +58,8 @@
     }
 }
 
-// A duplicate of the previous answer ended the connection, and with it the execution in flight on it.
+// A single duplicate of the previous answer is ignored. Guards against a duplicate that closes the connection, and with it ends the
+// execution in flight.
 #[rstest]
 #[case::duplicate(vec![done_response(1, "one"), done_response(2, "two")], 200)]
 // An answer with an unknown id leaves open what happened to the job.
@@ -82,13 +84,14 @@
     assert!(wanted != 200 || body == "two");
 }
 
-// A duplicate refusal could be taken for the next request's: a one-shot that was executed would have been dismissed.
+// A refusal carries no request id. Guards against a duplicate that is taken for the next request's refusal, so that a one-shot that
+// was executed is dismissed.
 #[test]
 fn a_duplicate_refusal_is_not_taken_for_the_next_request() {
     let server = FakeServer::open();
     let node = Node::start(&[server.address], &[]);
     let mut client = node.client();
-    // The second request is there when the first is answered.
+    // Pipelined: the second request has already arrived when the first is answered.
     send(&mut client, &(job(1, "pay", 1_500) + &job(2, "pay", 1_500)));
     let mut first = server.accept();
     assert_eq!(first.read_request_id(), Some(1));
@@ -107,14 +110,14 @@
 #[case::may_cancel(&[("\"connectTimeoutMs\": 250.0", "\"connectTimeoutMs\": 6000.0")])]
 #[case::may_not(&[("\"connectTimeoutMs\": 250.0", "\"connectTimeoutMs\": 6000.0"), ("\"cancel\": true", "\"cancel\": false")])]
 fn a_connection_established_late_carries_no_request_that_has_ended(#[case] changes: &[(&str, &str)]) {
-    let (server, queued) = FakeServer::full();
+    let (server, queued) = FakeServer::with_full_accept_queue();
     let node = Node::start(&[server.address], changes);
     let mut gone = node.client();
     send(&mut gone, &job(1, "pay", 5_000));
     node.barrier();
     drop(gone);
     node.barrier();
-    // The queue has room now, and the kernel's next SYN, a second after the first, succeeds.
+    // The queue now has room, so the kernel's next SYN, sent a second after the first, succeeds.
     queued.iter().for_each(|_| drop(server.accept()));
     let mut connection = server.accept();
     let mut client = node.client();
@@ -125,7 +128,7 @@
     assert_eq!(status(exchange(&mut client, "GET /healthz HTTP/1.1\r\n\r\n")), 200);
 }
 
-/// Starts a node with one executor, as listed by `discovery`. Returns the node and its watch.
+/// Starts a node with one executor that `discovery` lists, and a connect timeout of 6 s. Returns the node and its watch.
 fn start_watching(executor: &FakeServer, discovery: &FakeServer) -> (Node, Connection) {
     let changes = [("\"connectTimeoutMs\": 250.0", "\"connectTimeoutMs\": 6000.0")];
     let node = Node::start_with(&configuration(&[executor.address], discovery.address, &changes));
@@ -136,8 +139,8 @@
     (node, watch)
 }
 
-// An executor moved to a new address under the same name while a job was in flight at the old one. The old connection then joined
-// the idle connections of the new address, and the next job went to the old executor.
+// An executor moves to a new address under the same name while a job is in flight at the old one. Guards against the old connection
+// being kept as an idle connection of the new address: the next job then goes to the old executor.
 #[test]
 fn a_connection_to_a_replaced_address_is_not_used_again() {
     let (old, new, discovery) = (FakeServer::open(), FakeServer::open(), FakeServer::open());
@@ -158,18 +161,18 @@
     assert!(connection.closed_without_data());
 }
 
-// The same with a connection to the old address that was not yet established.
+// Like the test above, with a connection to the old address that is not yet established when the address changes.
 #[test]
 fn a_connection_established_to_a_replaced_address_is_not_used() {
     let (new, discovery) = (FakeServer::open(), FakeServer::open());
-    let (old, queued) = FakeServer::full();
+    let (old, queued) = FakeServer::with_full_accept_queue();
     let (node, mut watch) = start_watching(&old, &discovery);
     let mut client = node.client();
     send(&mut client, &job(1, "pay", 5_000));
     node.barrier();
     watch.send(&list_chunk(6, false, &[entry("w0", new.address)]));
     node.barrier();
-    // Makes room in the old address's queue: the waiting connection is established.
+    // Makes room in the accept queue of the old address, so that the pending connection is established.
     for _ in &queued {
         drop(old.accept());
     }
--- a/crates/node/tests/ends/descriptors.rs
+++ b/crates/node/tests/ends/descriptors.rs
@@ -1,4 +1,4 @@
-//! Clients that use up the node's file descriptors.
+//! Clients that use up the node's file descriptors, or the number of client connections that these allow.
 
 use std::io::Read;
 use std::time::{Duration, Instant};
@@ -7,11 +7,14 @@
 
 use crate::harness::{
     FakeServer, Node, WATCH_HEAD, answer_all, configuration, done_response, entry, exchange, job, list_chunk,
-    send, status,
+    read_message, send, status,
 };
 
-// Idle and silent clients take all descriptors available to clients while discovery is down. Discovery is reached again as soon as
-// it is back, executors are reached, and the next client is served.
+/// The number of client connections that the configuration allows.
+const MAX_CLIENTS: u32 = 120;
+
+// Idle and silent clients take all descriptors available to clients while discovery is down. Once discovery is back, the node
+// connects to it and to its executors, and serves the next client.
 #[test]
 fn idle_clients_that_use_up_the_descriptors_block_no_other_connection() {
     let old = answer_all(FakeServer::open(), "old");
@@ -27,7 +30,7 @@
     let mut idle = Vec::new();
     for id in 0..300 {
         let mut client = node.client();
-        // A client that has sent a request may stay idle for minutes; those evicted meanwhile have no response outstanding.
+        // A client that has sent a request may stay idle for minutes. The node evicts some of them; none waits for a response then.
         assert_eq!(status(exchange(&mut client, &job(id, "look", 1_500))), 200, "{id}");
         idle.push(client);
     }
@@ -35,7 +38,7 @@
     let open = std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
     assert!(open > 100 && open < 256, "{open} descriptors");
     let back = Instant::now();
-    let mut connection = FakeServer::at(address).accept();
+    let mut connection = FakeServer::open_at(address).accept();
     assert!(back.elapsed() < Duration::from_secs(5), "{:?}", back.elapsed());
     connection.read_head().unwrap();
     let new = FakeServer::open();
@@ -48,8 +51,8 @@
     let mut executor = new.accept();
     assert_eq!(executor.read_request_id(), Some(1_000));
     executor.send(&done_response(1_000, "new"));
-    assert_eq!(crate::harness::read_message(&mut client).unwrap().1, "new");
-    // Evicted clients saw a clean end of the stream.
+    assert_eq!(read_message(&mut client).unwrap().1, "new");
+    // Each client was either evicted, with an end of the stream and no reset, or is still connected.
     for client in &mut idle {
         client.get_ref().set_nonblocking(true).unwrap();
         let end = client.read(&mut [0]);
@@ -61,13 +64,11 @@
     drop(silent);
 }
 
-// A request that arrived while no further client could be accepted waited in the listener's queue, and was forwarded to its
-// executor with its full time.
+// A request that arrives while the node can accept no further client waits in the accept queue. Guards against its being forwarded
+// to the executor with its full time, without this wait.
 #[test]
 fn a_request_that_waited_in_the_accept_queue_is_forwarded_with_the_remaining_time() {
     const TIMEOUT_MS: u32 = 6_000;
-    /// Number of clients that the configuration leaves room for.
-    const MAX_CLIENTS: u32 = 120;
     let executor = FakeServer::open();
     let node = Node::start(&[executor.address], &[]);
     let mut clients = Vec::new();
@@ -78,8 +79,8 @@
         let connection = connection.get_or_insert_with(|| executor.accept());
         assert_eq!(connection.read_request_id(), Some(id));
         connection.send(&done_response(id, "r"));
-        assert_eq!(status(crate::harness::read_message(&mut client)), 200);
-        // Part of the next request: a client that has sent one before has a while to complete it, and is not evicted.
+        assert_eq!(status(read_message(&mut client)), 200);
+        // With a part of its next request, a client that has sent one before is not evicted for some time.
         send(&mut client, &job(id, "look", TIMEOUT_MS)[..60]);
         clients.push(client);
     }
@@ -90,22 +91,24 @@
     let head = connection.read_head().unwrap();
     let waited = sent.elapsed();
     assert!(waited > Duration::from_millis(300), "it was accepted at once: {waited:?}");
-    let forwarded = head.lines().find_map(|l| l.strip_prefix("Req-Deadline-Ms: ")).unwrap();
-    let left = u64::from(TIMEOUT_MS).saturating_sub(waited.as_millis() as u64);
-    assert!(forwarded.parse::<u64>().unwrap() <= left + 150, "{forwarded} ms forwarded, {left} left");
+    let forwarded_ms = head.lines().find_map(|l| l.strip_prefix("Req-Deadline-Ms: ")).unwrap();
+    let left_ms = u64::from(TIMEOUT_MS).saturating_sub(waited.as_millis() as u64);
+    assert!(
+        forwarded_ms.parse::<u64>().unwrap() <= left_ms + 150,
+        "{forwarded_ms} ms forwarded, {left_ms} left"
+    );
     connection.send(&done_response(MAX_CLIENTS + 1, "r"));
-    assert_eq!(status(crate::harness::read_message(&mut client)), 200);
+    assert_eq!(status(read_message(&mut client)), 200);
     drop(clients);
 }
 
-// While partial requests hold all places, a new client must be accepted or closed in time: its request must not be answered more
-// than half a second after its deadline. It waited in the listener's queue for 4.97 s: each partial request had 2.5 s to become
-// complete (the 408 came after 2.47 to 2.50 s), and its client then 2.5 s more to close its end. New or idle clients were evicted
-// only when a connection was accepted, and none is accepted while all places are held. With timely eviction the new client is
-// answered after 0.42 s, and 15 of the 120 partial requests are evicted.
+// While clients with partial requests take all connections that the node allows, a new client must be accepted or closed in time:
+// its request must not be answered more than half a second after its deadline. Guards against eviction of clients only when a
+// connection is accepted, since none is accepted in this state. The new client then waited in the accept queue for 4.97 s: each
+// partial request had 2.5 s to become complete (the 408 came after 2.47 to 2.50 s), and its client 2.5 s more to close its side.
+// With timely eviction the new client is answered after 0.42 s, and 15 of the 120 partial requests are evicted.
 #[test]
 fn a_new_client_is_answered_or_closed_in_time_while_partial_requests_hold_all_places() {
-    const MAX_CLIENTS: u32 = 120;
     const TIMEOUT_MS: u32 = 500;
     let node = Node::start(&[answer_all(FakeServer::open(), "r")], &[]);
     let mut clients = Vec::new();
@@ -118,48 +121,47 @@
     let mut client = node.client();
     let sent = Instant::now();
     send(&mut client, &job(MAX_CLIENTS + 1, "look", TIMEOUT_MS));
-    drop(crate::harness::read_message(&mut client));
+    drop(read_message(&mut client));
     assert!(sent.elapsed() < Duration::from_millis(1_200), "{:?}", sent.elapsed());
     drop(clients);
 }
 
-/// What the other clients hold all places with.
+/// What each of the clients that take all connections has sent last.
 #[derive(Clone, Copy, Debug)]
-enum Held {
+enum ClientState {
     PartialBody,
     RequestInFlight,
 }
 
-// The same for other states that hold a place until a timeout frees it.
+// Like the test above, for other states in which a client keeps its connection until a timeout closes it.
 #[rstest]
-#[case::partial_bodies(Held::PartialBody)]
-#[case::requests_in_flight(Held::RequestInFlight)]
-fn a_new_client_is_answered_or_closed_in_time_whatever_holds_all_places(#[case] held: Held) {
-    const MAX_CLIENTS: u32 = 120;
+#[case::partial_bodies(ClientState::PartialBody)]
+#[case::requests_in_flight(ClientState::RequestInFlight)]
+fn a_new_client_is_answered_or_closed_in_time_whatever_holds_all_places(#[case] state: ClientState) {
     const TIMEOUT_MS: u32 = 500;
     let executors: Vec<FakeServer> = (0..12).map(|_| FakeServer::open()).collect();
-    let addresses: Vec<_> = match held {
-        Held::RequestInFlight => executors.iter().map(|e| e.address).collect(),
+    let addresses: Vec<_> = match state {
+        ClientState::RequestInFlight => executors.iter().map(|e| e.address).collect(),
         _ => executors.into_iter().map(|e| answer_all(e, "r")).collect(),
     };
     let node = Node::start(&addresses, &[]);
     let mut clients = Vec::new();
     for id in 1..=MAX_CLIENTS {
         let mut client = node.client();
-        match held {
-            Held::PartialBody => {
+        match state {
+            ClientState::PartialBody => {
                 assert_eq!(status(exchange(&mut client, &job(id, "look", 6_000))), 200);
                 let whole = job(id, "look", 6_000);
                 send(&mut client, &whole[..whole.len() - 2]);
             }
-            Held::RequestInFlight => send(&mut client, &job(id, "look", 6_000)),
+            ClientState::RequestInFlight => send(&mut client, &job(id, "look", 6_000)),
         }
         clients.push(client);
     }
     let mut client = node.client();
     let sent = Instant::now();
     send(&mut client, &job(MAX_CLIENTS + 1, "look", TIMEOUT_MS));
-    drop(crate::harness::read_message(&mut client));
+    drop(read_message(&mut client));
     assert!(sent.elapsed() < Duration::from_millis(1_200), "{:?}", sent.elapsed());
     drop(clients);
 }
--- a/crates/node/tests/ends/discovery.rs
+++ b/crates/node/tests/ends/discovery.rs
@@ -1,43 +1,46 @@
-//! List requests and watches of discovery, and the ways in which they end. A change counts as announced 6 s after discovery had it
-//! and was reachable, so the next request must begin early enough for its answer: 4.75 s after the last data, or after the request
-//! that got no answer.
+//! The node's requests to discovery, and the ways in which a watch ends. A node must follow a change within 6 s from when discovery
+//! has it and is reachable. To get its answer in this time, the node must request the list again within 4.75 s after the last data,
+//! or after a request that got no answer.
 
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
 
 use crate::harness::{
-    Connection, FakeServer, Node, WATCH_HEAD, configuration, done_response, entry, exchange, job, list_chunk,
-    never_reply, read_message, reject, send, status,
+    Connection, DiscoveryFailure, FakeServer, Node, WATCH_HEAD, configuration, done_response, entry,
+    exchange, job, list_chunk, never_reply, read_message, reject, send, status,
 };
 
-/// The bound of 4.75 s, plus a tolerance for a machine that is busy with other tests.
+/// The limit of 4.75 s until the next request, plus a tolerance for a machine that is busy with other tests.
 const RECONNECT_LIMIT: Duration = Duration::from_millis(4_750 + 500);
 
+/// Returns `text` as a chunk of a response body.
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-fn refuse(mut connection: Connection) -> Option<Connection> {
+/// Reads a request and resets the connection.
+fn reset_without_response(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     connection.reset();
     None
 }
 
+/// Sends the beginning of a response's head, and then nothing more.
 fn send_half_head(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     connection.send("HTTP/1.1 200 OK\r\nTransf");
     Some(connection)
 }
 
-/// Sends a list, and then nothing more.
+/// Sends a list without changes, and then nothing more.
 fn send_list_then_stall(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     connection.send(&format!("{WATCH_HEAD}{}", chunk("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n")));
     Some(connection)
 }
 
-/// Sends a blank every 500 ms, and never a whole line.
+/// Sends a blank every 500 ms, and never a complete line.
 fn trickle_blanks(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     connection.send(WATCH_HEAD);
@@ -49,7 +52,7 @@
     None
 }
 
-/// Sends a newline every 500 ms, all of them within a list that never ends.
+/// Sends the beginning of a list, and then a newline every 500 ms within it.
 fn trickle_newlines_within_list(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     connection.send(&format!("{WATCH_HEAD}{}", chunk("{\"index\":1,\"endpoints\":[")));
@@ -61,16 +64,17 @@
     None
 }
 
+/// Closes the connection in the middle of a list.
 fn close_within_line(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     connection.send(&format!("{WATCH_HEAD}40\r\n{{\"index\":"));
     None
 }
 
-// A failed request delayed the next one by up to 6 s, a request without an answer or a silent watch by up to 9 s; a watch that
-// trickled bytes was never given up.
+// Guards against a late or missing next request. A failed request delayed the next one by up to 6 s, a request without an answer or
+// a silent watch by up to 9 s, and a watch on which some bytes kept arriving was never ended.
 #[rstest]
-#[case::refused(refuse)]
+#[case::refused(reset_without_response)]
 #[case::rejected(reject)]
 #[case::hangs(never_reply)]
 #[case::partial_head(send_half_head)]
@@ -78,9 +82,9 @@
 #[case::trickles_blanks(trickle_blanks)]
 #[case::trickles_newlines_within_a_list(trickle_newlines_within_list)]
 #[case::closes_within_a_line(close_within_line)]
-fn the_list_is_requested_again_in_time(#[case] failure: fn(Connection) -> Option<Connection>) {
+fn the_list_is_requested_again_in_time(#[case] failure: DiscoveryFailure) {
     let discovery = FakeServer::open();
-    // So many nodes that the random spread of the requests is at its widest.
+    // Nodes spread their requests at random, the more widely the larger the fleet; with 300 nodes the spread is at its maximum.
     let text = configuration(&[], discovery.address, &[("\"balancers\": 2", "\"balancers\": 300")]);
     let node = Node::start_with(&text);
     let mut connection = discovery.accept();
@@ -91,12 +95,12 @@
         assert!(last.elapsed() < RECONNECT_LIMIT, "{:?}", last.elapsed());
         drop(open);
     }
-    // The list of the next answer takes effect.
+    // The list in the next answer is applied.
     let server = FakeServer::open();
     connection.read_head().unwrap();
     let list = format!("{{\"index\":5,\"snapshot\":true,\"endpoints\":[{}]}}\n", entry("w0", server.address));
     connection.send(&format!("{WATCH_HEAD}{}", chunk(&list)));
-    while status(crate::harness::exchange(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {}
+    while status(exchange(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n")) != 200 {}
     let mut client = node.client();
     send(&mut client, &job(1, "look", 1_500));
     let mut executor = server.accept();
@@ -116,7 +120,7 @@
     indented(&format!("{{\"index\":{index},\"snapshot\":true,\"endpoints\":[{entry}]}}"))
 }
 
-// Lists over several lines were rejected at their first line, and the watch ended with them.
+// Guards against lists over several lines that are rejected at their first line, which ends the watch.
 #[test]
 fn indented_lists_that_arrive_in_pieces_are_applied() {
     let discovery = FakeServer::open();
@@ -148,11 +152,12 @@
     assert!(!discovery.has_pending_connection() && !connection.has_data());
 }
 
-// A drain is announced while a dispatched request waits for its connection: the request must not be sent there.
+// A drain is announced while a dispatched request waits for its connection to the draining executor: the request must not be sent
+// on that connection.
 #[test]
 fn a_connection_established_after_a_drain_was_announced_is_not_used() {
     let discovery = FakeServer::open();
-    let (draining, queued) = FakeServer::full();
+    let (draining, queued) = FakeServer::with_full_accept_queue();
     let other = FakeServer::open();
     let changes = [("\"connectTimeoutMs\": 250.0", "\"connectTimeoutMs\": 6000.0")];
     let text = configuration(&[draining.address], discovery.address, &changes);
@@ -174,7 +179,7 @@
     node.barrier();
     queued.iter().for_each(|_| drop(draining.accept()));
     let mut late = draining.accept();
-    // Not sent to the draining executor, the request goes to the other one.
+    // The request goes to the other executor instead.
     let mut executor = other.accept();
     assert_eq!(executor.read_request_id(), Some(1));
     executor.send(&done_response(1, "r"));
@@ -183,8 +188,8 @@
     assert_eq!(late.read_head(), None);
 }
 
-// A change that discovery has written counts as announced, even if its connection is reset right after it: the kernel delivers the
-// received data before the error, and the reader of the watch must process it.
+// A node must follow a change that discovery has written, even if discovery resets the connection right after it: the kernel
+// delivers the received data before the error, and the node must process it.
 #[test]
 fn a_change_written_right_before_its_watch_is_reset_is_applied() {
     let (discovery, leaving) = (FakeServer::open(), FakeServer::open());
@@ -199,7 +204,7 @@
         watch.reset();
     });
     let mut client = node.client();
-    // Until the end of the drain's grace period requests may still go there.
+    // Requests may still go to the draining executor until the drain's grace period of 0.5 s ends.
     std::thread::sleep(Duration::from_millis(600));
     for id in 1..=20 {
         assert_eq!(status(exchange(&mut client, &job(id, "look", 300))), 503, "{id}");
--- a/crates/node/tests/ends/harness.rs
+++ b/crates/node/tests/ends/harness.rs
@@ -1,5 +1,6 @@
-//! Fake executors and a fake discovery that the test controls step by step, and the program under test between them. Races are
-//! forced: either the program is paused while both events happen, or the next step follows an observed one.
+//! Fake executors and a fake discovery that a test controls step by step, and the node under test between them. Races are
+//! forced: either the node is paused while both events happen, or the next event is triggered after the previous one was
+//! observed.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,10 +14,11 @@
 
 use crate::common::SETTINGS;
 
-/// Upper bound of every wait; far longer than any awaited event takes.
+/// The limit of every wait, far longer than any awaited event takes.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Reads a head and a body of the length given by its Content-Length. Returns `None` at the end of the stream.
+/// Reads an HTTP message and returns its head and its body, whose length is taken from Content-Length (0 if there is none).
+/// Returns `None` at the end of the stream.
 pub fn read_message(socket: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -31,7 +33,7 @@
     Some((head, String::from_utf8(body).unwrap()))
 }
 
-/// Returns a response with these lines as its chunked body.
+/// Returns a response with `lines` as its chunked body.
 pub fn chunked(lines: &str) -> String {
     let length = lines.len();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{lines}\r\n0\r\n\r\n")
@@ -58,11 +60,11 @@
 impl FakeServer {
     /// Opens a listener at a free port.
     pub fn open() -> Self {
-        Self::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+        Self::open_at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// Opens a listener at this address.
-    pub fn at(address: SocketAddr) -> Self {
+    /// Opens a listener at `address`.
+    pub fn open_at(address: SocketAddr) -> Self {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
         Self { listener, address }
@@ -70,7 +72,7 @@
 
     /// Opens a listener whose accept queue is full: further connections are not established until `accept` is called.
     /// Also returns the connections that fill the queue.
-    pub fn full() -> (Self, Vec<TcpStream>) {
+    pub fn with_full_accept_queue() -> (Self, Vec<TcpStream>) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SockAddr::from(SocketAddr::from(([127, 0, 0, 1], 0)))).unwrap();
         socket.listen(0).unwrap();
@@ -109,7 +111,7 @@
         Some(Connection(BufReader::new(socket)))
     }
 
-    /// Whether an unaccepted connection was pending. The connection is accepted and dropped.
+    /// Returns whether a connection was waiting to be accepted. Such a connection is accepted and dropped.
     pub fn has_pending_connection(&self) -> bool {
         self.try_accept().is_some()
     }
@@ -121,22 +123,22 @@
         read_message(&mut self.0).map(|(head, _)| head)
     }
 
-    /// Reads the next request and returns its id. Returns `None` at the end of the stream, or without an id.
+    /// Reads the next request and returns its id. Returns `None` at the end of the stream, or if the request has no id.
     pub fn read_request_id(&mut self) -> Option<u32> {
         self.read_head().and_then(|head| head.lines().find_map(|l| l.strip_prefix("Req-Id: ")?.parse().ok()))
     }
 
-    /// Sends these bytes as they are.
+    /// Sends `text` unchanged.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Whether the connection ends without further data.
+    /// Waits for data or for the end of the connection, and returns whether it ended without further data.
     pub fn closed_without_data(&mut self) -> bool {
         !matches!(self.0.read(&mut [0]), Ok(1..))
     }
 
-    /// Whether data is waiting to be read.
+    /// Returns whether received data is waiting to be read.
     pub fn has_data(&self) -> bool {
         let socket = self.0.get_ref();
         socket.set_nonblocking(true).unwrap();
@@ -145,21 +147,26 @@
         found
     }
 
-    /// Resets the connection.
+    /// Resets the connection; see [`reset`].
     pub fn reset(self) {
         reset(self.0);
     }
 }
 
-/// The head of the response to a watch request.
+/// The head of discovery's response to a watch request.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A list as one chunk of a watch's response body.
-pub fn list_chunk(index: u32, whole: bool, entries: &[String]) -> String {
-    let list = format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{}]}}\n", entries.join(","));
+/// Returns a list as one chunk of a watch's response body. A `snapshot` contains all executors, any other list only those that
+/// have changed.
+pub fn list_chunk(index: u32, snapshot: bool, entries: &[String]) -> String {
+    let list =
+        format!("{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":[{}]}}\n", entries.join(","));
     format!("{:x}\r\n{list}\r\n", list.len())
 }
 
+/// A way in which discovery fails a request. Returns the connection if it must stay open until the test drops it.
+pub type DiscoveryFailure = fn(Connection) -> Option<Connection>;
+
 /// Rejects a request to discovery with status 503.
 pub fn reject(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
@@ -167,7 +174,7 @@
     None
 }
 
-/// Reads a request and never answers it.
+/// Reads a request to discovery and never answers it.
 pub fn never_reply(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     Some(connection)
@@ -178,7 +185,7 @@
     SockRef::from(socket.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Answers every request at once with `result`, for the rest of the test run.
+/// Answers every request to this executor at once with `result`, for the rest of the test run. Returns the executor's address.
 pub fn answer_all(server: FakeServer, result: &'static str) -> SocketAddr {
     let address = server.address;
     std::thread::spawn(move || {
@@ -196,24 +203,24 @@
     address
 }
 
-/// A running process of the program; it is killed when dropped.
+/// A running node; it is killed when dropped.
 pub struct Node {
     pub process: Child,
     pub address: SocketAddr,
     /// The log lines that follow the one with the listen address.
     pub log: Receiver<String>,
-    path: PathBuf,
+    configuration_path: PathBuf,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
-        let _ = std::fs::remove_file(&self.path);
+        let _ = std::fs::remove_file(&self.configuration_path);
     }
 }
 
-/// Returns an address without a listener.
+/// Returns an address at which nothing listens.
 pub fn unused_address() -> SocketAddr {
     FakeServer::open().address
 }
@@ -224,7 +231,7 @@
     let server = FakeServer::open();
     let address = server.address;
     std::thread::spawn(move || {
-        // There may be no request for a long time, so it waits without a limit and ends with the test process.
+        // Not `accept`, which panics after `WAIT_LIMIT`: there may be no request for longer than that.
         for socket in server.listener.incoming().map_while(Result::ok) {
             std::thread::spawn(move || {
                 let mut connection = Connection(BufReader::new(socket));
@@ -247,8 +254,8 @@
     format!(r#"{{"name":"{name}","address":"{address}","zone":"here","type":"small","status":"active"}}"#)
 }
 
-/// Returns a configuration with `changes` made to its settings. Probes are off, so that executors receive only what the test
-/// caused.
+/// Returns a node's configuration. `changes` are texts in [`SETTINGS`], each with its replacement. The executors are listed as
+/// `w0`, `w1` and so on. Probes are off, so that executors receive only what the test caused.
 pub fn configuration(executors: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> String {
     let known: Vec<_> = executors.iter().enumerate().map(|(i, a)| entry(&format!("w{i}"), *a)).collect();
     let mut settings = SETTINGS.replace("\"mayProbe\": true", "\"mayProbe\": false");
@@ -282,32 +289,37 @@
         }
     }
 
-    /// Starts a node with this configuration.
+    /// Starts a node with the configuration `text`.
     pub fn start_with(text: &str) -> Self {
         Self::start_with_faults(text, "")
     }
 
-    /// Starts a node whose system calls fail according to this plan, with times counted from its start.
-    pub fn start_with_faults(text: &str, plan: &str) -> Self {
-        Self::start_with_store(text, plan, None)
+    /// Starts a node whose system calls fail according to `fault_plan`, in which times count from the node's start. The syntax is
+    /// that of the crate `linestack_shim`; without faults the plan is empty.
+    pub fn start_with_faults(text: &str, fault_plan: &str) -> Self {
+        Self::start_with_store(text, fault_plan, None)
     }
 
-    /// Starts a node that also keeps a store, configured by the file `store`.
-    pub fn start_with_store(text: &str, plan: &str, store: Option<&Path>) -> Self {
+    /// Like [`Node::start_with_faults`], with a store that the file `store` configures.
+    pub fn start_with_store(text: &str, fault_plan: &str, store: Option<&Path>) -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("linestack-ends-{}-{number}.json", std::process::id()));
-        std::fs::write(&path, text).unwrap();
-        // The same limit of descriptors as in the configuration.
+        let configuration_path =
+            std::env::temp_dir().join(format!("linestack-ends-{}-{number}.json", std::process::id()));
+        std::fs::write(&configuration_path, text).unwrap();
+        // The same limit of file descriptors as `sockets` in the configuration.
         let mut command = Command::new("sh");
-        let script = if plan.is_empty() {
+        let script = if fault_plan.is_empty() {
             "ulimit -n 256 && exec \"$0\""
         } else {
             "ulimit -n 256 && LD_PRELOAD=\"$1\" LINESTACK_SHIM=\"$2\" exec \"$0\""
         };
         command.args(["-c", script, env!("CARGO_BIN_EXE_linestack")]);
-        command.arg(linestack_rig::shim::library_path().unwrap()).arg(plan);
-        command.env("PROXY_CONFIG", &path).env_remove("PROXY_LISTEN").env_remove("PROXY_DISCOVERY");
+        command.arg(linestack_rig::shim::library_path().unwrap()).arg(fault_plan);
+        command
+            .env("PROXY_CONFIG", &configuration_path)
+            .env_remove("PROXY_LISTEN")
+            .env_remove("PROXY_DISCOVERY");
         if let Some(store) = store {
             command.env("PROXY_STORE", store);
         }
@@ -315,24 +327,24 @@
         let log = BufReader::new(process.stderr.take().unwrap());
         let mut lines = log.lines().map(Result::unwrap);
         let address = lines.find_map(|l| Some(l.split_once("listen=")?.1.split(' ').next()?.to_owned()));
-        let (logged, log) = channel();
-        // The log is always read, so that its pipe never fills.
-        std::thread::spawn(move || lines.for_each(|line| drop(logged.send(line))));
-        Self { process, address: address.unwrap().parse().unwrap(), log, path }
+        let (log_sender, log_receiver) = channel();
+        // The pipe is always read: if it were full, the node would block when it logs.
+        std::thread::spawn(move || lines.for_each(|line| drop(log_sender.send(line))));
+        Self { process, address: address.unwrap().parse().unwrap(), log: log_receiver, configuration_path }
     }
 
     /// Replaces the configuration file that the node reads at the next SIGHUP.
     pub fn replace_configuration(&self, text: &str) {
-        std::fs::write(&self.path, text).unwrap();
+        std::fs::write(&self.configuration_path, text).unwrap();
     }
 
-    /// Sends a signal to the process, given as an argument of `kill`.
+    /// Sends a signal to the node. `signal` is an option of the command `kill`, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let pid = self.process.id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    /// Runs `meanwhile` while the process is stopped by SIGSTOP: the process sees all of its effects at once when it continues.
+    /// Runs `meanwhile` while the node is stopped by SIGSTOP, so that the node sees all of its effects at once when it continues.
     pub fn while_paused(&self, meanwhile: impl FnOnce()) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.process.id());
@@ -351,7 +363,7 @@
         BufReader::new(socket)
     }
 
-    /// Waits until the node has processed everything that it had received: it has answered two later requests.
+    /// Waits until the node has processed everything that it had received, by two health requests that it answers after that.
     pub fn barrier(&self) {
         let mut client = self.client();
         for _ in 0..2 {
@@ -359,7 +371,7 @@
         }
     }
 
-    /// Returns the exit code and the time until the exit, or `None` if the process still runs after `limit`.
+    /// Waits until the node exits. Returns its exit code and the time that it took, or `None` if it still runs after `limit`.
     pub fn exit_within(&mut self, limit: Duration) -> Option<(Option<i32>, Duration)> {
         let start = Instant::now();
         while start.elapsed() < limit {
@@ -372,16 +384,18 @@
     }
 }
 
-/// Returns a client's request with its whole body. A request for the product `top-up` has an idempotency key.
+/// Returns a client's request for a job of the product `kind`, with its whole body and a deadline `timeout_ms` after its arrival.
+/// A request for the product `top-up` has an idempotency key, which that product requires.
 pub fn job(id: u32, kind: &str, timeout_ms: u32) -> String {
-    let stamp = if kind == "top-up" { format!("Idempotency-Key: k{id}\r\n") } else { String::new() };
+    let idempotency_header =
+        if kind == "top-up" { format!("Idempotency-Key: k{id}\r\n") } else { String::new() };
     format!(
-        "POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {kind}\r\nReq-Owner: first\r\n{stamp}\
+        "POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {kind}\r\nReq-Owner: first\r\n{idempotency_header}\
          Req-Deadline-Ms: {timeout_ms}\r\nContent-Length: 4\r\n\r\nbody"
     )
 }
 
-/// Sends these bytes from a client.
+/// Sends `text` unchanged from a client.
 pub fn send(socket: &mut BufReader<TcpStream>, text: &str) {
     socket.get_mut().write_all(text.as_bytes()).unwrap();
 }
@@ -392,7 +406,7 @@
     read_message(socket)
 }
 
-/// Returns the status code of a response, or 0 if there was none.
+/// Returns the status code of a response, or 0 if the connection ended without one.
 pub fn status(answer: Option<(String, String)>) -> u16 {
     answer.map_or(0, |(head, _)| head[9..12].parse().unwrap())
 }
--- a/crates/node/tests/ends/machine.rs
+++ b/crates/node/tests/ends/machine.rs
@@ -1,4 +1,4 @@
-//! Temporary failures of system calls, and steps of the wall clock.
+//! Temporary failures of system calls in the node, and steps of its wall clock.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -13,7 +13,8 @@
     exchange, job, list_chunk, read_message, send, status, unused_address,
 };
 
-/// Answers one request per connection and closes it, so that every execution needs a new connection.
+/// Answers one request per connection to this executor and closes it, so that every execution needs a new connection. Returns the
+/// executor's address.
 fn answer_and_close(server: FakeServer) -> SocketAddr {
     let address = server.address;
     std::thread::spawn(move || {
@@ -31,8 +32,8 @@
     address
 }
 
-// Connects that fail on the node's own machine say nothing about the executors. They were ejected for such failures until none
-// was in service, and nearly all requests were dismissed although every second attempt would have succeeded.
+// Connects that fail on the node's own machine say nothing about the executors. Guards against executors that are ejected for such
+// failures until none is in service, so that nearly all requests are dismissed although every second attempt would succeed.
 #[test]
 fn connects_that_fail_on_this_machine_eject_no_executor() {
     const REQUESTS: u32 = 100;
@@ -46,7 +47,7 @@
     assert!(served >= 90, "{served} of {REQUESTS}");
 }
 
-/// Answers every request and every probe at once, for the rest of the test run.
+/// Answers every request and every probe to this executor at once, for the rest of the test run. Returns the executor's address.
 fn answer_all_and_probes(server: FakeServer) -> SocketAddr {
     let address = server.address;
     std::thread::spawn(move || {
@@ -66,12 +67,13 @@
     address
 }
 
+/// The response to a probe.
 const HEALTHY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-// Half of the connects find no host or time out, for all executors alike, though each of them is healthy: this proves nothing
-// about a single executor, and every second attempt succeeds. One failure ejected an executor and two in a row declared it
-// dead at once, with all of the connect timeout left: the node's counts showed connect_failed=9 died=8 for five executors that
-// never failed. With retries within the connect timeout, both counts stay 0.
+// Half of the connects fail with the error, for all executors alike. All of them are healthy, and every second attempt succeeds, so
+// a failure says nothing about a single executor. Guards against a node that does not retry within the connect timeout: one failure
+// ejected an executor and two in a row declared it dead, and the node's counts were connect_failed=9 died=8 for five healthy
+// executors. With retries both counts stay 0.
 #[rstest]
 #[case::no_host_found("EHOSTUNREACH", "false")]
 #[case::no_host_found_with_probes("EHOSTUNREACH", "true")]
@@ -100,7 +102,7 @@
     assert!(served >= 270, "{served} of {REQUESTS}");
 }
 
-// Requests that arrive during a short time without successful connects are served afterwards, and no executor is ejected.
+// For 0.4 s no connect succeeds. Requests that arrive in that time are served afterwards, and no executor is ejected.
 #[test]
 fn a_short_time_without_connects_loses_no_answer() {
     let executors: Vec<_> = (0..4).map(|_| answer_and_close(FakeServer::open())).collect();
@@ -118,11 +120,13 @@
     }
 }
 
-// A request to discovery that could not be sent, or was interrupted, says nothing about discovery. It was taken for a failed
-// first request; the node then went by its configured list and sent requests to an executor that had left meanwhile.
-fn check_that_a_local_failure_leaves_the_configured_list_unused(plan: &str) {
+/// Starts a node whose system calls fail according to `fault_plan` while it requests its first list, and checks that it does not
+/// use its configured list. A request to discovery that could not be sent, or was interrupted, says nothing about discovery. Guards
+/// against a node that takes it for a failed first request: the node then uses its configured list, and sends requests to an
+/// executor that has left.
+fn check_that_a_local_failure_leaves_the_configured_list_unused(fault_plan: &str) {
     let (discovery, left) = (FakeServer::open(), FakeServer::open());
-    let node = Node::start_with_faults(&configuration(&[left.address], discovery.address, &[]), plan);
+    let node = Node::start_with_faults(&configuration(&[left.address], discovery.address, &[]), fault_plan);
     let mut client = node.client();
     let send_job = |client: &mut _, id| status(exchange(client, &job(id, "look", 1_500)));
     let mut connection = discovery.accept();
@@ -135,8 +139,8 @@
         assert_eq!(send_job(&mut client, id), 503);
         std::thread::sleep(Duration::from_millis(10));
     }
-    let gone = entry("w0", left.address).replace("active", "left");
-    connection.send(&format!("{WATCH_HEAD}{}", list_chunk(9, false, &[gone])));
+    let left_entry = entry("w0", left.address).replace("active", "left");
+    connection.send(&format!("{WATCH_HEAD}{}", list_chunk(9, false, &[left_entry])));
     node.wait_until_ready();
     assert_eq!(send_job(&mut client, 100_000), 503);
     assert!(!left.has_pending_connection());
@@ -147,7 +151,7 @@
     check_that_a_local_failure_leaves_the_configured_list_unused("connect=1:ENETUNREACH@0..400");
 }
 
-// The failure lasts longer than one connection attempt.
+// The failure lasts longer than the connect timeout, so that the whole first attempt fails.
 #[test]
 fn a_missing_route_to_discovery_leaves_the_configured_list_unused() {
     check_that_a_local_failure_leaves_the_configured_list_unused("connect=1:ENETUNREACH@0..1500");
@@ -163,8 +167,8 @@
 fn short_and_interrupted_reads_and_writes_corrupt_no_message() {
     let executors: Vec<_> =
         (0..2).map(|_| answer_all(FakeServer::open(), "a result of some length")).collect();
-    let plan = "seed=5; short=0.9; read=0.2; write=0.2; wait=0.2; accept=0.3";
-    let node = Node::start_with_faults(&configuration(&executors, confirming_discovery(), &[]), plan);
+    let fault_plan = "seed=5; short=0.9; read=0.2; write=0.2; wait=0.2; accept=0.3";
+    let node = Node::start_with_faults(&configuration(&executors, confirming_discovery(), &[]), fault_plan);
     node.wait_until_ready();
     for round in 0..5 {
         let mut client = node.client();
@@ -176,7 +180,7 @@
     }
 }
 
-// After a short write of the `100 Continue` response the rest was dropped, so the bytes that followed were not a valid
+// Guards against a short write of the `100 Continue` response whose rest is dropped, so that the bytes that follow are not a valid
 // response.
 #[test]
 fn a_100_continue_response_is_written_whole_despite_short_writes() {
@@ -195,8 +199,8 @@
     assert_eq!(read_message(&mut client).unwrap().1, "r");
 }
 
-// The new configuration was read at a moment when no file could be opened, and the read was never retried: the old discovery
-// stayed in use.
+// No file can be opened when SIGHUP tells the node to read its new configuration, because no file descriptor is free. Guards
+// against a read that is never retried, so that the old discovery stays in use.
 #[rstest]
 #[case::the_machine_has_none_left("ENFILE")]
 #[case::the_process_has_none_left("EMFILE")]
@@ -213,9 +217,9 @@
     assert!(begin.elapsed() < Duration::from_secs(4), "{:?}", begin.elapsed());
 }
 
-// A process that found no descriptor in its first moment ended.
+// Guards against a node that exits because no file descriptor is free during the first moments of its start.
 #[test]
-fn a_start_bears_calls_that_fail_for_a_moment() {
+fn a_start_tolerates_calls_that_fail_for_a_moment() {
     let executor = answer_all(FakeServer::open(), "r");
     let text = configuration(&[executor], confirming_discovery(), &[]);
     let node = Node::start_with_faults(&text, "socket=1:ENFILE,ENOBUFS@0..300; open=1:ENFILE@0..300");
@@ -223,8 +227,8 @@
     assert_eq!(status(exchange(&mut node.client(), &job(1, "look", 1_500))), 200);
 }
 
-/// Answers each request after `takes`, and counts the requests.
-fn answer_after(server: FakeServer, takes: Duration, count: Arc<AtomicU32>) -> SocketAddr {
+/// Answers each request to this executor after `duration`, and adds the requests to `count`. Returns the executor's address.
+fn answer_after(server: FakeServer, duration: Duration, count: Arc<AtomicU32>) -> SocketAddr {
     let address = server.address;
     std::thread::spawn(move || {
         loop {
@@ -233,7 +237,7 @@
             std::thread::spawn(move || {
                 while let Some(id) = connection.read_request_id() {
                     count.fetch_add(1, Ordering::Relaxed);
-                    std::thread::sleep(takes);
+                    std::thread::sleep(duration);
                     if std::io::Write::write_all(connection.0.get_mut(), done_response(id, "r").as_bytes())
                         .is_err()
                     {
@@ -246,7 +250,13 @@
     address
 }
 
-/// Starts ten clients that send one request after the other until `stop` is set.
+/// The duration of each job in the tests of cold executors.
+const COLD_TEST_JOB_DURATION: Duration = Duration::from_millis(100);
+/// The limit of the requests to a cold executor in its first second. By the settings it can take the work of 2.5 x 0.3 slots, which
+/// is 7.5 jobs; the tolerance is 3 times the square root of that, plus 3.
+const MAX_COLD_REQUESTS: u32 = 18;
+
+/// Starts ten clients that each send one request after the other until `stop` is set.
 fn spawn_request_loops(node: &Node, stop: &Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<()>> {
     let client = |number: u32| {
         let (mut client, stop) = (node.client(), Arc::clone(stop));
@@ -261,14 +271,14 @@
     (0..10).map(client).collect()
 }
 
-// A process that starts while its machine's clock is an hour fast, and has no other clock to compare the list's times with, takes
-// an executor of its first list that has just started for a warm one.
+// A node that starts while its machine's clock is an hour fast has no other clock to compare the list's times with. Guards against
+// its taking an executor of its first list that has just started for a warm one.
 #[test]
 fn what_has_just_started_is_cold_to_a_process_that_starts_under_a_wrong_clock() {
-    let takes = Duration::from_millis(100);
-    let warm: Vec<_> = (0..2).map(|_| answer_after(FakeServer::open(), takes, Arc::default())).collect();
+    let warm: Vec<_> =
+        (0..2).map(|_| answer_after(FakeServer::open(), COLD_TEST_JOB_DURATION, Arc::default())).collect();
     let sent = Arc::new(AtomicU32::new(0));
-    let cold = answer_after(FakeServer::open(), takes, Arc::clone(&sent));
+    let cold = answer_after(FakeServer::open(), COLD_TEST_JOB_DURATION, Arc::clone(&sent));
     let discovery = FakeServer::open();
     let node = Node::start_with_faults(&configuration(&warm, discovery.address, &[]), "clock=3600000@0");
     let mut connection = discovery.accept();
@@ -284,19 +294,18 @@
     let sent = sent.load(Ordering::Relaxed);
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    // The same bound as in the test below.
-    assert!(sent <= 18, "{sent}");
+    assert!(sent <= MAX_COLD_REQUESTS, "{sent}");
 }
 
-// After the wall clock is stepped back by an hour, a new executor is listed with a start time of an hour ago by the clock before
-// the step. Taken for warm, it got its full share of requests at once.
+// After the wall clock is stepped back by an hour, a new executor is listed with a start time that is an hour ago by the clock
+// before the step. Guards against its being taken for warm and sent its full share of requests at once.
 #[test]
 fn an_executor_started_after_a_step_of_the_wall_clock_is_cold() {
     const HOUR_MS: f64 = 3_600_000.0;
-    let takes = Duration::from_millis(100);
-    let warm: Vec<_> = (0..2).map(|_| answer_after(FakeServer::open(), takes, Arc::default())).collect();
+    let warm: Vec<_> =
+        (0..2).map(|_| answer_after(FakeServer::open(), COLD_TEST_JOB_DURATION, Arc::default())).collect();
     let sent = Arc::new(AtomicU32::new(0));
-    let cold = answer_after(FakeServer::open(), takes, Arc::clone(&sent));
+    let cold = answer_after(FakeServer::open(), COLD_TEST_JOB_DURATION, Arc::clone(&sent));
     let discovery = FakeServer::open();
     let node = Node::start_with_faults(
         &configuration(&warm, discovery.address, &[]),
@@ -318,12 +327,10 @@
     let sent = sent.load(Ordering::Relaxed);
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    // By the settings the executor can take the work of 2.5 x 0.3 slots with 100 ms per job in its first second; the tolerance is 3
-    // times the square root of that, plus 3.
-    assert!(sent <= 18, "{sent}");
+    assert!(sent <= MAX_COLD_REQUESTS, "{sent}");
 }
 
-// After one failed write or sync no one-shot was accepted until an operator restarted the process.
+// Guards against a store that accepts no one-shots after one failed write or sync until an operator restarts the node.
 #[test]
 fn a_store_accepts_one_shots_again_after_its_folder_failed_for_a_while() {
     for fault in ["sync=1:EIO", "file-write=1:ENOSPC"] {
@@ -354,7 +361,7 @@
             std::thread::sleep(Duration::from_millis(20));
             id += 1;
         }
-        // Requests accepted before and after the failure are known to the next process.
+        // The restarted node has the records of the requests accepted before and after the failure, and executes neither again.
         let before = executed.load(Ordering::Relaxed);
         drop(node);
         let node = Node::start_with_store(&text, "", Some(&file));
--- a/crates/node/tests/ends/main.rs
+++ b/crates/node/tests/ends/main.rs
@@ -1,5 +1,5 @@
-//! Tests on real sockets of the paths that end something (a connection, a watch, a drain, a process). Each test forces the
-//! moment at which an answer or a message is still outstanding.
+//! Tests on real sockets of how connections, watches, drains, processes and the supply of descriptors end. Each test forces the
+//! critical moment, at which an answer or a message is still outstanding.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/node/tests/ends/paused_process.rs
+++ b/crates/node/tests/ends/paused_process.rs
@@ -1,5 +1,5 @@
-//! A process that is paused while its inputs change: decisions made before the pause, or first thing after it, must respect
-//! the state at the time of sending.
+//! A node that is paused while its inputs change: a dispatch decided before the pause, or right after it, must respect the state
+//! at the time when the request is sent. Also pipelined requests that wait while the one before them is executed.
 
 use std::time::{Duration, Instant};
 
@@ -8,16 +8,16 @@
     read_message, send, status,
 };
 
-/// Longer than the grace period of a drain and than the delay within which a client's disconnect must be noticed.
+/// Longer than the grace period of a drain (0.5 s in the settings) and the time within which a disconnect must be noticed.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// Returns the deadline in a request's head, in milliseconds.
-fn deadline(head: &str) -> u64 {
+/// Returns the deadline in the head of a request that an executor received, in milliseconds.
+fn forwarded_deadline_ms(head: &str) -> u64 {
     head.lines().find_map(|l| l.strip_prefix("Req-Deadline-Ms: ")?.parse().ok()).unwrap()
 }
 
-// The request arrived before the list with the drain, and the process found both when it continued. It dispatched the
-// request by the old list, and the first byte went out after the new list had been read.
+// The request arrives before the list with the drain, and the node finds both when it continues. Guards against a request that is
+// dispatched by the old list but whose first byte is sent after the new list was read.
 #[test]
 fn a_drain_announced_while_the_process_is_paused_is_respected() {
     let (discovery, executor) = (FakeServer::open(), FakeServer::open());
@@ -44,8 +44,7 @@
     assert!(!connection.has_data() && !executor.has_pending_connection(), "sent to a draining executor");
 }
 
-// While the process is paused, an execution is returned unstarted and then its client disconnects: no further execution may
-// begin.
+// While the node is paused, an executor returns the job unstarted and then the client disconnects: no further execution may begin.
 #[test]
 fn a_client_that_disconnects_while_the_process_is_paused_gets_no_further_execution() {
     let servers = [FakeServer::open(), FakeServer::open()];
@@ -53,7 +52,7 @@
     let node = Node::start(&addresses, &[]);
     let mut connections = Vec::new();
     let mut client = node.client();
-    // Both executors need an idle connection from the node.
+    // Two requests at once give each executor a connection from the node, which is idle afterwards.
     let mut id = 0;
     while connections.len() < 2 {
         id += 1;
@@ -101,8 +100,8 @@
     );
 }
 
-// The deadline of a pipelined request was taken relative to the start of its execution instead of its arrival, so the
-// executor was told more time than the client had left.
+// Guards against a pipelined request's deadline that is counted from the start of its execution instead of its arrival: the
+// executor is then told more time than the client has left.
 #[test]
 fn a_pipelined_request_is_forwarded_with_the_remaining_time() {
     const TIMEOUT_MS: u64 = 2_000;
@@ -118,8 +117,12 @@
     assert_eq!(status(read_message(&mut client)), 200);
     let head = connection.read_head().unwrap();
     assert!(head.contains("Req-Id: 2\r\n"));
-    let left = TIMEOUT_MS.saturating_sub(sent.elapsed().as_millis() as u64);
-    assert!(deadline(&head) <= left + 150, "{} ms forwarded, {left} left", deadline(&head));
+    let left_ms = TIMEOUT_MS.saturating_sub(sent.elapsed().as_millis() as u64);
+    assert!(
+        forwarded_deadline_ms(&head) <= left_ms + 150,
+        "{} ms forwarded, {left_ms} left",
+        forwarded_deadline_ms(&head)
+    );
     connection.send(&done_response(2, "r"));
     assert_eq!(status(read_message(&mut client)), 200);
 }
--- a/crates/node/tests/ends/startup.rs
+++ b/crates/node/tests/ends/startup.rs
@@ -1,26 +1,28 @@
-//! Starts of a node while discovery does not answer.
+//! Starts of a node while discovery is down, does not answer or fails requests.
 
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
 
 use crate::harness::{
-    Connection, FakeServer, Node, WATCH_HEAD, answer_all, configuration, done_response, entry, exchange, job,
-    list_chunk, never_reply, read_message, reject, send, status, unused_address,
+    Connection, DiscoveryFailure, FakeServer, Node, WATCH_HEAD, answer_all, configuration, done_response,
+    entry, exchange, job, list_chunk, never_reply, read_message, reject, send, status, unused_address,
 };
 
+/// The time within which a started node must report that it is ready.
 const READY_LIMIT: Duration = Duration::from_secs(10);
 
+/// Returns the status of the node's health check, which is 200 once the node is ready.
 fn health(node: &Node) -> u16 {
     status(exchange(&mut node.client(), "GET /healthz HTTP/1.1\r\n\r\n"))
 }
 
-// A node without executors is not ready until a request to discovery succeeds, and is ready then: within 10 s, even if the first
-// request fails as slowly as possible.
+// A node without executors is ready as soon as a request to discovery succeeds, and not before. That is within 10 s, even if the
+// first request gets no answer.
 #[rstest]
 #[case::rejected(reject)]
 #[case::hangs(never_reply)]
-fn an_empty_node_is_ready_as_soon_as_it_can_serve(#[case] failure: fn(Connection) -> Option<Connection>) {
+fn an_empty_node_is_ready_as_soon_as_it_can_serve(#[case] failure: DiscoveryFailure) {
     let start = Instant::now();
     let discovery = FakeServer::open();
     let text = configuration(&[], discovery.address, &[("\"balancers\": 2", "\"balancers\": 300")]);
@@ -53,20 +55,19 @@
     assert!(start.elapsed() < READY_LIMIT, "{:?}", start.elapsed());
 }
 
+/// Rejects a request with status 503 after 600 ms.
 fn reject_after_a_delay(connection: Connection) -> Option<Connection> {
     std::thread::sleep(Duration::from_millis(600));
     reject(connection)
 }
 
-// The executors of the configured list have left, are draining, or were replaced at the same address by an active one. All of them
-// would answer, but none may be sent a request before discovery has confirmed it.
+// Of the executors in the configured list, one has left, one is draining, and one was replaced by another at the same address. All
+// of them would answer, but a request may be sent only to one that discovery has confirmed.
 #[rstest]
 #[case::discovery_is_late(None)]
-#[case::discovery_hangs(Some(never_reply as fn(Connection) -> Option<Connection>))]
-#[case::discovery_rejects(Some(reject_after_a_delay as fn(Connection) -> Option<Connection>))]
-fn the_configured_list_is_not_used_before_discovery_answers(
-    #[case] first_failure: Option<fn(Connection) -> Option<Connection>>,
-) {
+#[case::discovery_hangs(Some(never_reply as DiscoveryFailure))]
+#[case::discovery_rejects(Some(reject_after_a_delay as DiscoveryFailure))]
+fn the_configured_list_is_not_used_before_discovery_answers(#[case] first_failure: Option<DiscoveryFailure>) {
     let discovery = FakeServer::open();
     let [left, draining, replaced] = [FakeServer::open(), FakeServer::open(), FakeServer::open()];
     let executors = [left.address, draining.address, replaced.address];
@@ -87,11 +88,11 @@
         drop(first_connection);
     }
     connection.read_head().unwrap();
-    let gone = |name, address| entry(name, address).replace("active", "left");
+    let left_entry = |name, address| entry(name, address).replace("active", "left");
     let entries = [
-        gone("w0", left.address),
+        left_entry("w0", left.address),
         entry("w1", draining.address).replace("active", "leaving"),
-        gone("w2", replaced.address),
+        left_entry("w2", replaced.address),
         entry("w3", replaced.address),
     ];
     let list = format!("{{\"index\":9,\"snapshot\":false,\"endpoints\":[{}]}}\n", entries.join(","));
@@ -106,41 +107,42 @@
     assert!(!left.has_pending_connection() && !draining.has_pending_connection());
 }
 
-// A process that started while discovery was down used its configured list at once, or after 5.5 s, although lists are pushed:
-// the drain of its executor had been announced before its predecessor was killed, and applies to the successor from its start. In
-// the soak's history this is the violation `Drained` (28 times on one seed): the node's log has "watch ended" with a refused
-// connection, then executions at an executor that was draining, and no line "list" between them. The cause: `core/first_list.rs`
-// allowed the configured list after a request that failed at once, or after 5.5 s. Without this where lists are pushed, a run of
-// scenarios/soak/start-in-an-outage.toml went from 9 violations to none.
+// A drain that was announced to a killed node also applies to its successor, from the successor's start. Guards against a node that
+// starts while discovery is down and uses its configured list, in which the executor does not drain yet, although lists are pushed:
+// `core/first_list.rs` allowed this after a request that failed at once, or after 5.5 s. The soak test reported it as the violation
+// `Drained`, 28 times on one seed: the node's log has "watch ended" with a refused connection, then executions at a draining
+// executor, and no line "list" between them. Since the node no longer does so where lists are pushed, a run of
+// scenarios/soak/start-in-an-outage.toml has no violations; it had 9.
 #[rstest]
 #[case::refused(None)]
-#[case::rejected(Some(reject as fn(Connection) -> Option<Connection>))]
-#[case::hangs(Some(never_reply as fn(Connection) -> Option<Connection>))]
-#[case::watch_without_a_list(Some(watch_without_a_list as fn(Connection) -> Option<Connection>))]
-#[case::list_cut_short(Some(list_cut_short as fn(Connection) -> Option<Connection>))]
+#[case::rejected(Some(reject as DiscoveryFailure))]
+#[case::hangs(Some(never_reply as DiscoveryFailure))]
+#[case::watch_without_a_list(Some(watch_without_a_list as DiscoveryFailure))]
+#[case::list_cut_short(Some(list_cut_short as DiscoveryFailure))]
 fn a_start_in_an_outage_does_not_use_the_configured_list_where_lists_are_pushed(
-    #[case] failure: Option<fn(Connection) -> Option<Connection>>,
+    #[case] failure: Option<DiscoveryFailure>,
 ) {
-    /// Longer than a process waits for its first list before it reports that it is ready.
+    /// Longer than a node waits for its first list before it reports that it is ready.
     const OUTAGE: Duration = Duration::from_secs(7);
     let (discovery, leaving) = (FakeServer::open(), FakeServer::open());
     let discovery_address = discovery.address;
     let text = configuration(&[leaving.address], discovery_address, &[("on_request", "push")]);
-    let before = Node::start_with(&text);
+    let predecessor = Node::start_with(&text);
     let mut watch = discovery.accept();
     watch.read_head().unwrap();
     let entry_of_leaving = entry("w0", leaving.address).replace("active", "leaving");
     watch.send(&format!("{WATCH_HEAD}{}", list_chunk(2, false, &[entry_of_leaving])));
-    before.wait_until_ready();
-    drop((before, watch));
+    predecessor.wait_until_ready();
+    drop((predecessor, watch));
 
-    let down = failure.is_some().then_some(discovery);
+    // Without a failure function the listener is closed, so that connections are refused.
+    let failing_discovery = failure.is_some().then_some(discovery);
     let start = Instant::now();
     let node = Node::start_with(&text);
     let (mut id, mut ready_after, mut failed_connections) = (0, None, Vec::new());
     while start.elapsed() < OUTAGE {
         id += 1;
-        if let (Some(discovery), Some(failure)) = (&down, failure)
+        if let (Some(discovery), Some(failure)) = (&failing_discovery, failure)
             && let Some(connection) = discovery.try_accept()
         {
             failed_connections.extend(failure(connection));
@@ -157,9 +159,9 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     assert!(ready_after.is_some_and(|after| after < READY_LIMIT), "{ready_after:?}");
-    drop((down, failed_connections));
+    drop((failing_discovery, failed_connections));
 
-    let (discovery, active) = (FakeServer::at(discovery_address), answer_all(FakeServer::open(), "r"));
+    let (discovery, active) = (FakeServer::open_at(discovery_address), answer_all(FakeServer::open(), "r"));
     let mut watch = discovery.accept();
     watch.read_head().unwrap();
     watch.send(&format!("{WATCH_HEAD}{}", list_chunk(3, true, &[entry("w1", active)])));
@@ -172,22 +174,23 @@
     assert!(!leaving.has_pending_connection());
 }
 
-// Where lists are requested, a change counts as announced 6 s after discovery had it and was reachable, whatever is allowed after
-// a failed request. An older change applies to a process from its start, yet a request that fails at once allowed the process to
-// use its configured list.
+// Where lists are requested instead of pushed, a node must follow a change 6 s after discovery had it and was reachable. A change
+// that is older than this applies to a node from its start. Guards against a node that uses its configured list because its first
+// request to discovery failed at once.
 #[test]
 fn a_start_in_an_outage_uses_no_executor_that_left_long_before_where_lists_are_requested() {
+    /// The time after which every node must follow a change.
     const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
     let (discovery, leaving) = (FakeServer::open(), FakeServer::open());
     let text = configuration(&[leaving.address], discovery.address, &[]);
-    let before = Node::start_with(&text);
+    let predecessor = Node::start_with(&text);
     let mut watch = discovery.accept();
     watch.read_head().unwrap();
     let entry_of_leaving = entry("w0", leaving.address).replace("active", "leaving");
     watch.send(&format!("{WATCH_HEAD}{}", list_chunk(2, false, &[entry_of_leaving])));
-    before.wait_until_ready();
+    predecessor.wait_until_ready();
     std::thread::sleep(ANNOUNCED_AFTER);
-    drop((before, watch, discovery));
+    drop((predecessor, watch, discovery));
     let node = Node::start_with(&text);
     for id in 1..=20 {
         assert_eq!(status(exchange(&mut node.client(), &job(id, "look", 500))), 503, "request {id}");
@@ -196,7 +199,7 @@
     }
 }
 
-/// Opens a watch with a heartbeat and sends no list.
+/// Answers a watch with a heartbeat and sends no list.
 fn watch_without_a_list(mut connection: Connection) -> Option<Connection> {
     connection.read_head().unwrap();
     connection.send(&format!("{WATCH_HEAD}1\r\n\n\r\n"));
--- a/crates/node/tests/ends/termination.rs
+++ b/crates/node/tests/ends/termination.rs
@@ -1,14 +1,14 @@
-//! Termination by SIGTERM.
+//! Termination of a node by SIGTERM.
 
 use std::io::Read;
 use std::time::Duration;
 
 use crate::harness::{FakeServer, Node, answer_all, chunked, done_response, job, read_message, send, status};
 
-/// The longest deadline in the settings counts as 3 s at most, and SIGKILL may follow 0.7 s after that.
+/// The time from SIGTERM to the earliest SIGKILL: the longest deadline in the settings, of which 3 s count at most, plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3_700);
 
-// A request with a deadline after the SIGKILL was still in flight and unanswered when the signal came.
+// Guards against a request that is still in flight and unanswered at the SIGKILL because its deadline is later.
 #[test]
 fn a_request_with_a_deadline_after_the_kill_is_answered_before_it() {
     let server = FakeServer::open();
@@ -20,7 +20,7 @@
     send(&mut client, &job(1, "pay", 8_000));
     let mut connection = server.accept();
     assert_eq!(connection.read_request_id(), Some(1));
-    // The execution has started; nothing more follows.
+    // The executor reports the start of the execution, and then sends nothing more.
     connection.send(&chunked("{\"id\":\"1\",\"state\":\"started\"}\n").replace("0\r\n\r\n", ""));
     node.signal("-TERM");
     node.signal("-HUP");
@@ -30,14 +30,14 @@
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
 }
 
-// A client that reads no responses had 5 s for each of them, longer than the time until SIGKILL.
+// Guards against a stop that gives a client that reads no responses 5 s for each of them, longer than the time until SIGKILL.
 #[test]
 fn a_client_that_reads_nothing_does_not_delay_the_exit() {
-    let text = "r".repeat(60_000).leak();
-    let executor = answer_all(FakeServer::open(), text);
+    let large_result = "r".repeat(60_000).leak();
+    let executor = answer_all(FakeServer::open(), large_result);
     let mut node = Node::start(&[executor], &[]);
     let mut client = node.client();
-    // More than all buffers on the path can hold.
+    // Requests whose responses exceed all buffers between node and client.
     let sender = client.get_ref().try_clone().unwrap();
     std::thread::spawn(move || {
         let mut sender = std::io::BufReader::new(sender);
@@ -48,14 +48,14 @@
         }
     });
     assert_eq!(status(read_message(&mut client)), 200);
-    // The node answers the rest until the buffers are full.
+    // The node answers the other requests until the buffers are full.
     node.barrier();
     node.signal("-TERM");
     let (code, _) = node.exit_within(KILL_AFTER).expect("still running at the time of the kill");
     assert_eq!(code, Some(0));
 }
 
-// Idle clients' connections are closed, and the node exits soon after without waiting for the clients' side.
+// The node closes the connections of idle clients and exits soon after, without waiting for the clients to close their side.
 #[test]
 fn idle_connections_are_closed_and_the_node_exits_soon_after() {
     let executor = answer_all(FakeServer::open(), "r");
@@ -69,14 +69,14 @@
     for client in &mut clients {
         assert_eq!(client.read(&mut [0]).unwrap(), 0);
     }
-    // The clients don't close their end: the node does not wait for them.
+    // The clients still keep their side open.
     let (code, _) = node.exit_within(Duration::from_millis(1_500)).expect("the node waits for idle clients");
     assert_eq!(code, Some(0));
     drop(clients);
 }
 
-// A stopping node closed the connection after the first response, so pipelined requests that it had read were dropped
-// without an answer.
+// Guards against a stopping node that closes a connection after the first response, and so drops pipelined requests that it
+// has already read.
 #[test]
 fn all_pipelined_requests_are_answered_at_a_stop() {
     let server = FakeServer::open();
@@ -87,7 +87,7 @@
     assert_eq!(connection.read_request_id(), Some(1));
     node.barrier();
     node.signal("-TERM");
-    // Longer than a stopping node serves clients on connections that stay open.
+    // Longer than the time for which a stopping node serves clients on open connections.
     std::thread::sleep(Duration::from_millis(2_200));
     connection.send(&done_response(1, "r"));
     for id in 1..=3 {
