--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -1,4 +1,4 @@
-//! Reading of the configuration: errors name the missing or invalid key.
+//! Reading of a node's configuration and of the files for a fleet: errors name the missing or invalid key.
 
 mod common;
 
@@ -7,7 +7,11 @@
 use linestack::config;
 use rstest::rstest;
 
-fn file(change: (&str, &str)) -> String {
+/// A change for [`configuration`] that changes nothing.
+const NO_CHANGE: (&str, &str) = ("n0", "n0");
+
+/// Returns a valid configuration in which one text is replaced by another.
+fn configuration(change: (&str, &str)) -> String {
     let settings = common::SETTINGS;
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
@@ -18,32 +22,34 @@
     text.replace(change.0, change.1)
 }
 
+/// Reads a configuration with these values of PROXY_CONFIG and PROXY_LISTEN. The file at the path "there" contains `text`; there is
+/// no other file.
 fn read(path: Option<&str>, listen: Option<&str>, text: &str) -> Result<config::Config, config::ConfigError> {
     let variable = |key: &str| match key {
         "PROXY_CONFIG" => path.map(str::to_owned),
         "PROXY_LISTEN" => listen.map(str::to_owned),
         _ => None,
     };
-    let file = |path: &str| match path {
+    let read_file = |path: &str| match path {
         "there" => Ok(text.to_owned()),
         _ => Err(io::ErrorKind::NotFound.into()),
     };
-    config::read(variable, file)
+    config::read(variable, read_file)
 }
 
 #[rstest]
 #[case(None, Some("INFO"))]
 #[case(Some("debug"), Some("DEBUG"))]
 #[case(Some("loud"), None)]
-fn the_log_level_is_read(#[case] set: Option<&str>, #[case] level: Option<&str>) {
-    let found = config::log_level(|key| set.filter(|_| key == "PROXY_LOG").map(str::to_owned));
-    assert_eq!(found.as_ref().ok().map(ToString::to_string).as_deref(), level);
+fn the_log_level_is_read(#[case] value: Option<&str>, #[case] expected: Option<&str>) {
+    let found = config::log_level(|key| value.filter(|_| key == "PROXY_LOG").map(str::to_owned));
+    assert_eq!(found.as_ref().ok().map(ToString::to_string).as_deref(), expected);
     assert!(found.err().is_none_or(|error| error.key == "PROXY_LOG"));
 }
 
 #[test]
 fn a_complete_configuration_is_read_and_variables_take_precedence() {
-    let config = read(Some("there"), Some("127.0.0.1:9"), &file(("n0", "n0"))).unwrap();
+    let config = read(Some("there"), Some("127.0.0.1:9"), &configuration(NO_CHANGE)).unwrap();
     assert_eq!((config.name.as_str(), config.listen.port(), config.discovery.port()), ("n0", 9, 2));
     assert_eq!((config.seed, config.sockets, config.memory_mb), (0x8c1f_30d2_7a5b_e964, 1024, 192));
     assert_eq!(config.settings.names.products, ["pay", "top-up", "look"]);
@@ -55,12 +61,14 @@
 #[case::no_known((r#""known""#, r#""other""#))]
 #[case::invalid_known((r#""endpoints":[]"#, r#""endpoints":7"#))]
 fn keys_with_a_default_may_be_missing(#[case] change: (&str, &str)) {
-    let config = read(Some("there"), None, &file(change)).unwrap();
+    let config = read(Some("there"), None, &configuration(change)).unwrap();
     assert_eq!((config.sockets, config.memory_mb), (1024, 192));
 }
 
+// A changed configuration is read again: which port the node uses for discovery, and which keys the node names because their change
+// takes effect only at a restart.
 #[rstest]
-#[case::nothing(("n0", "n0"), 2, &[])]
+#[case::nothing(NO_CHANGE, 2, &[])]
 #[case::discovery(("127.0.0.1:2", "127.0.0.1:7"), 7, &[])]
 #[case::none((r#""discovery":"127.0.0.1:2","#, ""), 3, &[])]
 #[case::whitespace(("\"az\": 0", "\"az\":0"), 2, &[])]
@@ -74,7 +82,7 @@
 #[case::other_reports(("\"backlog\", ", ""), 2, &["settings.report"])]
 fn a_running_node_adopts_the_discovery_and_names_keys_that_require_a_restart(
     #[case] change: (&str, &str),
-    #[case] discovery: u16,
+    #[case] discovery_port: u16,
     #[case] keys: &[&str],
 ) {
     let variable = |key: &str| match key {
@@ -82,23 +90,24 @@
         "PROXY_DISCOVERY" => Some("127.0.0.1:3".to_owned()),
         _ => None,
     };
-    let present = config::read(variable, |_| Ok(file(("n0", "n0")))).unwrap();
-    assert_eq!(present.discovery.port(), 3);
-    let newer = config::reread(&present, variable, |_| Ok(file(change))).unwrap();
+    let current = config::read(variable, |_| Ok(configuration(NO_CHANGE))).unwrap();
+    assert_eq!(current.discovery.port(), 3);
+    let newer = config::reread(&current, variable, |_| Ok(configuration(change))).unwrap();
     assert_eq!(
-        (newer.discovery.port(), present.keys_requiring_restart(&newer).as_slice()),
-        (discovery, keys)
+        (newer.discovery.port(), current.keys_requiring_restart(&newer).as_slice()),
+        (discovery_port, keys)
     );
-    let error = config::reread(&present, variable, |_| Ok(file(("127.0.0.1:2", "here")))).unwrap_err();
+    let error =
+        config::reread(&current, variable, |_| Ok(configuration(("127.0.0.1:2", "here")))).unwrap_err();
     assert_eq!(error.key, "discovery");
 }
 
 #[rstest]
-#[case::not_set(None, None, ("n0", "n0"), "PROXY_CONFIG")]
-#[case::not_there(Some("gone"), None, ("n0", "n0"), "PROXY_CONFIG")]
+#[case::not_set(None, None, NO_CHANGE, "PROXY_CONFIG")]
+#[case::not_there(Some("gone"), None, NO_CHANGE, "PROXY_CONFIG")]
 #[case::no_json(Some("there"), None, ("{\"name\"", "{name"), "PROXY_CONFIG")]
 #[case::no_name(Some("there"), None, ("\"name\":\"n0\",", ""), "PROXY_NAME")]
-#[case::bad_listen(Some("there"), Some("here"), ("n0", "n0"), "PROXY_LISTEN")]
+#[case::bad_listen(Some("there"), Some("here"), NO_CHANGE, "PROXY_LISTEN")]
 #[case::bad_discovery(Some("there"), None, ("127.0.0.1:2", "127.0.0.1"), "PROXY_DISCOVERY")]
 #[case::no_seed(Some("there"), None, ("\"seed\"", "\"other\""), "seed")]
 #[case::bad_seed(Some("there"), None, ("8c1f30d27a5be964", "xyz"), "seed")]
@@ -124,11 +133,12 @@
     #[case] change: (&str, &str),
     #[case] key: &str,
 ) {
-    let error = read(path, listen, &file(change)).unwrap_err();
+    let error = read(path, listen, &configuration(change)).unwrap_err();
     assert_eq!(error.key, key, "{error}");
     assert!(error.to_string().starts_with(key));
 }
 
+/// Writes a file into a new folder. Returns the folder, which is removed when dropped, and the file's path.
 fn write_file(text: &str) -> (tempfile::TempDir, std::path::PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("file.toml");
@@ -136,7 +146,7 @@
     (folder, path)
 }
 
-// An operator's files for a fleet: one error names the keys of all faults.
+// An error of a fleet file or a coordinator file names all invalid keys.
 #[rstest]
 #[case::two("coordinators = [\"127.0.0.1:1\", \"127.0.0.1:2\"]", &["fleet.coordinators"])]
 #[case::no_address("coordinators = [\"here\"]", &["fleet.coordinators"])]
@@ -164,7 +174,7 @@
     assert!(keys.iter().all(|key| error.contains(key)), "{error}");
 }
 
-// The example files in the folder deploy are valid as they are.
+// The example files in the folder `deploy` are valid.
 #[test]
 fn shipped_files_are_read() {
     let deploy = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
--- a/crates/node/tests/coordinator.rs
+++ b/crates/node/tests/coordinator.rs
@@ -1,4 +1,5 @@
-//! A coordinator that gets invalid, outdated or forged frames: it refuses the connection, logs the reason, and continues to serve.
+//! A coordinator that receives invalid, repeated or forged frames: it closes the connection, logs the reason, and continues to
+//! serve.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,6 +12,7 @@
 use linestack_rig::stand_ins::StandInFleet;
 use rstest::rstest;
 
+/// The only coordinator of a fleet, killed when dropped.
 struct Coordinator {
     _process: Process,
     address: SocketAddr,
@@ -18,24 +20,25 @@
     _folder: tempfile::TempDir,
 }
 
-fn start() -> Coordinator {
+/// Starts the coordinator of a new fleet `f`.
+fn start_coordinator() -> Coordinator {
     let folder = tempfile::tempdir().unwrap();
     let fleet = StandInFleet::start(&linestack_world::Scenario::default()).unwrap();
     let mut policy = fleet.configuration("n", 1)["settings"].clone();
     policy.as_object_mut().unwrap().remove("az");
-    let at = folder.path();
-    std::fs::write(at.join("policy.json"), policy.to_string()).unwrap();
-    let file = at.join("c.toml");
+    let path = folder.path();
+    std::fs::write(path.join("policy.json"), policy.to_string()).unwrap();
+    let file = path.join("c.toml");
     let text = format!(
         "[coordinator]\nfleet = \"f\"\nnumber = 0\nlisten = \"127.0.0.1:0\"\npeers = [\"\"]\nfolder = {:?}\nfirst-policy = {:?}\n\
          lease-ms = 400\nhold-ms = 100\n",
-        at.join("store"),
-        at.join("policy.json")
+        path.join("store"),
+        path.join("policy.json")
     );
     std::fs::write(&file, text).unwrap();
-    let words = ["coordinate", file.to_str().unwrap(), "--first"];
+    let arguments = ["coordinate", file.to_str().unwrap(), "--first"];
     let program = Path::new(env!("CARGO_BIN_EXE_linestack"));
-    let mut process = Process::new("c0", at.join("run"), program, &words);
+    let mut process = Process::new("c0", path.join("run"), program, &arguments);
     process.start().unwrap();
     let address = process.wait_until_listening(0).unwrap();
     Coordinator { log: process.log(), _process: process, address, _folder: folder }
@@ -45,12 +48,14 @@
     SenderInfo { fleet: fleet.into(), identity, incarnation: Incarnation { store_id: 7, run_number: 1 } }
 }
 
+/// Returns the sender of a valid node.
 fn member() -> SenderInfo {
     sender("f", Identity::Member("n0".into()))
 }
 
-fn renew(life: u64) -> Body {
-    let incarnation = Incarnation { store_id: 7, run_number: life };
+/// Returns a node's request for a lease. In a valid one `run_number` is the sender's.
+fn renew(run_number: u64) -> Body {
+    let incarnation = Incarnation { store_id: 7, run_number };
     Body::Request(Request::Renew(Renew {
         incarnation,
         requested_at: 1,
@@ -61,7 +66,7 @@
     }))
 }
 
-/// Reads until the connection is closed, which must happen within 3 s.
+/// Checks that the coordinator closes the connection within 3 s.
 fn assert_closed(mut socket: TcpStream) {
     socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let (begin, mut rest) = (Instant::now(), Vec::new());
@@ -72,8 +77,8 @@
     assert!(begin.elapsed() < Duration::from_secs(3));
 }
 
-/// Whether the coordinator answers a valid request.
-fn serves(address: SocketAddr) -> bool {
+/// Returns whether the coordinator answers a valid request.
+fn answers_valid_request(address: SocketAddr) -> bool {
     let Ok((mut socket, mut reader, mut encoder)) =
         wire::connect_session(address, &sender("f", Identity::Operator))
     else {
@@ -95,35 +100,38 @@
     }
 }
 
-fn greeting(sender: SenderInfo) -> Vec<u8> {
+/// Returns the frame that begins a session.
+fn hello(sender: SenderInfo) -> Vec<u8> {
     FrameEncoder::new(sender, 0).encode(Body::Hello(5)).unwrap()
 }
 
-fn greeting_with(at: usize, byte: u8) -> Vec<u8> {
-    let mut bytes = greeting(member());
-    bytes[at] = byte;
+/// Returns the frame that begins a session, with this byte at this offset.
+fn hello_with(offset: usize, byte: u8) -> Vec<u8> {
+    let mut bytes = hello(member());
+    bytes[offset] = byte;
     bytes
 }
 
-// Invalid input before the greeting is complete.
+// Invalid input in place of the frame that begins a session.
 #[rstest]
 #[case::no_frame(b"GET / HTTP/1.1\r\n\r\n".to_vec(), "no frame")]
-#[case::wire_version(greeting_with(3, 9), "wire version")]
-#[case::oversized(greeting_with(11, 255), "oversized")]
-#[case::checksum(greeting_with(30, 0), "checksum")]
-#[case::another_fleet(greeting(sender("g", Identity::Member("n0".into()))), "fleet")]
-#[case::truncated(greeting(member())[..20].to_vec(), "io")]
+#[case::wire_version(hello_with(3, 9), "wire version")]
+#[case::oversized(hello_with(11, 255), "oversized")]
+#[case::checksum(hello_with(30, 0), "checksum")]
+#[case::another_fleet(hello(sender("g", Identity::Member("n0".into()))), "fleet")]
+#[case::truncated(hello(member())[..20].to_vec(), "io")]
 #[case::not_a_greeting(FrameEncoder::new(member(), 0).encode(renew(1)).unwrap(), "session")]
 #[case::nothing(Vec::new(), "io")]
 fn an_invalid_greeting_is_refused(#[case] bytes: Vec<u8>, #[case] reason: &str) {
-    let coordinator = start();
+    let coordinator = start_coordinator();
     let mut socket = TcpStream::connect(coordinator.address).unwrap();
     socket.write_all(&bytes).unwrap();
     assert_closed(socket);
     assert_logged(&coordinator, reason);
-    assert!(serves(coordinator.address));
+    assert!(answers_valid_request(coordinator.address));
 }
 
+/// Waits until the coordinator has logged that it refused a connection for this reason.
 fn assert_logged(coordinator: &Coordinator, reason: &str) {
     let begin = Instant::now();
     loop {
@@ -137,9 +145,10 @@
     }
 }
 
-/// Sends an invalid frame in a session with a valid greeting.
-type Misbehaviour = fn(SocketAddr) -> TcpStream;
+/// Begins a valid session with the coordinator and sends an invalid frame in it. Returns the connection.
+type InvalidFrameSender = fn(SocketAddr) -> TcpStream;
 
+/// Sends a frame that was recorded in another session.
 fn replayed(address: SocketAddr) -> TcpStream {
     let (_, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
     let recorded = encoder.encode(renew(1)).unwrap();
@@ -148,6 +157,7 @@
     socket
 }
 
+/// Sends the same frame twice.
 fn repeated(address: SocketAddr) -> TcpStream {
     let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
     let bytes = encoder.encode(renew(1)).unwrap();
@@ -155,12 +165,14 @@
     socket
 }
 
+/// Sends a frame in which the request names a later run of the node than the sender does.
 fn another_incarnation(address: SocketAddr) -> TcpStream {
     let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
     socket.write_all(&encoder.encode(renew(2)).unwrap()).unwrap();
     socket
 }
 
+/// Sends a frame whose sender is another node than the one that began the session.
 fn another_name(address: SocketAddr) -> TcpStream {
     let (mut socket, reader, _) = wire::connect_session(address, &member()).unwrap();
     let mut encoder = FrameEncoder::new(sender("f", Identity::Member("n1".into())), reader.session());
@@ -169,6 +181,7 @@
     socket
 }
 
+/// Sends a message between coordinators from a node.
 fn a_peer_envelope(address: SocketAddr) -> TcpStream {
     let (mut socket, _, mut encoder) = wire::connect_session(address, &member()).unwrap();
     let peer = PeerMessage::Prepare { ballot: Ballot { round: 1_000_000, candidate: 0 } };
@@ -184,9 +197,12 @@
 #[case::another_incarnation(another_incarnation, "name")]
 #[case::another_name(another_name, "name")]
 #[case::a_peer_envelope(a_peer_envelope, "order")]
-fn an_invalid_frame_in_a_session_is_refused(#[case] misbehave: Misbehaviour, #[case] reason: &str) {
-    let coordinator = start();
-    assert_closed(misbehave(coordinator.address));
+fn an_invalid_frame_in_a_session_is_refused(
+    #[case] send_invalid_frame: InvalidFrameSender,
+    #[case] reason: &str,
+) {
+    let coordinator = start_coordinator();
+    assert_closed(send_invalid_frame(coordinator.address));
     assert_logged(&coordinator, reason);
-    assert!(serves(coordinator.address));
+    assert!(answers_valid_request(coordinator.address));
 }
--- a/crates/node/tests/http.rs
+++ b/crates/node/tests/http.rs
@@ -1,4 +1,4 @@
-//! Parsing of valid and invalid HTTP messages, and writing of responses.
+//! Parsing of HTTP heads, bodies and load reports, and writing of messages.
 
 use std::io::{self, Write};
 
@@ -12,8 +12,8 @@
 #[case::length("Content-Length: 5\r\n", Framing::Length(5))]
 #[case::no_body("", Framing::Length(0))]
 #[case::chunked("Transfer-Encoding: Chunked\r\n", Framing::Chunked)]
-fn a_head_is_parsed_in_place(#[case] more: &str, #[case] framing: Framing) {
-    let text = format!("{VALID_HEAD}{more}\r\nrest");
+fn a_head_is_parsed_in_place(#[case] further_headers: &str, #[case] framing: Framing) {
+    let text = format!("{VALID_HEAD}{further_headers}\r\nrest");
     let head = http::parse_request(text.as_bytes()).unwrap().unwrap();
     assert_eq!(head.framing, Some(framing));
     assert_eq!(&text[head.method], "POST");
@@ -24,7 +24,7 @@
     assert!((0..text.len() - 4).all(|n| http::parse_request(&text.as_bytes()[..n]).unwrap().is_none()));
 }
 
-// If two parsers could disagree on the end of a body, one request could hide another (request smuggling).
+// A head whose body could end at different places for different parsers allows one request to hide another (request smuggling).
 #[rstest]
 #[case::two_lengths("Content-Length: 5\r\nContent-Length: 5\r\n", 400)]
 #[case::length_and_chunks("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", 400)]
@@ -39,8 +39,8 @@
 #[case::two_ids("Req-Id: 8\r\n", 400)]
 #[case::folded("X: a\r\n b\r\n", 400)]
 #[case::no_colon("nonsense\r\n", 400)]
-fn an_ambiguous_head_is_rejected(#[case] more: &str, #[case] status: u16) {
-    let error = http::parse_request(format!("{VALID_HEAD}{more}\r\n").as_bytes()).unwrap_err();
+fn an_ambiguous_head_is_rejected(#[case] further_headers: &str, #[case] status: u16) {
+    let error = http::parse_request(format!("{VALID_HEAD}{further_headers}\r\n").as_bytes()).unwrap_err();
     assert_eq!(error.status, status);
 }
 
@@ -60,28 +60,29 @@
 #[case::bad_size(Framing::Chunked, "zz\r\nab\r\n", Err(400))]
 #[case::long_chunk(Framing::Chunked, "2\r\nabc\r\n", Err(400))]
 #[case::no_size(Framing::Chunked, "\r\n\r\n", Err(400))]
+// The expected result is the body and the bytes that follow it, or the status with which the request is rejected.
 fn a_body_is_decoded_alike_in_pieces_of_any_size(
     #[case] framing: Framing,
     #[case] text: &str,
-    #[case] wanted: Result<(&str, &str), u16>,
-    #[values(1, 2, 3, 1000)] piece: usize,
+    #[case] expected: Result<(&str, &str), u16>,
+    #[values(1, 2, 3, 1000)] piece_length: usize,
 ) {
     let (mut body, mut input, mut output) = (BodyDecoder::new(framing), BytesMut::new(), BytesMut::new());
-    let mut found = Ok(false);
+    let mut complete = Ok(false);
     let mut rest = text.as_bytes();
-    while found == Ok(false) && !rest.is_empty() {
-        let (now, later) = rest.split_at(piece.min(rest.len()));
-        input.extend_from_slice(now);
+    while complete == Ok(false) && !rest.is_empty() {
+        let (piece, later) = rest.split_at(piece_length.min(rest.len()));
+        input.extend_from_slice(piece);
         rest = later;
-        found = body.decode(&mut input, &mut output);
+        complete = body.decode(&mut input, &mut output);
     }
     input.extend_from_slice(rest);
-    match wanted {
-        Ok((whole, left)) => {
-            assert_eq!(found, Ok(true));
-            assert_eq!((&output[..], &input[..]), (whole.as_bytes(), left.as_bytes()));
+    match expected {
+        Ok((decoded, remaining)) => {
+            assert_eq!(complete, Ok(true));
+            assert_eq!((&output[..], &input[..]), (decoded.as_bytes(), remaining.as_bytes()));
         }
-        Err(status) => assert_eq!(found.unwrap_err().status, status),
+        Err(status) => assert_eq!(complete.unwrap_err().status, status),
     }
 }
 
@@ -118,7 +119,7 @@
     assert_eq!(http::text_figure(text, name), figure);
 }
 
-/// A writer that accepts three bytes at every second call, and none at the others.
+/// A writer that accepts up to three bytes at every second call, and blocks at the others.
 struct SlowWriter {
     written: Vec<u8>,
     blocked: bool,
@@ -142,10 +143,10 @@
 
 #[test]
 fn a_message_is_written_whole_to_a_slow_socket() {
-    let mut out = WriteQueue::default();
-    ["one ", "", "two ", "three"].into_iter().for_each(|piece| out.push(piece));
+    let mut queue = WriteQueue::default();
+    ["one ", "", "two ", "three"].into_iter().for_each(|piece| queue.push(piece));
     let mut socket = SlowWriter { written: Vec::new(), blocked: false };
-    let turns = (0..100).take_while(|_| !out.write(&mut socket).unwrap()).count();
-    assert!(turns > 0 && out.is_done());
-    assert_eq!((socket.written.as_slice(), out.written), (&b"one two three"[..], 13));
+    let incomplete_writes = (0..100).take_while(|_| !queue.write(&mut socket).unwrap()).count();
+    assert!(incomplete_writes > 0 && queue.is_done());
+    assert_eq!((socket.written.as_slice(), queue.written), (&b"one two three"[..], 13));
 }
--- a/crates/node/tests/list.rs
+++ b/crates/node/tests/list.rs
@@ -1,4 +1,4 @@
-//! The list of executors in discovery's format.
+//! Parsing, formatting and storing of the list of executors.
 
 use std::net::SocketAddr;
 
@@ -9,6 +9,7 @@
 use linestack_store::{Folder, Limits, Op, Store};
 use rstest::rstest;
 
+// E stands for the text of a valid entry. The first entry of each valid list is one.
 #[rstest]
 #[case::valid("{\"index\":3,\"snapshot\":true,\"endpoints\":[E]}", Some(1))]
 #[case::bad_entry_left_out(
@@ -21,19 +22,19 @@
 #[case::not_json("\u{1}", None)]
 fn invalid_entries_are_left_out_and_invalid_lists_refused(
     #[case] text: &str,
-    #[case] entries: Option<usize>,
+    #[case] expected_entries: Option<usize>,
 ) {
     let entry = "{\"name\":\"w0\",\"address\":\"127.0.0.1:5\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\
                  \"status\":\"leaving\",\"weight\":1.0,\"since_ms\":1500}";
     let list = List::read(text.replace('E', entry).as_bytes());
-    assert_eq!(list.as_ref().ok().map(|l| l.endpoints.len()), entries);
+    assert_eq!(list.as_ref().ok().map(|l| l.endpoints.len()), expected_entries);
     if let Ok(list) = list {
-        let e = &list.endpoints[0];
-        assert_eq!((e.health, e.cell, e.started), (Health::Draining, 3, 1_500_000_000));
+        let first = &list.endpoints[0];
+        assert_eq!((first.health, first.cell, first.started), (Health::Draining, 3, 1_500_000_000));
     }
 }
 
-// A node stores its list, so that it knows its executors after a restart.
+// A node stores its list, so that it knows its executors after a restart. The list must fit into one record.
 #[test]
 fn a_list_of_1_100_executors_with_long_names_can_be_stored() {
     let entry = |i: u32| Endpoint {
@@ -51,7 +52,8 @@
     println!("{} bytes", text.len());
     assert!(text.len() < linestack_store::MAX_RECORD_LENGTH - http::MAX_HEAD_BYTES, "{}", text.len());
     let folder = tempfile::tempdir().unwrap();
-    let open = |new| Store::open(Folder::open(folder.path()).unwrap(), Limits::default(), new, 1).unwrap();
+    let open =
+        |create| Store::open(Folder::open(folder.path()).unwrap(), Limits::default(), create, 1).unwrap();
     let put = Op::Put { kind: 2, key: b"list".to_vec(), value: text, at: 1 };
     open(true).commit(&[put], 1).unwrap();
     let stored = open(false).get(2, b"list").unwrap().unwrap();
--- a/crates/node/tests/list_stream.rs
+++ b/crates/node/tests/list_stream.rs
@@ -1,4 +1,4 @@
-//! Parsing of lists and heartbeats from the bytes of a watch, independent of how the bytes are split.
+//! Parsing of lists and heartbeats from the bytes of a watch, which may arrive in pieces of any size.
 
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
@@ -7,17 +7,19 @@
 use linestack::net::list_stream::{ListStream, ListStreamError, MAX_LIST_BYTES, Message};
 use rstest::rstest;
 
-/// Far more time than any test here takes, and far less than repeated scanning of the same bytes would take.
+/// The time limit for parsing: far more than it takes, and far less than it would take if the same bytes were scanned repeatedly.
 const TIME_LIMIT: Duration = Duration::from_secs(20);
-/// Number of executors that a list must be able to hold.
+/// The number of executors that a list must be able to hold.
 const EXECUTORS: usize = 1_100;
 
+/// Returns the list entry of an active executor.
 fn entry(name: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"127.0.0.1:5","zone":"here","type":"small","group":1,"status":"active","since_ms":1500.0,"weight":1.0}}"#
     )
 }
 
+/// Returns a complete list with executors of these names, on one line.
 fn list(index: u64, names: &[&str]) -> String {
     let entries: Vec<_> = names.iter().map(|name| entry(name)).collect();
     format!(r#"{{"index":{index},"snapshot":true,"endpoints":[{}]}}"#, entries.join(","))
@@ -29,10 +31,10 @@
     serde_json::to_string_pretty(&value).unwrap()
 }
 
-/// Parses the bytes in pieces of this size. Returns all messages, and the error that ended the parsing.
-fn messages(bytes: &[u8], piece: usize) -> (Vec<Message>, Option<ListStreamError>) {
+/// Parses the bytes in pieces of this length. Returns all messages, and the error that ended the parsing, if any.
+fn messages(bytes: &[u8], piece_length: usize) -> (Vec<Message>, Option<ListStreamError>) {
     let (mut stream, mut found) = (ListStream::default(), Vec::new());
-    for piece in bytes.chunks(piece) {
+    for piece in bytes.chunks(piece_length) {
         stream.push(piece);
         loop {
             match stream.next_message() {
@@ -57,18 +59,23 @@
 #[rstest]
 fn indented_lists_are_read_in_pieces_of_any_size(#[values(1, 2, 3, 7, 64, 4_096)] piece: usize) {
     // Brackets, quotes and backslashes within names must not be taken for the list's syntax.
-    let odd = list(2, &["a}]{[", r#"b\"}\\"#, r"c\\\\", r"d\u007d\n"]);
+    let unusual_names = list(2, &["a}]{[", r#"b\"}\\"#, r"c\\\\", r"d\u007d\n"]);
     let one_line = list(1, &["w0", "w1"]);
-    let text = format!("\n \r\n{}\n\r\n\t\n{}{one_line}  {}", indented(&one_line), indented(&odd), odd);
+    let text = format!(
+        "\n \r\n{}\n\r\n\t\n{}{one_line}  {}",
+        indented(&one_line),
+        indented(&unusual_names),
+        unusual_names
+    );
     let (found, error) = messages(text.as_bytes(), piece);
     assert!(error.is_none(), "{error:?}");
     assert_eq!(indices(&found), [0, 0, 1, 0, 0, 2, 1, 2]);
     let expected = |text: &str| Message::List(List::read(text.as_bytes()).unwrap());
     assert_eq!([&found[2], &found[6]], [&expected(&one_line); 2]);
-    assert_eq!([&found[5], &found[7]], [&expected(&odd); 2]);
+    assert_eq!([&found[5], &found[7]], [&expected(&unusual_names); 2]);
 }
 
-// If newlines within a list counted as heartbeats, a watch that sends only those would never be given up.
+// If newlines within a list counted as heartbeats, a watch that sends nothing else would never be ended.
 #[rstest]
 #[case::between_lists("\n\n", 2)]
 #[case::blanks(" \t\r\n", 1)]
@@ -97,29 +104,30 @@
 #[case::no_value("{\n\"index\": no\n}", "not a list: expected")]
 #[case::nothing_listed("{}", "not a list: missing field `index`")]
 #[case::no_index("{\"endpoints\":[]}", "not a list: missing field `index`")]
-fn an_invalid_list_ends_the_watch_at_once(#[case] text: &str, #[case] expected: &str) {
-    let good = list(1, &["w0"]);
+fn an_invalid_list_ends_the_watch_at_once(#[case] text: &str, #[case] expected_error: &str) {
+    let valid_list = list(1, &["w0"]);
     for piece in [1, 4_096] {
-        let (found, error) = messages(format!("{good}\n\n{text}").as_bytes(), piece);
-        // Complete messages before it count.
+        let (found, error) = messages(format!("{valid_list}\n\n{text}").as_bytes(), piece);
+        // The valid list and the heartbeat before the invalid list are returned.
         assert_eq!(indices(&found), [1, 0]);
         let error = error.expect("no error").to_string();
-        assert!(error.starts_with(expected), "{error}");
+        assert!(error.starts_with(expected_error), "{error}");
     }
 }
 
 #[rstest]
-fn a_list_at_the_limit_is_read_and_one_byte_more_is_refused(#[values(0, 1)] beyond: usize) {
+fn a_list_at_the_limit_is_read_and_one_byte_more_is_refused(#[values(0, 1)] excess_bytes: usize) {
     let (head, tail) = ("{\n\"index\":9,", "\"endpoints\":[]}");
-    let blanks = MAX_LIST_BYTES + beyond - head.len() - tail.len();
+    let padding = MAX_LIST_BYTES + excess_bytes - head.len() - tail.len();
     // Whitespace between lists does not count towards the limit.
-    let text = format!("{}{head}{}{tail}", " ".repeat(MAX_LIST_BYTES + 2), " ".repeat(blanks));
+    let text = format!("{}{head}{}{tail}", " ".repeat(MAX_LIST_BYTES + 2), " ".repeat(padding));
     let (found, error) = messages(text.as_bytes(), 4_096);
-    assert_eq!(indices(&found), [9][beyond..]);
-    assert_eq!(matches!(error, Some(ListStreamError::TooLong)), beyond == 1, "{error:?}");
+    // The list without an excess byte, or nothing.
+    assert_eq!(indices(&found), [9][excess_bytes..]);
+    assert_eq!(matches!(error, Some(ListStreamError::TooLong)), excess_bytes == 1, "{error:?}");
 }
 
-// Of a list without an end never more than the limit plus one piece is buffered.
+// Of a list that never ends, at most the limit plus one piece is buffered.
 #[test]
 fn a_list_without_an_end_is_refused_at_the_limit() {
     let mut stream = ListStream::default();
@@ -137,7 +145,7 @@
     assert!(received <= MAX_LIST_BYTES + piece.len(), "{received}");
 }
 
-// The stack has the size of a coroutine's: 8,192 words.
+// The thread's stack has the size of a coroutine's stack in a node: 8,192 words.
 #[test]
 fn values_nested_100_000_levels_deep_do_not_overflow_the_stack() {
     let reader = std::thread::Builder::new().stack_size(8_192 * size_of::<usize>());
@@ -169,7 +177,7 @@
     assert!(list.endpoints.iter().zip(names).all(|(endpoint, name)| endpoint.name == name));
 }
 
-// If each piece caused a scan from the list's beginning, half a terabyte would be scanned in total.
+// If the list were scanned from its beginning after each piece, half a terabyte would be scanned in total.
 #[test]
 fn a_large_list_in_small_pieces_is_scanned_once() {
     let mut text = String::from("{\"index\":4,\"endpoints\":[\n");
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! Tests of the program between fake clients, executors and a fake discovery.
+//! Tests of a node between clients, fake executors and a fake discovery.
 
 mod common;
 
@@ -12,7 +12,8 @@
 
 use rstest::rstest;
 
-/// Reads a head and a body of the length given by its Content-Length. Returns `None` at the end of the stream.
+/// Reads an HTTP message and returns its head and its body, whose length is taken from Content-Length (0 if there is none).
+/// Returns `None` at the end of the stream.
 fn read_message(socket: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -27,20 +28,22 @@
     Some((head, String::from_utf8(body).unwrap()))
 }
 
+/// Returns a response with `lines` as its chunked body.
 fn chunked(lines: &str) -> String {
     let length = lines.len();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{lines}\r\n0\r\n\r\n")
 }
 
-/// Starts an executor that answers each job with `reply`, in which ID stands for the job's id, or never if there is no reply. The
-/// jobs that it receives come out of the receiver.
+/// Starts an executor that answers probes with a load report and each job with `reply`, or never if there is none. A reply that
+/// begins with HTTP is sent unchanged; any other is the body of a response, in which ID stands for the job's id. The receiver gets
+/// the head and the body of each job.
 fn executor(reply: Option<String>) -> (SocketAddr, Receiver<(String, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (jobs, seen) = channel();
+    let (sender, jobs) = channel();
     std::thread::spawn(move || {
         for socket in listener.incoming() {
-            let (jobs, reply) = (jobs.clone(), reply.clone());
+            let (sender, reply) = (sender.clone(), reply.clone());
             std::thread::spawn(move || {
                 let mut socket = BufReader::new(socket.unwrap());
                 while let Some((head, body)) = read_message(&mut socket) {
@@ -48,7 +51,7 @@
                         Some("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"x0\":4,\"queue\":0,\"inflight\":0.25}".into())
                     } else {
                         let id = head.lines().find_map(|l| l.strip_prefix("Req-Id: ")).unwrap().to_owned();
-                        let _ = jobs.send((head, body));
+                        let _ = sender.send((head, body));
                         let raw = reply.as_ref().filter(|r| r.starts_with("HTTP")).cloned();
                         raw.or(reply.as_ref().map(|r| chunked(&r.replace("ID", &id))))
                     };
@@ -59,28 +62,30 @@
             });
         }
     });
-    (address, seen)
+    (address, jobs)
 }
 
+/// A running node; it is killed when dropped.
 struct Node {
     process: Child,
     address: SocketAddr,
-    path: PathBuf,
+    configuration_path: PathBuf,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
-        let _ = std::fs::remove_file(&self.path);
+        let _ = std::fs::remove_file(&self.configuration_path);
     }
 }
 
 impl Node {
+    /// Returns a configuration whose list has these executors, as `w0`, `w1` and so on. Without a discovery, one is started that
+    /// confirms the list.
     fn configuration(executors: &[SocketAddr], discovery: Option<SocketAddr>) -> String {
         let known = executors.iter().enumerate().map(|(i, address)| entry(&format!("w{i}"), *address));
         let known: Vec<_> = known.collect();
-        // A discovery that confirms that the configured list is current.
         let confirming_discovery = || self::discovery(UNCHANGED.to_owned()).0;
         let discovery = discovery.unwrap_or_else(confirming_discovery);
         format!(
@@ -91,7 +96,8 @@
         )
     }
 
-    fn file(text: &str) -> PathBuf {
+    /// Writes a configuration into a new file.
+    fn write_configuration(text: &str) -> PathBuf {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("linestack-{}-{number}.json", std::process::id()));
@@ -106,6 +112,7 @@
         node
     }
 
+    /// Waits until the node's health check reports that it is ready.
     fn wait_until_ready(&self) {
         let start = Instant::now();
         let health = "GET /healthz HTTP/1.1\r\n\r\n";
@@ -114,20 +121,22 @@
         }
     }
 
+    /// Starts a node with the configuration `text`.
     fn start_with(text: &str) -> Self {
-        let path = Self::file(text);
+        let configuration_path = Self::write_configuration(text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_linestack"));
         let discovery = text.split_once("\"discovery\":\"").unwrap().1.split('"').next().unwrap();
-        command.env("PROXY_CONFIG", &path).env("PROXY_DISCOVERY", discovery);
+        command.env("PROXY_CONFIG", &configuration_path).env("PROXY_DISCOVERY", discovery);
         command.env_remove("PROXY_LISTEN").stderr(Stdio::piped());
         let mut process = command.spawn().unwrap();
         let log = BufReader::new(process.stderr.take().unwrap());
         let mut lines = log.lines().map(Result::unwrap);
         let address = lines.find_map(|l| Some(l.split_once("listen=")?.1.split(' ').next()?.to_owned()));
         std::thread::spawn(move || lines.for_each(drop));
-        Self { process, address: address.unwrap().parse().unwrap(), path }
+        Self { process, address: address.unwrap().parse().unwrap(), configuration_path }
     }
 
+    /// Sends a signal to the node. `signal` is an option of the command `kill`, such as `-TERM`.
     fn signal(&self, signal: &str) {
         let pid = self.process.id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
@@ -135,11 +144,12 @@
 
     /// Replaces the configuration file and signals the node to read it again.
     fn reload(&self, text: &str) {
-        let new = Self::file(text);
-        std::fs::rename(new, &self.path).unwrap();
+        let new = Self::write_configuration(text);
+        std::fs::rename(new, &self.configuration_path).unwrap();
         self.signal("-HUP");
     }
 
+    /// Connects a client.
     fn client(&self) -> BufReader<TcpStream> {
         let socket = TcpStream::connect(self.address).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -147,22 +157,27 @@
     }
 }
 
-fn job(id: u32, kind: &str, more: &str) -> String {
+/// Returns a client's request for a job of the product `kind`, with these header lines in addition.
+fn job(id: u32, kind: &str, further_headers: &str) -> String {
     format!(
-        "POST /api?x=1 HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {kind}\r\nReq-Owner: first\r\n{more}\
+        "POST /api?x=1 HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {kind}\r\nReq-Owner: first\r\n{further_headers}\
          Req-Deadline-Ms: 1500\r\nContent-Length: 4\r\n\r\nbody"
     )
 }
 
+/// Sends a request from a client and reads the response.
 fn exchange(socket: &mut BufReader<TcpStream>, text: &str) -> Option<(String, String)> {
     socket.get_mut().write_all(text.as_bytes()).unwrap();
     read_message(socket)
 }
 
+/// An executor's reply for a completed job, whose result is `r A ` and the job's id.
 const DONE: &str = "{\"id\":\"ID\",\"from\":\"w0\",\"state\":\"running\",\"share\":0.5}\n\
                     {\"id\":\"ID\",\"from\":\"w0\",\"state\":\"done\",\"result\":\"r \\u0041 ID\"}\n";
 
+/// The line in which discovery confirms that the configured list is current.
 const UNCHANGED: &str = "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n";
+/// A line with a complete list of the entry that replaces NEW.
 const LISTED: &str = "{\"index\":41,\"snapshot\":true,\"endpoints\":[NEW]}\n";
 
 #[test]
@@ -181,12 +196,13 @@
     );
     assert_eq!(body, "body");
     // Two pipelined requests are answered in order.
-    let two = job(2, "look", "") + &job(3, "look", "");
-    assert_eq!(exchange(&mut client, &two).unwrap().1, "r A 2");
+    let pipelined = job(2, "look", "") + &job(3, "look", "");
+    assert_eq!(exchange(&mut client, &pipelined).unwrap().1, "r A 2");
     assert_eq!(read_message(&mut client).unwrap().1, "r A 3");
-    let chunks = job(4, "look", "Transfer-Encoding: chunked\r\n").replace("Content-Length: 4\r\n", "");
-    let chunks = chunks.replace("\r\n\r\nbody", "\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n");
-    assert_eq!(exchange(&mut client, &chunks).unwrap().1, "r A 4");
+    let chunked_request =
+        job(4, "look", "Transfer-Encoding: chunked\r\n").replace("Content-Length: 4\r\n", "");
+    let chunked_request = chunked_request.replace("\r\n\r\nbody", "\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n");
+    assert_eq!(exchange(&mut client, &chunked_request).unwrap().1, "r A 4");
     assert!(jobs.iter().take(3).all(|(_, body)| body == "body"));
 }
 
@@ -222,11 +238,12 @@
     let (head, _) = exchange(&mut client, &text).unwrap();
     assert!(head.starts_with(&format!("HTTP/1.1 {status}")) && head.contains("Connection: close"), "{head}");
     assert_eq!(client.read(&mut [0; 1]).unwrap(), 0);
+    // Of the two requests, the executor receives only the valid one.
     assert!(exchange(&mut node.client(), &job(9, "look", "")).is_some());
     assert!(jobs.recv().unwrap().0.contains("Req-Id: 9"));
 }
 
-// If the executor's response to a complete request is not understood, it is unknown whether the job ran.
+// If the executor does not answer, or its response does not tell the outcome of the job, it is unknown whether the job ran.
 #[rstest]
 #[case::silent(None)]
 #[case::wrong_id(Some("{\"id\":\"other\",\"state\":\"done\",\"result\":\"r\"}\n"))]
@@ -246,8 +263,7 @@
     assert_eq!(jobs.try_iter().count(), 1);
 }
 
-// Executors answer 4xx to requests that they cannot process. If they were ejected for it, they would be out of service for all
-// other requests.
+// Executors answer 4xx to requests that they cannot process. If this ejected them, other requests could not be served either.
 #[test]
 fn a_4xx_answer_aborts_the_request_and_does_not_eject_the_executor() {
     let (address, jobs) = executor(Some("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".into()));
@@ -259,29 +275,32 @@
     assert_eq!(jobs.try_iter().count(), 3);
 }
 
-// Connections that send nothing held all places, and later clients waited until those connections timed out.
+// Guards against connections that send nothing and take all connections that the node allows, so that later clients wait until
+// those time out.
 #[test]
 fn a_flood_of_silent_connections_delays_no_client() {
     let (address, _jobs) = executor(Some(DONE.into()));
     let limits = "\"limits\":{\"sockets\":256,\"memory_mb\":32},\"seed\"";
     let node = Node::start_with(&Node::configuration(&[address], None).replace("\"seed\"", limits));
     node.wait_until_ready();
-    let mut usual = node.client();
-    assert!(exchange(&mut usual, &job(1, "look", "")).is_some());
+    let mut established = node.client();
+    assert!(exchange(&mut established, &job(1, "look", "")).is_some());
     let mut silent: Vec<_> = (0..400).map(|_| node.client()).collect();
     let start = Instant::now();
     for id in 2..40 {
         let mut new = node.client();
         assert!(exchange(&mut new, &job(2 * id, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
-        assert!(exchange(&mut usual, &job(2 * id + 1, "look", "")).unwrap().0.starts_with("HTTP/1.1 200"));
+        assert!(
+            exchange(&mut established, &job(2 * id + 1, "look", "")).unwrap().0.starts_with("HTTP/1.1 200")
+        );
     }
     assert!(start.elapsed() < Duration::from_secs(2));
-    // They are closed within 3 s of connecting.
-    assert!(silent.iter_mut().all(|s| s.read(&mut [0]).is_ok_and(|n| n == 0)));
+    // The silent connections are closed within 3 s.
+    assert!(silent.iter_mut().all(|client| client.read(&mut [0]).is_ok_and(|n| n == 0)));
     assert!(start.elapsed() < Duration::from_secs(3));
 }
 
-// Each body alone is within its limit; all together they would use up the memory, and the node would be killed.
+// Each body alone is within its limit, but all of them together would use up the memory, and the kernel would kill the node.
 #[test]
 fn incomplete_bodies_do_not_use_up_the_memory() {
     let (address, _jobs) = executor(Some(DONE.into()));
@@ -289,10 +308,10 @@
     let node = Node::start_with(&Node::configuration(&[address], None).replace("\"seed\"", limits));
     node.wait_until_ready();
     node.wait_until_ready();
-    let half = job(1, "look", "").replace("Length: 4", "Length: 65536") + &"x".repeat(65_000);
-    let mut bad: Vec<_> = (0..300).map(|_| node.client()).collect();
-    for client in &mut bad {
-        let _ = client.get_mut().write_all(half.as_bytes());
+    let incomplete_request = job(1, "look", "").replace("Length: 4", "Length: 65536") + &"x".repeat(65_000);
+    let mut incomplete_clients: Vec<_> = (0..300).map(|_| node.client()).collect();
+    for client in &mut incomplete_clients {
+        let _ = client.get_mut().write_all(incomplete_request.as_bytes());
     }
     let start = Instant::now();
     for id in 2..20 {
@@ -304,14 +323,16 @@
     let peak: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
     let file_pages = status.lines().find_map(|l| l.strip_prefix("RssFile:")).unwrap();
     let file_pages: u64 = file_pages.trim().trim_end_matches(" kB").parse().unwrap();
-    // The pages of the program file, large in a debug build, do not come from clients.
+    // The pages of the program file, of which a debug build has many, do not count: clients do not cause them.
     assert!(peak - file_pages < 14 << 10, "{peak} kB, of files {file_pages} kB");
-    let rejected =
-        bad.iter_mut().filter_map(read_message).filter(|(head, _)| head.starts_with("HTTP/1.1 503"));
+    let rejected = incomplete_clients
+        .iter_mut()
+        .filter_map(read_message)
+        .filter(|(head, _)| head.starts_with("HTTP/1.1 503"));
     assert!(rejected.count() > 0);
 }
 
-// Parsed recursively, the report would overflow the coroutine's stack.
+// A recursive parser would overflow the coroutine's stack on this report.
 #[test]
 fn a_deeply_nested_report_does_no_harm() {
     let (open, close) = ("{\"a\":[".repeat(60), "]}".repeat(60));
@@ -337,7 +358,7 @@
         let (head, _) = exchange(&mut node.client(), &job(id, "look", "")).unwrap();
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     }
-    // It took 3.5 s and more while floods were read to their end, and takes 0.05 s now.
+    // It takes 0.05 s. In a node that reads all that such a client sends, it took at least 3.5 s.
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
@@ -376,8 +397,8 @@
     assert_eq!(node.process.wait().unwrap().code(), Some(0));
 }
 
-/// Starts a discovery that answers each watch with this line and leaves it open. The heads of the requests come out of the
-/// receiver, and `None` when a watch was closed.
+/// Starts a discovery that answers each watch with this line and leaves it open. The receiver gets the head of each request, and
+/// `None` when the node closes a watch.
 fn discovery(line: String) -> (SocketAddr, Receiver<Option<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -397,12 +418,13 @@
     (address, requests)
 }
 
+/// Returns the list entry of an active executor.
 fn entry(name: &str, address: SocketAddr) -> String {
     format!(r#"{{"name":"{name}","address":"{address}","zone":"here","type":"small","status":"active"}}"#)
 }
 
-// SIGHUP ended the node. The new discovery's first list counts as complete: executors that it lacks have left, although its
-// version numbers start again from 0.
+// Guards against SIGHUP ending the node. The first list of a new discovery counts as complete, even though its versions start again
+// from 0: executors that it does not contain have left.
 #[test]
 fn a_new_configuration_changes_the_discovery_and_interrupts_nothing() {
     let (old, old_jobs) = executor(None);
@@ -417,12 +439,13 @@
     let mut waiting = node.client();
     waiting.get_mut().write_all(job(1, "pay", "").as_bytes()).unwrap();
     old_jobs.recv().unwrap();
-    let prices = r#""excessPayoff": 0.1, "deductions": {"handshake": 0.08}"#;
-    let changed =
-        text.replace(&first.to_string(), &second.to_string()).replace(r#""excessPayoff": 0.2"#, prices);
-    assert!(changed.contains(prices));
-    // A configuration with an error, even in its last key, changes nothing; nor does one that requires a restart, or an unchanged
-    // one.
+    let changed_settings = r#""excessPayoff": 0.1, "deductions": {"handshake": 0.08}"#;
+    let changed = text
+        .replace(&first.to_string(), &second.to_string())
+        .replace(r#""excessPayoff": 0.2"#, changed_settings);
+    assert!(changed.contains(changed_settings));
+    // A configuration with an error changes nothing, even if the error is in its last key. Nor does one that requires a restart, or
+    // an unchanged one.
     let (not_json, invalid) = (changed.replace("\"w0\"", "7}"), changed.replace("\"pay\"", "7"));
     let (out_of_range, other_products) =
         (changed.replace("0.08", "8"), changed.replace("\"look\"", "\"see\""));
@@ -438,13 +461,16 @@
     while !served(ids.next().unwrap()) {}
     // The request in flight at the old executor continues, and the old executor gets no new one.
     assert!(read_message(&mut waiting).unwrap().0.starts_with("HTTP/1.1 502"));
-    let before = old_jobs.try_iter().count();
+    let jobs_before = old_jobs.try_iter().count();
     assert!((0..20).all(|_| served(ids.next().unwrap())));
-    assert_eq!((old_jobs.try_iter().count(), new_jobs.try_iter().count() >= 21, before < 4), (0, true, true));
+    assert_eq!(
+        (old_jobs.try_iter().count(), new_jobs.try_iter().count() >= 21, jobs_before < 4),
+        (0, true, true)
+    );
 }
 
-// With the retry interval of the settings, a failed first request would be repeated only after the time at which the new
-// discovery's changes count as announced.
+// After a change of discovery a failed request must be repeated soon. At the retry interval of the settings it would be repeated
+// only after the time at which the node must follow the new discovery's changes.
 #[test]
 fn a_new_discovery_that_does_not_answer_yet_is_retried_at_once() {
     let (address, _jobs) = executor(Some(DONE.into()));
@@ -462,7 +488,7 @@
     assert!(start.elapsed() < Duration::from_secs(3));
 }
 
-// However a watch ends, the next one requests the changes since the last list that was understood.
+// However a watch ends, the next one requests the changes since the last list that the node has received completely.
 #[rstest]
 #[case::ends(chunked(&LISTED.replace("NEW", "")), "after=41")]
 #[case::breaks_in_a_line("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{\"index\":".into(), "after=1")]
@@ -482,7 +508,7 @@
             let mut socket = BufReader::new(socket.unwrap());
             let _ = sender.send(read_message(&mut socket).unwrap().0);
             socket.get_mut().write_all(reply.as_bytes()).unwrap();
-            // The first is closed, the second stays open.
+            // Closes the first watch when the second is answered; the second stays open.
             open = vec![socket];
         }
         std::thread::park();
@@ -507,9 +533,12 @@
     let first = Node::start(&[address]);
     let text = Node::configuration(&[address], None)
         .replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", first.address));
-    let path = Node::file(&text);
-    let output = Command::new(env!("CARGO_BIN_EXE_linestack")).env("PROXY_CONFIG", &path).output().unwrap();
-    std::fs::remove_file(&path).unwrap();
+    let configuration_path = Node::write_configuration(&text);
+    let output = Command::new(env!("CARGO_BIN_EXE_linestack"))
+        .env("PROXY_CONFIG", &configuration_path)
+        .output()
+        .unwrap();
+    std::fs::remove_file(&configuration_path).unwrap();
     assert_eq!(output.status.code(), Some(1));
 }
 
--- a/crates/node/tests/starts.rs
+++ b/crates/node/tests/starts.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the program several hundred times, many processes at once, while its executors are under load.
+//! Hundreds of starts and stops of a node, many at a time, while the executors that its list contains are under load.
 
 use std::time::Duration;
 
@@ -20,14 +20,14 @@
         hung_after: Duration::from_secs(60),
         via: Vec::new(),
     };
-    let (executors, span) = (fleet.executors.clone(), Duration::from_secs(5));
+    let (executors, load_duration) = (fleet.executors.clone(), Duration::from_secs(5));
     let load = std::thread::spawn(move || {
-        let plan = load::LoadPlan { clients: 32, rate: None, duration: span, ramp: Duration::ZERO };
+        let plan = load::LoadPlan { clients: 32, rate: None, duration: load_duration, ramp: Duration::ZERO };
         load::load(&scenario, &executors, &plan, 1)
     });
-    let counted = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan).unwrap();
-    assert!(counted.sound(), "{counted:?}");
-    assert_eq!(counted.ready, plan.count);
+    let counts = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan).unwrap();
+    assert!(counts.sound(), "{counts:?}");
+    assert_eq!(counts.ready, plan.count);
     assert!(load.join().unwrap().unwrap().satisfied > 0, "there was no load");
 }
 
@@ -36,8 +36,8 @@
 #[case::above_the_limit(1_025, false)]
 fn the_number_of_concurrent_nodes_is_limited(#[case] at_once: usize, #[case] accepted: bool) {
     let fleet = StandInFleet::start(&Scenario::default()).unwrap();
-    let within = Duration::from_secs(60);
-    let plan = Plan { count: 1, at_once, ready_within: within, hung_after: within, via: Vec::new() };
-    let counted = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan);
-    assert_eq!(counted.is_ok(), accepted, "{counted:?}");
+    let time_limit = Duration::from_secs(60);
+    let plan = Plan { count: 1, at_once, ready_within: time_limit, hung_after: time_limit, via: Vec::new() };
+    let counts = starts(env!("CARGO_BIN_EXE_linestack").as_ref(), &fleet, &plan);
+    assert_eq!(counts.is_ok(), accepted, "{counts:?}");
 }
