--- a/crates/node/tests/back.rs
+++ b/crates/node/tests/back.rs
@@ -1,5 +1,6 @@
-//! Recovery after most processes were killed at once: with their own stores, without them, or with another node's store. Also how a
-//! node reacts to a missing, copied, damaged or unsupported store, and to peers that give it nothing or false data.
+//! Recovery after most processes of a fleet were killed at once: with their own stores, without them, or with another node's store.
+//! Also starts of a node with a missing, copied, damaged or unsupported store, with peers that send nothing or false data, and with
+//! few file descriptors.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -17,9 +18,10 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linestack");
 
-/// Fleets run one at a time, so that the machine is fast enough for the time limits under test.
+/// Fleets run one at a time: side by side they would exceed the time limits under test.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
+/// Runs these steps on a fleet of ten nodes with stores and three coordinators.
 fn run_steps(steps: &str) -> Outcome {
     let text = format!(
         "nodes = 10\ncoordinators = 3\nlease-ms = 1000\nstore = true\nexecutors = 6\nslots = 6\ntail-ms = 1500\n\
@@ -34,20 +36,24 @@
     outcome
 }
 
-fn step(words: &str) -> String {
-    format!("[[steps]]\n{words}\n")
+/// Returns a step with these keys, in the format of the files in scenarios/fleet.
+fn step(keys: &str) -> String {
+    format!("[[steps]]\n{keys}\n")
 }
 
+/// Checks that no guarantee was violated, that the whole plan was carried out, and that the kill affected some request.
 fn assert_sound(outcome: &Outcome) {
     assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
     assert!(outcome.findings.is_empty(), "{:?}", outcome.findings);
-    let lost = |w: &HistoryEvent| matches!(w, HistoryEvent::Unknown { .. } | HistoryEvent::Unsent { .. });
-    assert!(outcome.lines.iter().any(|l| lost(&l.what)), "no request was affected by the kill");
+    let affected =
+        |event: &HistoryEvent| matches!(event, HistoryEvent::Unknown { .. } | HistoryEvent::Unsent { .. });
+    assert!(outcome.lines.iter().any(|l| affected(&l.what)), "no request was affected by the kill");
 }
 
+/// The targets of a step that affects seven of the ten nodes.
 const SEVEN_NODES: &str = "to = [\"n0\", \"n1\", \"n2\", \"n3\", \"n4\", \"n5\", \"n6\"]";
 
-// Connections, discovery or executors have faults of their own while seven of ten nodes recover.
+// While seven of ten nodes recover, there is a further fault in connections, discovery or executors, which the step `end` ends.
 #[rstest]
 #[case::no_other_fault("", "")]
 #[case::coordinators_unreachable(
@@ -77,18 +83,18 @@
 #[case::with_all_stored("start", "start")]
 #[case::with_nothing_stored("start-empty", "start-empty")]
 #[case::half_of_them_with_nothing("start-empty", "start")]
-fn all_nodes_and_coordinators_recover(#[case] some: &str, #[case] others: &str) {
+fn all_nodes_and_coordinators_recover(#[case] start_of_five: &str, #[case] start_of_others: &str) {
     let outcome = run_steps(&format!(
         "{}{}{}{}[[steps]]\nafter-ms = 2500\n",
         step("after-ms = 1200\ndo = \"kill\"\nto = [\"*\"]"),
         step("after-ms = 300\ndo = \"start\"\nto = [\"c*\"]"),
-        step(&format!("do = \"{some}\"\nto = [\"n0\", \"n1\", \"n2\", \"n3\", \"n4\"]")),
-        step(&format!("do = \"{others}\"\nto = [\"n5\", \"n6\", \"n7\", \"n8\", \"n9\"]")),
+        step(&format!("do = \"{start_of_five}\"\nto = [\"n0\", \"n1\", \"n2\", \"n3\", \"n4\"]")),
+        step(&format!("do = \"{start_of_others}\"\nto = [\"n5\", \"n6\", \"n7\", \"n8\", \"n9\"]")),
     ));
     assert_sound(&outcome);
 }
 
-// Two nodes have each other's stores, and both must refuse them.
+// Two nodes are started with each other's stores and must refuse to start; with their own stores they start again.
 #[test]
 fn swapped_stores_are_refused() {
     let pair = "to = [\"n0\", \"n1\"]";
@@ -106,13 +112,13 @@
 
 #[test]
 fn killed_again_during_recovery() {
-    let other = "to = [\"n3\", \"n4\", \"n5\", \"n6\", \"n7\", \"n8\", \"n9\"]";
+    let other_seven_nodes = "to = [\"n3\", \"n4\", \"n5\", \"n6\", \"n7\", \"n8\", \"n9\"]";
     let outcome = run_steps(&format!(
         "{}{}{}{}",
         step(&format!("after-ms = 1200\ndo = \"kill\"\n{SEVEN_NODES}")),
         step(&format!("after-ms = 200\ndo = \"start\"\n{SEVEN_NODES}")),
-        step(&format!("log = \"stage=\\\"known\\\"\"\nby = \"n4\"\ndo = \"kill\"\n{other}")),
-        step(&format!("after-ms = 200\ndo = \"start\"\n{other}")),
+        step(&format!("log = \"stage=\\\"known\\\"\"\nby = \"n4\"\ndo = \"kill\"\n{other_seven_nodes}")),
+        step(&format!("after-ms = 200\ndo = \"start\"\n{other_seven_nodes}")),
     ));
     assert_sound(&outcome);
 }
@@ -129,7 +135,7 @@
     assert_sound(&outcome);
 }
 
-// A node recovers while a third of the executors hang, and learns of it from a running node.
+// A node starts while a third of the executors hang, and learns of them from a running node.
 #[test]
 fn learned_from_a_running_node() {
     let text = format!(
@@ -144,8 +150,13 @@
     assert_sound(&run(&Plan::read(&text).unwrap(), Path::new(PROGRAM), folder.path()).unwrap());
 }
 
-/// Starts a peer that answers each request with these bytes and closes, or that keeps the connection open without an answer.
-fn start_peer(bytes: Option<Vec<u8>>) -> std::net::SocketAddr {
+/// The number of the frame kind `ask`, a request to a peer.
+const PEER_REQUEST: u8 = 13;
+/// The number of the frame kind `tale`, a peer's answer with its snapshot.
+const PEER_SNAPSHOT: u8 = 14;
+
+/// Starts a peer that answers each request with `answer` and closes the connection, or without an answer keeps it open.
+fn start_peer(answer: Option<Vec<u8>>) -> std::net::SocketAddr {
     use std::io::{Read as _, Write as _};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -153,8 +164,8 @@
         let mut open = Vec::new();
         for mut socket in listener.incoming().flatten() {
             let _ = socket.read(&mut [0; 1024]);
-            match &bytes {
-                Some(bytes) => drop(socket.write_all(bytes)),
+            match &answer {
+                Some(answer) => drop(socket.write_all(answer)),
                 None => open.push(socket),
             }
         }
@@ -162,26 +173,28 @@
     address
 }
 
-fn snapshot_frame(items: &str, format_version: u8) -> Vec<u8> {
-    let body = format!("{{\"form\":{format_version},\"teller\":\"n9\",\"items\":[{items}]}}");
+/// Returns the frame of a peer snapshot with these observations, in JSON, and this format version.
+fn snapshot_frame(observations: &str, format_version: u8) -> Vec<u8> {
+    let body = format!("{{\"form\":{format_version},\"teller\":\"n9\",\"items\":[{observations}]}}");
     linestack_frames::encode(linestack_frames::kind_number("tale").unwrap(), body.as_bytes()).unwrap()
 }
 
-/// Returns a peer snapshot with the same false observation of all of the fake executors.
+/// Returns the frame of a peer snapshot with the same false observation of each of the fake executors.
 fn false_snapshot(age_ms: u64, silent: bool, slots: &str) -> Vec<u8> {
     let figures = format!("{{\"free_slots\":{slots},\"free_memory\":null,\"waiting\":0,\"in_hand\":0}}");
-    let one =
+    let observation =
         |i| format!("{{\"name\":\"e{i}\",\"age_ms\":{age_ms},\"silent\":{silent},\"figures\":{figures}}}");
-    snapshot_frame(&(0..8).map(one).collect::<Vec<_>>().join(","), 1)
+    snapshot_frame(&(0..8).map(observation).collect::<Vec<_>>().join(","), 1)
 }
 
-// Peers that are slow, outdated or of another version, or that send truncated or false data: a node starts and serves all the same.
+// A node starts and serves even if its peer is unreachable or does not answer, or sends data that is invalid, truncated, old or
+// false.
 #[rstest]
 #[case::unreachable(None, true)]
 #[case::no_answer(None, false)]
 #[case::no_frame(Some(b"HTTP/1.1 200 OK\r\n\r\n".to_vec()), false)]
 #[case::another_kind(Some(linestack_frames::encode(0, b"{}").unwrap()), false)]
-#[case::not_a_snapshot(Some(linestack_frames::encode(14, b"[[[[").unwrap()), false)]
+#[case::not_a_snapshot(Some(linestack_frames::encode(PEER_SNAPSHOT, b"[[[[").unwrap()), false)]
 #[case::truncated(Some(false_snapshot(0, false, "1")[..60].to_vec()), false)]
 #[case::another_format_version(Some(snapshot_frame("", 9)), false)]
 #[case::all_unresponsive(Some(false_snapshot(0, true, "0")), false)]
@@ -198,13 +211,14 @@
     let address = node.start().unwrap();
     wait_until_ready(address);
     (0..8).for_each(|i| assert_eq!(post(address, &i.to_string()), 200));
-    // The node's own listener for peers gets invalid requests.
-    let own: std::net::SocketAddr = node.process.log_value("peers_at=", 0).unwrap().parse().unwrap();
-    for bytes in
-        [b"garbage".to_vec(), linestack_frames::encode(13, br#"{"form":1,"fleet":"g","node":"x"}"#).unwrap()]
-    {
+    // The node's own listener for peers closes connections with invalid requests without an answer.
+    let listener: std::net::SocketAddr = node.process.log_value("peers_at=", 0).unwrap().parse().unwrap();
+    for bytes in [
+        b"garbage".to_vec(),
+        linestack_frames::encode(PEER_REQUEST, br#"{"form":1,"fleet":"g","node":"x"}"#).unwrap(),
+    ] {
         use std::io::{Read as _, Write as _};
-        let mut socket = std::net::TcpStream::connect(own).unwrap();
+        let mut socket = std::net::TcpStream::connect(listener).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(3))).unwrap();
         socket.write_all(&bytes).unwrap();
         let mut answer = Vec::new();
@@ -214,8 +228,8 @@
     assert_eq!(post(address, "last"), 200);
 }
 
-// All processes of a fleet may start at once and ask the same running node. A request beyond the number that it answers at a time
-// must wait for its turn; its connection was closed.
+// All nodes of a fleet may start at once and send requests to the same running node, more than it answers at a time. Guards against
+// a further request's connection being closed: the request must wait for its turn.
 #[test]
 fn a_request_to_a_busy_peer_waits_for_its_turn() {
     use std::io::{Read as _, Write as _};
@@ -230,11 +244,11 @@
         socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         socket
     };
-    // These connections send nothing until they time out.
+    // The node serves these connections first, until they time out, because they send nothing.
     let silent: Vec<_> = (0..40).map(|_| connect()).collect();
     let mut socket = connect();
     let ask = br#"{"form":1,"fleet":"f","node":"x"}"#;
-    socket.write_all(&linestack_frames::encode(13, ask).unwrap()).unwrap();
+    socket.write_all(&linestack_frames::encode(PEER_REQUEST, ask).unwrap()).unwrap();
     let mut answer = [0; linestack_frames::HEADER_LENGTH];
     socket.read_exact(&mut answer).expect("no snapshot");
     assert_eq!(answer[4], linestack_frames::kind_number("tale").unwrap());
@@ -256,42 +270,45 @@
     );
 }
 
-/// A node with a store, and the files and the fleet that it needs to start.
+/// A node with a store, and what it needs to start: its files, and stand-ins for discovery and executors.
 struct Node {
     process: Process,
+    /// Holds the configuration files, the store and the process's output.
     folder: tempfile::TempDir,
     _fleet: StandInFleet,
 }
 
 impl Node {
+    /// Writes the files of a node with an empty store, without starting it.
     fn new() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let job = Product { repeats: RepeatPolicy::OneShot, ..Product::default() };
         let all = Tenant { name: "all".into(), ..Tenant::default() };
-        let s = Scenario { products: vec![job], tenants: vec![all], ..Scenario::default() };
-        let fleet = StandInFleet::start(&s).unwrap();
-        let at = folder.path();
-        std::fs::write(at.join("node.json"), fleet.configuration("n0", 1).to_string()).unwrap();
-        let store = at.join("kept");
+        let scenario = Scenario { products: vec![job], tenants: vec![all], ..Scenario::default() };
+        let fleet = StandInFleet::start(&scenario).unwrap();
+        let path = folder.path();
+        std::fs::write(path.join("node.json"), fleet.configuration("n0", 1).to_string()).unwrap();
+        let store = path.join("kept");
         assert_eq!(linestack(&["store", "init", store.to_str().unwrap()]).0, 0);
         let text = format!("[store]\nfolder = {store:?}\nsame-by = \"req-id\"\n");
-        std::fs::write(at.join("store.toml"), text).unwrap();
-        let mut process = Process::new("n0", at.join("run"), Path::new(PROGRAM), &[]);
+        std::fs::write(path.join("store.toml"), text).unwrap();
+        let mut process = Process::new("n0", path.join("run"), Path::new(PROGRAM), &[]);
         for (key, file) in [("PROXY_CONFIG", "node.json"), ("PROXY_STORE", "store.toml")] {
-            process.variables.push((key.into(), at.join(file).display().to_string()));
+            process.variables.push((key.into(), path.join(file).display().to_string()));
         }
         Self { process, folder, _fleet: fleet }
     }
 
+    /// Returns the store's folder.
     fn store(&self) -> PathBuf {
         self.folder.path().join("kept")
     }
 
-    /// Starts the node. Returns its address, or its error output if it does not listen.
+    /// Starts the node and waits until it listens. Returns its address, or its error output if it does not start.
     fn start(&mut self) -> Result<std::net::SocketAddr, String> {
-        let from = std::fs::metadata(self.process.log()).map_or(0, |m| m.len());
+        let log_length = std::fs::metadata(self.process.log()).map_or(0, |m| m.len());
         self.process.start().unwrap();
-        self.process.wait_until_listening(from).map_err(|e| e.to_string())
+        self.process.wait_until_listening(log_length).map_err(|e| e.to_string())
     }
 
     fn kill(&mut self) {
@@ -299,12 +316,14 @@
     }
 }
 
-fn linestack(words: &[&str]) -> (i32, String) {
-    let output = Command::new(PROGRAM).args(words).output().unwrap();
+/// Runs the program with these arguments. Returns its exit code, and its standard output followed by its error output.
+fn linestack(arguments: &[&str]) -> (i32, String) {
+    let output = Command::new(PROGRAM).args(arguments).output().unwrap();
     let text = [output.stdout, output.stderr].concat();
     (output.status.code().unwrap(), String::from_utf8(text).unwrap())
 }
 
+/// Waits until the node's health check reports that it is ready.
 fn wait_until_ready(address: std::net::SocketAddr) {
     let begin = std::time::Instant::now();
     while get_status(address, "/healthz", Duration::from_secs(5)).unwrap() != 200 {
@@ -312,35 +331,82 @@
     }
 }
 
-// Stores that a node must refuse: the change that makes it so, the expected error, and the command that makes the store usable
-// again.
+fn remove_store(store: &Path) {
+    std::fs::remove_dir_all(store).unwrap();
+}
+
+fn empty_store(store: &Path) {
+    std::fs::remove_dir_all(store).unwrap();
+    std::fs::create_dir(store).unwrap();
+}
+
+fn replace_by_a_copy(store: &Path) {
+    let copy = store.with_file_name("c");
+    copy_folder(store, &copy).unwrap();
+    std::fs::remove_dir_all(store).unwrap();
+    std::fs::rename(copy, store).unwrap();
+}
+
+fn remove_manifest(store: &Path) {
+    std::fs::remove_file(store.join("manifest")).unwrap();
+}
+
+fn truncate_segment(store: &Path) {
+    let segment = store.join("000000000001.segment");
+    std::fs::write(&segment, &std::fs::read(&segment).unwrap()[..99]).unwrap();
+}
+
+fn set_format_version_9(store: &Path) {
+    let manifest = store.join("manifest");
+    let mut bytes = std::fs::read(&manifest).unwrap();
+    bytes[4] = 9;
+    std::fs::write(&manifest, bytes).unwrap();
+}
+
+fn replace_manifest_by_a_folder(store: &Path) {
+    let manifest = store.join("manifest");
+    std::fs::remove_file(&manifest).unwrap();
+    std::fs::create_dir(manifest).unwrap();
+}
+
+fn replace_store_by_a_file(store: &Path) {
+    std::fs::remove_dir_all(store).unwrap();
+    std::fs::write(store, "x").unwrap();
+}
+
+// Stores that a node must refuse: the change that makes a store unusable, the expected error, and the `store` command that makes it
+// usable again, if there is one.
 #[rstest]
-#[case::removed(|f: &Path| std::fs::remove_dir_all(f).unwrap(), "there is no store here", &["init", "--lost"])]
-#[case::emptied(|f: &Path| { std::fs::remove_dir_all(f).unwrap(); std::fs::create_dir(f).unwrap(); }, "there is no store here", &["init", "--lost"])]
-#[case::a_restored_copy(|f: &Path| { let c = f.with_file_name("c"); copy_folder(f, &c).unwrap(); std::fs::remove_dir_all(f).unwrap(); std::fs::rename(c, f).unwrap(); }, "a copy", &["adopt"])]
-#[case::half_copied(|f: &Path| std::fs::remove_file(f.join("manifest")).unwrap(), "damaged", &["repair"])]
-#[case::cut_short(|f: &Path| { let s = f.join("000000000001.segment"); std::fs::write(&s, &std::fs::read(&s).unwrap()[..99]).unwrap(); }, "damaged", &["repair"])]
-#[case::newer_format_version(|f: &Path| { let m = f.join("manifest"); let mut b = std::fs::read(&m).unwrap(); b[4] = 9; std::fs::write(&m, b).unwrap(); }, "of form 9", &[])]
-#[case::unreadable(|f: &Path| { let m = f.join("manifest"); std::fs::remove_file(&m).unwrap(); std::fs::create_dir(m).unwrap(); }, "store.folder", &[])]
-#[case::not_a_folder(|f: &Path| { std::fs::remove_dir_all(f).unwrap(); std::fs::write(f, "x").unwrap(); }, "store.folder", &[])]
-fn an_unusable_store_is_refused(#[case] change: fn(&Path), #[case] expected: &str, #[case] remedy: &[&str]) {
+#[case::removed(remove_store, "there is no store here", &["init", "--lost"])]
+#[case::emptied(empty_store, "there is no store here", &["init", "--lost"])]
+#[case::a_restored_copy(replace_by_a_copy, "a copy", &["adopt"])]
+#[case::half_copied(remove_manifest, "damaged", &["repair"])]
+#[case::cut_short(truncate_segment, "damaged", &["repair"])]
+#[case::newer_format_version(set_format_version_9, "of form 9", &[])]
+#[case::unreadable(replace_manifest_by_a_folder, "store.folder", &[])]
+#[case::not_a_folder(replace_store_by_a_file, "store.folder", &[])]
+fn an_unusable_store_is_refused(
+    #[case] change: fn(&Path),
+    #[case] expected_error: &str,
+    #[case] repair_command: &[&str],
+) {
     let mut node = Node::new();
     node.start().unwrap();
     node.kill();
     change(&node.store());
     let error = node.start().unwrap_err();
-    assert!(error.contains(expected) && error.contains("store.folder"), "{error}");
-    if !remedy.is_empty() {
-        let at = node.store();
-        let words: Vec<&str> =
-            ["store"].into_iter().chain(remedy.iter().copied()).chain(at.to_str()).collect();
-        let (code, text) = linestack(&words);
+    assert!(error.contains(expected_error) && error.contains("store.folder"), "{error}");
+    if !repair_command.is_empty() {
+        let store = node.store();
+        let arguments: Vec<&str> =
+            ["store"].into_iter().chain(repair_command.iter().copied()).chain(store.to_str()).collect();
+        let (code, text) = linestack(&arguments);
         assert_eq!(code, 0, "{text}");
         node.start().unwrap();
     }
 }
 
-// A record on which every start fails: after some attempts the store is moved aside with its contents, and the node serves like
+// A record that makes every start fail: after three attempts the store is moved aside with its contents, and the node serves like
 // one that has lost its store.
 #[test]
 fn a_store_with_a_record_that_fails_every_start_is_moved_aside() {
@@ -356,11 +422,11 @@
     let address = node.start().unwrap();
     let moved = node.store().join("set-aside-1");
     assert!(moved.join("manifest").exists() && moved.join("000000000001.segment").exists());
-    // A request without a record may have run before, so it is aborted.
+    // The records of earlier requests are gone, so any one-shot may have run before and is aborted.
     wait_until_ready(address);
     assert_eq!(post(address, "other"), 502);
     node.kill();
-    // Processes killed after a successful start do not count.
+    // Kills after a successful start do not count as failed starts.
     for _ in 0..4 {
         node.start().unwrap();
         node.kill();
@@ -368,7 +434,7 @@
     assert!(!node.store().join("set-aside-2").exists());
 }
 
-/// Sends a one-shot, and returns the status of the response.
+/// Sends a one-shot with this id, and returns the status of the response.
 fn post(address: std::net::SocketAddr, id: &str) -> u16 {
     use std::io::{Read as _, Write as _};
     let mut socket = std::net::TcpStream::connect(address).unwrap();
@@ -382,17 +448,17 @@
     answer.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-// With few descriptors a node starts or reports what is missing; it neither hangs nor panics.
+// With few file descriptors a node either starts or exits with an error in its log; it neither hangs nor panics.
 #[rstest]
 fn few_descriptors(#[values(4, 8, 16, 32, 48, 64)] limit: u32) {
     let node = Node::new();
-    let at = node.folder.path();
-    let limited = format!("ulimit -n {limit}; exec {PROGRAM}");
-    let mut process = Process::new("n0", at.join("limited"), Path::new("/bin/sh"), &["-c", &limited]);
+    let script = format!("ulimit -n {limit}; exec {PROGRAM}");
+    let run_folder = node.folder.path().join("limited");
+    let mut process = Process::new("n0", run_folder, Path::new("/bin/sh"), &["-c", &script]);
     process.variables.clone_from(&node.process.variables);
     process.start().unwrap();
-    let listens = process.wait_until_listening(0);
+    let address = process.wait_until_listening(0);
     let log = std::fs::read_to_string(process.log()).unwrap();
     assert!(!log.contains("panicked"), "{log}");
-    assert!(listens.is_ok() || log.contains("ERROR") || log.contains("open files"), "{log}");
+    assert!(address.is_ok() || log.contains("ERROR") || log.contains("open files"), "{log}");
 }
