--- a/crates/node/tests/scale.rs
+++ b/crates/node/tests/scale.rs
@@ -1,4 +1,5 @@
-//! The short form of the scale run: simulated fleet members with real coordinators; only counts are checked against limits.
+//! The scale run in a short form: real coordinators with simulated fleet members. Only counts of messages and bytes are checked
+//! against limits, since times depend on the load of the machine.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -11,14 +12,15 @@
 use linestack_lab::scale::stop::{Stop, Stopped};
 use rustix::process::{Signal, getpid, kill_process};
 
-/// Runs go one at a time, since each checks the child processes of this test process.
+/// Scale runs go one at a time, since each test checks the child processes of this process.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 const SHORT_PLAN: &str = include_str!("../../../scenarios/scale/short.toml");
 
-fn read(text: &str) -> Scale {
+fn parse_plan(text: &str) -> Scale {
     parse(text, &Machine::read().unwrap()).unwrap()
 }
 
+/// Runs a scale plan. It measures no dispatching node, so the path of `linestack-lab` is not used.
 fn run_scale(scale: &Scale, stop: &Stop) -> Result<Report, Box<dyn std::error::Error>> {
     let program = Path::new(env!("CARGO_BIN_EXE_linestack"));
     run(scale, Machine::read().unwrap(), program, Path::new("no-lab"), stop, &|_| {})
@@ -39,7 +41,7 @@
 #[test]
 fn counts_stay_within_their_limits() {
     let _guard = ONE_AT_A_TIME.lock();
-    let scale = read(SHORT_PLAN);
+    let scale = parse_plan(SHORT_PLAN);
     let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
     assert_eq!(report.judged.len(), 3, "{:?}", report.judged);
     assert!(report.holds(), "{}", report.text());
@@ -49,23 +51,24 @@
 #[test]
 fn an_exceeded_limit_is_reported() {
     let _guard = ONE_AT_A_TIME.lock();
-    let tight = [("= 12\n", "= 5\n"), ("= 360\n", "= 100\n"), ("a-member = 60", "a-member = 40")];
-    let text = tight
+    // Each limit is lowered below what the run needs.
+    let lowered = [("= 12\n", "= 5\n"), ("= 360\n", "= 100\n"), ("a-member = 60", "a-member = 40")];
+    let text = lowered
         .iter()
         .fold(SHORT_PLAN.replace("[50, 100]", "[10, 20]"), |text, (from, to)| text.replace(from, to));
-    let scale = read(&text);
+    let scale = parse_plan(&text);
     let report = run_scale(&scale, &Stop::after(scale.span)).unwrap();
-    let kept: Vec<&str> = report.judged.iter().filter(|j| j.holds).map(|j| j.limit).collect();
-    assert_eq!((report.judged.len(), kept), (3, Vec::new()), "{}", report.text());
+    let within_limits: Vec<&str> = report.judged.iter().filter(|j| j.holds).map(|j| j.limit).collect();
+    assert_eq!((report.judged.len(), within_limits), (3, Vec::new()), "{}", report.text());
 }
 
 #[test]
 fn an_interrupt_ends_all_started_processes() {
     let _guard = ONE_AT_A_TIME.lock();
-    let scale = read(&SHORT_PLAN.replace("idle-s = 4", "idle-s = 50"));
+    let scale = parse_plan(&SHORT_PLAN.replace("idle-s = 4", "idle-s = 50"));
     let stop = Stop::after(scale.span);
     stop.on_signals().unwrap();
-    let interrupts = std::thread::spawn(|| {
+    let interrupter = std::thread::spawn(|| {
         while children().len() < 5 {
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -73,7 +76,7 @@
         kill_process(getpid(), Signal::INT).unwrap();
     });
     let reason = run_scale(&scale, &stop).err().and_then(|error| error.downcast::<Stopped>().ok());
-    interrupts.join().unwrap();
+    interrupter.join().unwrap();
     assert_eq!(reason.as_deref(), Some(&Stopped::Interrupted));
     assert_eq!(children(), Vec::<String>::new());
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The short form of the soak test: randomly drawn plans, and recorded plans on which a build has failed before. The long form is
-//! `linestack-lab soak`.
+//! The soak test in a short form: random plans of a few seconds, and recorded plans on which an earlier build violated a rule. The
+//! long form is `linestack-lab soak`.
 
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
@@ -10,10 +10,10 @@
 use linestack_soak::run::run;
 use rstest::rstest;
 
-/// The size of a short plan: a few processes of the program, for a few seconds.
+/// The size of the random plans.
 const SHORT: Size = Size { nodes: 10, executors: 8, clients: 16, span_ms: 6_000 };
 
-/// Plans run one after the other: side by side they would miss their time limits.
+/// Plans run one at a time: side by side they would exceed the time limits under test.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 /// Runs a plan and returns its counts. Panics if a rule was violated.
@@ -35,7 +35,7 @@
     assert!(counts.asked > 500 && counts.served * 10 > counts.asked * 8, "{counts:?}");
 }
 
-// Each plan was recorded because a build violated a rule on it.
+// Each plan was recorded because an earlier build violated a rule on it.
 #[rstest]
 #[case::local_failures_of_discovery_requests(include_str!("../../../scenarios/soak/local-failures.toml"))]
 #[case::starts_while_discovery_is_down(include_str!("../../../scenarios/soak/start-in-an-outage.toml"))]
